--- a/include/harecrank/core/config_ledger.h
+++ b/include/harecrank/core/config_ledger.h
@@ -58,9 +58,9 @@
 // Holds the highest valid revision that this process has ever seen.
 //
 // Thread-safe. Reading is wait-free; offers are serialised.
-class ConfigLedger {
+class ActiveConfig {
  public:
-  ConfigLedger();
+  ActiveConfig();
 
   // Offers a whole document.
   Offer OfferDocument(const std::string& document_json, ConfigSource source);
--- a/src/core/config_ledger.cc
+++ b/src/core/config_ledger.cc
@@ -62,9 +62,9 @@
   return "invalid";
 }
 
-ConfigLedger::ConfigLedger() : current_(std::make_shared<const Current>()) {}
+ActiveConfig::ActiveConfig() : current_(std::make_shared<const Current>()) {}
 
-Offer ConfigLedger::OfferDocument(const std::string& document_json,
+Offer ActiveConfig::OfferDocument(const std::string& document_json,
                                   ConfigSource source) {
   Outcome outcome = Try([&] { return Configuration::Parse(document_json); });
   const std::lock_guard<std::mutex> lock(mutex_);
@@ -82,7 +82,7 @@
   return Count(offer);
 }
 
-Offer ConfigLedger::OfferChange(const v1::Change& change, ConfigSource source) {
+Offer ActiveConfig::OfferChange(const v1::Change& change, ConfigSource source) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const Offer offer =
       Judge(Revision{change.revision()}, Digest{change.digest()});
@@ -112,11 +112,11 @@
   return Count(Offer::kAdopted);
 }
 
-std::shared_ptr<const Configuration> ConfigLedger::InForce() const {
+std::shared_ptr<const Configuration> ActiveConfig::InForce() const {
   return current_.Load()->configuration;
 }
 
-std::optional<v1::ChangeLog> ConfigLedger::ChangesSince(
+std::optional<v1::ChangeLog> ActiveConfig::ChangesSince(
     const Digest& have) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   v1::ChangeLog log;
@@ -136,7 +136,7 @@
   return log;
 }
 
-v1::ChangeLog ConfigLedger::RecentChanges() const {
+v1::ChangeLog ActiveConfig::RecentChanges() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   v1::ChangeLog log;
   for (const v1::Change& change : changes_) {
@@ -145,7 +145,7 @@
   return log;
 }
 
-std::optional<v1::Change> ConfigLedger::LatestChange() const {
+std::optional<v1::Change> ActiveConfig::LatestChange() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (changes_.empty()) {
     return std::nullopt;
@@ -153,12 +153,12 @@
   return changes_.back();
 }
 
-LedgerState ConfigLedger::State() const {
+LedgerState ActiveConfig::State() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return state_;
 }
 
-Offer ConfigLedger::Judge(Revision revision, const Digest& digest) {
+Offer ActiveConfig::Judge(Revision revision, const Digest& digest) {
   if (revision < state_.revision) {
     return Offer::kOlder;
   }
@@ -175,7 +175,7 @@
   return Offer::kAdopted;
 }
 
-Offer ConfigLedger::Count(Offer offer) {
+Offer ActiveConfig::Count(Offer offer) {
   switch (offer) {
     case Offer::kAdopted:
       ++state_.adopted;
@@ -198,7 +198,7 @@
   return offer;
 }
 
-void ConfigLedger::Adopt(std::shared_ptr<const Configuration> next,
+void ActiveConfig::Adopt(std::shared_ptr<const Configuration> next,
                          ConfigSource source) {
   state_.revision = next->GetRevision();
   state_.digest = next->GetDigest();
--- a/src/core/config_ledger_test.cc
+++ b/src/core/config_ledger_test.cc
@@ -36,7 +36,7 @@
 }
 
 // Plans a change on `ledger`'s configuration, without publishing it.
-v1::PlanResponse Plan(const ConfigLedger& ledger,
+v1::PlanResponse Plan(const ActiveConfig& ledger,
                       const v1::PlanRequest& request) {
   const auto base = ledger.InForce();
   return leaf::try_handle_all(
@@ -65,7 +65,7 @@
 }
 
 struct Fixture {
-  ConfigLedger ledger;
+  ActiveConfig ledger;
 
   Offer OfferDocument(const json& document) {
     return ledger.OfferDocument(document.dump(), ConfigSource::kService);
@@ -128,7 +128,7 @@
   CHECK(ledger.OfferChange(ChangeOf(plan), ConfigSource::kPeer) ==
         Offer::kAdopted);
   CHECK(ledger.InForce()->GetDigest().value == plan.digest());
-  ConfigLedger other;
+  ActiveConfig other;
   other.OfferDocument(plan.document_json(), ConfigSource::kService);
   CHECK(other.InForce()->GetDigest().value == plan.digest());
 }
@@ -136,7 +136,7 @@
 TEST_CASE_METHOD(Fixture, "A change on a missing base asks for the whole") {
   OfferDocument(MakeDocument(1));
   const v1::PlanResponse plan = Plan(ledger, PutModel("m"));
-  ConfigLedger behind;
+  ActiveConfig behind;
   CHECK(behind.OfferChange(ChangeOf(plan), ConfigSource::kPeer) == Offer::kGap);
 }
 
--- a/src/node/administration.cc
+++ b/src/node/administration.cc
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-AdministrationService::AdministrationService(ConfigLedger* ledger,
+AdministrationService::AdministrationService(ActiveConfig* ledger,
                                              ConfigFeed* feed)
     : ledger_(ledger), feed_(feed) {}
 
--- a/src/node/administration.h
+++ b/src/node/administration.h
@@ -14,7 +14,7 @@
 class AdministrationService : public v1::Administration {
  public:
   // Both must outlive the service.
-  AdministrationService(ConfigLedger* ledger, ConfigFeed* feed);
+  AdministrationService(ActiveConfig* ledger, ConfigFeed* feed);
 
   void Plan(google::protobuf::RpcController* controller,
             const v1::PlanRequest* request, v1::PlanResponse* response,
@@ -32,7 +32,7 @@
               google::protobuf::Closure* done) override;
 
  private:
-  ConfigLedger* ledger_;
+  ActiveConfig* ledger_;
   ConfigFeed* feed_;
 };
 
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -29,7 +29,7 @@
   ConfigServicePort* service = nullptr;
   // Null where the platform has no host list.
   HostListPort* host_list = nullptr;
-  ConfigLedger* ledger = nullptr;
+  ActiveConfig* ledger = nullptr;
   HostStates* hosts = nullptr;
   Metrics* metrics = nullptr;
   MonotonicClock clock;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -26,7 +26,7 @@
 }
 
 ConfigFeedPorts MakePorts(ConfigServicePort* service, HostListPort* host_list,
-                          ConfigLedger* ledger, HostStates* hosts,
+                          ActiveConfig* ledger, HostStates* hosts,
                           Metrics* metrics, MonotonicClock clock,
                           RandomSource random) {
   return ConfigFeedPorts{service, host_list,        ledger,           hosts,
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -72,7 +72,7 @@
   MonotonicClock clock_;
   TimePoint started_;
   Metrics metrics_;
-  ConfigLedger ledger_;
+  ActiveConfig ledger_;
   HostStates hosts_;
   HttpConfigService service_;
   std::unique_ptr<HttpHostList> host_list_;
