--- a/include/harecrank/core/config_ledger.h
+++ b/include/harecrank/core/config_ledger.h
@@ -42,7 +42,7 @@
 const char* OfferName(Offer offer);
 
 // What the ledger reports of itself.
-struct LedgerState {
+struct ActiveConfigState {
   Revision revision;
   Digest digest;
   ConfigSource source = ConfigSource::kNone;
@@ -81,7 +81,7 @@
   // Returns the change that led to the revision in force, if it came as one.
   std::optional<v1::Change> LatestChange() const;
 
-  LedgerState State() const;
+  ActiveConfigState State() const;
 
   // How many changes are remembered for peers that lag a little.
   static constexpr std::size_t kRememberedChanges = 64;
@@ -103,7 +103,7 @@
   // Digests of documents refused for a fault, so that each peer that repeats
   // one does not cost another check.
   std::set<std::string> refused_;
-  LedgerState state_;
+  ActiveConfigState state_;
 };
 
 }  // namespace harecrank
--- a/src/core/config_ledger.cc
+++ b/src/core/config_ledger.cc
@@ -153,7 +153,7 @@
   return changes_.back();
 }
 
-LedgerState ActiveConfig::State() const {
+ActiveConfigState ActiveConfig::State() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return state_;
 }
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -117,7 +117,7 @@
 }
 
 PeerState ConfigFeed::MyState() const {
-  const LedgerState state = ports_.ledger->State();
+  const ActiveConfigState state = ports_.ledger->State();
   return PeerState{settings_.node_id.value, state.revision.value,
                    state.digest.value, ports_.hosts->Current()->version,
                    ready_.load()};
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -161,7 +161,7 @@
 }
 
 std::string Node::Dump() const {
-  const LedgerState ledger = ledger_.State();
+  const ActiveConfigState ledger = ledger_.State();
   const auto hosts = hosts_.Current();
   json dump;
   dump["node"] = {{"id", settings_.node_id.value},
