--- a/include/harecrank/core/config_ledger.h
+++ b/include/harecrank/core/config_ledger.h
@@ -41,7 +41,7 @@
 // Returns a word for logs and counters.
 const char* OfferName(Offer offer);
 
-// What the ledger reports of itself.
+// What the active_config reports of itself.
 struct ActiveConfigState {
   Revision revision;
   Digest digest;
--- a/src/core/config_ledger_test.cc
+++ b/src/core/config_ledger_test.cc
@@ -35,13 +35,13 @@
   return document;
 }
 
-// Plans a change on `ledger`'s configuration, without publishing it.
-v1::PlanResponse Plan(const ActiveConfig& ledger,
+// Plans a change on `active_config`'s configuration, without publishing it.
+v1::PlanResponse Plan(const ActiveConfig& active_config,
                       const v1::PlanRequest& request) {
-  const auto base = ledger.InForce();
+  const auto base = active_config.InForce();
   return leaf::try_handle_all(
       [&]() -> leaf::result<v1::PlanResponse> {
-        return PlanChange(base.get(), ledger.RecentChanges(), request);
+        return PlanChange(base.get(), active_config.RecentChanges(), request);
       },
       [] { return v1::PlanResponse(); });
 }
@@ -65,31 +65,31 @@
 }
 
 struct Fixture {
-  ActiveConfig ledger;
+  ActiveConfig active_config;
 
   Offer OfferDocument(const json& document) {
-    return ledger.OfferDocument(document.dump(), ConfigSource::kService);
+    return active_config.OfferDocument(document.dump(), ConfigSource::kService);
   }
 };
 
 TEST_CASE_METHOD(Fixture, "A higher revision comes into force") {
   CHECK(OfferDocument(MakeDocument(1)) == Offer::kAdopted);
   CHECK(OfferDocument(MakeDocument(5)) == Offer::kAdopted);
-  CHECK(ledger.InForce()->GetRevision().value == 5);
+  CHECK(active_config.InForce()->GetRevision().value == 5);
 }
 
 TEST_CASE_METHOD(Fixture, "A configuration never goes back") {
   OfferDocument(MakeDocument(5));
   CHECK(OfferDocument(MakeDocument(4)) == Offer::kOlder);
-  CHECK(ledger.InForce()->GetRevision().value == 5);
+  CHECK(active_config.InForce()->GetRevision().value == 5);
 }
 
 TEST_CASE_METHOD(Fixture, "Two documents with one revision are reported") {
   OfferDocument(MakeDocument(5));
   CHECK(OfferDocument(MakeDocument(5, 2)) == Offer::kConflict);
-  CHECK(ledger.InForce()->GetDocument().accounts().size() == 1);
-  CHECK(ledger.State().conflicts == 1);
-  CHECK_FALSE(ledger.State().last_fault.empty());
+  CHECK(active_config.InForce()->GetDocument().accounts().size() == 1);
+  CHECK(active_config.State().conflicts == 1);
+  CHECK_FALSE(active_config.State().last_fault.empty());
 }
 
 TEST_CASE_METHOD(Fixture, "A conflict is resolved by a higher revision") {
@@ -100,8 +100,8 @@
 
 TEST_CASE_METHOD(Fixture, "The same content in another layout is the same") {
   OfferDocument(MakeDocument(5));
-  CHECK(ledger.OfferDocument(MakeDocument(5).dump(4), ConfigSource::kPeer) ==
-        Offer::kSame);
+  CHECK(active_config.OfferDocument(MakeDocument(5).dump(4),
+                                    ConfigSource::kPeer) == Offer::kSame);
 }
 
 TEST_CASE_METHOD(Fixture, "A faulty document is refused whole") {
@@ -109,9 +109,9 @@
   json document = MakeDocument(2, 2);
   document["endpoints"]["e"] = {{"link_address", "localhost:80"}};
   CHECK(OfferDocument(document) == Offer::kInvalid);
-  CHECK(ledger.InForce()->GetRevision().value == 1);
-  INFO("the fault was: " << ledger.State().last_fault);
-  CHECK(ledger.State().last_fault.find("endpoints.e.link_address") !=
+  CHECK(active_config.InForce()->GetRevision().value == 1);
+  INFO("the fault was: " << active_config.State().last_fault);
+  CHECK(active_config.State().last_fault.find("endpoints.e.link_address") !=
         std::string::npos);
 }
 
@@ -123,11 +123,11 @@
 
 TEST_CASE_METHOD(Fixture, "A planned change leads to the planned document") {
   OfferDocument(MakeDocument(1));
-  const v1::PlanResponse plan = Plan(ledger, PutModel("m"));
+  const v1::PlanResponse plan = Plan(active_config, PutModel("m"));
   REQUIRE(plan.revision() == 2);
-  CHECK(ledger.OfferChange(ChangeOf(plan), ConfigSource::kPeer) ==
+  CHECK(active_config.OfferChange(ChangeOf(plan), ConfigSource::kPeer) ==
         Offer::kAdopted);
-  CHECK(ledger.InForce()->GetDigest().value == plan.digest());
+  CHECK(active_config.InForce()->GetDigest().value == plan.digest());
   ActiveConfig other;
   other.OfferDocument(plan.document_json(), ConfigSource::kService);
   CHECK(other.InForce()->GetDigest().value == plan.digest());
@@ -135,7 +135,7 @@
 
 TEST_CASE_METHOD(Fixture, "A change on a missing base asks for the whole") {
   OfferDocument(MakeDocument(1));
-  const v1::PlanResponse plan = Plan(ledger, PutModel("m"));
+  const v1::PlanResponse plan = Plan(active_config, PutModel("m"));
   ActiveConfig behind;
   CHECK(behind.OfferChange(ChangeOf(plan), ConfigSource::kPeer) == Offer::kGap);
 }
@@ -143,19 +143,20 @@
 TEST_CASE_METHOD(Fixture,
                  "A change that does not end at its digest is refused") {
   OfferDocument(MakeDocument(1));
-  v1::Change change = ChangeOf(Plan(ledger, PutModel("m")));
+  v1::Change change = ChangeOf(Plan(active_config, PutModel("m")));
   change.set_digest("0123");
-  CHECK(ledger.OfferChange(change, ConfigSource::kPeer) == Offer::kInvalid);
-  CHECK(ledger.InForce()->GetRevision().value == 1);
+  CHECK(active_config.OfferChange(change, ConfigSource::kPeer) ==
+        Offer::kInvalid);
+  CHECK(active_config.InForce()->GetRevision().value == 1);
 }
 
 TEST_CASE_METHOD(Fixture, "Of two racing plans one comes into force") {
   OfferDocument(MakeDocument(1));
-  const v1::PlanResponse mine = Plan(ledger, PutModel("mine"));
-  const v1::PlanResponse yours = Plan(ledger, PutModel("yours"));
-  CHECK(ledger.OfferChange(ChangeOf(mine), ConfigSource::kPeer) ==
+  const v1::PlanResponse mine = Plan(active_config, PutModel("mine"));
+  const v1::PlanResponse yours = Plan(active_config, PutModel("yours"));
+  CHECK(active_config.OfferChange(ChangeOf(mine), ConfigSource::kPeer) ==
         Offer::kAdopted);
-  CHECK(ledger.OfferChange(ChangeOf(yours), ConfigSource::kPeer) ==
+  CHECK(active_config.OfferChange(ChangeOf(yours), ConfigSource::kPeer) ==
         Offer::kConflict);
 }
 
@@ -163,20 +164,20 @@
   OfferDocument(MakeDocument(3));
   v1::PlanRequest request = PutModel("m");
   request.set_base_revision(2);
-  CHECK(Plan(ledger, request).revision() == 0);
+  CHECK(Plan(active_config, request).revision() == 0);
 }
 
 TEST_CASE_METHOD(Fixture, "A peer that lags gets the changes it lacks") {
   OfferDocument(MakeDocument(1));
-  const Digest first = ledger.InForce()->GetDigest();
+  const Digest first = active_config.InForce()->GetDigest();
   for (const char* id : {"a", "b", "c"}) {
-    ledger.OfferChange(ChangeOf(Plan(ledger, PutModel(id))),
-                       ConfigSource::kPeer);
+    active_config.OfferChange(ChangeOf(Plan(active_config, PutModel(id))),
+                              ConfigSource::kPeer);
   }
-  const auto changes = ledger.ChangesSince(first);
+  const auto changes = active_config.ChangesSince(first);
   REQUIRE(changes);
   CHECK(changes->changes_size() == 3);
-  CHECK_FALSE(ledger.ChangesSince(Digest{"unknown"}));
+  CHECK_FALSE(active_config.ChangesSince(Digest{"unknown"}));
 }
 
 }  // namespace
--- a/src/node/administration.cc
+++ b/src/node/administration.cc
@@ -80,9 +80,9 @@
 
 }  // namespace
 
-AdministrationService::AdministrationService(ActiveConfig* ledger,
+AdministrationService::AdministrationService(ActiveConfig* active_config,
                                              ConfigFeed* feed)
-    : ledger_(ledger), feed_(feed) {}
+    : ledger_(active_config), feed_(feed) {}
 
 void AdministrationService::Plan(pb::RpcController* controller,
                                  const v1::PlanRequest* request,
--- a/src/node/administration.h
+++ b/src/node/administration.h
@@ -14,7 +14,7 @@
 class AdministrationService : public v1::Administration {
  public:
   // Both must outlive the service.
-  AdministrationService(ActiveConfig* ledger, ConfigFeed* feed);
+  AdministrationService(ActiveConfig* active_config, ConfigFeed* feed);
 
   void Plan(google::protobuf::RpcController* controller,
             const v1::PlanRequest* request, v1::PlanResponse* response,
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -80,7 +80,7 @@
           ports_.metrics->GetCounter("harecrank_peer_bytes_received_total")),
       log_(GetLog("config")) {
   ports_.metrics->AddGauge("harecrank_config_revision", [this] {
-    return static_cast<double>(ports_.ledger->State().revision.value);
+    return static_cast<double>(ports_.active_config->State().revision.value);
   });
   ports_.metrics->AddGauge("harecrank_config_in_force_since_ms", [this] {
     return static_cast<double>(in_force_since_.load());
@@ -117,7 +117,7 @@
 }
 
 PeerState ConfigFeed::MyState() const {
-  const ActiveConfigState state = ports_.ledger->State();
+  const ActiveConfigState state = ports_.active_config->State();
   return PeerState{settings_.node_id.value, state.revision.value,
                    state.digest.value, ports_.hosts->Current()->version,
                    ready_.load()};
@@ -252,11 +252,11 @@
   Offer latest = Offer::kSame;
   for (const v1::Change& change : log.changes()) {
     // Those already passed are no news.
-    if (change.revision() <= ports_.ledger->State().revision.value &&
+    if (change.revision() <= ports_.active_config->State().revision.value &&
         &change != &*log.changes().rbegin()) {
       continue;
     }
-    latest = ports_.ledger->OfferChange(change, source);
+    latest = ports_.active_config->OfferChange(change, source);
     Settle(latest);
   }
   if (latest == Offer::kGap && source == ConfigSource::kService) {
@@ -292,7 +292,7 @@
     for (const std::string& peer : peers) {
       answered += CompareWith(peer) ? 1 : 0;
     }
-    const bool have = ports_.ledger->InForce() != nullptr;
+    const bool have = ports_.active_config->InForce() != nullptr;
     if (have && (answered > 0 || peers.empty())) {
       break;
     }
@@ -302,9 +302,9 @@
     }
     Sleep(Jittered(kBootstrapPause));
   }
-  ready_ = ports_.ledger->InForce() != nullptr;
-  LOG4CXX_INFO(log_,
-               "ready with revision " << ports_.ledger->State().revision.value);
+  ready_ = ports_.active_config->InForce() != nullptr;
+  LOG4CXX_INFO(log_, "ready with revision "
+                         << ports_.active_config->State().revision.value);
 }
 
 std::vector<std::string> ConfigFeed::BootstrapPeers() {
@@ -387,7 +387,7 @@
   PeerState level = MyState();
   level.host_version = 0;
   PeerUpdate update = UpdateFor(level);
-  const auto latest = ports_.ledger->LatestChange();
+  const auto latest = ports_.active_config->LatestChange();
   if (latest) {
     v1::ChangeLog log;
     *log.add_changes() = *latest;
@@ -399,9 +399,10 @@
 PeerUpdate ConfigFeed::UpdateFor(const PeerState& theirs) const {
   PeerUpdate update;
   update.state = MyState();
-  const auto configuration = ports_.ledger->InForce();
+  const auto configuration = ports_.active_config->InForce();
   if (configuration != nullptr && theirs.revision < update.state.revision) {
-    const auto changes = ports_.ledger->ChangesSince(Digest{theirs.digest});
+    const auto changes =
+        ports_.active_config->ChangesSince(Digest{theirs.digest});
     if (changes) {
       update.changes_json = ToJson(*changes);
     } else {
@@ -420,7 +421,7 @@
 
 void ConfigFeed::OfferDocument(const std::string& document,
                                ConfigSource source) {
-  Settle(ports_.ledger->OfferDocument(document, source));
+  Settle(ports_.active_config->OfferDocument(document, source));
 }
 
 void ConfigFeed::Settle(Offer offer) {
@@ -429,8 +430,8 @@
                    std::string("result=\"") + OfferName(offer) + "\"")
       ->Add();
   if (offer == Offer::kConflict || offer == Offer::kInvalid) {
-    LOG4CXX_WARN(
-        log_, "configuration refused: " << ports_.ledger->State().last_fault);
+    LOG4CXX_WARN(log_, "configuration refused: "
+                           << ports_.active_config->State().last_fault);
     return;
   }
   if (offer != Offer::kAdopted) {
@@ -453,7 +454,7 @@
 }
 
 std::shared_ptr<const DisseminationPlan> ConfigFeed::Plan() {
-  const auto configuration = ports_.ledger->InForce();
+  const auto configuration = ports_.active_config->InForce();
   if (configuration == nullptr) {
     return nullptr;
   }
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -29,15 +29,15 @@
   ConfigServicePort* service = nullptr;
   // Null where the platform has no host list.
   HostListPort* host_list = nullptr;
-  ActiveConfig* ledger = nullptr;
+  ActiveConfig* active_config = nullptr;
   HostStates* hosts = nullptr;
   Metrics* metrics = nullptr;
   MonotonicClock clock;
   RandomSource random;
 };
 
-// Keeps the ledger at the highest revision that any reachable peer or the
-// service has.
+// Keeps the active_config at the highest revision that any reachable peer or
+// the service has.
 //
 // One thread reads the service: a reader's waits on it, another's looks rarely.
 // One thread compares revisions with a random peer at intervals. One thread
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -26,10 +26,10 @@
 }
 
 ConfigFeedPorts MakePorts(ConfigServicePort* service, HostListPort* host_list,
-                          ActiveConfig* ledger, HostStates* hosts,
+                          ActiveConfig* active_config, HostStates* hosts,
                           Metrics* metrics, MonotonicClock clock,
                           RandomSource random) {
-  return ConfigFeedPorts{service, host_list,        ledger,           hosts,
+  return ConfigFeedPorts{service, host_list,        active_config,    hosts,
                          metrics, std::move(clock), std::move(random)};
 }
 
@@ -161,7 +161,7 @@
 }
 
 std::string Node::Dump() const {
-  const ActiveConfigState ledger = ledger_.State();
+  const ActiveConfigState active_config = ledger_.State();
   const auto hosts = hosts_.Current();
   json dump;
   dump["node"] = {{"id", settings_.node_id.value},
@@ -171,15 +171,15 @@
                   {"ready", IsReady()},
                   {"uptime_ms", ToMillis(clock_()) - ToMillis(started_)},
                   {"version", HARECRANK_VERSION}};
-  dump["configuration"] = {{"revision", ledger.revision.value},
-                           {"digest", ledger.digest.value},
-                           {"source", ConfigSourceName(ledger.source)},
-                           {"adopted", ledger.adopted},
-                           {"older", ledger.older},
-                           {"conflicts", ledger.conflicts},
-                           {"invalid", ledger.invalid},
-                           {"gaps", ledger.gaps},
-                           {"last_fault", ledger.last_fault}};
+  dump["configuration"] = {{"revision", active_config.revision.value},
+                           {"digest", active_config.digest.value},
+                           {"source", ConfigSourceName(active_config.source)},
+                           {"adopted", active_config.adopted},
+                           {"older", active_config.older},
+                           {"conflicts", active_config.conflicts},
+                           {"invalid", active_config.invalid},
+                           {"gaps", active_config.gaps},
+                           {"last_fault", active_config.last_fault}};
   json leaving = json::array();
   for (const NodeId& id : hosts->leaving) {
     leaving.push_back(id.value);
