--- a/src/node/administration.cc
+++ b/src/node/administration.cc
@@ -82,18 +82,18 @@
 
 AdministrationService::AdministrationService(ActiveConfig* active_config,
                                              ConfigFeed* feed)
-    : ledger_(active_config), feed_(feed) {}
+    : active_config_(active_config), feed_(feed) {}
 
 void AdministrationService::Plan(pb::RpcController* controller,
                                  const v1::PlanRequest* request,
                                  v1::PlanResponse* response,
                                  pb::Closure* done) {
-  const auto base = ledger_->InForce();
+  const auto base = active_config_->InForce();
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         BOOST_LEAF_AUTO(
             planned,
-            PlanChange(base.get(), ledger_->RecentChanges(), *request));
+            PlanChange(base.get(), active_config_->RecentChanges(), *request));
         *response = std::move(planned);
         return {};
       },
@@ -126,13 +126,13 @@
                                        const v1::GetInForceRequest*,
                                        v1::GetInForceResponse* response,
                                        pb::Closure* done) {
-  const auto configuration = ledger_->InForce();
+  const auto configuration = active_config_->InForce();
   if (configuration == nullptr) {
     controller->SetFailed("no configuration is in force on this node yet");
   } else {
     response->set_revision(configuration->GetRevision().value);
     response->set_digest(configuration->GetDigest().value);
-    response->set_source(ConfigSourceName(ledger_->State().source));
+    response->set_source(ConfigSourceName(active_config_->State().source));
     *response->mutable_document() = configuration->GetDocument();
   }
   done->Run();
@@ -141,7 +141,7 @@
 void AdministrationService::Locate(pb::RpcController*, const v1::LocateRequest*,
                                    v1::LocateResponse* response,
                                    pb::Closure* done) {
-  const auto configuration = ledger_->InForce();
+  const auto configuration = active_config_->InForce();
   const std::vector<NodeAddress> nodes = configuration == nullptr
                                              ? std::vector<NodeAddress>()
                                              : configuration->Nodes();
--- a/src/node/administration.h
+++ b/src/node/administration.h
@@ -32,7 +32,7 @@
               google::protobuf::Closure* done) override;
 
  private:
-  ActiveConfig* ledger_;
+  ActiveConfig* active_config_;
   ConfigFeed* feed_;
 };
 
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -46,9 +46,9 @@
                      ? nullptr
                      : std::make_unique<HttpHostList>(settings.host_list)),
       feed_(settings_,
-            MakePorts(&service_, host_list_.get(), &ledger_, &hosts_, &metrics_,
-                      std::move(clock), std::move(random))),
-      administration_(&ledger_, &feed_) {}
+            MakePorts(&service_, host_list_.get(), &active_config_, &hosts_,
+                      &metrics_, std::move(clock), std::move(random))),
+      administration_(&active_config_, &feed_) {}
 
 Node::~Node() { Stop(); }
 
@@ -161,7 +161,7 @@
 }
 
 std::string Node::Dump() const {
-  const ActiveConfigState active_config = ledger_.State();
+  const ActiveConfigState active_config = active_config_.State();
   const auto hosts = hosts_.Current();
   json dump;
   dump["node"] = {{"id", settings_.node_id.value},
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -45,7 +45,7 @@
   void Stop();
 
   std::shared_ptr<const Configuration> InForce() const {
-    return ledger_.InForce();
+    return active_config_.InForce();
   }
   bool IsReady() const;
   // Returns whether the configuration in force was compared with peers.
@@ -72,7 +72,7 @@
   MonotonicClock clock_;
   TimePoint started_;
   Metrics metrics_;
-  ActiveConfig ledger_;
+  ActiveConfig active_config_;
   HostStates hosts_;
   HttpConfigService service_;
   std::unique_ptr<HttpHostList> host_list_;
