--- a/include/harecrank/core/config_ledger.h
+++ b/include/harecrank/core/config_ledger.h
@@ -35,7 +35,7 @@
   // It has a fault. Refused whole.
   kInvalid,
   // It is a change whose base is not in force here: the whole is needed.
-  kGap,
+  kMissingBase,
 };
 
 // Returns a word for logs and counters.
--- a/src/core/config_ledger.cc
+++ b/src/core/config_ledger.cc
@@ -56,7 +56,7 @@
       return "conflict";
     case Offer::kInvalid:
       return "invalid";
-    case Offer::kGap:
+    case Offer::kMissingBase:
       return "gap";
   }
   return "invalid";
@@ -94,7 +94,7 @@
   }
   const auto base = InForce();
   if (base == nullptr || base->GetDigest().value != change.base_digest()) {
-    return Count(Offer::kGap);
+    return Count(Offer::kMissingBase);
   }
   Outcome outcome = Try([&] { return base->Apply(change); });
   if (outcome.configuration == nullptr) {
@@ -191,7 +191,7 @@
     case Offer::kInvalid:
       ++state_.invalid;
       break;
-    case Offer::kGap:
+    case Offer::kMissingBase:
       ++state_.gaps;
       break;
   }
--- a/src/core/config_ledger_test.cc
+++ b/src/core/config_ledger_test.cc
@@ -137,7 +137,8 @@
   OfferDocument(MakeDocument(1));
   const v1::PlanResponse plan = Plan(active_config, PutModel("m"));
   ActiveConfig behind;
-  CHECK(behind.OfferChange(ChangeOf(plan), ConfigSource::kPeer) == Offer::kGap);
+  CHECK(behind.OfferChange(ChangeOf(plan), ConfigSource::kPeer) ==
+        Offer::kMissingBase);
 }
 
 TEST_CASE_METHOD(Fixture,
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -259,7 +259,7 @@
     latest = ports_.active_config->OfferChange(change, source);
     Settle(latest);
   }
-  if (latest == Offer::kGap && source == ConfigSource::kService) {
+  if (latest == Offer::kMissingBase && source == ConfigSource::kService) {
     ReadDocument();
   }
 }
