--- a/include/harecrank/core/config_ledger.h
+++ b/include/harecrank/core/config_ledger.h
@@ -27,7 +27,7 @@
   // It is in force now.
   kAdopted,
   // It is the one in force already.
-  kSame,
+  kAlreadyInForce,
   // It is older than the one in force. Never adopted.
   kOlder,
   // It has the revision in force but another content. Refused and reported.
--- a/src/core/config_ledger.cc
+++ b/src/core/config_ledger.cc
@@ -48,7 +48,7 @@
   switch (offer) {
     case Offer::kAdopted:
       return "adopted";
-    case Offer::kSame:
+    case Offer::kAlreadyInForce:
       return "same";
     case Offer::kOlder:
       return "older";
@@ -164,7 +164,7 @@
   }
   if (revision == state_.revision) {
     if (digest == state_.digest) {
-      return Offer::kSame;
+      return Offer::kAlreadyInForce;
     }
     state_.last_fault = "two documents have the revision " +
                         std::to_string(revision.value) + ": " +
@@ -180,7 +180,7 @@
     case Offer::kAdopted:
       ++state_.adopted;
       break;
-    case Offer::kSame:
+    case Offer::kAlreadyInForce:
       break;
     case Offer::kOlder:
       ++state_.older;
--- a/src/core/config_ledger_test.cc
+++ b/src/core/config_ledger_test.cc
@@ -101,7 +101,8 @@
 TEST_CASE_METHOD(Fixture, "The same content in another layout is the same") {
   OfferDocument(MakeDocument(5));
   CHECK(active_config.OfferDocument(MakeDocument(5).dump(4),
-                                    ConfigSource::kPeer) == Offer::kSame);
+                                    ConfigSource::kPeer) ==
+        Offer::kAlreadyInForce);
 }
 
 TEST_CASE_METHOD(Fixture, "A faulty document is refused whole") {
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -249,7 +249,7 @@
     LOG4CXX_WARN(log_, "a change log cannot be read");
     return;
   }
-  Offer latest = Offer::kSame;
+  Offer latest = Offer::kAlreadyInForce;
   for (const v1::Change& change : log.changes()) {
     // Those already passed are no news.
     if (change.revision() <= ports_.active_config->State().revision.value &&
