--- a/include/harecrank/core/config_ledger.h
+++ b/include/harecrank/core/config_ledger.h
@@ -84,7 +84,7 @@
   ActiveConfigState State() const;
 
   // How many changes are remembered for peers that lag a little.
-  static constexpr std::size_t kRememberedChanges = 64;
+  static constexpr std::size_t kMaxRecentChanges = 64;
 
  private:
   struct Current {
--- a/src/core/config_ledger.cc
+++ b/src/core/config_ledger.cc
@@ -105,7 +105,7 @@
     return Count(Offer::kInvalid);
   }
   changes_.push_back(change);
-  if (changes_.size() > kRememberedChanges) {
+  if (changes_.size() > kMaxRecentChanges) {
     changes_.pop_front();
   }
   Adopt(std::move(outcome.configuration), source);
