--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -40,10 +40,10 @@
 
 // Costs are in the nanoseconds that the work takes on a whole core. Does no
 // work by itself. Not thread-safe.
-class ConfigurationIntake {
+class ConfigurationParseScheduler {
  public:
   // `power` is the share of a core that the host has.
-  ConfigurationIntake(HostPower power, IntakePolicy policy);
+  ConfigurationParseScheduler(HostPower power, IntakePolicy policy);
 
   // A version newer than all before has come. Returns whether it is to be read
   // now, instead of the one that is being read if there is one. Otherwise it
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_intake.cc
@@ -22,14 +22,15 @@
 
 }  // namespace
 
-ConfigurationIntake::ConfigurationIntake(HostPower power, IntakePolicy policy)
+ConfigurationParseScheduler::ConfigurationParseScheduler(HostPower power,
+                                                         IntakePolicy policy)
     : power_(power), policy_(policy), stretch_(NominalStretch()) {}
 
-double ConfigurationIntake::NominalStretch() const {
+double ConfigurationParseScheduler::NominalStretch() const {
   return 1 / std::max(power_.value, kLeastPower);
 }
 
-bool ConfigurationIntake::OnArrived(TimePoint now) {
+bool ConfigurationParseScheduler::OnArrived(TimePoint now) {
   if (!oldest_.has_value()) {
     oldest_ = now;
     last_held_ = nanoseconds(0);
@@ -44,8 +45,8 @@
   return false;
 }
 
-IntakeSlice ConfigurationIntake::NextSlice(std::size_t left,
-                                           TimePoint now) const {
+IntakeSlice ConfigurationParseScheduler::NextSlice(std::size_t left,
+                                                   TimePoint now) const {
   const duration<double, std::nano> longest = policy_.longest_hold;
   const auto most = static_cast<std::size_t>(longest.count() / stretch_);
   IntakeSlice slice;
@@ -60,7 +61,7 @@
   return slice;
 }
 
-void ConfigurationIntake::OnSlice(std::size_t cost, nanoseconds held) {
+void ConfigurationParseScheduler::OnSlice(std::size_t cost, nanoseconds held) {
   last_held_ = std::min<nanoseconds>(held, 2 * policy_.longest_hold);
   if (cost == 0) {
     return;
@@ -73,14 +74,14 @@
   stretch_ += kLearned * (believed - stretch_);
 }
 
-bool ConfigurationIntake::OnRead() {
+bool ConfigurationParseScheduler::OnRead() {
   read_any_ = true;
   oldest_ = waits_since_;
   waits_since_.reset();
   return oldest_.has_value();
 }
 
-nanoseconds ConfigurationIntake::Age(TimePoint now) const {
+nanoseconds ConfigurationParseScheduler::Age(TimePoint now) const {
   return oldest_.has_value() ? now - *oldest_ : nanoseconds(0);
 }
 
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -90,7 +90,7 @@
   }
 
   double power_;
-  ConfigurationIntake intake_;
+  ConfigurationParseScheduler intake_;
   TimePoint now_{};
   // When versions came that are not in force, and how many of them the one
   // that is being read covers.
@@ -159,7 +159,7 @@
 
 TEST_CASE("A host that has read nothing yet reads without pauses",
           "[configuration_intake]") {
-  ConfigurationIntake intake(HostPower{kWeakHost}, IntakePolicy{});
+  ConfigurationParseScheduler intake(HostPower{kWeakHost}, IntakePolicy{});
   TimePoint now{};
   REQUIRE(intake.OnArrived(now));
   intake.OnSlice(500000, Millis(6));
@@ -173,7 +173,7 @@
 TEST_CASE(
     "A host that was suspended in the middle of a slice goes on as before",
     "[configuration_intake]") {
-  ConfigurationIntake intake(HostPower{kWeakHost}, IntakePolicy{});
+  ConfigurationParseScheduler intake(HostPower{kWeakHost}, IntakePolicy{});
   TimePoint now{};
   REQUIRE(intake.OnArrived(now));
   const std::size_t before = intake.NextSlice(kWholeCost, now).cost;
@@ -186,7 +186,7 @@
 
 TEST_CASE("A version that waits is read once the one before it is done",
           "[configuration_intake]") {
-  ConfigurationIntake intake(HostPower{kWeakHost}, IntakePolicy{});
+  ConfigurationParseScheduler intake(HostPower{kWeakHost}, IntakePolicy{});
   TimePoint now{};
   REQUIRE(intake.OnArrived(now));
   now += Millis(200);
