--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -14,7 +14,7 @@
 
 namespace harecrank {
 
-struct IntakePolicy {
+struct ParseSchedulePolicy {
   // The longest that one slice may hold a host's only thread. A fortieth of the
   // tightest pause between two events that callers still take for a stream in
   // time, so that some other work fits beside it.
@@ -43,7 +43,7 @@
 class ConfigurationParseScheduler {
  public:
   // `power` is the share of a core that the host has.
-  ConfigurationParseScheduler(HostPower power, IntakePolicy policy);
+  ConfigurationParseScheduler(HostPower power, ParseSchedulePolicy policy);
 
   // A version newer than all before has come. Returns whether it is to be read
   // now, instead of the one that is being read if there is one. Otherwise it
@@ -77,7 +77,7 @@
   double NominalStretch() const;
 
   HostPower power_;
-  IntakePolicy policy_;
+  ParseSchedulePolicy policy_;
   // As NominalStretch, as slices have shown it.
   double stretch_;
   std::chrono::nanoseconds last_held_{0};
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_intake.cc
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-ConfigurationParseScheduler::ConfigurationParseScheduler(HostPower power,
-                                                         IntakePolicy policy)
+ConfigurationParseScheduler::ConfigurationParseScheduler(
+    HostPower power, ParseSchedulePolicy policy)
     : power_(power), policy_(policy), stretch_(NominalStretch()) {}
 
 double ConfigurationParseScheduler::NominalStretch() const {
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -22,7 +22,7 @@
 // A host that reads versions as the intake says, on a clock of its own.
 class Host {
  public:
-  explicit Host(IntakePolicy policy, double power = kWeakHost)
+  explicit Host(ParseSchedulePolicy policy, double power = kWeakHost)
       : power_(power), intake_(HostPower{power}, policy) {}
 
   // Plays versions that arrive at `arrivals`, in order.
@@ -117,7 +117,7 @@
     "[configuration_intake]") {
   const Millis gap(GENERATE(60, 150, 300));
   const std::size_t cost = GENERATE(kChangeCost, kWholeCost);
-  Host host{IntakePolicy{}};
+  Host host{ParseSchedulePolicy{}};
   host.Play(Storm(gap), cost);
   CAPTURE(gap.count(), cost);
   CHECK(host.LongestHold() <= Millis(10));
@@ -129,7 +129,7 @@
     "A whole version at once would hold a weak host for as long as the "
     "tightest pause of a stream",
     "[configuration_intake]") {
-  IntakePolicy at_once;
+  ParseSchedulePolicy at_once;
   at_once.longest_hold = Millis(1000);
   Host host{at_once};
   host.Play(Storm(Millis(300)), kWholeCost);
@@ -140,7 +140,7 @@
     "Changes that are cheap to read take a quarter of the host's time at "
     "most",
     "[configuration_intake]") {
-  Host host{IntakePolicy{}};
+  Host host{ParseSchedulePolicy{}};
   host.Play(Storm(Millis(60)), kChangeCost);
   CHECK(host.Held() <= Millis(9000) / 4);
   CHECK(host.LongestAge() <= Millis(700));
@@ -150,7 +150,7 @@
     "Versions that always replace the one that is being read would never "
     "be in force",
     "[configuration_intake]") {
-  IntakePolicy always;
+  ParseSchedulePolicy always;
   always.replace_within = Millis(100000);
   Host host{always};
   host.Play(Storm(Millis(60)), kWholeCost);
@@ -159,7 +159,8 @@
 
 TEST_CASE("A host that has read nothing yet reads without pauses",
           "[configuration_intake]") {
-  ConfigurationParseScheduler intake(HostPower{kWeakHost}, IntakePolicy{});
+  ConfigurationParseScheduler intake(HostPower{kWeakHost},
+                                     ParseSchedulePolicy{});
   TimePoint now{};
   REQUIRE(intake.OnArrived(now));
   intake.OnSlice(500000, Millis(6));
@@ -173,7 +174,8 @@
 TEST_CASE(
     "A host that was suspended in the middle of a slice goes on as before",
     "[configuration_intake]") {
-  ConfigurationParseScheduler intake(HostPower{kWeakHost}, IntakePolicy{});
+  ConfigurationParseScheduler intake(HostPower{kWeakHost},
+                                     ParseSchedulePolicy{});
   TimePoint now{};
   REQUIRE(intake.OnArrived(now));
   const std::size_t before = intake.NextSlice(kWholeCost, now).cost;
@@ -186,7 +188,8 @@
 
 TEST_CASE("A version that waits is read once the one before it is done",
           "[configuration_intake]") {
-  ConfigurationParseScheduler intake(HostPower{kWeakHost}, IntakePolicy{});
+  ConfigurationParseScheduler intake(HostPower{kWeakHost},
+                                     ParseSchedulePolicy{});
   TimePoint now{};
   REQUIRE(intake.OnArrived(now));
   now += Millis(200);
