--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -33,7 +33,7 @@
 };
 
 // What to do next: after a pause, work of this cost.
-struct IntakeSlice {
+struct ParseSlice {
   std::chrono::nanoseconds pause{0};
   std::size_t cost = 0;
 };
@@ -52,7 +52,7 @@
 
   // Returns the next slice of the version that is being read, of which work of
   // about `left` is still to be done.
-  IntakeSlice NextSlice(std::size_t left, TimePoint now) const;
+  ParseSlice NextSlice(std::size_t left, TimePoint now) const;
 
   // A slice of `cost` has been done and held the thread for `held`.
   void OnSlice(std::size_t cost, std::chrono::nanoseconds held);
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_intake.cc
@@ -45,11 +45,11 @@
   return false;
 }
 
-IntakeSlice ConfigurationParseScheduler::NextSlice(std::size_t left,
-                                                   TimePoint now) const {
+ParseSlice ConfigurationParseScheduler::NextSlice(std::size_t left,
+                                                  TimePoint now) const {
   const duration<double, std::nano> longest = policy_.longest_hold;
   const auto most = static_cast<std::size_t>(longest.count() / stretch_);
-  IntakeSlice slice;
+  ParseSlice slice;
   slice.cost = std::max(most, kLeastCost);
   const duration<double, std::nano> to_come(static_cast<double>(left) *
                                             stretch_ / policy_.share);
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -62,7 +62,7 @@
   }
 
   void DoSlice(TimePoint until, std::size_t cost) {
-    const IntakeSlice slice = intake_.NextSlice(left_, now_);
+    const ParseSlice slice = intake_.NextSlice(left_, now_);
     if (slice.pause > nanoseconds(0) && now_ + slice.pause > until) {
       // Another version comes first, and may take the place of this one.
       now_ = until;
@@ -181,7 +181,7 @@
   const std::size_t before = intake.NextSlice(kWholeCost, now).cost;
   intake.OnSlice(before, std::chrono::seconds(20));
   now += std::chrono::seconds(20);
-  const IntakeSlice next = intake.NextSlice(kWholeCost, now);
+  const ParseSlice next = intake.NextSlice(kWholeCost, now);
   CHECK(next.pause == nanoseconds(0));
   CHECK(next.cost >= before / 2);
 }
