--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -23,13 +23,13 @@
 class Host {
  public:
   explicit Host(ParseSchedulePolicy policy, double power = kWeakHost)
-      : power_(power), intake_(HostPower{power}, policy) {}
+      : power_(power), parse_scheduler_(HostPower{power}, policy) {}
 
   // Plays versions that arrive at `arrivals`, in order.
   void Play(const std::vector<Millis>& arrivals, std::size_t cost) {
     std::size_t next = 0;
-    while (next < arrivals.size() || intake_.IsReading()) {
-      if (!intake_.IsReading()) {
+    while (next < arrivals.size() || parse_scheduler_.IsReading()) {
+      if (!parse_scheduler_.IsReading()) {
         now_ = std::max(now_, TimePoint{} + arrivals[next]);
       }
       while (next < arrivals.size() && TimePoint{} + arrivals[next] <= now_) {
@@ -51,7 +51,7 @@
  private:
   void Arrive(TimePoint at, std::size_t cost) {
     waiting_.push_back(at);
-    if (intake_.OnArrived(at)) {
+    if (parse_scheduler_.OnArrived(at)) {
       Begin(cost);
     }
   }
@@ -62,7 +62,7 @@
   }
 
   void DoSlice(TimePoint until, std::size_t cost) {
-    const ParseSlice slice = intake_.NextSlice(left_, now_);
+    const ParseSlice slice = parse_scheduler_.NextSlice(left_, now_);
     if (slice.pause > nanoseconds(0) && now_ + slice.pause > until) {
       // Another version comes first, and may take the place of this one.
       now_ = until;
@@ -75,7 +75,7 @@
     held_ += held;
     longest_hold_ = std::max(longest_hold_, held);
     left_ -= done;
-    intake_.OnSlice(done, held);
+    parse_scheduler_.OnSlice(done, held);
     if (left_ > 0) {
       return;
     }
@@ -84,13 +84,13 @@
       waiting_.pop_front();
     }
     ++read_;
-    if (intake_.OnRead()) {
+    if (parse_scheduler_.OnRead()) {
       Begin(cost);
     }
   }
 
   double power_;
-  ConfigurationParseScheduler intake_;
+  ConfigurationParseScheduler parse_scheduler_;
   TimePoint now_{};
   // When versions came that are not in force, and how many of them the one
   // that is being read covers.
