--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -19,7 +19,8 @@
 constexpr std::size_t kChangeCost = 900000;
 constexpr Millis kAllowed{3000};
 
-// A host that reads versions as the intake says, on a clock of its own.
+// A host that reads versions as the parse_scheduler says, on a clock of its
+// own.
 class Host {
  public:
   explicit Host(ParseSchedulePolicy policy, double power = kWeakHost)
@@ -159,50 +160,50 @@
 
 TEST_CASE("A host that has read nothing yet reads without pauses",
           "[configuration_intake]") {
-  ConfigurationParseScheduler intake(HostPower{kWeakHost},
-                                     ParseSchedulePolicy{});
+  ConfigurationParseScheduler parse_scheduler(HostPower{kWeakHost},
+                                              ParseSchedulePolicy{});
   TimePoint now{};
-  REQUIRE(intake.OnArrived(now));
-  intake.OnSlice(500000, Millis(6));
-  CHECK(intake.NextSlice(kWholeCost, now).pause == nanoseconds(0));
-  CHECK_FALSE(intake.OnRead());
-  REQUIRE(intake.OnArrived(now));
-  intake.OnSlice(500000, Millis(6));
-  CHECK(intake.NextSlice(kChangeCost, now).pause > nanoseconds(0));
+  REQUIRE(parse_scheduler.OnArrived(now));
+  parse_scheduler.OnSlice(500000, Millis(6));
+  CHECK(parse_scheduler.NextSlice(kWholeCost, now).pause == nanoseconds(0));
+  CHECK_FALSE(parse_scheduler.OnRead());
+  REQUIRE(parse_scheduler.OnArrived(now));
+  parse_scheduler.OnSlice(500000, Millis(6));
+  CHECK(parse_scheduler.NextSlice(kChangeCost, now).pause > nanoseconds(0));
 }
 
 TEST_CASE(
     "A host that was suspended in the middle of a slice goes on as before",
     "[configuration_intake]") {
-  ConfigurationParseScheduler intake(HostPower{kWeakHost},
-                                     ParseSchedulePolicy{});
+  ConfigurationParseScheduler parse_scheduler(HostPower{kWeakHost},
+                                              ParseSchedulePolicy{});
   TimePoint now{};
-  REQUIRE(intake.OnArrived(now));
-  const std::size_t before = intake.NextSlice(kWholeCost, now).cost;
-  intake.OnSlice(before, std::chrono::seconds(20));
+  REQUIRE(parse_scheduler.OnArrived(now));
+  const std::size_t before = parse_scheduler.NextSlice(kWholeCost, now).cost;
+  parse_scheduler.OnSlice(before, std::chrono::seconds(20));
   now += std::chrono::seconds(20);
-  const ParseSlice next = intake.NextSlice(kWholeCost, now);
+  const ParseSlice next = parse_scheduler.NextSlice(kWholeCost, now);
   CHECK(next.pause == nanoseconds(0));
   CHECK(next.cost >= before / 2);
 }
 
 TEST_CASE("A version that waits is read once the one before it is done",
           "[configuration_intake]") {
-  ConfigurationParseScheduler intake(HostPower{kWeakHost},
-                                     ParseSchedulePolicy{});
+  ConfigurationParseScheduler parse_scheduler(HostPower{kWeakHost},
+                                              ParseSchedulePolicy{});
   TimePoint now{};
-  REQUIRE(intake.OnArrived(now));
+  REQUIRE(parse_scheduler.OnArrived(now));
   now += Millis(200);
-  CHECK(intake.OnArrived(now));
+  CHECK(parse_scheduler.OnArrived(now));
   now += Millis(200);
-  CHECK_FALSE(intake.OnArrived(now));
-  CHECK(intake.Waits());
+  CHECK_FALSE(parse_scheduler.OnArrived(now));
+  CHECK(parse_scheduler.Waits());
   now += Millis(100);
-  CHECK(intake.Age(now) == Millis(500));
-  CHECK(intake.OnRead());
-  CHECK(intake.Age(now) == Millis(100));
-  CHECK_FALSE(intake.OnRead());
-  CHECK_FALSE(intake.IsReading());
+  CHECK(parse_scheduler.Age(now) == Millis(500));
+  CHECK(parse_scheduler.OnRead());
+  CHECK(parse_scheduler.Age(now) == Millis(100));
+  CHECK_FALSE(parse_scheduler.OnRead());
+  CHECK_FALSE(parse_scheduler.IsReading());
 }
 
 }  // namespace
