--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -48,7 +48,7 @@
   // A version newer than all before has come. Returns whether it is to be read
   // now, instead of the one that is being read if there is one. Otherwise it
   // waits for OnRead, and takes the place of another one that waits.
-  bool OnArrived(TimePoint now);
+  bool OnVersionArrived(TimePoint now);
 
   // Returns the next slice of the version that is being read, of which work of
   // about `left` is still to be done.
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_intake.cc
@@ -30,7 +30,7 @@
   return 1 / std::max(power_.value, kLeastPower);
 }
 
-bool ConfigurationParseScheduler::OnArrived(TimePoint now) {
+bool ConfigurationParseScheduler::OnVersionArrived(TimePoint now) {
   if (!oldest_.has_value()) {
     oldest_ = now;
     last_held_ = nanoseconds(0);
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -52,7 +52,7 @@
  private:
   void Arrive(TimePoint at, std::size_t cost) {
     waiting_.push_back(at);
-    if (parse_scheduler_.OnArrived(at)) {
+    if (parse_scheduler_.OnVersionArrived(at)) {
       Begin(cost);
     }
   }
@@ -163,11 +163,11 @@
   ConfigurationParseScheduler parse_scheduler(HostPower{kWeakHost},
                                               ParseSchedulePolicy{});
   TimePoint now{};
-  REQUIRE(parse_scheduler.OnArrived(now));
+  REQUIRE(parse_scheduler.OnVersionArrived(now));
   parse_scheduler.OnSlice(500000, Millis(6));
   CHECK(parse_scheduler.NextSlice(kWholeCost, now).pause == nanoseconds(0));
   CHECK_FALSE(parse_scheduler.OnRead());
-  REQUIRE(parse_scheduler.OnArrived(now));
+  REQUIRE(parse_scheduler.OnVersionArrived(now));
   parse_scheduler.OnSlice(500000, Millis(6));
   CHECK(parse_scheduler.NextSlice(kChangeCost, now).pause > nanoseconds(0));
 }
@@ -178,7 +178,7 @@
   ConfigurationParseScheduler parse_scheduler(HostPower{kWeakHost},
                                               ParseSchedulePolicy{});
   TimePoint now{};
-  REQUIRE(parse_scheduler.OnArrived(now));
+  REQUIRE(parse_scheduler.OnVersionArrived(now));
   const std::size_t before = parse_scheduler.NextSlice(kWholeCost, now).cost;
   parse_scheduler.OnSlice(before, std::chrono::seconds(20));
   now += std::chrono::seconds(20);
@@ -192,11 +192,11 @@
   ConfigurationParseScheduler parse_scheduler(HostPower{kWeakHost},
                                               ParseSchedulePolicy{});
   TimePoint now{};
-  REQUIRE(parse_scheduler.OnArrived(now));
+  REQUIRE(parse_scheduler.OnVersionArrived(now));
   now += Millis(200);
-  CHECK(parse_scheduler.OnArrived(now));
+  CHECK(parse_scheduler.OnVersionArrived(now));
   now += Millis(200);
-  CHECK_FALSE(parse_scheduler.OnArrived(now));
+  CHECK_FALSE(parse_scheduler.OnVersionArrived(now));
   CHECK(parse_scheduler.Waits());
   now += Millis(100);
   CHECK(parse_scheduler.Age(now) == Millis(500));
