--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -55,7 +55,7 @@
   ParseSlice NextSlice(std::size_t left, TimePoint now) const;
 
   // A slice of `cost` has been done and held the thread for `held`.
-  void OnSlice(std::size_t cost, std::chrono::nanoseconds held);
+  void OnSliceDone(std::size_t cost, std::chrono::nanoseconds held);
 
   // The version that was being read is in force, or was passed over. Returns
   // whether the one that waits is to be read now.
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_intake.cc
@@ -61,7 +61,8 @@
   return slice;
 }
 
-void ConfigurationParseScheduler::OnSlice(std::size_t cost, nanoseconds held) {
+void ConfigurationParseScheduler::OnSliceDone(std::size_t cost,
+                                              nanoseconds held) {
   last_held_ = std::min<nanoseconds>(held, 2 * policy_.longest_hold);
   if (cost == 0) {
     return;
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -76,7 +76,7 @@
     held_ += held;
     longest_hold_ = std::max(longest_hold_, held);
     left_ -= done;
-    parse_scheduler_.OnSlice(done, held);
+    parse_scheduler_.OnSliceDone(done, held);
     if (left_ > 0) {
       return;
     }
@@ -164,11 +164,11 @@
                                               ParseSchedulePolicy{});
   TimePoint now{};
   REQUIRE(parse_scheduler.OnVersionArrived(now));
-  parse_scheduler.OnSlice(500000, Millis(6));
+  parse_scheduler.OnSliceDone(500000, Millis(6));
   CHECK(parse_scheduler.NextSlice(kWholeCost, now).pause == nanoseconds(0));
   CHECK_FALSE(parse_scheduler.OnRead());
   REQUIRE(parse_scheduler.OnVersionArrived(now));
-  parse_scheduler.OnSlice(500000, Millis(6));
+  parse_scheduler.OnSliceDone(500000, Millis(6));
   CHECK(parse_scheduler.NextSlice(kChangeCost, now).pause > nanoseconds(0));
 }
 
@@ -180,7 +180,7 @@
   TimePoint now{};
   REQUIRE(parse_scheduler.OnVersionArrived(now));
   const std::size_t before = parse_scheduler.NextSlice(kWholeCost, now).cost;
-  parse_scheduler.OnSlice(before, std::chrono::seconds(20));
+  parse_scheduler.OnSliceDone(before, std::chrono::seconds(20));
   now += std::chrono::seconds(20);
   const ParseSlice next = parse_scheduler.NextSlice(kWholeCost, now);
   CHECK(next.pause == nanoseconds(0));
