--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -47,7 +47,7 @@
 
   // A version newer than all before has come. Returns whether it is to be read
   // now, instead of the one that is being read if there is one. Otherwise it
-  // waits for OnRead, and takes the place of another one that waits.
+  // waits for OnVersionDone, and takes the place of another one that waits.
   bool OnVersionArrived(TimePoint now);
 
   // Returns the next slice of the version that is being read, of which work of
@@ -59,7 +59,7 @@
 
   // The version that was being read is in force, or was passed over. Returns
   // whether the one that waits is to be read now.
-  bool OnRead();
+  bool OnVersionDone();
 
   // The version that was being read cannot be used, and an older one that had
   // been passed over for it is read in its place.
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_intake.cc
@@ -75,7 +75,7 @@
   stretch_ += kLearned * (believed - stretch_);
 }
 
-bool ConfigurationParseScheduler::OnRead() {
+bool ConfigurationParseScheduler::OnVersionDone() {
   read_any_ = true;
   oldest_ = waits_since_;
   waits_since_.reset();
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -85,7 +85,7 @@
       waiting_.pop_front();
     }
     ++read_;
-    if (parse_scheduler_.OnRead()) {
+    if (parse_scheduler_.OnVersionDone()) {
       Begin(cost);
     }
   }
@@ -166,7 +166,7 @@
   REQUIRE(parse_scheduler.OnVersionArrived(now));
   parse_scheduler.OnSliceDone(500000, Millis(6));
   CHECK(parse_scheduler.NextSlice(kWholeCost, now).pause == nanoseconds(0));
-  CHECK_FALSE(parse_scheduler.OnRead());
+  CHECK_FALSE(parse_scheduler.OnVersionDone());
   REQUIRE(parse_scheduler.OnVersionArrived(now));
   parse_scheduler.OnSliceDone(500000, Millis(6));
   CHECK(parse_scheduler.NextSlice(kChangeCost, now).pause > nanoseconds(0));
@@ -200,9 +200,9 @@
   CHECK(parse_scheduler.Waits());
   now += Millis(100);
   CHECK(parse_scheduler.Age(now) == Millis(500));
-  CHECK(parse_scheduler.OnRead());
+  CHECK(parse_scheduler.OnVersionDone());
   CHECK(parse_scheduler.Age(now) == Millis(100));
-  CHECK_FALSE(parse_scheduler.OnRead());
+  CHECK_FALSE(parse_scheduler.OnVersionDone());
   CHECK_FALSE(parse_scheduler.IsReading());
 }
 
