--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -63,7 +63,7 @@
 
   // The version that was being read cannot be used, and an older one that had
   // been passed over for it is read in its place.
-  void OnReadInstead() { last_held_ = std::chrono::nanoseconds(0); }
+  void OnFallbackStarted() { last_held_ = std::chrono::nanoseconds(0); }
 
   // Whether a version waits until the one that is being read is done.
   bool Waits() const { return waits_since_.has_value(); }
