--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -66,7 +66,7 @@
   void OnFallbackStarted() { last_held_ = std::chrono::nanoseconds(0); }
 
   // Whether a version waits until the one that is being read is done.
-  bool Waits() const { return waits_since_.has_value(); }
+  bool HasPending() const { return waits_since_.has_value(); }
   bool IsReading() const { return oldest_.has_value(); }
 
   // Returns how long ago the oldest version came that is not in force, or zero.
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -197,7 +197,7 @@
   CHECK(parse_scheduler.OnVersionArrived(now));
   now += Millis(200);
   CHECK_FALSE(parse_scheduler.OnVersionArrived(now));
-  CHECK(parse_scheduler.Waits());
+  CHECK(parse_scheduler.HasPending());
   now += Millis(100);
   CHECK(parse_scheduler.Age(now) == Millis(500));
   CHECK(parse_scheduler.OnVersionDone());
