--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -67,7 +67,7 @@
 
   // Whether a version waits until the one that is being read is done.
   bool HasPending() const { return waits_since_.has_value(); }
-  bool IsReading() const { return oldest_.has_value(); }
+  bool IsParsing() const { return oldest_.has_value(); }
 
   // Returns how long ago the oldest version came that is not in force, or zero.
   std::chrono::nanoseconds Age(TimePoint now) const;
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -29,8 +29,8 @@
   // Plays versions that arrive at `arrivals`, in order.
   void Play(const std::vector<Millis>& arrivals, std::size_t cost) {
     std::size_t next = 0;
-    while (next < arrivals.size() || parse_scheduler_.IsReading()) {
-      if (!parse_scheduler_.IsReading()) {
+    while (next < arrivals.size() || parse_scheduler_.IsParsing()) {
+      if (!parse_scheduler_.IsParsing()) {
         now_ = std::max(now_, TimePoint{} + arrivals[next]);
       }
       while (next < arrivals.size() && TimePoint{} + arrivals[next] <= now_) {
@@ -203,7 +203,7 @@
   CHECK(parse_scheduler.OnVersionDone());
   CHECK(parse_scheduler.Age(now) == Millis(100));
   CHECK_FALSE(parse_scheduler.OnVersionDone());
-  CHECK_FALSE(parse_scheduler.IsReading());
+  CHECK_FALSE(parse_scheduler.IsParsing());
 }
 
 }  // namespace
