--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -70,7 +70,7 @@
   bool IsParsing() const { return oldest_.has_value(); }
 
   // Returns how long ago the oldest version came that is not in force, or zero.
-  std::chrono::nanoseconds Age(TimePoint now) const;
+  std::chrono::nanoseconds OldestPendingAge(TimePoint now) const;
 
  private:
   // Nanoseconds of this host for a nanosecond of a whole core.
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_intake.cc
@@ -53,7 +53,8 @@
   slice.cost = std::max(most, kLeastCost);
   const duration<double, std::nano> to_come(static_cast<double>(left) *
                                             stretch_ / policy_.share);
-  const bool presses = !read_any_ || Age(now) + to_come > policy_.most_age;
+  const bool presses =
+      !read_any_ || OldestPendingAge(now) + to_come > policy_.most_age;
   if (!presses) {
     slice.pause = std::chrono::duration_cast<nanoseconds>(
         last_held_ * (1 / policy_.share - 1));
@@ -82,7 +83,7 @@
   return oldest_.has_value();
 }
 
-nanoseconds ConfigurationParseScheduler::Age(TimePoint now) const {
+nanoseconds ConfigurationParseScheduler::OldestPendingAge(TimePoint now) const {
   return oldest_.has_value() ? now - *oldest_ : nanoseconds(0);
 }
 
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -199,9 +199,9 @@
   CHECK_FALSE(parse_scheduler.OnVersionArrived(now));
   CHECK(parse_scheduler.HasPending());
   now += Millis(100);
-  CHECK(parse_scheduler.Age(now) == Millis(500));
+  CHECK(parse_scheduler.OldestPendingAge(now) == Millis(500));
   CHECK(parse_scheduler.OnVersionDone());
-  CHECK(parse_scheduler.Age(now) == Millis(100));
+  CHECK(parse_scheduler.OldestPendingAge(now) == Millis(100));
   CHECK_FALSE(parse_scheduler.OnVersionDone());
   CHECK_FALSE(parse_scheduler.IsParsing());
 }
