--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -18,7 +18,7 @@
   // The longest that one slice may hold a host's only thread. A fortieth of the
   // tightest pause between two events that callers still take for a stream in
   // time, so that some other work fits beside it.
-  Millis longest_hold{6};
+  Millis max_slice_time{6};
   // The part of the host's time that reading takes while nothing presses.
   double share = 0.25;
   // A version that comes within so long after the oldest that is not in force
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_intake.cc
@@ -47,7 +47,7 @@
 
 ParseSlice ConfigurationParseScheduler::NextSlice(std::size_t left,
                                                   TimePoint now) const {
-  const duration<double, std::nano> longest = policy_.longest_hold;
+  const duration<double, std::nano> longest = policy_.max_slice_time;
   const auto most = static_cast<std::size_t>(longest.count() / stretch_);
   ParseSlice slice;
   slice.cost = std::max(most, kLeastCost);
@@ -64,7 +64,7 @@
 
 void ConfigurationParseScheduler::OnSliceDone(std::size_t cost,
                                               nanoseconds held) {
-  last_held_ = std::min<nanoseconds>(held, 2 * policy_.longest_hold);
+  last_held_ = std::min<nanoseconds>(held, 2 * policy_.max_slice_time);
   if (cost == 0) {
     return;
   }
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -131,7 +131,7 @@
     "tightest pause of a stream",
     "[configuration_intake]") {
   ParseSchedulePolicy at_once;
-  at_once.longest_hold = Millis(1000);
+  at_once.max_slice_time = Millis(1000);
   Host host{at_once};
   host.Play(Storm(Millis(300)), kWholeCost);
   CHECK(host.LongestHold() >= Millis(99));
