--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -25,7 +25,7 @@
   // replaces the one that is being read; one that comes later waits. Without an
   // end of it, versions that follow each other faster than one is read would
   // never be in force.
-  Millis replace_within{300};
+  Millis replace_window{300};
   // After so long reading no longer leaves time to others between its slices:
   // a third of what the operator allows for a version to be in force, since the
   // way to this host takes time too.
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_intake.cc
@@ -36,7 +36,7 @@
     last_held_ = nanoseconds(0);
     return true;
   }
-  if (now - *oldest_ < policy_.replace_within) {
+  if (now - *oldest_ < policy_.replace_window) {
     return true;
   }
   if (!waits_since_.has_value()) {
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_intake_test.cc
@@ -152,7 +152,7 @@
     "be in force",
     "[configuration_intake]") {
   ParseSchedulePolicy always;
-  always.replace_within = Millis(100000);
+  always.replace_window = Millis(100000);
   Host host{always};
   host.Play(Storm(Millis(60)), kWholeCost);
   CHECK(host.LongestAge() > kAllowed);
