--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_intake.h
@@ -29,7 +29,7 @@
   // After so long reading no longer leaves time to others between its slices:
   // a third of what the operator allows for a version to be in force, since the
   // way to this host takes time too.
-  Millis most_age{900};
+  Millis max_age{900};
 };
 
 // What to do next: after a pause, work of this cost.
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_intake.cc
@@ -54,7 +54,7 @@
   const duration<double, std::nano> to_come(static_cast<double>(left) *
                                             stretch_ / policy_.share);
   const bool presses =
-      !read_any_ || OldestPendingAge(now) + to_come > policy_.most_age;
+      !read_any_ || OldestPendingAge(now) + to_come > policy_.max_age;
   if (!presses) {
     slice.pause = std::chrono::duration_cast<nanoseconds>(
         last_held_ * (1 / policy_.share - 1));
