--- a/include/harecrank/core/change_planner.h
+++ b/include/harecrank/core/change_planner.h
@@ -13,7 +13,7 @@
 namespace harecrank {
 
 // Why a change cannot be planned.
-struct BaseHasMoved {
+struct StaleBase {
   Revision asked;
   Revision in_force;
 };
@@ -26,7 +26,7 @@
   std::vector<ConfigProblem> problems;
 };
 using PlanError =
-    std::variant<BaseHasMoved, NothingToChange, UnknownObject, RefusedPlan>;
+    std::variant<StaleBase, NothingToChange, UnknownObject, RefusedPlan>;
 
 // Returns one sentence for a person.
 std::string Describe(const PlanError& error);
--- a/src/core/change_planner.cc
+++ b/src/core/change_planner.cc
@@ -12,7 +12,7 @@
 using google::protobuf::util::MessageDifferencer;
 
 struct Describer {
-  std::string operator()(const BaseHasMoved& error) const {
+  std::string operator()(const StaleBase& error) const {
     return "the plan starts from revision " +
            std::to_string(error.asked.value) + " but revision " +
            std::to_string(error.in_force.value) +
@@ -160,7 +160,7 @@
   if (request.base_revision() != 0 &&
       request.base_revision() != in_force.value) {
     return leaf::new_error(
-        PlanError{BaseHasMoved{Revision{request.base_revision()}, in_force}});
+        PlanError{StaleBase{Revision{request.base_revision()}, in_force}});
   }
   const v1::Document before =
       base == nullptr ? v1::Document() : base->GetDocument();
