--- a/include/harecrank/core/change_planner.h
+++ b/include/harecrank/core/change_planner.h
@@ -17,7 +17,7 @@
   Revision asked;
   Revision in_force;
 };
-struct NothingToChange {};
+struct EmptyChange {};
 struct UnknownObject {
   std::string kind;
   std::string id;
@@ -26,7 +26,7 @@
   std::vector<ConfigProblem> problems;
 };
 using PlanError =
-    std::variant<StaleBase, NothingToChange, UnknownObject, RefusedPlan>;
+    std::variant<StaleBase, EmptyChange, UnknownObject, RefusedPlan>;
 
 // Returns one sentence for a person.
 std::string Describe(const PlanError& error);
--- a/src/core/change_planner.cc
+++ b/src/core/change_planner.cc
@@ -18,7 +18,7 @@
            std::to_string(error.in_force.value) +
            " is in force; look again and plan anew";
   }
-  std::string operator()(const NothingToChange&) const {
+  std::string operator()(const EmptyChange&) const {
     return "the request names no change, or one that changes nothing";
   }
   std::string operator()(const UnknownObject& error) const {
@@ -50,7 +50,7 @@
     case v1::Remove::ENTRY:
       return Erase(document->mutable_entries(), "entry host", remove.id());
     default:
-      return leaf::new_error(PlanError{NothingToChange{}});
+      return leaf::new_error(PlanError{EmptyChange{}});
   }
 }
 
@@ -84,7 +84,7 @@
     case v1::PlanRequest::CHANGE_NOT_SET:
       break;
   }
-  return leaf::new_error(PlanError{NothingToChange{}});
+  return leaf::new_error(PlanError{EmptyChange{}});
 }
 
 // Adds a sentence for each kind of object whose number changes, and for the
@@ -142,7 +142,7 @@
   const auto status =
       google::protobuf::util::MessageToJsonString(document, &text);
   if (!status.ok()) {
-    return leaf::new_error(PlanError{NothingToChange{}});
+    return leaf::new_error(PlanError{EmptyChange{}});
   }
   return Configuration::Parse(text);
 }
@@ -168,7 +168,7 @@
   BOOST_LEAF_CHECK(Edit(request, &after));
   after.set_revision(in_force.value);
   if (base != nullptr && MessageDifferencer::Equals(before, after)) {
-    return leaf::new_error(PlanError{NothingToChange{}});
+    return leaf::new_error(PlanError{EmptyChange{}});
   }
   after.set_revision(in_force.value + 1);
   BOOST_LEAF_AUTO(next, Check(after));
