--- a/include/harecrank/core/change_planner.h
+++ b/include/harecrank/core/change_planner.h
@@ -22,11 +22,11 @@
   std::string kind;
   std::string id;
 };
-struct RefusedPlan {
+struct InvalidPlan {
   std::vector<ConfigProblem> problems;
 };
 using PlanError =
-    std::variant<StaleBase, EmptyChange, UnknownObject, RefusedPlan>;
+    std::variant<StaleBase, EmptyChange, UnknownObject, InvalidPlan>;
 
 // Returns one sentence for a person.
 std::string Describe(const PlanError& error);
--- a/src/core/change_planner.cc
+++ b/src/core/change_planner.cc
@@ -24,7 +24,7 @@
   std::string operator()(const UnknownObject& error) const {
     return "there is no " + error.kind + " called '" + error.id + "'";
   }
-  std::string operator()(const RefusedPlan& error) const {
+  std::string operator()(const InvalidPlan& error) const {
     return Describe(ConfigError{InvalidDocument{error.problems}});
   }
 };
@@ -136,7 +136,7 @@
     const v1::Document& document) {
   std::vector<ConfigProblem> problems = ValidateDocument(document);
   if (!problems.empty()) {
-    return leaf::new_error(PlanError{RefusedPlan{std::move(problems)}});
+    return leaf::new_error(PlanError{InvalidPlan{std::move(problems)}});
   }
   std::string text;
   const auto status =
