--- a/include/harecrank/core/change_planner.h
+++ b/include/harecrank/core/change_planner.h
@@ -39,7 +39,7 @@
     const v1::PlanRequest& request);
 
 // How many changes are published beside the document.
-constexpr int kPublishedChanges = 8;
+constexpr int kMaxPublishedChanges = 8;
 
 }  // namespace harecrank
 
--- a/src/core/change_planner.cc
+++ b/src/core/change_planner.cc
@@ -119,7 +119,7 @@
 
 std::string ChangesJson(const v1::ChangeLog& recent, const v1::Change& change) {
   v1::ChangeLog log;
-  const int kept = std::min(recent.changes_size(), kPublishedChanges - 1);
+  const int kept = std::min(recent.changes_size(), kMaxPublishedChanges - 1);
   for (int i = recent.changes_size() - kept; i < recent.changes_size(); ++i) {
     *log.add_changes() = recent.changes(i);
   }
