--- a/include/harecrank/core/text_edits.h
+++ b/include/harecrank/core/text_edits.h
@@ -14,7 +14,7 @@
 // A run of the older text that the newer one keeps, and what follows it there.
 struct TextEdit {
   // In bytes from the beginning of the older text.
-  std::size_t kept_from = 0;
+  std::size_t copy_offset = 0;
   std::size_t kept_size = 0;
   std::string inserted;
 };
--- a/src/core/text_edits.cc
+++ b/src/core/text_edits.cc
@@ -56,7 +56,7 @@
     const std::size_t end = EndOfPiece(next, from);
     const auto piece = std::string_view(next).substr(from, end - from);
     TextEdit& last = edits.back();
-    const std::size_t expected = last.kept_from + last.kept_size;
+    const std::size_t expected = last.copy_offset + last.kept_size;
     const std::size_t found = pieces.Find(piece, expected);
     if (found == std::string::npos) {
       last.inserted += piece;
@@ -74,8 +74,8 @@
                                       const std::vector<TextEdit>& edits) {
   std::size_t size = 0;
   for (const TextEdit& edit : edits) {
-    if (edit.kept_from > base.size() ||
-        edit.kept_size > base.size() - edit.kept_from) {
+    if (edit.copy_offset > base.size() ||
+        edit.kept_size > base.size() - edit.copy_offset) {
       return std::nullopt;
     }
     size += edit.kept_size + edit.inserted.size();
@@ -83,7 +83,7 @@
   std::string next;
   next.reserve(size);
   for (const TextEdit& edit : edits) {
-    next.append(base, edit.kept_from, edit.kept_size);
+    next.append(base, edit.copy_offset, edit.kept_size);
     next += edit.inserted;
   }
   return next;
