--- a/include/harecrank/core/text_edits.h
+++ b/include/harecrank/core/text_edits.h
@@ -15,7 +15,7 @@
 struct TextEdit {
   // In bytes from the beginning of the older text.
   std::size_t copy_offset = 0;
-  std::size_t kept_size = 0;
+  std::size_t copy_size = 0;
   std::string inserted;
 };
 
--- a/src/core/text_edits.cc
+++ b/src/core/text_edits.cc
@@ -56,12 +56,12 @@
     const std::size_t end = EndOfPiece(next, from);
     const auto piece = std::string_view(next).substr(from, end - from);
     TextEdit& last = edits.back();
-    const std::size_t expected = last.copy_offset + last.kept_size;
+    const std::size_t expected = last.copy_offset + last.copy_size;
     const std::size_t found = pieces.Find(piece, expected);
     if (found == std::string::npos) {
       last.inserted += piece;
     } else if (found == expected && last.inserted.empty()) {
-      last.kept_size += piece.size();
+      last.copy_size += piece.size();
     } else {
       edits.push_back(TextEdit{found, piece.size(), ""});
     }
@@ -75,15 +75,15 @@
   std::size_t size = 0;
   for (const TextEdit& edit : edits) {
     if (edit.copy_offset > base.size() ||
-        edit.kept_size > base.size() - edit.copy_offset) {
+        edit.copy_size > base.size() - edit.copy_offset) {
       return std::nullopt;
     }
-    size += edit.kept_size + edit.inserted.size();
+    size += edit.copy_size + edit.inserted.size();
   }
   std::string next;
   next.reserve(size);
   for (const TextEdit& edit : edits) {
-    next.append(base, edit.copy_offset, edit.kept_size);
+    next.append(base, edit.copy_offset, edit.copy_size);
     next += edit.inserted;
   }
   return next;
