--- a/include/harecrank/core/decimal_text.h
+++ b/include/harecrank/core/decimal_text.h
@@ -10,7 +10,7 @@
 
 // Reads a decimal number, zero or more, with spaces around it; nothing if
 // `text` is anything else.
-std::optional<double> ReadDecimal(std::string_view text);
+std::optional<double> ParseDecimal(std::string_view text);
 
 }  // namespace harecrank
 
--- a/src/core/decimal_text.cc
+++ b/src/core/decimal_text.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::optional<double> ReadDecimal(std::string_view text) {
+std::optional<double> ParseDecimal(std::string_view text) {
   const std::string_view digits = WithoutSpaces(text);
   double number = 0;
   const char* end = digits.data() + digits.size();
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -18,7 +18,7 @@
 }  // namespace
 
 LimitWord ReadLimit(std::string_view text) {
-  const auto rate = ReadDecimal(text);
+  const auto rate = ParseDecimal(text);
   if (!rate.has_value()) {
     return UnreadableLimit{};
   }
--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -43,7 +43,7 @@
 
 RestWord ReadRest(std::string_view text, std::string_view answered) {
   const auto longest = static_cast<double>(kLongestRest.count());
-  if (const auto seconds = ReadDecimal(text)) {
+  if (const auto seconds = ParseDecimal(text)) {
     const double rest = std::min(longest, *seconds * kMillisPerSecond);
     return Millis(static_cast<std::int64_t>(std::ceil(rest)));
   }
@@ -58,7 +58,7 @@
 }
 
 LeavingWord ReadLeaving(std::string_view text) {
-  const auto number = ReadDecimal(text);
+  const auto number = ParseDecimal(text);
   if (number == 0.0) {
     return LeavingWord::kNone;
   }
