--- a/bench/load_runs.cc
+++ b/bench/load_runs.cc
@@ -221,9 +221,9 @@
     const double needed = std::ceil(static_cast<double>(tokens) / usable);
     const bool is_long = tokens >= kLongFrom;
     const double spread =
-        is_long ? static_cast<double>(
-                      SpreadOf(Tokens{tokens},
-                               static_cast<std::size_t>(fleet_options.engines)))
+        is_long ? static_cast<double>(PrefillPartCount(
+                      Tokens{tokens},
+                      static_cast<std::size_t>(fleet_options.engines)))
                 : 1.0;
     const double members = std::max(needed, spread);
     const double ideal = static_cast<double>(tokens) /
--- a/src/core/router.cc
+++ b/src/core/router.cc
@@ -127,7 +127,7 @@
   return std::visit(Choose{request, endpoints, random}, policy);
 }
 
-std::size_t SpreadOf(Tokens prompt, std::size_t endpoints) {
+std::size_t PrefillPartCount(Tokens prompt, std::size_t endpoints) {
   const auto parts = static_cast<std::size_t>(prompt.value / kLeastPart.value);
   return std::max<std::size_t>(std::min(endpoints, parts), 1);
 }
--- a/src/core/router_test.cc
+++ b/src/core/router_test.cc
@@ -69,11 +69,11 @@
 }
 
 TEST_CASE("A long prompt is spread as far as its parts stay large enough") {
-  CHECK(SpreadOf(Tokens{60000}, 6) == 6);
-  CHECK(SpreadOf(Tokens{60000}, 20) == 7);
-  CHECK(SpreadOf(Tokens{16000}, 6) == 2);
-  CHECK(SpreadOf(Tokens{100}, 6) == 1);
-  CHECK(SpreadOf(Tokens{60000}, 0) == 1);
+  CHECK(PrefillPartCount(Tokens{60000}, 6) == 6);
+  CHECK(PrefillPartCount(Tokens{60000}, 20) == 7);
+  CHECK(PrefillPartCount(Tokens{16000}, 6) == 2);
+  CHECK(PrefillPartCount(Tokens{100}, 6) == 1);
+  CHECK(PrefillPartCount(Tokens{60000}, 0) == 1);
 }
 
 }  // namespace
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -299,7 +299,7 @@
   const Tokens needed = request.prompt_tokens + request.answer_tokens;
   const std::size_t spread =
       policy_name_ == kLengthAware
-          ? SpreadOf(request.prompt_tokens, Subset(context).size())
+          ? PrefillPartCount(request.prompt_tokens, Subset(context).size())
           : 1;
   if (usable < needed) {
     return spread;
