--- a/include/harecrank/core/router.h
+++ b/include/harecrank/core/router.h
@@ -75,9 +75,9 @@
 
 // Returns among how many of `endpoints` to spread a long prompt that one could
 // hold: all of them, but never so many that a part would be smaller than
-// kLeastPart, and one at least.
+// kMinPrefillPart, and one at least.
 std::size_t PrefillPartCount(Tokens prompt, std::size_t endpoints);
-constexpr Tokens kLeastPart{8000};
+constexpr Tokens kMinPrefillPart{8000};
 
 }  // namespace harecrank
 
--- a/src/core/router.cc
+++ b/src/core/router.cc
@@ -128,7 +128,8 @@
 }
 
 std::size_t PrefillPartCount(Tokens prompt, std::size_t endpoints) {
-  const auto parts = static_cast<std::size_t>(prompt.value / kLeastPart.value);
+  const auto parts =
+      static_cast<std::size_t>(prompt.value / kMinPrefillPart.value);
   return std::max<std::size_t>(std::min(endpoints, parts), 1);
 }
 
