--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -38,7 +38,7 @@
   // One decoding step of a batch, without its members.
   double step_ms = 0;
   // What each member adds to a step.
-  double step_ms_per_member = 0;
+  double step_ms_per_sequence = 0;
   // What a thousand tokens of a member's context add to a step.
   double step_ms_per_thousand_context = 0;
   // Prompt tokens read in a millisecond.
--- a/src/core/engine_estimate.cc
+++ b/src/core/engine_estimate.cc
@@ -19,7 +19,7 @@
 
 FractionalMillis WriteTime(const EngineProfile& engine, Tokens prompt,
                            Tokens answer) {
-  const double step = engine.step_ms_per_member +
+  const double step = engine.step_ms_per_sequence +
                       static_cast<double>(prompt.value) / kThousand *
                           engine.step_ms_per_thousand_context;
   return FractionalMillis(static_cast<double>(answer.value) * step);
@@ -27,7 +27,7 @@
 
 FractionalMillis PassTime(const EngineProfile& engine, int members,
                           Tokens context) {
-  const double step = engine.step_ms + members * engine.step_ms_per_member +
+  const double step = engine.step_ms + members * engine.step_ms_per_sequence +
                       static_cast<double>(context.value) / kThousand *
                           engine.step_ms_per_thousand_context;
   return FractionalMillis(step * engine.steps_per_pass);
