--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -42,7 +42,7 @@
   // What a thousand tokens of a member's context add to a step.
   double step_ms_per_thousand_context = 0;
   // Prompt tokens read in a millisecond.
-  double read_tokens_per_ms = 1;
+  double prefill_tokens_per_ms = 1;
   // A million pairs of a prompt token and one before it.
   double read_ms_per_million_pairs = 0;
   // Steps that one pass over all members plays.
--- a/src/core/engine_estimate.cc
+++ b/src/core/engine_estimate.cc
@@ -10,7 +10,7 @@
 
 FractionalMillis ReadTime(const EngineProfile& engine, Tokens prompt) {
   const auto tokens = static_cast<double>(prompt.value);
-  const double linear = tokens / engine.read_tokens_per_ms;
+  const double linear = tokens / engine.prefill_tokens_per_ms;
   // A token is paired with each one before it.
   const double pairs = tokens * tokens / 2;
   return FractionalMillis(linear +
--- a/src/core/oversize_wait_test.cc
+++ b/src/core/oversize_wait_test.cc
@@ -12,7 +12,7 @@
  protected:
   OversizeFixture() {
     service_.engine.emplace();
-    service_.engine->read_tokens_per_ms = 10;
+    service_.engine->prefill_tokens_per_ms = 10;
     request_.service = &service_;
     request_.target_latency = kTarget;
     // 34 s for one engine, 2 s for one and its helpers.
--- a/src/core/reader_choice_test.cc
+++ b/src/core/reader_choice_test.cc
@@ -15,7 +15,7 @@
   engine.memory = Tokens{400000};
   engine.step_ms = 1;
   engine.steps_per_pass = 40;
-  engine.read_tokens_per_ms = 150;
+  engine.prefill_tokens_per_ms = 150;
   return engine;
 }
 
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -168,7 +168,7 @@
     service.engine->slots = 1000;
     service.engine->memory = Tokens{100000000};
     service.engine->step_ms = 1;
-    service.engine->read_tokens_per_ms = 1000;
+    service.engine->prefill_tokens_per_ms = 1000;
     document.services = {service};
     RouteRule route;
     route.host = "a";
