--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -44,7 +44,7 @@
   // Prompt tokens read in a millisecond.
   double prefill_tokens_per_ms = 1;
   // A million pairs of a prompt token and one before it.
-  double read_ms_per_million_pairs = 0;
+  double prefill_ms_per_million_pairs = 0;
   // Steps that one pass over all members plays.
   int steps_per_pass = 1;
 };
--- a/src/core/engine_estimate.cc
+++ b/src/core/engine_estimate.cc
@@ -13,8 +13,8 @@
   const double linear = tokens / engine.prefill_tokens_per_ms;
   // A token is paired with each one before it.
   const double pairs = tokens * tokens / 2;
-  return FractionalMillis(linear +
-                          pairs / kMillion * engine.read_ms_per_million_pairs);
+  return FractionalMillis(linear + pairs / kMillion *
+                                       engine.prefill_ms_per_million_pairs);
 }
 
 FractionalMillis WriteTime(const EngineProfile& engine, Tokens prompt,
--- a/testing/engine_service.h
+++ b/testing/engine_service.h
@@ -21,7 +21,7 @@
   engine.step_ms_per_sequence = 0.004;
   engine.step_ms_per_thousand_context = 0.003;
   engine.prefill_tokens_per_ms = 177;
-  engine.read_ms_per_million_pairs = 0.184;
+  engine.prefill_ms_per_million_pairs = 0.184;
   engine.steps_per_pass = 80;
   return service;
 }
