--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -57,7 +57,7 @@
   // Set for model engines, absent for plain services.
   std::optional<EngineProfile> engine;
   // How long an endpoint is cold after it has started.
-  Millis cold_after_start{0};
+  Millis cold_period{0};
   // The requests that a cold endpoint takes in a second; zero: as many as any.
   double cold_starts_per_s = 0;
 };
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -36,7 +36,7 @@
   const auto table = routing_();
   const ServiceProfile* service =
       table == nullptr ? nullptr : table->FindService(record.service);
-  TakeCold(record, service == nullptr ? Millis(0) : service->cold_after_start);
+  TakeCold(record, service == nullptr ? Millis(0) : service->cold_period);
 }
 
 void StartGate::TakeCold(const EndpointRecord& record, Millis after_start) {
