--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -59,7 +59,7 @@
   // How long an endpoint is cold after it has started.
   Millis cold_period{0};
   // The requests that a cold endpoint takes in a second; zero: as many as any.
-  double cold_starts_per_s = 0;
+  double cold_requests_per_s = 0;
 };
 
 // A service's share of a route's requests.
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -104,7 +104,7 @@
       clock_(std::move(clock)) {}
 
 bool StartShares::IsColdBounded(const ServiceProfile& service) const {
-  return cold_bound_.overage > 0 && service.cold_starts_per_s > 0;
+  return cold_bound_.overage > 0 && service.cold_requests_per_s > 0;
 }
 
 std::optional<StartBound> StartShares::ColdBoundOf(
@@ -115,7 +115,7 @@
   }
   StartBound bound;
   bound.most =
-      service.cold_starts_per_s * cold_bound_.overage + cold_bound_.slack;
+      service.cold_requests_per_s * cold_bound_.overage + cold_bound_.slack;
   bound.window = ColdEndpoints::kWindow;
   bound.raise = *raise;
   bound.since = cold_endpoints_->BoundSince(endpoint);
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -34,7 +34,7 @@
 ServiceProfile Service() {
   ServiceProfile service;
   service.name = kService;
-  service.cold_starts_per_s = kColdStartsPerS;
+  service.cold_requests_per_s = kColdStartsPerS;
   return service;
 }
 
@@ -119,7 +119,7 @@
   endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
   const StartCounts starts(clock_);
   ServiceProfile unbounded = Service();
-  unbounded.cold_starts_per_s = 0;
+  unbounded.cold_requests_per_s = 0;
   const StartShares none(
       ColdBound{}, &endpoints_, &limits_, RestsOfHost{},
       [] { return std::nullopt; }, clock_);
