--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -87,7 +87,7 @@
   // To how many endpoints one request may be sent.
   int max_attempts = 1;
   // Needs no key.
-  bool open = false;
+  bool is_public = false;
   // A stream may be taken up at another endpoint.
   bool resumable = false;
 
--- a/src/gateway/admission.cc
+++ b/src/gateway/admission.cc
@@ -52,9 +52,9 @@
     const std::string key =
         BearerKey(View(request_[http::field::authorization]));
     admitted_->account = admitted_->table->FindAccountByKey(key);
-    const bool open = admitted_->route->open;
-    admitted_->strip_key = !open || admitted_->account != nullptr;
-    if (admitted_->account == nullptr && !open) {
+    const bool is_public = admitted_->route->is_public;
+    admitted_->strip_key = !is_public || admitted_->account != nullptr;
+    if (admitted_->account == nullptr && !is_public) {
       return Refusal{http_status::kUnauthorised, "unknown_key", std::nullopt};
     }
     return std::nullopt;
