--- a/include/harecrank/core/config_ledger.h
+++ b/include/harecrank/core/active_config.h
@@ -1,7 +1,7 @@
 // Which configuration is in force on this process. It never goes back.
 
-#ifndef HARECRANK_CORE_CONFIG_LEDGER_H_
-#define HARECRANK_CORE_CONFIG_LEDGER_H_
+#ifndef HARECRANK_CORE_ACTIVE_CONFIG_H_
+#define HARECRANK_CORE_ACTIVE_CONFIG_H_
 
 #include <deque>
 #include <memory>
@@ -108,4 +108,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_CONFIG_LEDGER_H_
+#endif  // HARECRANK_CORE_ACTIVE_CONFIG_H_
--- a/src/core/config_ledger_test.cc
+++ b/src/core/active_config_test.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/config_ledger.h"
+#include "harecrank/core/active_config.h"
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
--- a/src/node/administration.h
+++ b/src/node/administration.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "harecrank/core/config_ledger.h"
+#include "harecrank/core/active_config.h"
 #include "src/node/config_feed.h"
 
 namespace harecrank {
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -13,7 +13,7 @@
 #include <thread>
 #include <vector>
 
-#include "harecrank/core/config_ledger.h"
+#include "harecrank/core/active_config.h"
 #include "harecrank/core/dissemination.h"
 #include "harecrank/core/host_states.h"
 #include "src/adapters/logging.h"
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -9,7 +9,7 @@
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 
-#include "harecrank/core/config_ledger.h"
+#include "harecrank/core/active_config.h"
 #include "harecrank/core/host_states.h"
 #include "src/adapters/http.h"
 #include "src/adapters/metrics.h"
