--- a/include/harecrank/core/configuration_intake.h
+++ b/include/harecrank/core/configuration_parse_scheduler.h
@@ -1,8 +1,8 @@
 // When, and in which slices, a host reads the configurations that are
 // published, so that what it carries meanwhile does not stand still.
 
-#ifndef HARECRANK_CORE_CONFIGURATION_INTAKE_H_
-#define HARECRANK_CORE_CONFIGURATION_INTAKE_H_
+#ifndef HARECRANK_CORE_CONFIGURATION_PARSE_SCHEDULER_H_
+#define HARECRANK_CORE_CONFIGURATION_PARSE_SCHEDULER_H_
 
 #include <chrono>
 #include <cstddef>
@@ -91,4 +91,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_CONFIGURATION_INTAKE_H_
+#endif  // HARECRANK_CORE_CONFIGURATION_PARSE_SCHEDULER_H_
--- a/src/core/configuration_intake.cc
+++ b/src/core/configuration_parse_scheduler.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/configuration_intake.h"
+#include "harecrank/core/configuration_parse_scheduler.h"
 
 #include <algorithm>
 
--- a/src/core/configuration_intake_test.cc
+++ b/src/core/configuration_parse_scheduler_test.cc
@@ -1,6 +1,6 @@
 // Replays a storm of configurations on a weak host, without reading any.
 
-#include "harecrank/core/configuration_intake.h"
+#include "harecrank/core/configuration_parse_scheduler.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
