--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -35,7 +35,7 @@
 namespace harecrank {
 
 // A place for an ask that waited.
-struct DuePlace {
+struct DeferredReply {
   HostAddress host;
   Incarnation life;
   AskId id;
@@ -71,7 +71,7 @@
   void OnWord(const HostWord& word);
 
   // Tries those that wait, first to last, and returns those that start.
-  std::vector<DuePlace> TryWaiting();
+  std::vector<DeferredReply> TryWaiting();
 
   // Forgets hosts that have been silent for kHostHolds.
   void DropSilent();
@@ -174,7 +174,7 @@
   // is foreseen.
   bool HasWaitedEnough(const Entry& entry) const;
   void TryRoom(WaitingRoom* room, std::size_t tried,
-               std::vector<DuePlace>* due);
+               std::vector<DeferredReply>* due);
   void Adopt(Host* host, const AskedWork& work);
   void DropEntry(Entry* entry);
   void DropAsks(Host* host);
--- a/src/core/planner_room.cc
+++ b/src/core/planner_room.cc
@@ -150,8 +150,8 @@
                     FractionalMillis(entry.ask.target_latency);
 }
 
-std::vector<DuePlace> Planner::TryWaiting() {
-  std::vector<DuePlace> due;
+std::vector<DeferredReply> Planner::TryWaiting() {
+  std::vector<DeferredReply> due;
   if (IsLearning()) {
     return due;
   }
@@ -166,7 +166,7 @@
 }
 
 void Planner::TryRoom(WaitingRoom* room, std::size_t tried,
-                      std::vector<DuePlace>* due) {
+                      std::vector<DeferredReply>* due) {
   const bool is_short = room == &short_room_;
   decision_.OnWaiting(is_short ? PromptKind::kShort : PromptKind::kLong,
                       !room->IsEmpty());
@@ -193,7 +193,8 @@
       continue;
     }
     LeaveRoom(&entry);
-    due->push_back(DuePlace{key.host, host.life, key.id, *std::move(decision)});
+    due->push_back(
+        DeferredReply{key.host, host.life, key.id, *std::move(decision)});
     if (!entry.placed.has_value()) {
       host.asks.erase(key.id);
     }
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -359,7 +359,7 @@
   REQUIRE_FALSE(waiting.empty());
   now_ += Millis(2 * 400 + 1);
   std::size_t refused = 0;
-  for (const DuePlace& due : planner_->TryWaiting()) {
+  for (const DeferredReply& due : planner_->TryWaiting()) {
     refused += std::holds_alternative<AskRefused>(due.decision) ? 1 : 0;
   }
   CHECK(refused == waiting.size());
@@ -473,7 +473,7 @@
   REQUIRE(std::holds_alternative<AskWaits>(planner_->OnAsk(returned)));
   now_ += Millis(8800);
   bool is_told = false;
-  for (const DuePlace& due : planner_->TryWaiting()) {
+  for (const DeferredReply& due : planner_->TryWaiting()) {
     is_told = is_told || (due.id == returned.id &&
                           std::holds_alternative<AskRefused>(due.decision));
   }
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -200,7 +200,7 @@
         StartRequest(static_cast<int>(random_() % kHosts));
       }
       for (const auto& planner : planners_) {
-        for (const DuePlace& due : planner->TryWaiting()) {
+        for (const DeferredReply& due : planner->TryWaiting()) {
           OnDecision(HostNumber(due.host), due.decision);
         }
       }
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -97,7 +97,7 @@
       }
       now_ += kStep;
       RunDue();
-      for (const DuePlace& due : planner_->TryWaiting()) {
+      for (const DeferredReply& due : planner_->TryWaiting()) {
         OnDecision(due.id, due.decision);
       }
     }
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -68,7 +68,7 @@
   if (planner_->WaitingCount() == 0) {
     return;
   }
-  for (DuePlace& due : planner_->TryWaiting()) {
+  for (DeferredReply& due : planner_->TryWaiting()) {
     NoteTurnedAway(due.host, due.id, due.decision);
     ports_.send(due.host,
                 PlaceAnswer{self_, due.life, due.id, std::move(due.decision)});
