--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -43,7 +43,8 @@
 };
 
 // Returns the routing table in force, or null.
-using RoutingSource = std::function<std::shared_ptr<const RoutingTable>()>;
+using RoutingTableProvider =
+    std::function<std::shared_ptr<const RoutingTable>()>;
 
 // Not thread-safe.
 class Planner {
@@ -51,7 +52,7 @@
   // All of them must outlive this.
   Planner(const EndpointDirectory* directory, EndpointHealth* health,
           const StartShares* start_shares, DataCentreId self,
-          RoutingSource routing, const PlacementPolicy& policy,
+          RoutingTableProvider routing, const PlacementPolicy& policy,
           MonotonicClock clock, RandomSource random);
 
   // This host plans from now on. Until `hosts` have told what they have under
@@ -182,7 +183,7 @@
   const EndpointDirectory* directory_;
   EndpointHealth* health_;
   const StartShares* start_shares_;
-  RoutingSource routing_;
+  RoutingTableProvider routing_;
   PlacementPolicy policy_;
   MonotonicClock clock_;
   EndpointLoads loads_;
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -23,7 +23,7 @@
 
 Planner::Planner(const EndpointDirectory* directory, EndpointHealth* health,
                  const StartShares* start_shares, DataCentreId self,
-                 RoutingSource routing, const PlacementPolicy& policy,
+                 RoutingTableProvider routing, const PlacementPolicy& policy,
                  MonotonicClock clock, RandomSource random)
     : directory_(directory),
       health_(health),
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -7,8 +7,8 @@
 
 StartGate::StartGate(HostAddress self, ColdBound cold_bound,
                      std::function<std::optional<int>()> hosts,
-                     RoutingSource routing, EventLog* log, Metrics* metrics,
-                     MonotonicClock clock)
+                     RoutingTableProvider routing, EventLog* log,
+                     Metrics* metrics, MonotonicClock clock)
     : self_(std::move(self)),
       routing_(std::move(routing)),
       log_(log),
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -27,8 +27,9 @@
   // All pointers must outlive this. `hosts` returns how many hosts the fleet
   // may have, or nothing while that is not known.
   StartGate(HostAddress self, ColdBound cold_bound,
-            std::function<std::optional<int>()> hosts, RoutingSource routing,
-            EventLog* log, Metrics* metrics, MonotonicClock clock);
+            std::function<std::optional<int>()> hosts,
+            RoutingTableProvider routing, EventLog* log, Metrics* metrics,
+            MonotonicClock clock);
 
   // Takes what was published.
   void OnListing(const std::vector<EndpointRecord>& records);
@@ -109,7 +110,7 @@
                  const char* told_by);
 
   HostAddress self_;
-  RoutingSource routing_;
+  RoutingTableProvider routing_;
   EventLog* log_;
   Metrics* metrics_;
   MonotonicClock clock_;
