--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -62,7 +62,7 @@
   void Begin(const std::vector<HostAddress>& hosts);
 
   // Decides on an ask. The same ask once more gets the same answer.
-  PlaceDecision OnAsk(const PlaceAsk& ask);
+  PlaceDecision OnQuery(const PlaceAsk& ask);
 
   // Takes what became of places.
   void OnNote(const WorkNote& note);
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -123,7 +123,9 @@
     TimePoint ends{};
   };
 
-  void Offer(const Pending& one) { OnDecision(one, planner_->OnAsk(one.ask)); }
+  void Offer(const Pending& one) {
+    OnDecision(one, planner_->OnQuery(one.ask));
+  }
 
   void OnDecision(const Pending& one, const PlaceDecision& decision) {
     if (std::holds_alternative<AskWaits>(decision)) {
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -115,7 +115,7 @@
   std::map<EndpointId, int> members;
   for (int host = 0; host < 100; ++host) {
     const auto placed =
-        std::get<PlannedPlacement>(planner_->OnAsk(Short(host)));
+        std::get<PlannedPlacement>(planner_->OnQuery(Short(host)));
     ++members[placed.endpoint];
   }
   for (const auto& [endpoint, count] : members) {
@@ -126,9 +126,9 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "Two long prompts of different hosts never share a reader") {
   const auto first =
-      std::get<PlannedPlacement>(planner_->OnAsk(Long(1, 45000)));
+      std::get<PlannedPlacement>(planner_->OnQuery(Long(1, 45000)));
   const auto second =
-      std::get<PlannedPlacement>(planner_->OnAsk(Long(2, 45000)));
+      std::get<PlannedPlacement>(planner_->OnQuery(Long(2, 45000)));
   std::set<EndpointId> readers{first.endpoint};
   for (const PlannedHelper& helper : first.helpers) {
     readers.insert(helper.endpoint);
@@ -143,9 +143,9 @@
                  "A prompt that finds all engines reading waits, and starts "
                  "when they have read") {
   const PlaceAsk first = Long(1);
-  REQUIRE(std::holds_alternative<PlannedPlacement>(planner_->OnAsk(first)));
+  REQUIRE(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(first)));
   const PlaceAsk second = Long(2);
-  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnAsk(second)));
+  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(second)));
   CHECK(planner_->TryWaiting().empty());
   planner_->OnNote(
       WorkNote{first.host, first.life, {ReadNote{first.id, 1}}, {}});
@@ -161,12 +161,12 @@
                  "Of two that wait the one with less time to spare starts "
                  "first") {
   const PlaceAsk first = Long(1);
-  planner_->OnAsk(first);
+  planner_->OnQuery(first);
   const PlaceAsk patient = Long(2);
-  planner_->OnAsk(patient);
+  planner_->OnQuery(patient);
   PlaceAsk pressed = Long(3);
   pressed.until_late = FractionalMillis(2000);
-  planner_->OnAsk(pressed);
+  planner_->OnQuery(pressed);
   planner_->OnNote(
       WorkNote{first.host, first.life, {ReadNote{first.id, 1}}, {}});
   const auto due = planner_->TryWaiting();
@@ -178,49 +178,49 @@
                  "The same ask once more gets the same answer and no second "
                  "place") {
   const PlaceAsk ask = Long(1);
-  const auto first = std::get<PlannedPlacement>(planner_->OnAsk(ask));
-  const auto again = std::get<PlannedPlacement>(planner_->OnAsk(ask));
+  const auto first = std::get<PlannedPlacement>(planner_->OnQuery(ask));
+  const auto again = std::get<PlannedPlacement>(planner_->OnQuery(ask));
   CHECK(first.endpoint == again.endpoint);
   End(ask);
   // All of it is free again.
-  CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnAsk(Long(2))));
+  CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(Long(2))));
 }
 
 TEST_CASE_METHOD(PlannerFixture,
                  "A prompt is refused at once where one that takes no longer "
                  "can no longer be in time") {
-  planner_->OnAsk(Long(1));
+  planner_->OnQuery(Long(1));
   PlaceAsk late = Long(2);
   late.until_late = FractionalMillis(-1);
-  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnAsk(late)));
-  CHECK(std::holds_alternative<AskRefused>(planner_->OnAsk(Long(3, 230000))));
+  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(late)));
+  CHECK(std::holds_alternative<AskRefused>(planner_->OnQuery(Long(3, 230000))));
   // One that an endpoint may have run is never told that it was not.
   PlaceAsk started = Long(3, 230000);
   started.may_have_run = true;
-  CHECK(std::holds_alternative<AskWaits>(planner_->OnAsk(started)));
+  CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(started)));
 }
 
 TEST_CASE_METHOD(PlannerFixture,
                  "A planner that is new learns from the hosts what is under "
                  "way") {
   const PlaceAsk first = Long(1);
-  const auto placed = std::get<PlannedPlacement>(planner_->OnAsk(first));
+  const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(first));
   planner_ = MakePlanner();
   planner_->OnWord(AccountOf({{first, placed}}));
-  CHECK(std::holds_alternative<AskWaits>(planner_->OnAsk(Long(2))));
+  CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
 }
 
 TEST_CASE_METHOD(PlannerFixture,
                  "A planner that is new gives no place before it has learnt "
                  "what is under way, and then all that can be given") {
   const PlaceAsk first = Long(1);
-  const auto placed = std::get<PlannedPlacement>(planner_->OnAsk(first));
+  const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(first));
   planner_ = MakePlanner();
   planner_->Begin({first.host, HostAddress{"silent"}});
-  CHECK(std::holds_alternative<AskWaits>(planner_->OnAsk(Long(2))));
+  CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
   constexpr int kMore = 12;
   for (int i = 0; i < kMore; ++i) {
-    CHECK(std::holds_alternative<AskWaits>(planner_->OnAsk(Short(3))));
+    CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Short(3))));
   }
   planner_->OnWord(AccountOf({{first, placed}}));
   CHECK(planner_->TryWaiting().empty());
@@ -234,7 +234,7 @@
                  "A planner that all hosts have told goes on at once") {
   planner_->Begin({HostAddress{"h1"}});
   const PlaceAsk ask = Short(1);
-  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnAsk(ask)));
+  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(ask)));
   HostWord nothing;
   nothing.address = ask.host;
   nothing.life = ask.life;
@@ -247,11 +247,11 @@
                  "A place that its host does not tell of is free again, but "
                  "not before the host can have told") {
   const PlaceAsk taken = Long(1);
-  const auto placed = std::get<PlannedPlacement>(planner_->OnAsk(taken));
+  const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(taken));
   HostWord nothing = AccountOf({{taken, placed}});
   nothing.work->clear();
   planner_->OnWord(nothing);
-  CHECK(std::holds_alternative<AskWaits>(planner_->OnAsk(Long(2))));
+  CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
   now_ += Planner::kUntold + Millis(1);
   planner_->OnWord(nothing);
   CHECK(planner_->TryWaiting().size() == 1);
@@ -259,12 +259,12 @@
 
 TEST_CASE_METHOD(PlannerFixture,
                  "What silent and restarted hosts had under way is forgotten") {
-  planner_->OnAsk(Long(1));
+  planner_->OnQuery(Long(1));
   PlaceAsk waits = Long(2);
-  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnAsk(waits)));
+  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(waits)));
   PlaceAsk reborn = Long(1);
   reborn.life = Incarnation{2};
-  CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnAsk(reborn)));
+  CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(reborn)));
   now_ += Planner::kHostHolds + Millis(1);
   planner_->DropSilent();
   CHECK(planner_->HostCount() == 0);
@@ -273,9 +273,9 @@
 
 TEST_CASE_METHOD(PlannerFixture,
                  "An ask that waits and is not repeated was given up") {
-  planner_->OnAsk(Long(1));
+  planner_->OnQuery(Long(1));
   const PlaceAsk waits = Long(2);
-  planner_->OnAsk(waits);
+  planner_->OnQuery(waits);
   HostWord alive;
   alive.address = waits.host;
   alive.life = waits.life;
@@ -291,22 +291,22 @@
                  "An endpoint that failed a host's requests is left alone for "
                  "all") {
   const PlaceAsk ask = Short(1);
-  const auto placed = std::get<PlannedPlacement>(planner_->OnAsk(ask));
+  const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(ask));
   End(ask);
   for (int i = 0; i < 10; ++i) {
     PlaceAsk again = Short(1);
-    planner_->OnAsk(again);
+    planner_->OnQuery(again);
     planner_->OnNote(
         WorkNote{again.host, again.life, {}, {EndNote{again.id, true}}});
   }
-  const auto later = std::get<PlannedPlacement>(planner_->OnAsk(Short(2)));
+  const auto later = std::get<PlannedPlacement>(planner_->OnQuery(Short(2)));
   CHECK(later.endpoint != placed.endpoint);
 }
 
 TEST_CASE_METHOD(PlannerFixture, "An unknown service has no endpoint") {
   PlaceAsk ask = Short(1);
   ask.service = ServiceName{"none"};
-  CHECK(std::holds_alternative<NoEndpoint>(planner_->OnAsk(ask)));
+  CHECK(std::holds_alternative<NoEndpoint>(planner_->OnQuery(ask)));
 }
 
 // After a stop of all hosts callers come back within half a second. With all of
@@ -319,7 +319,7 @@
   int placed = 0;
   int waiting = 0;
   for (int host = 0; host < kWave; ++host) {
-    const PlaceDecision decision = planner_->OnAsk(Short(host));
+    const PlaceDecision decision = planner_->OnQuery(Short(host));
     if (const auto* place = std::get_if<PlannedPlacement>(&decision)) {
       ++placed;
       CHECK(place->first_event <= FractionalMillis(400));
@@ -340,7 +340,8 @@
   planner_ = MakePlanner();
   int late = 0;
   for (int host = 0; host < 300; ++host) {
-    const auto place = std::get<PlannedPlacement>(planner_->OnAsk(Short(host)));
+    const auto place =
+        std::get<PlannedPlacement>(planner_->OnQuery(Short(host)));
     late += place.first_event > FractionalMillis(400) ? 1 : 0;
   }
   CHECK(late > 100);
@@ -352,7 +353,7 @@
   std::vector<PlaceAsk> waiting;
   for (int host = 0; host < 300; ++host) {
     const PlaceAsk ask = Short(host);
-    if (std::holds_alternative<AskWaits>(planner_->OnAsk(ask))) {
+    if (std::holds_alternative<AskWaits>(planner_->OnQuery(ask))) {
       waiting.push_back(ask);
     }
   }
@@ -370,24 +371,24 @@
                  "A short prompt that an endpoint may have run is placed even "
                  "in a wave") {
   for (int host = 0; host < 300; ++host) {
-    planner_->OnAsk(Short(host));
+    planner_->OnQuery(Short(host));
   }
   PlaceAsk resumed = Short(1);
   resumed.may_have_run = true;
-  CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnAsk(resumed)));
+  CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(resumed)));
 }
 
 TEST_CASE_METHOD(PlannerFixture,
                  "An endpoint is passed over for the host that may begin "
                  "nothing there") {
-  const auto first = std::get<PlannedPlacement>(planner_->OnAsk(Short(1)));
+  const auto first = std::get<PlannedPlacement>(planner_->OnQuery(Short(1)));
   planner_ = MakePlanner();
-  const auto same = std::get<PlannedPlacement>(planner_->OnAsk(Short(2)));
+  const auto same = std::get<PlannedPlacement>(planner_->OnQuery(Short(2)));
   CHECK(same.endpoint == first.endpoint);
   planner_ = MakePlanner();
   PlaceAsk ask = Short(3);
   ask.withheld = {first.endpoint};
-  const auto other = std::get<PlannedPlacement>(planner_->OnAsk(ask));
+  const auto other = std::get<PlannedPlacement>(planner_->OnQuery(ask));
   CHECK_FALSE(other.endpoint == first.endpoint);
 }
 
@@ -409,14 +410,14 @@
   void Flood() {
     constexpr int kMany = 60;
     for (int i = 0; i < kMany; ++i) {
-      planner_->OnAsk(Told(Long(i), ++strangers_));
+      planner_->OnQuery(Told(Long(i), ++strangers_));
     }
   }
 
   // Returns when `ask` is told to return in a flood.
   Millis TurnAway(const PlaceAsk& ask) {
     Flood();
-    return std::get<AskRefused>(planner_->OnAsk(ask)).return_after.value();
+    return std::get<AskRefused>(planner_->OnQuery(ask)).return_after.value();
   }
 
   PlaceAsk Return(PlaceAsk ask) {
@@ -436,14 +437,14 @@
   CHECK(after <= Millis(5000));
   // Sooner it gains nothing: the same time is told again.
   now_ += Millis(100);
-  const auto sooner = planner_->OnAsk(Return(ask));
+  const auto sooner = planner_->OnQuery(Return(ask));
   CHECK(std::get<AskRefused>(sooner).return_after == after - Millis(100));
   CHECK(planner_->PromiseCount() > 0);
   now_ += after - Millis(100);
   Flood();
-  CHECK(std::holds_alternative<AskWaits>(planner_->OnAsk(Return(ask))));
+  CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Return(ask))));
   CHECK(std::holds_alternative<AskRefused>(
-      planner_->OnAsk(Return(Told(Long(2), 2)))));
+      planner_->OnQuery(Return(Told(Long(2), 2)))));
 }
 
 TEST_CASE_METHOD(TurnedAwayFixture,
@@ -453,7 +454,8 @@
   now_ += TurnAway(ask);
   planner_ = MakePlanner();
   CHECK(planner_->PromiseCount() == 0);
-  CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnAsk(Return(ask))));
+  CHECK(
+      std::holds_alternative<PlannedPlacement>(planner_->OnQuery(Return(ask))));
 }
 
 TEST_CASE_METHOD(TurnedAwayFixture,
@@ -470,7 +472,7 @@
     directory_.Upsert(lost);
   }
   const PlaceAsk returned = Return(ask);
-  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnAsk(returned)));
+  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(returned)));
   now_ += Millis(8800);
   bool is_told = false;
   for (const DeferredReply& due : planner_->TryWaiting()) {
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -250,7 +250,7 @@
     }
     OnDecision(
         host,
-        planners_[static_cast<std::size_t>(host % kPlanners)]->OnAsk(ask));
+        planners_[static_cast<std::size_t>(host % kPlanners)]->OnQuery(ask));
   }
 
   void OnDecision(int host, const PlaceDecision& decision) {
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -134,7 +134,7 @@
         {FractionalMillis(2000), 4.0 * FractionalMillis(ask.target_latency),
          8.0 * FractionalMillis(ask.target_gap)});
     After(std::min(ask.until_deadline, patience), [this, id] { Leave(id); });
-    OnDecision(id, planner_->OnAsk(ask));
+    OnDecision(id, planner_->OnQuery(ask));
   }
 
   void Leave(AskId id) {
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -23,7 +23,7 @@
   FleetMember* member;
 
   void operator()(const HostWord& word) const { member->OnWord(word); }
-  void operator()(const PlaceAsk& ask) const { member->desk_.OnAsk(ask); }
+  void operator()(const PlaceAsk& ask) const { member->desk_.OnQuery(ask); }
   void operator()(const PlaceAnswer& answer) const {
     member->book_->OnHeard(answer.from);
     if (answer.from == member->followed_) {
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -16,12 +16,12 @@
       clock_(std::move(clock)),
       timer_(*io) {}
 
-void PlanningDesk::OnAsk(const PlaceAsk& ask) {
+void PlanningDesk::OnQuery(const PlaceAsk& ask) {
   PlaceAnswer answer{self_, ask.life, ask.id, NotPlanner{}};
   const std::optional<HostAddress> planner = ports_.planner();
   if (planner == self_) {
     metrics_->GetCounter("harecrank_gateway_asks_planned_total")->Add();
-    answer.decision = planner_->OnAsk(ask);
+    answer.decision = planner_->OnQuery(ask);
     NoteTurnedAway(ask.host, ask.id, answer.decision);
   } else if (planner.has_value()) {
     answer.decision = NotPlanner{*planner};
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planning_desk.h
@@ -29,7 +29,7 @@
                PlanningDeskPorts ports, EventLog* log, Metrics* metrics,
                MonotonicClock clock);
 
-  void OnAsk(const PlaceAsk& ask);
+  void OnQuery(const PlaceAsk& ask);
   void OnNote(const WorkNote& note);
   void OnWord(const HostWord& word);
 
