--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -155,7 +155,7 @@
       }
       it = ended ? running_.erase(it) : std::next(it);
     }
-    planner_->OnNote(note);
+    planner_->OnProgressReport(note);
   }
 
   // Their callers leave; the host tells so.
@@ -168,7 +168,7 @@
       }
       it = gone ? pending_.erase(it) : std::next(it);
     }
-    planner_->OnNote(note);
+    planner_->OnProgressReport(note);
   }
 
   TimePoint now_{std::chrono::hours(1)};
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -68,7 +68,7 @@
   }
 
   void End(const PlaceAsk& ask) {
-    planner_->OnNote(
+    planner_->OnProgressReport(
         WorkNote{ask.host, ask.life, {}, {EndNote{ask.id, false}}});
   }
 
@@ -147,7 +147,7 @@
   const PlaceAsk second = Long(2);
   REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(second)));
   CHECK(planner_->TryWaiting().empty());
-  planner_->OnNote(
+  planner_->OnProgressReport(
       WorkNote{first.host, first.life, {ReadNote{first.id, 1}}, {}});
   const auto due = planner_->TryWaiting();
   REQUIRE(due.size() == 1);
@@ -167,7 +167,7 @@
   PlaceAsk pressed = Long(3);
   pressed.until_late = FractionalMillis(2000);
   planner_->OnQuery(pressed);
-  planner_->OnNote(
+  planner_->OnProgressReport(
       WorkNote{first.host, first.life, {ReadNote{first.id, 1}}, {}});
   const auto due = planner_->TryWaiting();
   REQUIRE_FALSE(due.empty());
@@ -296,7 +296,7 @@
   for (int i = 0; i < 10; ++i) {
     PlaceAsk again = Short(1);
     planner_->OnQuery(again);
-    planner_->OnNote(
+    planner_->OnProgressReport(
         WorkNote{again.host, again.life, {}, {EndNote{again.id, true}}});
   }
   const auto later = std::get<PlannedPlacement>(planner_->OnQuery(Short(2)));
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -153,7 +153,7 @@
     } else {
       note.read.push_back(ReadNote{id, 1});
     }
-    planner_->OnNote(note);
+    planner_->OnProgressReport(note);
   }
 
   void OnDecision(AskId id, const PlaceDecision& decision) {
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -31,7 +31,9 @@
     }
     member->places_.OnAnswer(answer);
   }
-  void operator()(const WorkNote& note) const { member->desk_.OnNote(note); }
+  void operator()(const WorkNote& note) const {
+    member->desk_.OnProgressReport(note);
+  }
   void operator()(const PublishedChanges& published) const {
     member->OnChanges(published);
   }
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -42,9 +42,9 @@
                {"promises", planner_->PromiseCount()}});
 }
 
-void PlanningDesk::OnNote(const WorkNote& note) {
+void PlanningDesk::OnProgressReport(const WorkNote& note) {
   if (IsPlanner()) {
-    planner_->OnNote(note);
+    planner_->OnProgressReport(note);
     TryWaitingSoon();
   }
 }
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planning_desk.h
@@ -30,7 +30,7 @@
                MonotonicClock clock);
 
   void OnQuery(const PlaceAsk& ask);
-  void OnNote(const WorkNote& note);
+  void OnProgressReport(const WorkNote& note);
   void OnWord(const HostWord& word);
 
   // To be called every few tens of milliseconds on the host that plans.
