--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -30,7 +30,7 @@
   void SetSeeds(std::vector<HostAddress> seeds);
 
   // Notes a host's word. Returns whether the host was not known as alive.
-  bool OnWord(const HostWord& word);
+  bool OnHeartbeat(const HostWord& word);
 
   // Notes that another message came from `host`.
   void OnHeard(const HostAddress& host);
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -38,7 +38,7 @@
       [this](const HostAddress& seed) { return seed != self_.address; }));
 }
 
-bool HostBook::OnWord(const HostWord& word) {
+bool HostBook::OnHeartbeat(const HostWord& word) {
   if (word.address == self_.address) {
     return false;
   }
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -27,7 +27,7 @@
     TimePoint suspect_until{};
   };
 
-  void OnWord(const HostWord& word, TimePoint now) {
+  void OnHeartbeat(const HostWord& word, TimePoint now) {
     Host& host = hosts[word.address];
     host.word = word;
     host.heard = now;
@@ -186,8 +186,8 @@
       }
       default: {
         const HostWord word = RandomWord();
-        book_.OnWord(word);
-        plain_.OnWord(word, now_);
+        book_.OnHeartbeat(word);
+        plain_.OnHeartbeat(word, now_);
       }
     }
   }
@@ -290,7 +290,7 @@
     HostWord word;
     word.address = HostAddress{"10.1." + std::to_string(host) + ":1"};
     word.power = HostPower{host == 0 ? 1.0 : 0.09};
-    book.OnWord(word);
+    book.OnHeartbeat(word);
     next = host == 0 ? word.address : next;
   }
   std::set<HostAddress> named;
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -43,10 +43,10 @@
 
   // `from` tells `to`, and hears back.
   void Talk(int from, int to) {
-    books_.at(to)->OnWord(WordOf(from));
+    books_.at(to)->OnHeartbeat(WordOf(from));
     HostWord reply = WordOf(to);
     reply.hosts = books_.at(to)->HostsFor(Address(from));
-    books_.at(from)->OnWord(reply);
+    books_.at(from)->OnHeartbeat(reply);
   }
 
   // Every living host tells the strangers that it would tell, and the planner.
@@ -90,7 +90,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "A host that has just started follows nobody before it has "
                  "had time to hear of a planner") {
-  books_.at(0)->OnWord(WordOf(1));
+  books_.at(0)->OnHeartbeat(WordOf(1));
   CHECK_FALSE(books_.at(0)->Planner().has_value());
   now_ += HostBook::kSettles;
   CHECK(books_.at(0)->Planner() == Address(0));
@@ -131,7 +131,7 @@
   TalkFor(HostBook::kSettles + Millis(300));
   books_.at(0)->Leave();
   for (int host = 1; host < 6; ++host) {
-    books_.at(host)->OnWord(WordOf(0));
+    books_.at(host)->OnHeartbeat(WordOf(0));
   }
   TalkFor(Millis(300));
   CHECK(FollowersOf(1) == 6);
@@ -153,7 +153,7 @@
   for (int host = 0; host < 6; ++host) {
     for (int other = 0; other < 6; ++other) {
       if (host != other && host % 2 == other % 2) {
-        books_.at(host)->OnWord(WordOf(other));
+        books_.at(host)->OnHeartbeat(WordOf(other));
       }
     }
   }
@@ -173,7 +173,7 @@
   const HostWord word = WordOf(3);
   AddHost(0);
   CHECK_FALSE(books_.at(0)->Planner().has_value());
-  books_.at(0)->OnWord(word);
+  books_.at(0)->OnHeartbeat(word);
   CHECK(books_.at(0)->IsPlanner());
   TalkFor(Millis(300));
   CHECK(FollowersOf(0) == 6);
@@ -207,7 +207,7 @@
     AddHost(host);
   }
   for (int host = 1; host < 40; ++host) {
-    books_.at(0)->OnWord(WordOf(host));
+    books_.at(0)->OnHeartbeat(WordOf(host));
   }
   CHECK(books_.at(0)->HostsFor(Address(1)).size() == 40);
   const std::vector<KnownHost> told = books_.at(0)->HostsFor(Address(30));
@@ -225,10 +225,10 @@
   AddHost(6);
   HostWord stale = WordOf(2);
   stale.planner = Address(2);
-  books_.at(6)->OnWord(stale);
+  books_.at(6)->OnHeartbeat(stale);
   REQUIRE(books_.at(6)->Planner() == Address(2));
   books_.at(6)->OnRedirect(Address(2), Address(1));
-  books_.at(6)->OnWord(WordOf(1));
+  books_.at(6)->OnHeartbeat(WordOf(1));
   CHECK(books_.at(6)->Planner() == Address(1));
 }
 
@@ -239,7 +239,7 @@
   word.routing = RoutingVersion{3};
   word.known_up_to = StoreRevision{40};
   word.source_well = true;
-  book.OnWord(word);
+  book.OnHeartbeat(word);
   CHECK(book.BetterInformed(RoutingVersion{2}, StoreRevision{50}) ==
         Address(1));
   CHECK(book.BetterInformed(RoutingVersion{3}, StoreRevision{39}) ==
@@ -256,14 +256,14 @@
                  "can have been answered") {
   HostBook& book = *books_.at(0);
   for (int host = 1; host <= 4; ++host) {
-    book.OnWord(WordOf(host));
+    book.OnHeartbeat(WordOf(host));
   }
   const std::vector<HostAddress> chosen = book.SourceReaders();
   REQUIRE(chosen.size() == HostBook::kReadersBeside);
   for (int host = 1; host <= 4; ++host) {
     HostWord word = WordOf(host);
     word.own_reading = OwnReading::kBegun;
-    book.OnWord(word);
+    book.OnHeartbeat(word);
   }
   CHECK(book.SourceReaders() == chosen);
 }
@@ -272,7 +272,7 @@
                  "A host whose reading failed is passed over for a while") {
   HostBook& book = *books_.at(0);
   for (int host = 1; host <= 4; ++host) {
-    book.OnWord(WordOf(host));
+    book.OnHeartbeat(WordOf(host));
   }
   const HostAddress first = book.SourceReaders().front();
   HostWord failed;
@@ -283,16 +283,16 @@
     }
   }
   failed.own_reading = OwnReading::kFailed;
-  book.OnWord(failed);
+  book.OnHeartbeat(failed);
   for (const HostAddress& reader : book.SourceReaders()) {
     CHECK(reader != first);
   }
   now_ += HostBook::kPassedOver + Millis(1);
   failed.own_reading = OwnReading::kNone;
   for (int host = 1; host <= 4; ++host) {
-    book.OnWord(WordOf(host));
+    book.OnHeartbeat(WordOf(host));
   }
-  book.OnWord(failed);
+  book.OnHeartbeat(failed);
   CHECK(book.SourceReaders().front() == first);
 }
 
@@ -307,7 +307,7 @@
   HostWord word = WordOf(0);
   word.most_hosts = books_.at(0)->Size().Counted();
   AddHost(9);
-  books_.at(9)->OnWord(word);
+  books_.at(9)->OnHeartbeat(word);
   CHECK_FALSE(books_.at(9)->Size().Most().has_value());
   now_ += FleetSize::kSettles;
   CHECK(books_.at(9)->Size().Most() == 6);
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -206,7 +206,7 @@
   const PlaceAsk first = Long(1);
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(first));
   planner_ = MakePlanner();
-  planner_->OnWord(AccountOf({{first, placed}}));
+  planner_->OnHeartbeat(AccountOf({{first, placed}}));
   CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
 }
 
@@ -222,7 +222,7 @@
   for (int i = 0; i < kMore; ++i) {
     CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Short(3))));
   }
-  planner_->OnWord(AccountOf({{first, placed}}));
+  planner_->OnHeartbeat(AccountOf({{first, placed}}));
   CHECK(planner_->TryWaiting().empty());
   // One that does not answer is not waited for.
   now_ += Planner::kLearns;
@@ -239,7 +239,7 @@
   nothing.address = ask.host;
   nothing.life = ask.life;
   nothing.work.emplace();
-  planner_->OnWord(nothing);
+  planner_->OnHeartbeat(nothing);
   CHECK(planner_->TryWaiting().size() == 1);
 }
 
@@ -250,10 +250,10 @@
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(taken));
   HostWord nothing = AccountOf({{taken, placed}});
   nothing.work->clear();
-  planner_->OnWord(nothing);
+  planner_->OnHeartbeat(nothing);
   CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
   now_ += Planner::kUntold + Millis(1);
-  planner_->OnWord(nothing);
+  planner_->OnHeartbeat(nothing);
   CHECK(planner_->TryWaiting().size() == 1);
 }
 
@@ -280,10 +280,10 @@
   alive.address = waits.host;
   alive.life = waits.life;
   alive.work.emplace();
-  planner_->OnWord(alive);
+  planner_->OnHeartbeat(alive);
   CHECK(planner_->WaitingCount() == 1);
   now_ += Planner::kAskHolds + Millis(1);
-  planner_->OnWord(alive);
+  planner_->OnHeartbeat(alive);
   CHECK(planner_->WaitingCount() == 0);
 }
 
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -22,7 +22,7 @@
 struct FleetMember::Receiver {
   FleetMember* member;
 
-  void operator()(const HostWord& word) const { member->OnWord(word); }
+  void operator()(const HostWord& word) const { member->OnHeartbeat(word); }
   void operator()(const PlaceAsk& ask) const { member->desk_.OnQuery(ask); }
   void operator()(const PlaceAnswer& answer) const {
     member->book_->OnHeard(answer.from);
@@ -138,9 +138,9 @@
   std::visit(Receiver{this}, message);
 }
 
-void FleetMember::OnWord(const HostWord& word) {
+void FleetMember::OnHeartbeat(const HostWord& word) {
   const TimePoint now = clock_();
-  if (book_->OnWord(word)) {
+  if (book_->OnHeartbeat(word)) {
     peers_log_.OnHeard();
   }
   if (word.address == followed_) {
@@ -170,7 +170,7 @@
   HearOfSource(word, own);
   crashes_.Repair(word, own.crash_digest);
   relay_.AskBetterInformed(own);
-  desk_.OnWord(word);
+  desk_.OnHeartbeat(word);
   if (word.wants_reply) {
     Reply(word);
   }
@@ -247,7 +247,7 @@
   word.work = places_.Work();
   word.wants_reply = *followed_ != self_.address;
   if (*followed_ == self_.address) {
-    planner_->OnWord(word);
+    planner_->OnHeartbeat(word);
     return;
   }
   Send(*followed_, word);
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -109,7 +109,7 @@
   PublicationRelayPorts MakeRelayPorts();
   void Send(const HostAddress& to, const FleetMessage& message);
   void OnMessage(const FleetMessage& message);
-  void OnWord(const HostWord& word);
+  void OnHeartbeat(const HostWord& word);
   HostWord OwnWord() const;
   // Returns what the owner tells of itself, without the rest of a word.
   HostWord Described() const;
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -49,9 +49,9 @@
   }
 }
 
-void PlanningDesk::OnWord(const HostWord& word) {
+void PlanningDesk::OnHeartbeat(const HostWord& word) {
   if (IsPlanner()) {
-    planner_->OnWord(word);
+    planner_->OnHeartbeat(word);
     TryWaitingSoon();
   }
 }
