--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -72,7 +72,7 @@
   void OnHeartbeat(const HostWord& word);
 
   // Tries those that wait, first to last, and returns those that start.
-  std::vector<DeferredReply> TryWaiting();
+  std::vector<DeferredReply> ProcessWaitQueue();
 
   // Forgets hosts that have been silent for kHostHolds.
   void DropSilent();
--- a/src/core/planner_room.cc
+++ b/src/core/planner_room.cc
@@ -150,7 +150,7 @@
                     FractionalMillis(entry.ask.target_latency);
 }
 
-std::vector<DeferredReply> Planner::TryWaiting() {
+std::vector<DeferredReply> Planner::ProcessWaitQueue() {
   std::vector<DeferredReply> due;
   if (IsLearning()) {
     return due;
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -95,7 +95,7 @@
   // Ends what is read, tries those that wait and lets time pass.
   void Step() {
     EndRead();
-    for (const DeferredReply& due : planner_->TryWaiting()) {
+    for (const DeferredReply& due : planner_->ProcessWaitQueue()) {
       const Pending one = pending_.at(due.id);
       pending_.erase(due.id);
       OnDecision(one, due.decision);
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -146,10 +146,10 @@
   REQUIRE(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(first)));
   const PlaceAsk second = Long(2);
   REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(second)));
-  CHECK(planner_->TryWaiting().empty());
+  CHECK(planner_->ProcessWaitQueue().empty());
   planner_->OnProgressReport(
       WorkNote{first.host, first.life, {ReadNote{first.id, 1}}, {}});
-  const auto due = planner_->TryWaiting();
+  const auto due = planner_->ProcessWaitQueue();
   REQUIRE(due.size() == 1);
   CHECK(due.front().host == second.host);
   CHECK(due.front().id == second.id);
@@ -169,7 +169,7 @@
   planner_->OnQuery(pressed);
   planner_->OnProgressReport(
       WorkNote{first.host, first.life, {ReadNote{first.id, 1}}, {}});
-  const auto due = planner_->TryWaiting();
+  const auto due = planner_->ProcessWaitQueue();
   REQUIRE_FALSE(due.empty());
   CHECK(due.front().id == pressed.id);
 }
@@ -223,10 +223,10 @@
     CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Short(3))));
   }
   planner_->OnHeartbeat(AccountOf({{first, placed}}));
-  CHECK(planner_->TryWaiting().empty());
+  CHECK(planner_->ProcessWaitQueue().empty());
   // One that does not answer is not waited for.
   now_ += Planner::kLearns;
-  CHECK(planner_->TryWaiting().size() == kMore);
+  CHECK(planner_->ProcessWaitQueue().size() == kMore);
   CHECK(planner_->WaitingCount() == 1);
 }
 
@@ -240,7 +240,7 @@
   nothing.life = ask.life;
   nothing.work.emplace();
   planner_->OnHeartbeat(nothing);
-  CHECK(planner_->TryWaiting().size() == 1);
+  CHECK(planner_->ProcessWaitQueue().size() == 1);
 }
 
 TEST_CASE_METHOD(PlannerFixture,
@@ -254,7 +254,7 @@
   CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
   now_ += Planner::kUntold + Millis(1);
   planner_->OnHeartbeat(nothing);
-  CHECK(planner_->TryWaiting().size() == 1);
+  CHECK(planner_->ProcessWaitQueue().size() == 1);
 }
 
 TEST_CASE_METHOD(PlannerFixture,
@@ -360,7 +360,7 @@
   REQUIRE_FALSE(waiting.empty());
   now_ += Millis(2 * 400 + 1);
   std::size_t refused = 0;
-  for (const DeferredReply& due : planner_->TryWaiting()) {
+  for (const DeferredReply& due : planner_->ProcessWaitQueue()) {
     refused += std::holds_alternative<AskRefused>(due.decision) ? 1 : 0;
   }
   CHECK(refused == waiting.size());
@@ -475,7 +475,7 @@
   REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(returned)));
   now_ += Millis(8800);
   bool is_told = false;
-  for (const DeferredReply& due : planner_->TryWaiting()) {
+  for (const DeferredReply& due : planner_->ProcessWaitQueue()) {
     is_told = is_told || (due.id == returned.id &&
                           std::holds_alternative<AskRefused>(due.decision));
   }
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -200,7 +200,7 @@
         StartRequest(static_cast<int>(random_() % kHosts));
       }
       for (const auto& planner : planners_) {
-        for (const DeferredReply& due : planner->TryWaiting()) {
+        for (const DeferredReply& due : planner->ProcessWaitQueue()) {
           OnDecision(HostNumber(due.host), due.decision);
         }
       }
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -97,7 +97,7 @@
       }
       now_ += kStep;
       RunDue();
-      for (const DeferredReply& due : planner_->TryWaiting()) {
+      for (const DeferredReply& due : planner_->ProcessWaitQueue()) {
         OnDecision(due.id, due.decision);
       }
     }
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -59,16 +59,16 @@
 void PlanningDesk::Tick() {
   planner_->DropSilent();
   if (clock_() - tried_at_ >= kTryInterval) {
-    TryWaiting();
+    ProcessWaitQueue();
   }
 }
 
-void PlanningDesk::TryWaiting() {
+void PlanningDesk::ProcessWaitQueue() {
   tried_at_ = clock_();
   if (planner_->WaitingCount() == 0) {
     return;
   }
-  for (DeferredReply& due : planner_->TryWaiting()) {
+  for (DeferredReply& due : planner_->ProcessWaitQueue()) {
     NoteTurnedAway(due.host, due.id, due.decision);
     ports_.send(due.host,
                 PlaceAnswer{self_, due.life, due.id, std::move(due.decision)});
@@ -84,7 +84,7 @@
   timer_.async_wait([this](boost::system::error_code error) {
     tries_soon_ = false;
     if (!error && IsPlanner()) {
-      TryWaiting();
+      ProcessWaitQueue();
     }
   });
 }
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planning_desk.h
@@ -44,7 +44,7 @@
 
  private:
   bool IsPlanner() const { return ports_.planner() == self_; }
-  void TryWaiting();
+  void ProcessWaitQueue();
   void TryWaitingSoon();
   // Logs who is told to return, and when.
   void NoteTurnedAway(const HostAddress& host, AskId id,
