--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -75,7 +75,7 @@
   std::vector<DeferredReply> ProcessWaitQueue();
 
   // Forgets hosts that have been silent for kHostHolds.
-  void DropSilent();
+  void RemoveSilentHosts();
 
   // Forgets everything: another host plans now.
   void Clear();
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -246,7 +246,7 @@
   return &host;
 }
 
-void Planner::DropSilent() {
+void Planner::RemoveSilentHosts() {
   const TimePoint now = clock_();
   for (auto it = hosts_.begin(); it != hosts_.end();) {
     const bool silent = now - it->second.heard > kHostHolds;
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -266,7 +266,7 @@
   reborn.life = Incarnation{2};
   CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(reborn)));
   now_ += Planner::kHostHolds + Millis(1);
-  planner_->DropSilent();
+  planner_->RemoveSilentHosts();
   CHECK(planner_->HostCount() == 0);
   CHECK(planner_->WaitingCount() == 0);
 }
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -57,7 +57,7 @@
 }
 
 void PlanningDesk::Tick() {
-  planner_->DropSilent();
+  planner_->RemoveSilentHosts();
   if (clock_() - tried_at_ >= kTryInterval) {
     ProcessWaitQueue();
   }
