--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -87,7 +87,7 @@
   // Accounts whose long prompts wait, and those of them that have had their
   // share of engine time.
   std::size_t WaitingAccounts() const { return room_.WaitingAccounts(); }
-  std::size_t SatedAccounts() const { return room_.SatedAccounts(); }
+  std::size_t OverShareAccounts() const { return room_.OverShareAccounts(); }
   // How many were told to return and have not come back yet.
   std::size_t PromiseCount() const { return decision_.PromiseCount(); }
   const PromiseCounts& Promises() const { return decision_.Counts(); }
--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -81,7 +81,7 @@
   // How many accounts wait, and how many of them have had their share; zero
   // without shares.
   std::size_t WaitingAccounts() const;
-  std::size_t SatedAccounts() const;
+  std::size_t OverShareAccounts() const;
 
   // Another host has given places: what was given here tells nothing more.
   void ForgetGiven();
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -102,7 +102,7 @@
   return shares_.has_value() ? shares_->WaitingAccounts() : 0;
 }
 
-std::size_t WaitingRoom::SatedAccounts() const {
+std::size_t WaitingRoom::OverShareAccounts() const {
   return shares_.has_value() ? shares_->Sated().size() : 0;
 }
 
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -27,7 +27,7 @@
     return static_cast<double>(parts.planner->WaitingAccounts());
   });
   metrics->AddGauge("harecrank_gateway_accounts_sated", [parts] {
-    return static_cast<double>(parts.planner->SatedAccounts());
+    return static_cast<double>(parts.planner->OverShareAccounts());
   });
   metrics->AddGauge("harecrank_gateway_promises_open", [parts] {
     return static_cast<double>(parts.planner->PromiseCount());
