--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -95,7 +95,7 @@
 
   // Forgets what it promised.
   void Clear() { promises_.Clear(); }
-  std::size_t PromiseCount() const { return promises_.Count(); }
+  std::size_t ReservationCount() const { return promises_.Count(); }
   const PromiseCounts& Counts() const { return counts_; }
 
   // No caller is told to return sooner.
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -439,7 +439,7 @@
   now_ += Millis(100);
   const auto sooner = planner_->OnQuery(Return(ask));
   CHECK(std::get<AskRefused>(sooner).return_after == after - Millis(100));
-  CHECK(planner_->PromiseCount() > 0);
+  CHECK(planner_->ReservationCount() > 0);
   now_ += after - Millis(100);
   Flood();
   CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Return(ask))));
@@ -453,7 +453,7 @@
   const PlaceAsk ask = Told(Long(1), 1);
   now_ += TurnAway(ask);
   planner_ = MakePlanner();
-  CHECK(planner_->PromiseCount() == 0);
+  CHECK(planner_->ReservationCount() == 0);
   CHECK(
       std::holds_alternative<PlannedPlacement>(planner_->OnQuery(Return(ask))));
 }
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -30,7 +30,7 @@
     return static_cast<double>(parts.planner->OverShareAccounts());
   });
   metrics->AddGauge("harecrank_gateway_promises_open", [parts] {
-    return static_cast<double>(parts.planner->PromiseCount());
+    return static_cast<double>(parts.planner->ReservationCount());
   });
   metrics->AddGauge("harecrank_gateway_promises_made", [parts] {
     return static_cast<double>(parts.planner->Promises().made);
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -39,7 +39,7 @@
               {{"host", host.value},
                {"ask", id.value},
                {"return_after_ms", refused->return_after->count()},
-               {"promises", planner_->PromiseCount()}});
+               {"promises", planner_->ReservationCount()}});
 }
 
 void PlanningDesk::OnProgressReport(const WorkNote& note) {
