--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -33,13 +33,13 @@
     return static_cast<double>(parts.planner->ReservationCount());
   });
   metrics->AddGauge("harecrank_gateway_promises_made", [parts] {
-    return static_cast<double>(parts.planner->Promises().made);
+    return static_cast<double>(parts.planner->ReservationTotals().made);
   });
   metrics->AddGauge("harecrank_gateway_promises_kept", [parts] {
-    return static_cast<double>(parts.planner->Promises().kept);
+    return static_cast<double>(parts.planner->ReservationTotals().kept);
   });
   metrics->AddGauge("harecrank_gateway_promises_broken", [parts] {
-    return static_cast<double>(parts.planner->Promises().broken);
+    return static_cast<double>(parts.planner->ReservationTotals().broken);
   });
 }
 
