--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -56,9 +56,9 @@
           MonotonicClock clock, RandomSource random);
 
   // This host plans from now on. Until `hosts` have told what they have under
-  // way, or for kLearns, every ask waits: engines that look idle are not. A
-  // long prompt that a new planner lays on engines in use makes the short ones
-  // there late.
+  // way, or for kLearningPeriod, every ask waits: engines that look idle are
+  // not. A long prompt that a new planner lays on engines in use makes the
+  // short ones there late.
   void Begin(const std::vector<HostAddress>& hosts);
 
   // Decides on an ask. The same ask once more gets the same answer.
@@ -95,7 +95,7 @@
   // Over how long the demand of short prompts is taken.
   static constexpr Millis kDemandWindow{500};
   // Hosts that live tell within milliseconds; short prompts cannot wait longer.
-  static constexpr Millis kLearns{50};
+  static constexpr Millis kLearningPeriod{50};
   // How long a silent host's work counts: engines end it soon after the host's
   // connections have closed.
   static constexpr Millis kHostHolds{1500};
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -43,7 +43,7 @@
 
 void Planner::Begin(const std::vector<HostAddress>& hosts) {
   untold_ = std::set<HostAddress>(hosts.begin(), hosts.end());
-  learns_until_ = clock_() + kLearns;
+  learns_until_ = clock_() + kLearningPeriod;
 }
 
 bool Planner::IsLearning() const {
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -225,7 +225,7 @@
   planner_->OnHeartbeat(AccountOf({{first, placed}}));
   CHECK(planner_->ProcessWaitQueue().empty());
   // One that does not answer is not waited for.
-  now_ += Planner::kLearns;
+  now_ += Planner::kLearningPeriod;
   CHECK(planner_->ProcessWaitQueue().size() == kMore);
   CHECK(planner_->WaitingCount() == 1);
 }
