--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -74,7 +74,7 @@
   // Tries those that wait, first to last, and returns those that start.
   std::vector<DeferredReply> ProcessWaitQueue();
 
-  // Forgets hosts that have been silent for kHostHolds.
+  // Forgets hosts that have been silent for kHostTimeout.
   void RemoveSilentHosts();
 
   // Forgets everything: another host plans now.
@@ -98,7 +98,7 @@
   static constexpr Millis kLearningPeriod{50};
   // How long a silent host's work counts: engines end it soon after the host's
   // connections have closed.
-  static constexpr Millis kHostHolds{1500};
+  static constexpr Millis kHostTimeout{1500};
   // A place that is as new as this may not have reached its host when the host
   // gave its account.
   static constexpr Millis kUntold{400};
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -249,7 +249,7 @@
 void Planner::RemoveSilentHosts() {
   const TimePoint now = clock_();
   for (auto it = hosts_.begin(); it != hosts_.end();) {
-    const bool silent = now - it->second.heard > kHostHolds;
+    const bool silent = now - it->second.heard > kHostTimeout;
     if (silent) {
       DropAsks(&it->second);
     }
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -265,7 +265,7 @@
   PlaceAsk reborn = Long(1);
   reborn.life = Incarnation{2};
   CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(reborn)));
-  now_ += Planner::kHostHolds + Millis(1);
+  now_ += Planner::kHostTimeout + Millis(1);
   planner_->RemoveSilentHosts();
   CHECK(planner_->HostCount() == 0);
   CHECK(planner_->WaitingCount() == 0);
