--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -101,7 +101,7 @@
   static constexpr Millis kHostTimeout{1500};
   // A place that is as new as this may not have reached its host when the host
   // gave its account.
-  static constexpr Millis kUntold{400};
+  static constexpr Millis kHeartbeatGrace{400};
   // For so long an ask's own account of what its host may not begin counts:
   // what the host had begun then makes place one after the other.
   static constexpr Millis kWithheldHolds{400};
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -209,7 +209,7 @@
         entry.waiter.has_value() && now - entry.asked_at > kAskHolds;
     const bool ended = !entry.waiter.has_value() &&
                        told.count(it->first) == 0 &&
-                       now - entry.placed_at > kUntold;
+                       now - entry.placed_at > kHeartbeatGrace;
     const bool gone = given_up || ended;
     if (gone) {
       DropEntry(&entry);
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -252,7 +252,7 @@
   nothing.work->clear();
   planner_->OnHeartbeat(nothing);
   CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
-  now_ += Planner::kUntold + Millis(1);
+  now_ += Planner::kHeartbeatGrace + Millis(1);
   planner_->OnHeartbeat(nothing);
   CHECK(planner_->ProcessWaitQueue().size() == 1);
 }
