--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -104,7 +104,7 @@
   static constexpr Millis kHeartbeatGrace{400};
   // For so long an ask's own account of what its host may not begin counts:
   // what the host had begun then makes place one after the other.
-  static constexpr Millis kWithheldHolds{400};
+  static constexpr Millis kWithheldLifetime{400};
   // An ask that waits and is not repeated for this long was given up: several
   // times the pause between two repetitions.
   static constexpr Millis kAskHolds{1000};
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -133,7 +133,7 @@
   std::set<EndpointId> withheld =
       start_shares_->Withheld(given_, entry.ask.host, service);
   // What the host had begun when it asked, also by places of other planners.
-  if (clock_() - entry.came_at < kWithheldHolds) {
+  if (clock_() - entry.came_at < kWithheldLifetime) {
     withheld.insert(entry.ask.withheld.begin(), entry.ask.withheld.end());
   }
   return withheld;
