--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -107,7 +107,7 @@
   static constexpr Millis kWithheldLifetime{400};
   // An ask that waits and is not repeated for this long was given up: several
   // times the pause between two repetitions.
-  static constexpr Millis kAskHolds{1000};
+  static constexpr Millis kQueryTimeout{1000};
 
  private:
   struct Entry {
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -206,7 +206,7 @@
   for (auto it = host->asks.begin(); it != host->asks.end();) {
     Entry& entry = it->second;
     const bool given_up =
-        entry.waiter.has_value() && now - entry.asked_at > kAskHolds;
+        entry.waiter.has_value() && now - entry.asked_at > kQueryTimeout;
     const bool ended = !entry.waiter.has_value() &&
                        told.count(it->first) == 0 &&
                        now - entry.placed_at > kHeartbeatGrace;
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -282,7 +282,7 @@
   alive.work.emplace();
   planner_->OnHeartbeat(alive);
   CHECK(planner_->WaitingCount() == 1);
-  now_ += Planner::kAskHolds + Millis(1);
+  now_ += Planner::kQueryTimeout + Millis(1);
   planner_->OnHeartbeat(alive);
   CHECK(planner_->WaitingCount() == 0);
 }
