--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -65,7 +65,7 @@
 };
 
 // An endpoint that reads a part of a prompt.
-struct Helper {
+struct PrefillHelper {
   EndpointRecord record;
   // How much of the prompt's memory lies there; zero in most cases.
   Tokens held;
@@ -75,7 +75,7 @@
 struct Placement {
   EndpointRecord endpoint;
   // Each reads an even part of the prompt.
-  std::vector<Helper> helpers;
+  std::vector<PrefillHelper> helpers;
   WorkClass work_class = WorkClass::kShort;
   // How long each of them reads.
   FractionalMillis read{0};
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -177,7 +177,7 @@
   const StartCounts starts(clock_);
   Placement placement;
   placement.endpoint.id = EndpointId{"writer"};
-  Helper helper;
+  PrefillHelper helper;
   helper.record.id = kEndpoint;
   placement.helpers = {helper};
   CHECK(shares.MayStart(starts, host, placement, ServiceProfile{}));
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -77,7 +77,7 @@
   WorkPart own{placement.endpoint.id, placement.work_class, placement.read,
                request.prompt + request.answer, request.target_gap};
   std::vector<WorkPart> parts(1);
-  for (const Helper& helper : placement.helpers) {
+  for (const PrefillHelper& helper : placement.helpers) {
     own.memory = own.memory - helper.held;
     parts.push_back(WorkPart{helper.record.id, WorkClass::kHelper,
                              placement.read, helper.held, Millis(0)});
@@ -359,7 +359,7 @@
     placement.first_event =
         std::max(placement.first_event,
                  FirstEvent(engine, helper.load, helper.pace, placement.read));
-    placement.helpers.push_back(Helper{*helper.record, Tokens{0}});
+    placement.helpers.push_back(PrefillHelper{*helper.record, Tokens{0}});
   }
   const Tokens needed = request.prompt + request.answer;
   const Tokens beyond = needed - FreeMemory(engine, group.writer.load);
@@ -376,10 +376,10 @@
     free[candidate.record->id] = FreeMemory(engine, candidate.load);
   }
   std::sort(placement->helpers.begin(), placement->helpers.end(),
-            [&free](const Helper& a, const Helper& b) {
+            [&free](const PrefillHelper& a, const PrefillHelper& b) {
               return free[b.record.id] < free[a.record.id];
             });
-  for (Helper& helper : placement->helpers) {
+  for (PrefillHelper& helper : placement->helpers) {
     helper.held = std::min(beyond, free[helper.record.id]);
     beyond = beyond - helper.held;
     if (!(Tokens{0} < beyond)) {
--- a/src/core/placement_test.cc
+++ b/src/core/placement_test.cc
@@ -151,7 +151,7 @@
   }
   const auto placement = std::get<Placement>(Choose(long_route_, 154000));
   CHECK(with_short.count(placement.endpoint.id) == 0);
-  for (const Helper& helper : placement.helpers) {
+  for (const PrefillHelper& helper : placement.helpers) {
     CHECK(with_short.count(helper.record.id) == 0);
   }
 }
@@ -172,7 +172,7 @@
         order.front());
   const auto placement = std::get<Placement>(Choose(long_route_, 40000));
   std::set<std::string> readers{placement.endpoint.id.value};
-  for (const Helper& helper : placement.helpers) {
+  for (const PrefillHelper& helper : placement.helpers) {
     readers.insert(helper.record.id.value);
   }
   const std::set<std::string> last(order.end() - 3, order.end());
@@ -190,7 +190,7 @@
   CHECK(placement.helpers.size() >= 8);
   CHECK(placement.first_event < FractionalMillis(1000));
   CHECK(used_by_short.count(placement.endpoint.id) == 0);
-  for (const Helper& helper : placement.helpers) {
+  for (const PrefillHelper& helper : placement.helpers) {
     CHECK(used_by_short.count(helper.record.id) == 0);
   }
 }
@@ -216,7 +216,7 @@
                  "A prompt that no engine holds has its memory on helpers") {
   const Placement placement = Place(long_route_, 420000);
   Tokens held;
-  for (const Helper& helper : placement.helpers) {
+  for (const PrefillHelper& helper : placement.helpers) {
     held = held + helper.held;
   }
   CHECK(Tokens{120000} < held);
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -13,7 +13,7 @@
   planned.read = placement.read;
   planned.first_event = placement.first_event;
   planned.candidates = placement.candidates;
-  for (const Helper& helper : placement.helpers) {
+  for (const PrefillHelper& helper : placement.helpers) {
     planned.helpers.push_back(PlannedHelper{helper.record.id, helper.held});
   }
   return planned;
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -239,7 +239,7 @@
                            const ServiceProfile& service) const {
   return MayStart(starts, host, placement.endpoint.id, service) &&
          std::all_of(placement.helpers.begin(), placement.helpers.end(),
-                     [&](const Helper& helper) {
+                     [&](const PrefillHelper& helper) {
                        return MayStart(starts, host, helper.record.id, service,
                                        StartKind::kPart);
                      });
@@ -259,7 +259,7 @@
   if (Counts(host, placement.endpoint.id, service, StartKind::kRequest)) {
     starts->Add(host, placement.endpoint.id);
   }
-  for (const Helper& helper : placement.helpers) {
+  for (const PrefillHelper& helper : placement.helpers) {
     if (Counts(host, helper.record.id, service, StartKind::kPart)) {
       starts->Add(host, helper.record.id);
     }
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -56,7 +56,7 @@
   StartCounts starts(clock_);
   Placement placement;
   placement.endpoint.id = EndpointId{"writer"};
-  Helper helper;
+  PrefillHelper helper;
   helper.record.id = kEndpoint;
   placement.helpers = {helper};
   endpoints_.OnRecord(ColdRecord(Millis(60000)), Millis(0));
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -129,7 +129,7 @@
   if (service_->engine.has_value()) {
     changes.urgency = std::clamp(Priority(), 0, kLeastUrgent);
   }
-  for (const Helper& helper : placement.helpers) {
+  for (const PrefillHelper& helper : placement.helpers) {
     changes.helpers +=
         (changes.helpers.empty() ? "" : ",") + helper.record.address;
     if (Tokens{0} < helper.held) {
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -10,9 +10,9 @@
   return std::chrono::duration_cast<Millis>(time).count();
 }
 
-std::string Joined(const std::vector<Helper>& helpers) {
+std::string Joined(const std::vector<PrefillHelper>& helpers) {
   std::string ids;
-  for (const Helper& helper : helpers) {
+  for (const PrefillHelper& helper : helpers) {
     ids += (ids.empty() ? "" : " ") + helper.record.id.value;
   }
   return ids;
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -145,7 +145,7 @@
     if (record == nullptr) {
       return std::nullopt;
     }
-    placement.helpers.push_back(Helper{*record, helper.held});
+    placement.helpers.push_back(PrefillHelper{*record, helper.held});
   }
   return placement;
 }
@@ -159,7 +159,7 @@
 }
 
 bool PlaceSeeker::IsStillUsable(const Placement& placement) const {
-  const auto usable = [this](const Helper& helper) {
+  const auto usable = [this](const PrefillHelper& helper) {
     return Usable(helper.record.id) != nullptr;
   };
   return Usable(placement.endpoint.id) != nullptr &&
@@ -381,7 +381,7 @@
   ++placements_;
   BeginWork(placement);
   std::vector<MemoryNeed> needs;
-  for (const Helper& helper : placement.helpers) {
+  for (const PrefillHelper& helper : placement.helpers) {
     if (Tokens{0} < helper.held) {
       needs.push_back(
           MemoryNeed{helper.record, TicketFor(helper.record.id), helper.held});
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -24,7 +24,7 @@
 void RequestSender::Send(const Placement& placement, OutgoingRequest request) {
   endpoint_ = placement.endpoint;
   helpers_.clear();
-  for (const Helper& helper : placement.helpers) {
+  for (const PrefillHelper& helper : placement.helpers) {
     helpers_.push_back(helper.record.id);
   }
   predicted_ = placement.first_event;
