--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -108,7 +108,7 @@
                               const PlacementRequest& request);
 
 // Whose work the loads tell.
-enum class LoadsOf {
+enum class LoadScope {
   // All hosts' work: engines are packed from one end of a shared order.
   kAllHosts,
   // This host's alone. Hosts that see the same empty engines would all choose
@@ -123,7 +123,7 @@
   // returns how many hosts place requests without knowing of each other's, this
   // one among them.
   Placer(const EndpointDirectory* directory, const EndpointLoads* loads,
-         const EndpointHealth* health, DataCentreId self, LoadsOf loads_of,
+         const EndpointHealth* health, DataCentreId self, LoadScope loads_of,
          std::function<int()> hosts, const PlacementPolicy& policy,
          RandomSource random);
 
@@ -171,7 +171,7 @@
   const EndpointLoads* loads_;
   const EndpointHealth* health_;
   DataCentreId self_;
-  LoadsOf loads_of_;
+  LoadScope loads_of_;
   // The key of the order of engines: of all hosts, or of this one.
   std::string order_key_;
   std::function<int()> hosts_;
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -88,7 +88,7 @@
 
 Placer::Placer(const EndpointDirectory* directory, const EndpointLoads* loads,
                const EndpointHealth* health, DataCentreId self,
-               LoadsOf loads_of, std::function<int()> hosts,
+               LoadScope loads_of, std::function<int()> hosts,
                const PlacementPolicy& policy, RandomSource random)
     : directory_(directory),
       loads_(loads),
@@ -98,8 +98,8 @@
       hosts_(std::move(hosts)),
       policy_(policy),
       random_(std::move(random)) {
-  order_key_ = loads_of_ == LoadsOf::kAllHosts ? kSharedOrderKey
-                                               : std::to_string(random_());
+  order_key_ = loads_of_ == LoadScope::kAllHosts ? kSharedOrderKey
+                                                 : std::to_string(random_());
 }
 
 PlacementResult Placer::Choose(const PlacementRequest& request) const {
@@ -118,7 +118,7 @@
     SortInOrder(&candidates);
     const bool is_short = IsShortPrompt(request, policy_);
     // Where other hosts place unseen, a forecast of passes is worth little.
-    const bool knows_all = loads_of_ == LoadsOf::kAllHosts && hosts_() <= 1;
+    const bool knows_all = loads_of_ == LoadScope::kAllHosts && hosts_() <= 1;
     const bool may_wait =
         policy_.short_waits && knows_all && !request.may_have_run;
     if (is_short && may_wait) {
@@ -391,7 +391,7 @@
 
 std::size_t Placer::EnginesForShort(const EngineProfile& engine,
                                     std::size_t engines) const {
-  if (loads_of_ == LoadsOf::kThisHost) {
+  if (loads_of_ == LoadScope::kThisHost) {
     return engines;
   }
   const double per_engine = std::max(
--- a/src/core/placement_test.cc
+++ b/src/core/placement_test.cc
@@ -84,11 +84,14 @@
   EndpointLoads loads_{[this] { return now_; }};
   EndpointHealth health_{[this] { return now_; }};
   int hosts_ = 3;
-  Placer placer_{
-      &directory_,        &loads_,
-      &health_,           DataCentreId{"a"},
-      LoadsOf::kAllHosts, [this] { return hosts_; },
-      PlacementPolicy{},  [this] { return drawn_ += 0x9e3779b97f4a7c15; }};
+  Placer placer_{&directory_,
+                 &loads_,
+                 &health_,
+                 DataCentreId{"a"},
+                 LoadScope::kAllHosts,
+                 [this] { return hosts_; },
+                 PlacementPolicy{},
+                 [this] { return drawn_ += 0x9e3779b97f4a7c15; }};
   ServiceProfile engines_;
   ServiceProfile pages_;
   RouteRule short_route_;
@@ -109,7 +112,7 @@
   PlacementPolicy policy;
   policy.short_share_of_slots = 0.6;
   const Placer placer(
-      &directory_, &loads_, &health_, DataCentreId{"a"}, LoadsOf::kAllHosts,
+      &directory_, &loads_, &health_, DataCentreId{"a"}, LoadScope::kAllHosts,
       [this] { return hosts_; }, policy,
       [this] { return drawn_ += 0x9e3779b97f4a7c15; });
   // As many as most engines take, each with more to read than the last.
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -34,7 +34,7 @@
       loads_(clock),
       given_(clock),
       placer_(
-          directory, &loads_, health, std::move(self), LoadsOf::kAllHosts,
+          directory, &loads_, health, std::move(self), LoadScope::kAllHosts,
           [] { return 1; }, policy, std::move(random)),
       decision_(policy_, clock),
       room_(clock, policy_.long_order, policy_.shares_by_account),
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -332,7 +332,7 @@
       bound, &cold, &limits, RestsOfHost{}, [hosts] { return hosts; }, clock);
   EndpointLoads loads(clock);
   const Placer placer(
-      &directory, &loads, &health, DataCentreId{}, LoadsOf::kThisHost,
+      &directory, &loads, &health, DataCentreId{}, LoadScope::kThisHost,
       [hosts] { return hosts; }, PlacementPolicy{}, [&] { return random(); });
   StartCounts starts(clock);
   struct Running {
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -57,7 +57,7 @@
       endpoint_news_(&directory_, &health_, &connections_, &log_, &metrics_),
       placer_(
           &directory_, &loads_, &health_, settings_.data_centre,
-          LoadsOf::kThisHost, [this] { return KnownHosts(); },
+          LoadScope::kThisHost, [this] { return KnownHosts(); },
           settings_.placement, random_),
       budgets_(
           settings_.repeat_bound,
