--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -153,11 +153,11 @@
                              std::vector<EngineCandidate> in_order) const;
   // Returns nothing if the memory of `group` does not hold the request.
   std::optional<Placement> PlaceOn(const PlacementRequest& request,
-                                   const ReaderGroup& group) const;
+                                   const PrefillGroup& group) const;
   // Lays `beyond` tokens on the placement's helpers. Returns false if they do
   // not hold it.
   static bool SpreadMemory(const EngineProfile& engine,
-                           const ReaderGroup& group, Tokens beyond,
+                           const PrefillGroup& group, Tokens beyond,
                            Placement* placement);
   std::size_t EnginesForShort(const EngineProfile& engine,
                               std::size_t engines) const;
--- a/include/harecrank/core/reader_choice.h
+++ b/include/harecrank/core/reader_choice.h
@@ -50,7 +50,7 @@
 };
 
 // The engines that read a prompt in even parts.
-struct ReaderGroup {
+struct PrefillGroup {
   EngineCandidate writer;
   std::vector<EngineCandidate> helpers;
   FractionalMillis part{0};
@@ -71,7 +71,7 @@
                               FractionalMillis tightest_gap);
 
 // Returns the engines that read `prompt`, or nothing if it has to wait.
-std::optional<ReaderGroup> ChooseReaders(
+std::optional<PrefillGroup> ChooseReaders(
     const EngineProfile& engine, const PlacementPolicy& policy,
     const LongPrompt& prompt, const std::vector<EngineCandidate>& candidates);
 
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -333,7 +333,7 @@
   prompt.until_late = request.until_late;
   prompt.gap = FractionalMillis(request.target_gap);
   prompt.tightest_gap = FractionalMillis(request.tightest_gap);
-  const std::optional<ReaderGroup> group =
+  const std::optional<PrefillGroup> group =
       ChooseReaders(engine, policy_, prompt, in_order);
   if (!group.has_value()) {
     return EnginesBusy{};
@@ -346,7 +346,7 @@
 }
 
 std::optional<Placement> Placer::PlaceOn(const PlacementRequest& request,
-                                         const ReaderGroup& group) const {
+                                         const PrefillGroup& group) const {
   const EngineProfile& engine = *request.service->engine;
   Placement placement;
   placement.endpoint = *group.writer.record;
@@ -369,8 +369,9 @@
   return placement;
 }
 
-bool Placer::SpreadMemory(const EngineProfile& engine, const ReaderGroup& group,
-                          Tokens beyond, Placement* placement) {
+bool Placer::SpreadMemory(const EngineProfile& engine,
+                          const PrefillGroup& group, Tokens beyond,
+                          Placement* placement) {
   std::unordered_map<EndpointId, Tokens> free;
   for (const EngineCandidate& candidate : group.helpers) {
     free[candidate.record->id] = FreeMemory(engine, candidate.load);
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -38,7 +38,7 @@
         wanted_part_(std::max(FractionalMillis(1), policy.part_share_of_gap *
                                                        prompt.tightest_gap)) {}
 
-  std::optional<ReaderGroup> Choose(
+  std::optional<PrefillGroup> Choose(
       const std::vector<EngineCandidate>& candidates) const {
     const std::vector<Room> rooms = OpenRooms(candidates);
     const std::size_t most = std::min(rooms.size(), kMostHelpers + 1);
@@ -112,8 +112,8 @@
                    : calm;
   }
 
-  ReaderGroup GroupOf(std::vector<EngineCandidate> pool,
-                      std::size_t count) const {
+  PrefillGroup GroupOf(std::vector<EngineCandidate> pool,
+                       std::size_t count) const {
     // Short requests that peers have just placed are not known yet. They come
     // from the front of the shared order, so parts are laid from its end.
     std::sort(pool.begin(), pool.end(),
@@ -129,7 +129,7 @@
         [this](const EngineCandidate& a, const EngineCandidate& b) {
           return WriterCost(a) < WriterCost(b);
         });
-    ReaderGroup group;
+    PrefillGroup group;
     group.writer = *writer;
     group.part = PartOf(count);
     pool.erase(writer);
@@ -188,7 +188,7 @@
          load.read_backlog;
 }
 
-std::optional<ReaderGroup> ChooseReaders(
+std::optional<PrefillGroup> ChooseReaders(
     const EngineProfile& engine, const PlacementPolicy& policy,
     const LongPrompt& prompt, const std::vector<EngineCandidate>& candidates) {
   return ReaderChooser(engine, policy, prompt).Choose(candidates);
--- a/src/core/reader_choice_test.cc
+++ b/src/core/reader_choice_test.cc
@@ -46,11 +46,11 @@
     load.tightest_gap = gap;
   }
 
-  std::optional<ReaderGroup> Choose() const {
+  std::optional<PrefillGroup> Choose() const {
     return ChooseReaders(engine_, policy_, prompt_, candidates_);
   }
 
-  static bool Reads(const ReaderGroup& group, const std::string& id) {
+  static bool Reads(const PrefillGroup& group, const std::string& id) {
     const auto is = [&id](const EngineCandidate& candidate) {
       return candidate.record->id.value == id;
     };
