--- a/include/harecrank/core/reader_choice.h
+++ b/include/harecrank/core/reader_choice.h
@@ -71,7 +71,7 @@
                               FractionalMillis tightest_gap);
 
 // Returns the engines that read `prompt`, or nothing if it has to wait.
-std::optional<PrefillGroup> ChooseReaders(
+std::optional<PrefillGroup> ChoosePrefillGroup(
     const EngineProfile& engine, const PlacementPolicy& policy,
     const LongPrompt& prompt, const std::vector<EngineCandidate>& candidates);
 
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -334,7 +334,7 @@
   prompt.gap = FractionalMillis(request.target_gap);
   prompt.tightest_gap = FractionalMillis(request.tightest_gap);
   const std::optional<PrefillGroup> group =
-      ChooseReaders(engine, policy_, prompt, in_order);
+      ChoosePrefillGroup(engine, policy_, prompt, in_order);
   if (!group.has_value()) {
     return EnginesBusy{};
   }
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -188,7 +188,7 @@
          load.read_backlog;
 }
 
-std::optional<PrefillGroup> ChooseReaders(
+std::optional<PrefillGroup> ChoosePrefillGroup(
     const EngineProfile& engine, const PlacementPolicy& policy,
     const LongPrompt& prompt, const std::vector<EngineCandidate>& candidates) {
   return ReaderChooser(engine, policy, prompt).Choose(candidates);
--- a/src/core/reader_choice_test.cc
+++ b/src/core/reader_choice_test.cc
@@ -47,7 +47,7 @@
   }
 
   std::optional<PrefillGroup> Choose() const {
-    return ChooseReaders(engine_, policy_, prompt_, candidates_);
+    return ChoosePrefillGroup(engine_, policy_, prompt_, candidates_);
   }
 
   static bool Reads(const PrefillGroup& group, const std::string& id) {
