--- a/include/harecrank/core/reader_choice.h
+++ b/include/harecrank/core/reader_choice.h
@@ -65,10 +65,10 @@
 
 // Returns how long `candidate` may read without a stream there being late by
 // the pause. Negative where any part is too much.
-FractionalMillis HarmlessPart(const EngineProfile& engine,
-                              const PlacementPolicy& policy,
-                              const EngineCandidate& candidate,
-                              FractionalMillis tightest_gap);
+FractionalMillis MaxPrefillPart(const EngineProfile& engine,
+                                const PlacementPolicy& policy,
+                                const EngineCandidate& candidate,
+                                FractionalMillis tightest_gap);
 
 // Returns the engines that read `prompt`, or nothing if it has to wait.
 std::optional<PrefillGroup> ChoosePrefillGroup(
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -79,7 +79,7 @@
         continue;
       }
       const FractionalMillis part =
-          HarmlessPart(engine_, policy_, candidate, prompt_.tightest_gap);
+          MaxPrefillPart(engine_, policy_, candidate, prompt_.tightest_gap);
       rooms.push_back(Room{part, &candidate});
     }
     return rooms;
@@ -170,10 +170,10 @@
   return Tokens{std::max<std::int64_t>(0, most - load.memory.value)};
 }
 
-FractionalMillis HarmlessPart(const EngineProfile& engine,
-                              const PlacementPolicy& policy,
-                              const EngineCandidate& candidate,
-                              FractionalMillis tightest_gap) {
+FractionalMillis MaxPrefillPart(const EngineProfile& engine,
+                                const PlacementPolicy& policy,
+                                const EngineCandidate& candidate,
+                                FractionalMillis tightest_gap) {
   const EndpointLoad& load = candidate.load;
   FractionalMillis gap = load.tightest_gap;
   if (candidate.for_short) {
