--- a/include/harecrank/core/reader_choice.h
+++ b/include/harecrank/core/reader_choice.h
@@ -51,7 +51,7 @@
 
 // The engines that read a prompt in even parts.
 struct PrefillGroup {
-  EngineCandidate writer;
+  EngineCandidate decode_engine;
   std::vector<EngineCandidate> helpers;
   FractionalMillis part{0};
 };
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -349,12 +349,12 @@
                                          const PrefillGroup& group) const {
   const EngineProfile& engine = *request.service->engine;
   Placement placement;
-  placement.endpoint = *group.writer.record;
+  placement.endpoint = *group.decode_engine.record;
   placement.work_class =
       IsTight(request) ? WorkClass::kShort : WorkClass::kLong;
   placement.read = group.part;
-  placement.first_event =
-      FirstEvent(engine, group.writer.load, group.writer.pace, placement.read);
+  placement.first_event = FirstEvent(engine, group.decode_engine.load,
+                                     group.decode_engine.pace, placement.read);
   for (const EngineCandidate& helper : group.helpers) {
     placement.first_event =
         std::max(placement.first_event,
@@ -362,7 +362,7 @@
     placement.helpers.push_back(PrefillHelper{*helper.record, Tokens{0}});
   }
   const Tokens needed = request.prompt + request.answer;
-  const Tokens beyond = needed - FreeMemory(engine, group.writer.load);
+  const Tokens beyond = needed - FreeMemory(engine, group.decode_engine.load);
   if (Tokens{0} < beyond && !SpreadMemory(engine, group, beyond, &placement)) {
     return std::nullopt;
   }
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -124,15 +124,15 @@
                 };
                 return cost(a) < cost(b);
               });
-    const auto writer = std::min_element(
+    const auto decode_engine = std::min_element(
         pool.begin(), pool.end(),
         [this](const EngineCandidate& a, const EngineCandidate& b) {
           return WriterCost(a) < WriterCost(b);
         });
     PrefillGroup group;
-    group.writer = *writer;
+    group.decode_engine = *decode_engine;
     group.part = PartOf(count);
-    pool.erase(writer);
+    pool.erase(decode_engine);
     pool.resize(count - 1);
     group.helpers = std::move(pool);
     return group;
--- a/src/core/reader_choice_test.cc
+++ b/src/core/reader_choice_test.cc
@@ -54,7 +54,7 @@
     const auto is = [&id](const EngineCandidate& candidate) {
       return candidate.record->id.value == id;
     };
-    return is(group.writer) ||
+    return is(group.decode_engine) ||
            std::any_of(group.helpers.begin(), group.helpers.end(), is);
   }
 
@@ -85,7 +85,7 @@
   AddStreams(2, 1, FractionalMillis(600));
   const auto group = Choose();
   REQUIRE(group.has_value());
-  CHECK(group->writer.record->id.value == "e2");
+  CHECK(group->decode_engine.record->id.value == "e2");
   // A prompt that needs a larger part than e2's stream bears goes elsewhere.
   prompt_.whole = FractionalMillis(6000);
   prompt_.until_late = FractionalMillis(1800);
@@ -101,7 +101,7 @@
   prompt_.gap = kTightestGap;
   const auto group = Choose();
   REQUIRE(group.has_value());
-  CHECK(group->writer.record->id.value == "e0");
+  CHECK(group->decode_engine.record->id.value == "e0");
 }
 
 TEST_CASE_METHOD(ReadersFixture,
