--- a/include/harecrank/core/reader_choice.h
+++ b/include/harecrank/core/reader_choice.h
@@ -20,7 +20,7 @@
 namespace harecrank {
 
 // The most helpers that engines take for one request.
-inline constexpr std::size_t kMostHelpers = 16;
+inline constexpr std::size_t kMaxHelpers = 16;
 
 // An engine that may be chosen.
 struct EngineCandidate {
--- a/src/core/planner_room.cc
+++ b/src/core/planner_room.cc
@@ -129,7 +129,7 @@
     return;
   }
   entry->waiter = room_.Add(
-      Waiter{entry->late_at, work / static_cast<double>(kMostHelpers + 1), work,
+      Waiter{entry->late_at, work / static_cast<double>(kMaxHelpers + 1), work,
              entry->was_promised, first_from, claim});
   waiting_[*entry->waiter] = key;
 }
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -41,7 +41,7 @@
   std::optional<PrefillGroup> Choose(
       const std::vector<EngineCandidate>& candidates) const {
     const std::vector<Room> rooms = OpenRooms(candidates);
-    const std::size_t most = std::min(rooms.size(), kMostHelpers + 1);
+    const std::size_t most = std::min(rooms.size(), kMaxHelpers + 1);
     const auto wanted =
         static_cast<std::size_t>(std::ceil(prompt_.whole / wanted_part_));
     const FractionalMillis allowed = PartAllowed();
@@ -103,7 +103,7 @@
     }
     const FractionalMillis calm = std::max(
         {policy_.part_stretch * wanted_part_,
-         policy_.part_stretch * PartOf(kMostHelpers + 1),
+         policy_.part_stretch * PartOf(kMaxHelpers + 1),
          FractionalMillis(policy_.part_share_of_target * prompt_.target)});
     const bool hurries =
         prompt_.until_late < policy_.hurry_share * prompt_.target;
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -115,7 +115,7 @@
   time.until_late = request.until_late;
   time.read = seeker.kind == PromptKind::kShort
                   ? seeker.work
-                  : seeker.work / static_cast<double>(kMostHelpers + 1);
+                  : seeker.work / static_cast<double>(kMaxHelpers + 1);
   const FractionalMillis step(request.service->engine->step_ms);
   time.answer = static_cast<double>(request.answer.value) * step;
   // Until the caller hears something its patience counts, and until it has
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -346,7 +346,7 @@
       ReadTime(*sought_.request.service->engine, sought_.request.prompt);
   Waiter waiter;
   waiter.in_time_until = sought_.late_at;
-  waiter.service = work / static_cast<double>(kMostHelpers + 1);
+  waiter.service = work / static_cast<double>(kMaxHelpers + 1);
   waiter.work = work;
   waiter.claim = Claim().value_or(ShareClaim{});
   return waiter;
