--- a/include/harecrank/core/segment_plan.h
+++ b/include/harecrank/core/segment_plan.h
@@ -29,13 +29,13 @@
 
 // Cuts `prompt` plus `answer` tokens among as few of `candidates` as hold them
 // by their free memory, those with the most free memory first, but among at
-// least `least_members` if there are as many. Segments are even, as far as
+// least `min_members` if there are as many. Segments are even, as far as
 // memory allows, since the slowest member sets the time to the first token.
 // The answer belongs to the last member. Returns nothing if all candidates
 // together are too small.
 std::optional<std::vector<Segment>> PlanSegments(
     Tokens prompt, Tokens answer, std::vector<SegmentCandidate> candidates,
-    std::size_t least_members = 1);
+    std::size_t min_members = 1);
 
 }  // namespace harecrank
 
--- a/src/core/segment_plan.cc
+++ b/src/core/segment_plan.cc
@@ -61,7 +61,7 @@
 
 std::optional<std::vector<Segment>> PlanSegments(
     Tokens prompt, Tokens answer, std::vector<SegmentCandidate> candidates,
-    std::size_t least_members) {
+    std::size_t min_members) {
   std::sort(candidates.begin(), candidates.end(),
             [](const SegmentCandidate& a, const SegmentCandidate& b) {
               return a.free_memory != b.free_memory
@@ -69,7 +69,7 @@
                          : a.id < b.id;
             });
   const std::size_t first =
-      std::min(std::max<std::size_t>(least_members, 1), candidates.size());
+      std::min(std::max<std::size_t>(min_members, 1), candidates.size());
   for (std::size_t count = std::max<std::size_t>(first, 1);
        count <= candidates.size(); ++count) {
     std::vector<std::int64_t> rooms;
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -229,7 +229,7 @@
   return std::get<GiveUp>(step).refusal;
 }
 
-AttemptResult Dispatcher::RunGroup(Context* context, std::size_t least_members,
+AttemptResult Dispatcher::RunGroup(Context* context, std::size_t min_members,
                                    AttemptPorts ports,
                                    AttemptEvidence* evidence,
                                    Answered* answered) {
@@ -241,7 +241,7 @@
   group.short_headroom_percent = static_cast<int>(
       context->configuration->GetDocument().policy().short_headroom_percent());
   group.segments_redone = segments_redone_;
-  group.least_members = least_members;
+  group.min_members = min_members;
   GroupRunner runner(
       std::move(group), context->request,
       context->table->ForGroup(*context->configuration, context->request.model),
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -95,7 +95,7 @@
   std::optional<Refusal> CheckLimit(const Context& context);
   DispatchResult RunAttempts(Context* context, AnswerSink* sink);
   DispatchResult RunTicketed(Context* context, AnswerSink* sink);
-  AttemptResult RunGroup(Context* context, std::size_t least_members,
+  AttemptResult RunGroup(Context* context, std::size_t min_members,
                          AttemptPorts ports, AttemptEvidence* evidence,
                          Answered* answered);
   AttemptResult RunOnce(Context* context, const std::shared_ptr<Link>& link,
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -97,7 +97,7 @@
   while (!IsOutOfTime(why)) {
     const auto plan =
         PlanSegments(request_.prompt_tokens, request_.answer_tokens,
-                     Candidates(), ports_.least_members);
+                     Candidates(), ports_.min_members);
     if (!plan) {
       // Reports are late: what looks full now may be free at the next one.
       if (!ports_.attempt.sink->OnSilence()) {
@@ -117,7 +117,7 @@
       return false;
     }
     std::this_thread::sleep_for(back->pause);
-    ports_.least_members = std::max<std::size_t>(ports_.least_members / 2, 1);
+    ports_.min_members = std::max<std::size_t>(ports_.min_members / 2, 1);
   }
   return false;
 }
--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -25,7 +25,7 @@
   int short_headroom_percent = 0;
   // Among how many engines to spread a prompt that fewer could hold. Halved
   // with each round that finds no room.
-  std::size_t least_members = 1;
+  std::size_t min_members = 1;
   // Counts segments that had to be prefilled again.
   Counter* segments_redone = nullptr;
 };
