--- a/include/harecrank/core/engine_estimate.h
+++ b/include/harecrank/core/engine_estimate.h
@@ -10,7 +10,7 @@
 
 // Returns how long one engine alone reads a prompt of `prompt` tokens. The
 // pairs make it grow with the square of long prompts.
-FractionalMillis ReadTime(const EngineProfile& engine, Tokens prompt);
+FractionalMillis PrefillTime(const EngineProfile& engine, Tokens prompt);
 
 // Returns how long one pass over `members` requests takes that hold `context`
 // tokens in all and read no prompt.
--- a/src/core/engine_estimate.cc
+++ b/src/core/engine_estimate.cc
@@ -8,7 +8,7 @@
 
 }  // namespace
 
-FractionalMillis ReadTime(const EngineProfile& engine, Tokens prompt) {
+FractionalMillis PrefillTime(const EngineProfile& engine, Tokens prompt) {
   const auto tokens = static_cast<double>(prompt.value);
   const double linear = tokens / engine.prefill_tokens_per_ms;
   // A token is paired with each one before it.
--- a/src/core/oversize_wait.cc
+++ b/src/core/oversize_wait.cc
@@ -10,7 +10,7 @@
   const FractionalMillis target(request.target_latency);
   const FractionalMillis beyond = (policy.oversize_wait_share - 1) * target;
   const FractionalMillis reading =
-      ReadTime(*request.service->engine, request.prompt) /
+      PrefillTime(*request.service->engine, request.prompt) /
       static_cast<double>(kMaxHelpers + 1);
   return std::min(late_at + std::chrono::duration_cast<Millis>(beyond),
                   deadline - std::chrono::duration_cast<Millis>(reading));
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -56,14 +56,14 @@
 
 bool IsShortPrompt(const PlacementRequest& request,
                    const PlacementPolicy& policy) {
-  return ReadTime(*request.service->engine, request.prompt) <=
+  return PrefillTime(*request.service->engine, request.prompt) <=
          policy.short_share_of_gap * FractionalMillis(request.tightest_gap);
 }
 
 ShareClaim ClaimOf(const PlacementRequest& request, bool by_account) {
   const EngineProfile& engine = *request.service->engine;
   ShareClaim claim;
-  claim.engine_time = ReadTime(engine, request.prompt) +
+  claim.engine_time = PrefillTime(engine, request.prompt) +
                       WriteTime(engine, request.prompt, request.answer);
   if (by_account) {
     claim.account = request.origin.request.account;
@@ -198,7 +198,7 @@
     const PlacementRequest& request,
     const std::vector<EngineCandidate>& in_order) const {
   const EngineProfile& engine = *request.service->engine;
-  const FractionalMillis read = ReadTime(engine, request.prompt);
+  const FractionalMillis read = PrefillTime(engine, request.prompt);
   const std::size_t wanted = EnginesForShort(engine, in_order.size());
   const FractionalMillis spread = TimeSpread(request);
   // There is one at least.
@@ -234,7 +234,7 @@
 bool Placer::CanBeInTime(const PlacementRequest& request) {
   const EngineProfile& engine = *request.service->engine;
   const FractionalMillis least =
-      ReadTime(engine, request.prompt) + PassTime(engine, 1, request.prompt);
+      PrefillTime(engine, request.prompt) + PassTime(engine, 1, request.prompt);
   return least + kWayToCaller <= request.until_late;
 }
 
@@ -275,7 +275,7 @@
   Placement placement;
   placement.endpoint = *best->record;
   placement.work_class = WorkClass::kShort;
-  placement.read = ReadTime(engine, request.prompt);
+  placement.read = PrefillTime(engine, request.prompt);
   placement.first_event = first_event;
   return placement;
 }
@@ -298,7 +298,7 @@
     forecast = loads_->ForecastOf(candidate.record->id, pass);
   }
   const FractionalMillis reads =
-      forecast.reads_next + ReadTime(engine, request.prompt);
+      forecast.reads_next + PrefillTime(engine, request.prompt);
   const FractionalMillis next = candidate.pace * (reads + pass);
   const FractionalMillis time = candidate.pace * forecast.until_next + next;
   const bool in_time = time + kWayToCaller <= request.until_late;
@@ -327,7 +327,7 @@
     in_order[i].for_short = true;
   }
   LongPrompt prompt;
-  prompt.whole = ReadTime(engine, request.prompt);
+  prompt.whole = PrefillTime(engine, request.prompt);
   prompt.needed = request.prompt + request.answer;
   prompt.target = FractionalMillis(request.target_latency);
   prompt.until_late = request.until_late;
--- a/src/core/planner_room.cc
+++ b/src/core/planner_room.cc
@@ -34,7 +34,7 @@
                              const PlacementRequest& request) const {
   RoomSeeker seeker;
   seeker.request = &request;
-  seeker.work = ReadTime(*request.service->engine, request.prompt);
+  seeker.work = PrefillTime(*request.service->engine, request.prompt);
   seeker.kind = entry.is_short ? PromptKind::kShort : PromptKind::kLong;
   seeker.age = clock_() - entry.came_at;
   seeker.waits = entry.waiter.has_value();
@@ -83,7 +83,7 @@
                           const PlacementRequest& request) const {
   const auto least = room_.LeastLateWork();
   return !ask.may_have_run && least.has_value() &&
-         *least <= ReadTime(*request.service->engine, ask.prompt);
+         *least <= PrefillTime(*request.service->engine, ask.prompt);
 }
 
 bool Planner::IsShort(const PlacementRequest& request) const {
@@ -93,7 +93,7 @@
 void Planner::NoteDemand(const PlacementRequest& request) {
   const TimePoint now = clock_();
   demand_.push_back(
-      Demand{now, ReadTime(*request.service->engine, request.prompt)});
+      Demand{now, PrefillTime(*request.service->engine, request.prompt)});
   while (now - demand_.front().at > kDemandWindow) {
     demand_.pop_front();
   }
@@ -116,7 +116,7 @@
 
 void Planner::Wait(Entry* entry, const PlacementRequest& request) {
   const FractionalMillis work =
-      ReadTime(*request.service->engine, entry->ask.prompt);
+      PrefillTime(*request.service->engine, entry->ask.prompt);
   const AskKey key{entry->ask.host, entry->ask.id};
   const TimePoint first_from =
       entry->was_promised ? decision_.FirstFrom(SeekerOf(*entry, request))
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -279,7 +279,7 @@
     return false;
   }
   const FractionalMillis work =
-      ReadTime(*sought_.request.service->engine, sought_.request.prompt);
+      PrefillTime(*sought_.request.service->engine, sought_.request.prompt);
   const auto least = services_->queue->LeastLateWork();
   return least.has_value() && *least <= work;
 }
@@ -343,7 +343,7 @@
 
 Waiter PlaceSeeker::AsWaiter() const {
   const FractionalMillis work =
-      ReadTime(*sought_.request.service->engine, sought_.request.prompt);
+      PrefillTime(*sought_.request.service->engine, sought_.request.prompt);
   Waiter waiter;
   waiter.in_time_until = sought_.late_at;
   waiter.service = work / static_cast<double>(kMaxHelpers + 1);
