--- a/include/harecrank/core/engine_estimate.h
+++ b/include/harecrank/core/engine_estimate.h
@@ -19,8 +19,8 @@
 
 // Returns what the answer to one request adds to the passes that it is written
 // in: its members' cost, not that of the passes, which others share.
-FractionalMillis WriteTime(const EngineProfile& engine, Tokens prompt,
-                           Tokens answer);
+FractionalMillis DecodeTime(const EngineProfile& engine, Tokens prompt,
+                            Tokens answer);
 
 }  // namespace harecrank
 
--- a/src/core/engine_estimate.cc
+++ b/src/core/engine_estimate.cc
@@ -17,8 +17,8 @@
                                        engine.prefill_ms_per_million_pairs);
 }
 
-FractionalMillis WriteTime(const EngineProfile& engine, Tokens prompt,
-                           Tokens answer) {
+FractionalMillis DecodeTime(const EngineProfile& engine, Tokens prompt,
+                            Tokens answer) {
   const double step = engine.step_ms_per_sequence +
                       static_cast<double>(prompt.value) / kThousand *
                           engine.step_ms_per_thousand_context;
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -64,7 +64,7 @@
   const EngineProfile& engine = *request.service->engine;
   ShareClaim claim;
   claim.engine_time = PrefillTime(engine, request.prompt) +
-                      WriteTime(engine, request.prompt, request.answer);
+                      DecodeTime(engine, request.prompt, request.answer);
   if (by_account) {
     claim.account = request.origin.request.account;
     claim.priority = request.origin.priority;
