--- a/include/harecrank/core/pass_forecast.h
+++ b/include/harecrank/core/pass_forecast.h
@@ -22,7 +22,7 @@
 // What a prompt meets that is sent to an engine now.
 struct PassForecast {
   // Until the next pass begins, which is the first to read it.
-  FractionalMillis until_next{0};
+  FractionalMillis until_next_pass{0};
   // What that pass reads already.
   FractionalMillis reads_next{0};
   // Until the first of those that it reads, and that will be in time as it
--- a/src/core/pass_forecast.cc
+++ b/src/core/pass_forecast.cc
@@ -65,10 +65,10 @@
   }
   const TimePoint ends =
       began > now ? began : After(began, reads_now + bare_pass);
-  forecast.until_next =
+  forecast.until_next_pass =
       std::max(FractionalMillis(0), FractionalMillis(ends - now));
   const TimePoint next_ends =
-      After(now, forecast.until_next + forecast.reads_next + bare_pass);
+      After(now, forecast.until_next_pass + forecast.reads_next + bare_pass);
   for (const Prompt& one : unread_) {
     const bool in_time = one.late_at.has_value() && *one.late_at >= next_ends;
     if (in_time && !is_read_now(one)) {
--- a/src/core/pass_forecast_test.cc
+++ b/src/core/pass_forecast_test.cc
@@ -34,8 +34,8 @@
   now_ += std::chrono::milliseconds(60);
   const PassForecast during = Forecast();
   CHECK(during.reads_next == FractionalMillis(0));
-  CHECK(during.until_next > FractionalMillis(80));
-  CHECK(during.until_next < FractionalMillis(130));
+  CHECK(during.until_next_pass > FractionalMillis(80));
+  CHECK(during.until_next_pass < FractionalMillis(130));
   Send(FractionalMillis(20), Millis(300));
   CHECK(Forecast().reads_next == FractionalMillis(20));
   passes_.Remove(in_pass);
@@ -59,7 +59,7 @@
 
 TEST_CASE_METHOD(PassFixture,
                  "Where nothing was seen lately half a pass is left") {
-  CHECK(Forecast().until_next == kBare / 2);
+  CHECK(Forecast().until_next_pass == kBare / 2);
   CHECK_FALSE(Forecast().first_late_next.has_value());
 }
 
@@ -69,7 +69,7 @@
   passes_.OnRead(first, now_);
   Send(FractionalMillis(30), Millis(300));
   now_ += Millis(2000);
-  CHECK(Forecast().until_next == FractionalMillis(0));
+  CHECK(Forecast().until_next_pass == FractionalMillis(0));
 }
 
 }  // namespace
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -300,7 +300,8 @@
   const FractionalMillis reads =
       forecast.reads_next + PrefillTime(engine, request.prompt);
   const FractionalMillis next = candidate.pace * (reads + pass);
-  const FractionalMillis time = candidate.pace * forecast.until_next + next;
+  const FractionalMillis time =
+      candidate.pace * forecast.until_next_pass + next;
   const bool in_time = time + kWayToCaller <= request.until_late;
   if (CanBeInTime(request) && !in_time) {
     return std::nullopt;
