--- a/include/harecrank/core/pass_forecast.h
+++ b/include/harecrank/core/pass_forecast.h
@@ -24,7 +24,7 @@
   // Until the next pass begins, which is the first to read it.
   FractionalMillis until_next_pass{0};
   // What that pass reads already.
-  FractionalMillis reads_next{0};
+  FractionalMillis next_pass_prefill{0};
   // Until the first of those that it reads, and that will be in time as it
   // stands, would be late.
   std::optional<FractionalMillis> first_late_next;
--- a/src/core/pass_forecast.cc
+++ b/src/core/pass_forecast.cc
@@ -61,14 +61,14 @@
   };
   FractionalMillis reads_now(0);
   for (const Prompt& one : unread_) {
-    (is_read_now(one) ? reads_now : forecast.reads_next) += one.read;
+    (is_read_now(one) ? reads_now : forecast.next_pass_prefill) += one.read;
   }
   const TimePoint ends =
       began > now ? began : After(began, reads_now + bare_pass);
   forecast.until_next_pass =
       std::max(FractionalMillis(0), FractionalMillis(ends - now));
-  const TimePoint next_ends =
-      After(now, forecast.until_next_pass + forecast.reads_next + bare_pass);
+  const TimePoint next_ends = After(
+      now, forecast.until_next_pass + forecast.next_pass_prefill + bare_pass);
   for (const Prompt& one : unread_) {
     const bool in_time = one.late_at.has_value() && *one.late_at >= next_ends;
     if (in_time && !is_read_now(one)) {
--- a/src/core/pass_forecast_test.cc
+++ b/src/core/pass_forecast_test.cc
@@ -33,13 +33,13 @@
   // follows, and then the one that reads.
   now_ += std::chrono::milliseconds(60);
   const PassForecast during = Forecast();
-  CHECK(during.reads_next == FractionalMillis(0));
+  CHECK(during.next_pass_prefill == FractionalMillis(0));
   CHECK(during.until_next_pass > FractionalMillis(80));
   CHECK(during.until_next_pass < FractionalMillis(130));
   Send(FractionalMillis(20), Millis(300));
-  CHECK(Forecast().reads_next == FractionalMillis(20));
+  CHECK(Forecast().next_pass_prefill == FractionalMillis(20));
   passes_.Remove(in_pass);
-  CHECK(Forecast().reads_next == FractionalMillis(20));
+  CHECK(Forecast().next_pass_prefill == FractionalMillis(20));
 }
 
 TEST_CASE_METHOD(PassFixture,
@@ -52,7 +52,7 @@
   Send(FractionalMillis(40), Millis(250));
   Send(FractionalMillis(40), Millis(900));
   const PassForecast forecast = Forecast();
-  CHECK(forecast.reads_next == FractionalMillis(120));
+  CHECK(forecast.next_pass_prefill == FractionalMillis(120));
   REQUIRE(forecast.first_late_next.has_value());
   CHECK(*forecast.first_late_next == FractionalMillis(250));
 }
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -298,7 +298,7 @@
     forecast = loads_->ForecastOf(candidate.record->id, pass);
   }
   const FractionalMillis reads =
-      forecast.reads_next + PrefillTime(engine, request.prompt);
+      forecast.next_pass_prefill + PrefillTime(engine, request.prompt);
   const FractionalMillis next = candidate.pace * (reads + pass);
   const FractionalMillis time =
       candidate.pace * forecast.until_next_pass + next;
