--- a/include/harecrank/core/pass_forecast.h
+++ b/include/harecrank/core/pass_forecast.h
@@ -27,7 +27,7 @@
   FractionalMillis next_pass_prefill{0};
   // Until the first of those that it reads, and that will be in time as it
   // stands, would be late.
-  std::optional<FractionalMillis> first_late_next;
+  std::optional<FractionalMillis> next_pass_deadline;
 };
 
 // The passes of one engine. Not thread-safe.
--- a/src/core/pass_forecast.cc
+++ b/src/core/pass_forecast.cc
@@ -73,8 +73,8 @@
     const bool in_time = one.late_at.has_value() && *one.late_at >= next_ends;
     if (in_time && !is_read_now(one)) {
       const FractionalMillis left = *one.late_at - now;
-      forecast.first_late_next =
-          std::min(left, forecast.first_late_next.value_or(left));
+      forecast.next_pass_deadline =
+          std::min(left, forecast.next_pass_deadline.value_or(left));
     }
   }
   return forecast;
--- a/src/core/pass_forecast_test.cc
+++ b/src/core/pass_forecast_test.cc
@@ -53,14 +53,14 @@
   Send(FractionalMillis(40), Millis(900));
   const PassForecast forecast = Forecast();
   CHECK(forecast.next_pass_prefill == FractionalMillis(120));
-  REQUIRE(forecast.first_late_next.has_value());
-  CHECK(*forecast.first_late_next == FractionalMillis(250));
+  REQUIRE(forecast.next_pass_deadline.has_value());
+  CHECK(*forecast.next_pass_deadline == FractionalMillis(250));
 }
 
 TEST_CASE_METHOD(PassFixture,
                  "Where nothing was seen lately half a pass is left") {
   CHECK(Forecast().until_next_pass == kBare / 2);
-  CHECK_FALSE(Forecast().first_late_next.has_value());
+  CHECK_FALSE(Forecast().next_pass_deadline.has_value());
 }
 
 TEST_CASE_METHOD(PassFixture, "A pass that is overdue ends at any moment") {
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -310,8 +310,8 @@
   const bool stalls =
       load.tightest_gap > FractionalMillis(0) &&
       next + reserve.reading > policy_.pause_share_of_gap * load.tightest_gap;
-  const bool delays = forecast.first_late_next.has_value() &&
-                      time + kWayToCaller > *forecast.first_late_next;
+  const bool delays = forecast.next_pass_deadline.has_value() &&
+                      time + kWayToCaller > *forecast.next_pass_deadline;
   if (stalls || delays) {
     return std::nullopt;
   }
