--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -70,7 +70,7 @@
                std::optional<TimePoint> late_at = std::nullopt);
 
   // Notes that the work's prompt has been read: its first event came.
-  void OnRead(WorkId id);
+  void OnPrefillDone(WorkId id);
 
   // Notes that the work has ended, however. Unknown ids are passed over.
   void End(WorkId id);
--- a/include/harecrank/core/pass_forecast.h
+++ b/include/harecrank/core/pass_forecast.h
@@ -45,7 +45,7 @@
 
   // The first event of `prompt` came: a pass has ended. Prompts are told apart
   // by their time of sending and their size.
-  void OnRead(const Prompt& prompt, TimePoint now);
+  void OnPrefillDone(const Prompt& prompt, TimePoint now);
 
   // `prompt` is not read any more.
   void Remove(const Prompt& prompt);
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -69,11 +69,11 @@
   return sum / FractionalMillis(kRateWindow);
 }
 
-void EndpointLoads::OnRead(WorkId id) {
+void EndpointLoads::OnPrefillDone(WorkId id) {
   const auto found = work_.find(id);
   if (found != work_.end() && !found->second.is_read) {
     const Work& work = found->second;
-    own_[work.part.endpoint].passes.OnRead(work.prompt, clock_());
+    own_[work.part.endpoint].passes.OnPrefillDone(work.prompt, clock_());
     MarkRead(&found->second);
   }
 }
--- a/src/core/endpoint_loads_test.cc
+++ b/src/core/endpoint_loads_test.cc
@@ -49,7 +49,7 @@
   now_ += Millis(1000);
   CHECK(loads_.Of(kEngine).read_backlog == FractionalMillis(0));
   CHECK(loads_.Of(kEngine).unread_parts == 1);
-  loads_.OnRead(id);
+  loads_.OnPrefillDone(id);
   CHECK(loads_.Of(kEngine).unread_parts == 0);
 }
 
--- a/src/core/pass_forecast.cc
+++ b/src/core/pass_forecast.cc
@@ -26,7 +26,7 @@
 
 void EnginePasses::OnSent(const Prompt& prompt) { unread_.push_back(prompt); }
 
-void EnginePasses::OnRead(const Prompt& prompt, TimePoint now) {
+void EnginePasses::OnPrefillDone(const Prompt& prompt, TimePoint now) {
   Remove(prompt);
   began_ = std::max(began_, After(now, -kWayBack));
 }
--- a/src/core/pass_forecast_test.cc
+++ b/src/core/pass_forecast_test.cc
@@ -27,7 +27,7 @@
                  "What is sent while a pass reads waits for the whole of it") {
   const auto first = Send(FractionalMillis(30), Millis(300));
   now_ += kWay;
-  passes_.OnRead(first, now_);
+  passes_.OnPrefillDone(first, now_);
   const auto in_pass = Send(FractionalMillis(80), Millis(300));
   // Nothing was left to read when the last pass ended, so that a bare one
   // follows, and then the one that reads.
@@ -47,7 +47,7 @@
                  "late, and none that is late as it stands") {
   const auto first = Send(FractionalMillis(30), Millis(300));
   now_ += kWay;
-  passes_.OnRead(first, now_);
+  passes_.OnPrefillDone(first, now_);
   Send(FractionalMillis(40), Millis(20));
   Send(FractionalMillis(40), Millis(250));
   Send(FractionalMillis(40), Millis(900));
@@ -66,7 +66,7 @@
 TEST_CASE_METHOD(PassFixture, "A pass that is overdue ends at any moment") {
   const auto first = Send(FractionalMillis(30), Millis(300));
   now_ += kWay;
-  passes_.OnRead(first, now_);
+  passes_.OnPrefillDone(first, now_);
   Send(FractionalMillis(30), Millis(300));
   now_ += Millis(2000);
   CHECK(Forecast().until_next_pass == FractionalMillis(0));
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -174,7 +174,7 @@
       continue;
     }
     for (const WorkId work : found->second.work) {
-      loads_.OnRead(work);
+      loads_.OnPrefillDone(work);
     }
     health_->OnSuccess(found->second.endpoint, read.pace);
   }
@@ -231,7 +231,7 @@
   }
   if (work.is_read) {
     for (const WorkId id : entry.work) {
-      loads_.OnRead(id);
+      loads_.OnPrefillDone(id);
     }
   }
 }
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -36,7 +36,7 @@
 void Exchange::OnFirstEvent() {
   if (const auto pace = sender_->OnFirstEvent()) {
     services_->queue->PumpSoon();
-    place_->OnRead(*pace);
+    place_->OnPrefillDone(*pace);
   }
 }
 
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -150,7 +150,7 @@
   under_way_[id] = AskedWork{id, false, std::move(parts)};
 }
 
-void PlaceClient::OnRead(AskId id, double pace) {
+void PlaceClient::OnPrefillDone(AskId id, double pace) {
   const auto found = under_way_.find(id);
   if (found != under_way_.end()) {
     found->second.is_read = true;
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -55,7 +55,7 @@
   // The request was sent to its endpoints.
   void OnStarted(AskId id, std::vector<WorkPart> parts);
   // Its first event came, `pace` times as late as predicted.
-  void OnRead(AskId id, double pace);
+  void OnPrefillDone(AskId id, double pace);
   // It ended, or is not wanted any more. Ids that have ended are passed over.
   void OnEnd(AskId id, bool failed);
 
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -458,12 +458,12 @@
   services_->places->OnStarted(*ask_, std::move(parts));
 }
 
-void PlaceSeeker::OnRead(double pace) {
+void PlaceSeeker::OnPrefillDone(double pace) {
   if (ask_.has_value()) {
-    services_->places->OnRead(*ask_, pace);
+    services_->places->OnPrefillDone(*ask_, pace);
   }
   for (const WorkId id : work_) {
-    services_->loads->OnRead(id);
+    services_->loads->OnPrefillDone(id);
   }
 }
 
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -95,7 +95,7 @@
   // The endpoint of the place has been sent to, and is not chosen again.
   void MarkTried(const EndpointId& id) { sought_.request.tried.insert(id); }
   // The first event came, `pace` times as late as predicted.
-  void OnRead(double pace);
+  void OnPrefillDone(double pace);
   // The endpoint of the place failed.
   void OnFailure() { failed_ = true; }
   // The request leaves its place, or wants this one no more.
