--- a/include/harecrank/core/prefix_memory.h
+++ b/include/harecrank/core/prefix_memory.h
@@ -14,7 +14,7 @@
 //
 // Only a beginning that came before can be in an engine's prefix cache. One
 // that is new goes wherever there is least work.
-class PrefixMemory {
+class RecentPrefixes {
  public:
   // Returns whether `digest` was noted before and not replaced since, and notes
   // it. A digest of zero is never seen.
--- a/src/core/small_parts_test.cc
+++ b/src/core/small_parts_test.cc
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE("A beginning counts as seen from its second time on") {
-  PrefixMemory memory;
+  RecentPrefixes memory;
   CHECK_FALSE(memory.SeenBefore(17));
   CHECK(memory.SeenBefore(17));
   CHECK_FALSE(memory.SeenBefore(0));
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -120,7 +120,7 @@
   DispatcherPorts ports_;
   std::string policy_name_;
   RetryBudget budget_;
-  PrefixMemory prefixes_;
+  RecentPrefixes prefixes_;
   std::mutex limiter_mutex_;
   AccountLimiter limiter_;
   std::mutex table_mutex_;
