--- a/include/harecrank/core/prefix_memory.h
+++ b/include/harecrank/core/prefix_memory.h
@@ -18,7 +18,7 @@
  public:
   // Returns whether `digest` was noted before and not replaced since, and notes
   // it. A digest of zero is never seen.
-  bool SeenBefore(std::uint64_t digest) {
+  bool TestAndInsert(std::uint64_t digest) {
     std::atomic<std::uint64_t>& place = places_[digest % kPlaces];
     return place.exchange(digest, std::memory_order_relaxed) == digest &&
            digest != 0;
--- a/src/core/small_parts_test.cc
+++ b/src/core/small_parts_test.cc
@@ -59,10 +59,10 @@
 
 TEST_CASE("A beginning counts as seen from its second time on") {
   RecentPrefixes memory;
-  CHECK_FALSE(memory.SeenBefore(17));
-  CHECK(memory.SeenBefore(17));
-  CHECK_FALSE(memory.SeenBefore(0));
-  CHECK_FALSE(memory.SeenBefore(0));
+  CHECK_FALSE(memory.TestAndInsert(17));
+  CHECK(memory.TestAndInsert(17));
+  CHECK_FALSE(memory.TestAndInsert(0));
+  CHECK_FALSE(memory.TestAndInsert(0));
 }
 
 TEST_CASE("A decision that a pause overtook is not acted on") {
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -312,7 +312,7 @@
   const CallerRequest& request = context->request;
   std::string prefix = request.model.value + " " + request.adapter.value + " " +
                        request.prompt.substr(0, kPrefixBytes);
-  if (prefixes_.SeenBefore(RendezvousWeight("prefix", prefix))) {
+  if (prefixes_.TestAndInsert(RendezvousWeight("prefix", prefix))) {
     context->warm_prefix = std::move(prefix);
   }
 }
