--- a/include/harecrank/core/group_reservation.h
+++ b/include/harecrank/core/group_reservation.h
@@ -20,7 +20,7 @@
 namespace harecrank {
 
 // What the owner of a group must do next.
-struct AskMembers {
+struct ReserveMembers {
   std::vector<Segment> segments;
 };
 struct WaitForMembers {};
@@ -33,7 +33,7 @@
 struct GroupRefused {
   std::vector<EndpointId> give_back;
 };
-using GroupStep = std::variant<AskMembers, WaitForMembers, GiveBack,
+using GroupStep = std::variant<ReserveMembers, WaitForMembers, GiveBack,
                                GroupReserved, GroupRefused>;
 
 // The state of one group's reservation. Events in, steps out. Not thread-safe.
--- a/src/core/group_reservation.cc
+++ b/src/core/group_reservation.cc
@@ -23,7 +23,7 @@
     answers_[segment.member] = Answer::kNone;
   }
   ++rounds_;
-  return AskMembers{std::move(segments)};
+  return ReserveMembers{std::move(segments)};
 }
 
 GroupStep GroupReservation::OnReserved(const EndpointId& member) {
