--- a/include/harecrank/core/group_reservation.h
+++ b/include/harecrank/core/group_reservation.h
@@ -24,7 +24,7 @@
   std::vector<Segment> segments;
 };
 struct WaitForMembers {};
-struct GiveBack {
+struct ReleaseMembers {
   std::vector<EndpointId> members;
   // How long to pause before the next round.
   Millis pause;
@@ -33,7 +33,7 @@
 struct GroupRefused {
   std::vector<EndpointId> give_back;
 };
-using GroupStep = std::variant<ReserveMembers, WaitForMembers, GiveBack,
+using GroupStep = std::variant<ReserveMembers, WaitForMembers, ReleaseMembers,
                                GroupReserved, GroupRefused>;
 
 // The state of one group's reservation. Events in, steps out. Not thread-safe.
--- a/src/core/group_reservation.cc
+++ b/src/core/group_reservation.cc
@@ -60,7 +60,7 @@
   if (clock_() + pause >= deadline_) {
     return GroupRefused{std::move(reserved)};
   }
-  return GiveBack{std::move(reserved), pause};
+  return ReleaseMembers{std::move(reserved), pause};
 }
 
 }  // namespace harecrank
--- a/src/core/group_reservation_test.cc
+++ b/src/core/group_reservation_test.cc
@@ -28,8 +28,8 @@
   group.Begin({MakeSegment("a", 1), MakeSegment("b", 1)});
   group.OnReserved(EndpointId{"a"});
   const GroupStep step = group.OnRefused(EndpointId{"b"});
-  REQUIRE(std::holds_alternative<GiveBack>(step));
-  CHECK(std::get<GiveBack>(step).members ==
+  REQUIRE(std::holds_alternative<ReleaseMembers>(step));
+  CHECK(std::get<ReleaseMembers>(step).members ==
         std::vector<EndpointId>{EndpointId{"a"}});
 }
 
@@ -62,7 +62,7 @@
       step = fits ? group.OnReserved(EndpointId{id})
                   : group.OnRefused(EndpointId{id});
     }
-    if (const auto* back = std::get_if<GiveBack>(&step)) {
+    if (const auto* back = std::get_if<ReleaseMembers>(&step)) {
       for (const EndpointId& id : back->members) {
         ++free[id];
       }
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -112,7 +112,7 @@
       return true;
     }
     ReleaseAll();
-    const auto* back = std::get_if<GiveBack>(&step);
+    const auto* back = std::get_if<ReleaseMembers>(&step);
     if (back == nullptr) {
       return false;
     }
