--- a/include/harecrank/core/group_reservation.h
+++ b/include/harecrank/core/group_reservation.h
@@ -31,7 +31,7 @@
 };
 struct GroupReserved {};
 struct GroupRefused {
-  std::vector<EndpointId> give_back;
+  std::vector<EndpointId> release;
 };
 using GroupStep = std::variant<ReserveMembers, WaitForMembers, ReleaseMembers,
                                GroupReserved, GroupRefused>;
