--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -30,7 +30,7 @@
 // What is under way at one endpoint.
 struct EndpointLoad {
   // Until prompts that were given to it are read, if it does nothing else.
-  FractionalMillis read_backlog{0};
+  FractionalMillis prefill_backlog{0};
   // Prompts or parts of them that take long and have not been followed by a
   // first event. Where a prediction fails they are still there when the
   // backlog has run out.
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -117,7 +117,7 @@
 
 EndpointLoad EndpointLoads::OwnAt(const OwnLoad& own, TimePoint now) const {
   EndpointLoad load = own.load;
-  load.read_backlog =
+  load.prefill_backlog =
       std::max(FractionalMillis(0), FractionalMillis(own.read_until - now));
   if (!own.gaps.empty()) {
     load.tightest_gap = FractionalMillis(*own.gaps.begin());
--- a/src/core/endpoint_loads_test.cc
+++ b/src/core/endpoint_loads_test.cc
@@ -19,9 +19,9 @@
       {kEngine, WorkClass::kShort, FractionalMillis(30), Tokens{100}, kNoGap});
   loads_.Begin(
       {kEngine, WorkClass::kShort, FractionalMillis(30), Tokens{100}, kNoGap});
-  CHECK(loads_.Of(kEngine).read_backlog == FractionalMillis(60));
+  CHECK(loads_.Of(kEngine).prefill_backlog == FractionalMillis(60));
   now_ += Millis(40);
-  CHECK(loads_.Of(kEngine).read_backlog == FractionalMillis(20));
+  CHECK(loads_.Of(kEngine).prefill_backlog == FractionalMillis(20));
   CHECK(loads_.Of(kEngine).memory == Tokens{200});
   CHECK(loads_.ShortMembers() == 2);
 }
@@ -35,7 +35,7 @@
   CHECK(load.Members() == 0);
   CHECK(load.unread_parts == 0);
   CHECK(load.memory == Tokens{0});
-  CHECK(load.read_backlog == FractionalMillis(0));
+  CHECK(load.prefill_backlog == FractionalMillis(0));
   CHECK(loads_.ShortMembers() == 0);
 }
 
@@ -47,7 +47,7 @@
   const WorkId id = loads_.Begin(
       {kEngine, WorkClass::kHelper, FractionalMillis(300), Tokens{0}, kNoGap});
   now_ += Millis(1000);
-  CHECK(loads_.Of(kEngine).read_backlog == FractionalMillis(0));
+  CHECK(loads_.Of(kEngine).prefill_backlog == FractionalMillis(0));
   CHECK(loads_.Of(kEngine).unread_parts == 1);
   loads_.OnPrefillDone(id);
   CHECK(loads_.Of(kEngine).unread_parts == 0);
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -39,7 +39,7 @@
   constexpr double kPassesBefore = 1.5;
   const FractionalMillis pass =
       PassTime(engine, load.Members() + 1, load.memory);
-  return pace * (load.read_backlog + read + kPassesBefore * pass);
+  return pace * (load.prefill_backlog + read + kPassesBefore * pass);
 }
 
 bool IsTight(const PlacementRequest& request) {
@@ -294,7 +294,7 @@
   const FractionalMillis pass =
       PassTime(engine, load.Members() + 1, load.memory);
   PassForecast forecast;
-  if (load.Members() > 0 || load.read_backlog > FractionalMillis(0)) {
+  if (load.Members() > 0 || load.prefill_backlog > FractionalMillis(0)) {
     forecast = loads_->ForecastOf(candidate.record->id, pass);
   }
   const FractionalMillis reads =
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -73,7 +73,7 @@
     std::vector<Room> rooms;
     for (const EngineCandidate& candidate : candidates) {
       const bool reads = candidate.load.unread_parts > 0;
-      const bool behind = candidate.load.read_backlog >
+      const bool behind = candidate.load.prefill_backlog >
                           policy_.open_share_of_part * wanted_part_;
       if (reads || (behind && PlaceOf(candidate) != Place::kBesideShort)) {
         continue;
@@ -185,7 +185,7 @@
   const FractionalMillis pass =
       PassTime(engine, load.Members() + 1, load.memory);
   return (policy.pause_share_of_gap * gap - pass) / candidate.pace -
-         load.read_backlog;
+         load.prefill_backlog;
 }
 
 std::optional<PrefillGroup> ChoosePrefillGroup(
