--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -34,7 +34,7 @@
   // Prompts or parts of them that take long and have not been followed by a
   // first event. Where a prediction fails they are still there when the
   // backlog has run out.
-  int unread_parts = 0;
+  int pending_prefills = 0;
   // Requests that read or write, by class.
   int short_members = 0;
   int long_members = 0;
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -38,7 +38,7 @@
   if (part.gap > Millis(0)) {
     own.gaps.insert(part.gap);
   }
-  own.load.unread_parts += part.read >= kLongPart ? 1 : 0;
+  own.load.pending_prefills += part.read >= kLongPart ? 1 : 0;
   own.load.memory = own.load.memory + part.memory;
   if (int* members = MembersOf(&own.load, part.work_class)) {
     ++*members;
@@ -133,7 +133,7 @@
   OwnLoad& own = own_[work->part.endpoint];
   own.passes.Remove(work->prompt);
   --own.unread;
-  own.load.unread_parts -= work->part.read >= kLongPart ? 1 : 0;
+  own.load.pending_prefills -= work->part.read >= kLongPart ? 1 : 0;
   if (own.unread == 0) {
     own.read_until = clock_();
   }
--- a/src/core/endpoint_loads_test.cc
+++ b/src/core/endpoint_loads_test.cc
@@ -33,7 +33,7 @@
   loads_.End(id);
   const EndpointLoad load = loads_.Of(kEngine);
   CHECK(load.Members() == 0);
-  CHECK(load.unread_parts == 0);
+  CHECK(load.pending_prefills == 0);
   CHECK(load.memory == Tokens{0});
   CHECK(load.prefill_backlog == FractionalMillis(0));
   CHECK(loads_.ShortMembers() == 0);
@@ -48,9 +48,9 @@
       {kEngine, WorkClass::kHelper, FractionalMillis(300), Tokens{0}, kNoGap});
   now_ += Millis(1000);
   CHECK(loads_.Of(kEngine).prefill_backlog == FractionalMillis(0));
-  CHECK(loads_.Of(kEngine).unread_parts == 1);
+  CHECK(loads_.Of(kEngine).pending_prefills == 1);
   loads_.OnPrefillDone(id);
-  CHECK(loads_.Of(kEngine).unread_parts == 0);
+  CHECK(loads_.Of(kEngine).pending_prefills == 0);
 }
 
 TEST_CASE_METHOD(LoadsFixture,
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -72,7 +72,7 @@
       const std::vector<EngineCandidate>& candidates) const {
     std::vector<Room> rooms;
     for (const EngineCandidate& candidate : candidates) {
-      const bool reads = candidate.load.unread_parts > 0;
+      const bool reads = candidate.load.pending_prefills > 0;
       const bool behind = candidate.load.prefill_backlog >
                           policy_.open_share_of_part * wanted_part_;
       if (reads || (behind && PlaceOf(candidate) != Place::kBesideShort)) {
--- a/src/core/reader_choice_test.cc
+++ b/src/core/reader_choice_test.cc
@@ -118,7 +118,7 @@
 TEST_CASE_METHOD(ReadersFixture,
                  "An engine that has yet to read a part takes no other") {
   for (EngineCandidate& candidate : candidates_) {
-    candidate.load.unread_parts = 1;
+    candidate.load.pending_prefills = 1;
   }
   CHECK_FALSE(Choose().has_value());
 }
@@ -127,7 +127,7 @@
 // makes the next ones late.
 TEST_CASE_METHOD(ReadersFixture, "A late prompt is cut like others") {
   for (std::size_t i = 1; i < 6; ++i) {
-    candidates_[i].load.unread_parts = 1;
+    candidates_[i].load.pending_prefills = 1;
   }
   prompt_.whole = FractionalMillis(4000);
   prompt_.until_late = FractionalMillis(-100);
