--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -36,7 +36,7 @@
   // backlog has run out.
   int pending_prefills = 0;
   // Requests that read or write, by class.
-  int short_members = 0;
+  int short_requests = 0;
   int long_members = 0;
   // KV memory that they need up to their expected end.
   Tokens memory;
@@ -44,7 +44,7 @@
   // stream is under way.
   FractionalMillis tightest_gap{0};
 
-  int Members() const { return short_members + long_members; }
+  int Members() const { return short_requests + long_members; }
 };
 
 // What one request has under way at one endpoint.
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -9,7 +9,7 @@
 int* MembersOf(EndpointLoad* load, WorkClass work_class) {
   switch (work_class) {
     case WorkClass::kShort:
-      return &load->short_members;
+      return &load->short_requests;
     case WorkClass::kLong:
       return &load->long_members;
     case WorkClass::kHelper:
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -21,7 +21,7 @@
 enum class Place { kIdle, kBesideLong, kBesideShort };
 
 Place PlaceOf(const EngineCandidate& candidate) {
-  if (candidate.for_short || candidate.load.short_members > 0) {
+  if (candidate.for_short || candidate.load.short_requests > 0) {
     return Place::kBesideShort;
   }
   return candidate.load.long_members > 0 ? Place::kBesideLong : Place::kIdle;
@@ -119,7 +119,7 @@
     std::sort(pool.begin(), pool.end(),
               [](const EngineCandidate& a, const EngineCandidate& b) {
                 const auto cost = [](const EngineCandidate& c) {
-                  return std::make_tuple(PlaceOf(c), c.load.short_members,
+                  return std::make_tuple(PlaceOf(c), c.load.short_requests,
                                          c.pace >= kSlowPace, c.rank);
                 };
                 return cost(a) < cost(b);
