--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -37,14 +37,14 @@
   int pending_prefills = 0;
   // Requests that read or write, by class.
   int short_requests = 0;
-  int long_members = 0;
+  int long_requests = 0;
   // KV memory that they need up to their expected end.
   Tokens memory;
   // The shortest pause that keeps all of its streams in time; zero if no
   // stream is under way.
   FractionalMillis tightest_gap{0};
 
-  int Members() const { return short_requests + long_members; }
+  int Members() const { return short_requests + long_requests; }
 };
 
 // What one request has under way at one endpoint.
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -11,7 +11,7 @@
     case WorkClass::kShort:
       return &load->short_requests;
     case WorkClass::kLong:
-      return &load->long_members;
+      return &load->long_requests;
     case WorkClass::kHelper:
       break;
   }
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -24,7 +24,7 @@
   if (candidate.for_short || candidate.load.short_requests > 0) {
     return Place::kBesideShort;
   }
-  return candidate.load.long_members > 0 ? Place::kBesideLong : Place::kIdle;
+  return candidate.load.long_requests > 0 ? Place::kBesideLong : Place::kIdle;
 }
 
 // Chooses for one prompt.
@@ -147,8 +147,8 @@
     const bool fits = !(FreeMemory(engine_, load) < prompt_.needed);
     const bool tight = IsTightGap(prompt_.gap, prompt_.tightest_gap);
     const bool beside_short = PlaceOf(candidate) == Place::kBesideShort;
-    const bool full = load.long_members >= policy_.packed_writers;
-    const double packed = fits && !full ? load.long_members : 0;
+    const bool full = load.long_requests >= policy_.packed_writers;
+    const double packed = fits && !full ? load.long_requests : 0;
     return {!fits, tight != beside_short, -packed, load.memory.value};
   }
 
--- a/src/core/reader_choice_test.cc
+++ b/src/core/reader_choice_test.cc
@@ -42,7 +42,7 @@
 
   void AddStreams(std::size_t engine, int count, FractionalMillis gap) {
     EndpointLoad& load = candidates_[engine].load;
-    (gap <= kTightestGap ? load.short_requests : load.long_members) += count;
+    (gap <= kTightestGap ? load.short_requests : load.long_requests) += count;
     load.tightest_gap = gap;
   }
 
