--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -84,7 +84,7 @@
                           FractionalMillis bare_pass) const;
 
   // Returns how many short requests are under way at all endpoints.
-  int ShortMembers() const { return short_members_; }
+  int ShortRequests() const { return short_members_; }
 
   // Returns how much reading has lately been begun for short requests, in
   // engine time for each time: 1 keeps one engine reading all the time.
--- a/src/core/endpoint_loads_test.cc
+++ b/src/core/endpoint_loads_test.cc
@@ -23,7 +23,7 @@
   now_ += Millis(40);
   CHECK(loads_.Of(kEngine).prefill_backlog == FractionalMillis(20));
   CHECK(loads_.Of(kEngine).memory == Tokens{200});
-  CHECK(loads_.ShortMembers() == 2);
+  CHECK(loads_.ShortRequests() == 2);
 }
 
 TEST_CASE_METHOD(LoadsFixture, "Work that has ended weighs nothing") {
@@ -36,7 +36,7 @@
   CHECK(load.pending_prefills == 0);
   CHECK(load.memory == Tokens{0});
   CHECK(load.prefill_backlog == FractionalMillis(0));
-  CHECK(loads_.ShortMembers() == 0);
+  CHECK(loads_.ShortRequests() == 0);
 }
 
 // Otherwise a host takes an engine for open when the prediction says so, while
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -398,7 +398,7 @@
   }
   const double per_engine = std::max(
       1.0, policy_.short_share_of_slots * static_cast<double>(engine.slots));
-  const double by_members = loads_->ShortMembers() / per_engine;
+  const double by_members = loads_->ShortRequests() / per_engine;
   // Peers see about as many arrive as this host does.
   const double reading = loads_->ShortReadingRate() * hosts_();
   const double by_arrivals = reading / policy_.short_reading_share;
