--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -44,7 +44,7 @@
   // stream is under way.
   FractionalMillis tightest_gap{0};
 
-  int Members() const { return short_requests + long_requests; }
+  int BatchSize() const { return short_requests + long_requests; }
 };
 
 // What one request has under way at one endpoint.
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -97,7 +97,7 @@
   if (part.work_class == WorkClass::kShort) {
     --short_members_;
   }
-  if (own.unread == 0 && own.load.Members() == 0) {
+  if (own.unread == 0 && own.load.BatchSize() == 0) {
     own_.erase(part.endpoint);
   }
   work_.erase(found);
--- a/src/core/endpoint_loads_test.cc
+++ b/src/core/endpoint_loads_test.cc
@@ -32,7 +32,7 @@
   loads_.End(id);
   loads_.End(id);
   const EndpointLoad load = loads_.Of(kEngine);
-  CHECK(load.Members() == 0);
+  CHECK(load.BatchSize() == 0);
   CHECK(load.pending_prefills == 0);
   CHECK(load.memory == Tokens{0});
   CHECK(load.prefill_backlog == FractionalMillis(0));
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -38,7 +38,7 @@
   // On average half of a pass under way, then the request's own first.
   constexpr double kPassesBefore = 1.5;
   const FractionalMillis pass =
-      PassTime(engine, load.Members() + 1, load.memory);
+      PassTime(engine, load.BatchSize() + 1, load.memory);
   return pace * (load.prefill_backlog + read + kPassesBefore * pass);
 }
 
@@ -182,7 +182,7 @@
     const double elsewhere =
         candidate.record->data_centre == self_ ? 0 : kElsewherePenalty;
     const double cost =
-        (candidate.load.Members() + kPlainNoise * Noise()) * candidate.pace +
+        (candidate.load.BatchSize() + kPlainNoise * Noise()) * candidate.pace +
         elsewhere;
     if (cost < best_cost) {
       best = &candidate;
@@ -214,7 +214,7 @@
       time +=
           policy_.beyond_short_share * FractionalMillis(request.target_latency);
     }
-    if (candidate.load.Members() >= engine.slots ||
+    if (candidate.load.BatchSize() >= engine.slots ||
         FreeMemory(engine, candidate.load) < request.prompt + request.answer) {
       time += FractionalMillis(request.target_latency);
     }
@@ -285,16 +285,16 @@
     const ShortDemand& reserve) const {
   const EngineProfile& engine = *request.service->engine;
   const EndpointLoad& load = candidate.load;
-  const bool has_slot = load.Members() + reserve.requests < engine.slots;
+  const bool has_slot = load.BatchSize() + reserve.requests < engine.slots;
   const bool has_memory =
       !(FreeMemory(engine, load) < request.prompt + request.answer);
   if (!has_slot || !has_memory) {
     return std::nullopt;
   }
   const FractionalMillis pass =
-      PassTime(engine, load.Members() + 1, load.memory);
+      PassTime(engine, load.BatchSize() + 1, load.memory);
   PassForecast forecast;
-  if (load.Members() > 0 || load.prefill_backlog > FractionalMillis(0)) {
+  if (load.BatchSize() > 0 || load.prefill_backlog > FractionalMillis(0)) {
     forecast = loads_->ForecastOf(candidate.record->id, pass);
   }
   const FractionalMillis reads =
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -183,7 +183,7 @@
     return FractionalMillis::max();
   }
   const FractionalMillis pass =
-      PassTime(engine, load.Members() + 1, load.memory);
+      PassTime(engine, load.BatchSize() + 1, load.memory);
   return (policy.pause_share_of_gap * gap - pass) / candidate.pace -
          load.prefill_backlog;
 }
