--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -88,7 +88,7 @@
 
   // Returns how much reading has lately been begun for short requests, in
   // engine time for each time: 1 keeps one engine reading all the time.
-  double ShortReadingRate() const;
+  double ShortPrefillRate() const;
 
   // Over how long the rate of short requests is taken: short, so that a wave of
   // them is seen while it arrives.
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -58,7 +58,7 @@
   }
 }
 
-double EndpointLoads::ShortReadingRate() const {
+double EndpointLoads::ShortPrefillRate() const {
   const TimePoint now = clock_();
   FractionalMillis sum(0);
   for (const ShortRead& one : short_reads_) {
--- a/src/core/endpoint_loads_test.cc
+++ b/src/core/endpoint_loads_test.cc
@@ -68,7 +68,7 @@
 
 TEST_CASE_METHOD(LoadsFixture,
                  "The rate of short reading is that of the last moments") {
-  CHECK(loads_.ShortReadingRate() == 0);
+  CHECK(loads_.ShortPrefillRate() == 0);
   loads_.Begin(
       {kEngine, WorkClass::kShort, FractionalMillis(40), Tokens{1}, kNoGap});
   loads_.Begin(
@@ -76,11 +76,11 @@
   now_ += EndpointLoads::kRateWindow / 2;
   loads_.Begin(
       {kEngine, WorkClass::kShort, FractionalMillis(60), Tokens{1}, kNoGap});
-  CHECK(loads_.ShortReadingRate() == Approx(0.5));
+  CHECK(loads_.ShortPrefillRate() == Approx(0.5));
   now_ += EndpointLoads::kRateWindow / 2 + Millis(1);
-  CHECK(loads_.ShortReadingRate() == Approx(0.3));
+  CHECK(loads_.ShortPrefillRate() == Approx(0.3));
   now_ += EndpointLoads::kRateWindow;
-  CHECK(loads_.ShortReadingRate() == 0);
+  CHECK(loads_.ShortPrefillRate() == 0);
 }
 
 }  // namespace
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -400,7 +400,7 @@
       1.0, policy_.short_share_of_slots * static_cast<double>(engine.slots));
   const double by_members = loads_->ShortRequests() / per_engine;
   // Peers see about as many arrive as this host does.
-  const double reading = loads_->ShortReadingRate() * hosts_();
+  const double reading = loads_->ShortPrefillRate() * hosts_();
   const double by_arrivals = reading / policy_.short_reading_share;
   const auto needed =
       static_cast<std::size_t>(std::ceil(std::max(by_members, by_arrivals)));
@@ -412,7 +412,7 @@
 FractionalMillis Placer::TimeSpread(const PlacementRequest& request) const {
   const int peers = std::max(0, hosts_() - 1);
   const FractionalMillis unseen = policy_.unseen_factor *
-                                  loads_->ShortReadingRate() * peers *
+                                  loads_->ShortPrefillRate() * peers *
                                   FractionalMillis(kWordInterval);
   return std::min(
       std::max(FractionalMillis(peers * kTimeSpreadPerPeer), unseen),
