--- a/include/harecrank/core/reader_choice.h
+++ b/include/harecrank/core/reader_choice.h
@@ -31,7 +31,7 @@
   // The place in the order that all hosts share.
   std::uint64_t rank = 0;
   // Kept for short requests: streams with the tightest gap may join any time.
-  bool for_short = false;
+  bool reserved_for_short = false;
 };
 
 // The prompt that is to be read.
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -322,10 +322,10 @@
     const PlacementRequest& request,
     std::vector<EngineCandidate> in_order) const {
   const EngineProfile& engine = *request.service->engine;
-  const std::size_t for_short =
+  const std::size_t reserved_for_short =
       std::min(EnginesForShort(engine, in_order.size()), in_order.size() - 1);
-  for (std::size_t i = 0; i < for_short; ++i) {
-    in_order[i].for_short = true;
+  for (std::size_t i = 0; i < reserved_for_short; ++i) {
+    in_order[i].reserved_for_short = true;
   }
   LongPrompt prompt;
   prompt.whole = PrefillTime(engine, request.prompt);
--- a/src/core/reader_choice.cc
+++ b/src/core/reader_choice.cc
@@ -21,7 +21,7 @@
 enum class Place { kIdle, kBesideLong, kBesideShort };
 
 Place PlaceOf(const EngineCandidate& candidate) {
-  if (candidate.for_short || candidate.load.short_requests > 0) {
+  if (candidate.reserved_for_short || candidate.load.short_requests > 0) {
     return Place::kBesideShort;
   }
   return candidate.load.long_requests > 0 ? Place::kBesideLong : Place::kIdle;
@@ -176,7 +176,7 @@
                                 FractionalMillis tightest_gap) {
   const EndpointLoad& load = candidate.load;
   FractionalMillis gap = load.tightest_gap;
-  if (candidate.for_short) {
+  if (candidate.reserved_for_short) {
     gap = tightest_gap;
   }
   if (gap <= FractionalMillis(0)) {
--- a/src/core/reader_choice_test.cc
+++ b/src/core/reader_choice_test.cc
@@ -96,7 +96,7 @@
 
 TEST_CASE_METHOD(ReadersFixture,
                  "A stream with a tight gap is written beside short requests") {
-  candidates_[0].for_short = true;
+  candidates_[0].reserved_for_short = true;
   prompt_.whole = FractionalMillis(150);
   prompt_.gap = kTightestGap;
   const auto group = Choose();
@@ -107,7 +107,7 @@
 TEST_CASE_METHOD(ReadersFixture,
                  "Engines kept for short requests read small parts only") {
   for (std::size_t i = 0; i < 5; ++i) {
-    candidates_[i].for_short = true;
+    candidates_[i].reserved_for_short = true;
   }
   prompt_.whole = FractionalMillis(6 * 140);
   CHECK(Choose().has_value());
