--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -2,7 +2,7 @@
 //
 // Short prompts are packed onto as few engines as keep them in time, from one
 // end of an order that all hosts share. Long ones are read in parts, each as
-// large as the streams of its engine bear (reader_choice.h), and wait while
+// large as the streams of its engine bear (prefill_group.h), and wait while
 // there are too few such engines. docs/DECISIONS.md gives the figures.
 
 #ifndef HARECRANK_CORE_PLACEMENT_H_
@@ -22,7 +22,7 @@
 #include "harecrank/core/endpoint_loads.h"
 #include "harecrank/core/fleet_messages.h"
 #include "harecrank/core/placement_policy.h"
-#include "harecrank/core/reader_choice.h"
+#include "harecrank/core/prefill_group.h"
 #include "harecrank/core/request_origin.h"
 #include "harecrank/core/routing_table.h"
 
--- a/include/harecrank/core/reader_choice.h
+++ b/include/harecrank/core/prefill_group.h
@@ -5,8 +5,8 @@
 // there, by the streams that it has under way; a prompt is cut into parts that
 // are harmless at as many engines as it is cut for.
 
-#ifndef HARECRANK_CORE_READER_CHOICE_H_
-#define HARECRANK_CORE_READER_CHOICE_H_
+#ifndef HARECRANK_CORE_PREFILL_GROUP_H_
+#define HARECRANK_CORE_PREFILL_GROUP_H_
 
 #include <cstdint>
 #include <optional>
@@ -77,4 +77,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_READER_CHOICE_H_
+#endif  // HARECRANK_CORE_PREFILL_GROUP_H_
--- a/src/core/reader_choice.cc
+++ b/src/core/prefill_group.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/reader_choice.h"
+#include "harecrank/core/prefill_group.h"
 
 #include <algorithm>
 #include <cmath>
