--- a/include/harecrank/core/prefix_memory.h
+++ b/include/harecrank/core/recent_prefixes.h
@@ -1,7 +1,7 @@
 // Which beginnings of prompts this host has seen of late.
 
-#ifndef HARECRANK_CORE_PREFIX_MEMORY_H_
-#define HARECRANK_CORE_PREFIX_MEMORY_H_
+#ifndef HARECRANK_CORE_RECENT_PREFIXES_H_
+#define HARECRANK_CORE_RECENT_PREFIXES_H_
 
 #include <array>
 #include <atomic>
@@ -32,4 +32,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_PREFIX_MEMORY_H_
+#endif  // HARECRANK_CORE_RECENT_PREFIXES_H_
--- a/src/core/small_parts_test.cc
+++ b/src/core/small_parts_test.cc
@@ -7,7 +7,7 @@
 
 #include "harecrank/core/answer_assembler.h"
 #include "harecrank/core/pause_guard.h"
-#include "harecrank/core/prefix_memory.h"
+#include "harecrank/core/recent_prefixes.h"
 #include "harecrank/core/rendezvous.h"
 #include "harecrank/core/weight_loads.h"
 
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "harecrank/core/account_limiter.h"
-#include "harecrank/core/prefix_memory.h"
 #include "harecrank/core/rcu_cell.h"
+#include "harecrank/core/recent_prefixes.h"
 #include "harecrank/core/retry_budget.h"
 #include "harecrank/core/router.h"
 #include "src/entry/answer_sink.h"
