--- a/include/harecrank/core/active_config.h
+++ b/include/harecrank/core/active_config.h
@@ -23,7 +23,7 @@
 const char* ConfigSourceName(ConfigSource source);
 
 // What became of an offered configuration.
-enum class Offer {
+enum class OfferResult {
   // It is in force now.
   kAdopted,
   // It is the one in force already.
@@ -39,7 +39,7 @@
 };
 
 // Returns a word for logs and counters.
-const char* OfferName(Offer offer);
+const char* OfferResultName(OfferResult offer);
 
 // What the active_config reports of itself.
 struct ActiveConfigState {
@@ -63,10 +63,11 @@
   ActiveConfig();
 
   // Offers a whole document.
-  Offer OfferDocument(const std::string& document_json, ConfigSource source);
+  OfferResult OfferDocument(const std::string& document_json,
+                            ConfigSource source);
 
   // Offers one change.
-  Offer OfferChange(const v1::Change& change, ConfigSource source);
+  OfferResult OfferChange(const v1::Change& change, ConfigSource source);
 
   // Returns the configuration in force, or null before the first.
   std::shared_ptr<const Configuration> InForce() const;
@@ -93,8 +94,8 @@
   };
 
   // These two expect the mutex to be held.
-  Offer Judge(Revision revision, const Digest& digest);
-  Offer Count(Offer offer);
+  OfferResult Judge(Revision revision, const Digest& digest);
+  OfferResult Count(OfferResult offer);
   void Adopt(std::shared_ptr<const Configuration> next, ConfigSource source);
 
   mutable std::mutex mutex_;
--- a/src/core/active_config.cc
+++ b/src/core/active_config.cc
@@ -44,19 +44,19 @@
   return "none";
 }
 
-const char* OfferName(Offer offer) {
+const char* OfferResultName(OfferResult offer) {
   switch (offer) {
-    case Offer::kAdopted:
+    case OfferResult::kAdopted:
       return "adopted";
-    case Offer::kAlreadyInForce:
+    case OfferResult::kAlreadyInForce:
       return "same";
-    case Offer::kOlder:
+    case OfferResult::kOlder:
       return "older";
-    case Offer::kConflict:
+    case OfferResult::kConflict:
       return "conflict";
-    case Offer::kInvalid:
+    case OfferResult::kInvalid:
       return "invalid";
-    case Offer::kMissingBase:
+    case OfferResult::kMissingBase:
       return "gap";
   }
   return "invalid";
@@ -64,17 +64,17 @@
 
 ActiveConfig::ActiveConfig() : current_(std::make_shared<const Current>()) {}
 
-Offer ActiveConfig::OfferDocument(const std::string& document_json,
-                                  ConfigSource source) {
+OfferResult ActiveConfig::OfferDocument(const std::string& document_json,
+                                        ConfigSource source) {
   Outcome outcome = Try([&] { return Configuration::Parse(document_json); });
   const std::lock_guard<std::mutex> lock(mutex_);
   if (outcome.configuration == nullptr) {
     state_.last_fault = outcome.fault;
-    return Count(Offer::kInvalid);
+    return Count(OfferResult::kInvalid);
   }
-  const Offer offer = Judge(outcome.configuration->GetRevision(),
-                            outcome.configuration->GetDigest());
-  if (offer == Offer::kAdopted) {
+  const OfferResult offer = Judge(outcome.configuration->GetRevision(),
+                                  outcome.configuration->GetDigest());
+  if (offer == OfferResult::kAdopted) {
     // The steps between are unknown: peers that lag get the whole.
     changes_.clear();
     Adopt(std::move(outcome.configuration), source);
@@ -82,19 +82,20 @@
   return Count(offer);
 }
 
-Offer ActiveConfig::OfferChange(const v1::Change& change, ConfigSource source) {
+OfferResult ActiveConfig::OfferChange(const v1::Change& change,
+                                      ConfigSource source) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const Offer offer =
+  const OfferResult offer =
       Judge(Revision{change.revision()}, Digest{change.digest()});
-  if (offer != Offer::kAdopted) {
+  if (offer != OfferResult::kAdopted) {
     return Count(offer);
   }
   if (refused_.count(change.digest()) > 0) {
-    return Count(Offer::kInvalid);
+    return Count(OfferResult::kInvalid);
   }
   const auto base = InForce();
   if (base == nullptr || base->GetDigest().value != change.base_digest()) {
-    return Count(Offer::kMissingBase);
+    return Count(OfferResult::kMissingBase);
   }
   Outcome outcome = Try([&] { return base->Apply(change); });
   if (outcome.configuration == nullptr) {
@@ -102,14 +103,14 @@
     if (refused_.size() < kMostRefusedRemembered) {
       refused_.insert(change.digest());
     }
-    return Count(Offer::kInvalid);
+    return Count(OfferResult::kInvalid);
   }
   changes_.push_back(change);
   if (changes_.size() > kMaxRecentChanges) {
     changes_.pop_front();
   }
   Adopt(std::move(outcome.configuration), source);
-  return Count(Offer::kAdopted);
+  return Count(OfferResult::kAdopted);
 }
 
 std::shared_ptr<const Configuration> ActiveConfig::InForce() const {
@@ -158,40 +159,40 @@
   return state_;
 }
 
-Offer ActiveConfig::Judge(Revision revision, const Digest& digest) {
+OfferResult ActiveConfig::Judge(Revision revision, const Digest& digest) {
   if (revision < state_.revision) {
-    return Offer::kOlder;
+    return OfferResult::kOlder;
   }
   if (revision == state_.revision) {
     if (digest == state_.digest) {
-      return Offer::kAlreadyInForce;
+      return OfferResult::kAlreadyInForce;
     }
     state_.last_fault = "two documents have the revision " +
                         std::to_string(revision.value) + ": " +
                         state_.digest.value + " is in force, " + digest.value +
                         " was refused; publish a higher revision";
-    return Offer::kConflict;
+    return OfferResult::kConflict;
   }
-  return Offer::kAdopted;
+  return OfferResult::kAdopted;
 }
 
-Offer ActiveConfig::Count(Offer offer) {
+OfferResult ActiveConfig::Count(OfferResult offer) {
   switch (offer) {
-    case Offer::kAdopted:
+    case OfferResult::kAdopted:
       ++state_.adopted;
       break;
-    case Offer::kAlreadyInForce:
+    case OfferResult::kAlreadyInForce:
       break;
-    case Offer::kOlder:
+    case OfferResult::kOlder:
       ++state_.older;
       break;
-    case Offer::kConflict:
+    case OfferResult::kConflict:
       ++state_.conflicts;
       break;
-    case Offer::kInvalid:
+    case OfferResult::kInvalid:
       ++state_.invalid;
       break;
-    case Offer::kMissingBase:
+    case OfferResult::kMissingBase:
       ++state_.gaps;
       break;
   }
--- a/src/core/active_config_test.cc
+++ b/src/core/active_config_test.cc
@@ -67,26 +67,26 @@
 struct Fixture {
   ActiveConfig active_config;
 
-  Offer OfferDocument(const json& document) {
+  OfferResult OfferDocument(const json& document) {
     return active_config.OfferDocument(document.dump(), ConfigSource::kService);
   }
 };
 
 TEST_CASE_METHOD(Fixture, "A higher revision comes into force") {
-  CHECK(OfferDocument(MakeDocument(1)) == Offer::kAdopted);
-  CHECK(OfferDocument(MakeDocument(5)) == Offer::kAdopted);
+  CHECK(OfferDocument(MakeDocument(1)) == OfferResult::kAdopted);
+  CHECK(OfferDocument(MakeDocument(5)) == OfferResult::kAdopted);
   CHECK(active_config.InForce()->GetRevision().value == 5);
 }
 
 TEST_CASE_METHOD(Fixture, "A configuration never goes back") {
   OfferDocument(MakeDocument(5));
-  CHECK(OfferDocument(MakeDocument(4)) == Offer::kOlder);
+  CHECK(OfferDocument(MakeDocument(4)) == OfferResult::kOlder);
   CHECK(active_config.InForce()->GetRevision().value == 5);
 }
 
 TEST_CASE_METHOD(Fixture, "Two documents with one revision are reported") {
   OfferDocument(MakeDocument(5));
-  CHECK(OfferDocument(MakeDocument(5, 2)) == Offer::kConflict);
+  CHECK(OfferDocument(MakeDocument(5, 2)) == OfferResult::kConflict);
   CHECK(active_config.InForce()->GetDocument().accounts().size() == 1);
   CHECK(active_config.State().conflicts == 1);
   CHECK_FALSE(active_config.State().last_fault.empty());
@@ -95,21 +95,21 @@
 TEST_CASE_METHOD(Fixture, "A conflict is resolved by a higher revision") {
   OfferDocument(MakeDocument(5));
   OfferDocument(MakeDocument(5, 2));
-  CHECK(OfferDocument(MakeDocument(6, 2)) == Offer::kAdopted);
+  CHECK(OfferDocument(MakeDocument(6, 2)) == OfferResult::kAdopted);
 }
 
 TEST_CASE_METHOD(Fixture, "The same content in another layout is the same") {
   OfferDocument(MakeDocument(5));
   CHECK(active_config.OfferDocument(MakeDocument(5).dump(4),
                                     ConfigSource::kPeer) ==
-        Offer::kAlreadyInForce);
+        OfferResult::kAlreadyInForce);
 }
 
 TEST_CASE_METHOD(Fixture, "A faulty document is refused whole") {
   OfferDocument(MakeDocument(1));
   json document = MakeDocument(2, 2);
   document["endpoints"]["e"] = {{"link_address", "localhost:80"}};
-  CHECK(OfferDocument(document) == Offer::kInvalid);
+  CHECK(OfferDocument(document) == OfferResult::kInvalid);
   CHECK(active_config.InForce()->GetRevision().value == 1);
   INFO("the fault was: " << active_config.State().last_fault);
   CHECK(active_config.State().last_fault.find("endpoints.e.link_address") !=
@@ -119,7 +119,7 @@
 TEST_CASE_METHOD(Fixture, "A document with an unknown field is refused") {
   json document = MakeDocument(1);
   document["extra"] = 1;
-  CHECK(OfferDocument(document) == Offer::kInvalid);
+  CHECK(OfferDocument(document) == OfferResult::kInvalid);
 }
 
 TEST_CASE_METHOD(Fixture, "A planned change leads to the planned document") {
@@ -127,7 +127,7 @@
   const v1::PlanResponse plan = Plan(active_config, PutModel("m"));
   REQUIRE(plan.revision() == 2);
   CHECK(active_config.OfferChange(ChangeOf(plan), ConfigSource::kPeer) ==
-        Offer::kAdopted);
+        OfferResult::kAdopted);
   CHECK(active_config.InForce()->GetDigest().value == plan.digest());
   ActiveConfig other;
   other.OfferDocument(plan.document_json(), ConfigSource::kService);
@@ -139,7 +139,7 @@
   const v1::PlanResponse plan = Plan(active_config, PutModel("m"));
   ActiveConfig behind;
   CHECK(behind.OfferChange(ChangeOf(plan), ConfigSource::kPeer) ==
-        Offer::kMissingBase);
+        OfferResult::kMissingBase);
 }
 
 TEST_CASE_METHOD(Fixture,
@@ -148,7 +148,7 @@
   v1::Change change = ChangeOf(Plan(active_config, PutModel("m")));
   change.set_digest("0123");
   CHECK(active_config.OfferChange(change, ConfigSource::kPeer) ==
-        Offer::kInvalid);
+        OfferResult::kInvalid);
   CHECK(active_config.InForce()->GetRevision().value == 1);
 }
 
@@ -157,9 +157,9 @@
   const v1::PlanResponse mine = Plan(active_config, PutModel("mine"));
   const v1::PlanResponse yours = Plan(active_config, PutModel("yours"));
   CHECK(active_config.OfferChange(ChangeOf(mine), ConfigSource::kPeer) ==
-        Offer::kAdopted);
+        OfferResult::kAdopted);
   CHECK(active_config.OfferChange(ChangeOf(yours), ConfigSource::kPeer) ==
-        Offer::kConflict);
+        OfferResult::kConflict);
 }
 
 TEST_CASE_METHOD(Fixture, "A plan on a base that has moved is refused") {
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -249,7 +249,7 @@
     LOG4CXX_WARN(log_, "a change log cannot be read");
     return;
   }
-  Offer latest = Offer::kAlreadyInForce;
+  OfferResult latest = OfferResult::kAlreadyInForce;
   for (const v1::Change& change : log.changes()) {
     // Those already passed are no news.
     if (change.revision() <= ports_.active_config->State().revision.value &&
@@ -259,7 +259,7 @@
     latest = ports_.active_config->OfferChange(change, source);
     Settle(latest);
   }
-  if (latest == Offer::kMissingBase && source == ConfigSource::kService) {
+  if (latest == OfferResult::kMissingBase && source == ConfigSource::kService) {
     ReadDocument();
   }
 }
@@ -276,7 +276,7 @@
       [&]() -> leaf::result<void> {
         BOOST_LEAF_AUTO(list, ports_.host_list->Read());
         if (ports_.hosts->Offer(std::move(list))) {
-          Settle(Offer::kAdopted);
+          Settle(OfferResult::kAdopted);
         }
         return {};
       },
@@ -353,7 +353,7 @@
       hosts.leaving.insert(NodeId{id});
     }
     if (ports_.hosts->Offer(std::move(hosts))) {
-      Settle(Offer::kAdopted);
+      Settle(OfferResult::kAdopted);
     }
   }
 }
@@ -424,17 +424,17 @@
   Settle(ports_.active_config->OfferDocument(document, source));
 }
 
-void ConfigFeed::Settle(Offer offer) {
+void ConfigFeed::Settle(OfferResult offer) {
   ports_.metrics
       ->GetCounter("harecrank_config_offers_total",
-                   std::string("result=\"") + OfferName(offer) + "\"")
+                   std::string("result=\"") + OfferResultName(offer) + "\"")
       ->Add();
-  if (offer == Offer::kConflict || offer == Offer::kInvalid) {
+  if (offer == OfferResult::kConflict || offer == OfferResult::kInvalid) {
     LOG4CXX_WARN(log_, "configuration refused: "
                            << ports_.active_config->State().last_fault);
     return;
   }
-  if (offer != Offer::kAdopted) {
+  if (offer != OfferResult::kAdopted) {
     return;
   }
   in_force_since_ =
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -89,7 +89,7 @@
                                 const PeerUpdate& update);
   PeerUpdate LatestStep() const;
   void OfferDocument(const std::string& document, ConfigSource source);
-  void Settle(Offer offer);
+  void Settle(OfferResult offer);
   std::shared_ptr<const DisseminationPlan> Plan();
   std::vector<std::string> BootstrapPeers();
   PeerUpdate UpdateFor(const PeerState& theirs) const;
