--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -52,7 +52,7 @@
   EndpointId endpoint;
   WorkClass work_class = WorkClass::kShort;
   // How long the prompt, or its part, takes to read.
-  FractionalMillis read{0};
+  FractionalMillis prefill_time{0};
   // Needed until it ends.
   Tokens memory;
   // The longest pause that keeps its stream in time; zero if it has none there.
@@ -114,7 +114,7 @@
   };
   struct ShortRead {
     TimePoint begun;
-    FractionalMillis read{0};
+    FractionalMillis prefill_time{0};
   };
 
   EndpointLoad OwnAt(const OwnLoad& own, TimePoint now) const;
--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -133,7 +133,7 @@
   EndpointId endpoint;
   std::vector<PlannedHelper> helpers;
   WorkClass work_class = WorkClass::kShort;
-  FractionalMillis read{0};
+  FractionalMillis prefill_time{0};
   FractionalMillis first_event{0};
   std::size_t candidates = 0;
 };
--- a/include/harecrank/core/pass_forecast.h
+++ b/include/harecrank/core/pass_forecast.h
@@ -36,7 +36,7 @@
   // A prompt, or a part of one.
   struct Prompt {
     TimePoint sent{};
-    FractionalMillis read{0};
+    FractionalMillis prefill_time{0};
     // When its first event is late; nothing where that is not known.
     std::optional<TimePoint> late_at;
   };
--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -78,7 +78,7 @@
   std::vector<PrefillHelper> helpers;
   WorkClass work_class = WorkClass::kShort;
   // How long each of them reads.
-  FractionalMillis read{0};
+  FractionalMillis prefill_time{0};
   // Until the first event, as predicted.
   FractionalMillis first_event{0};
   // How many endpoints there were to choose from.
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -198,7 +198,7 @@
   std::map<WaiterId, AskKey> short_waiting_;
   struct Demand {
     TimePoint at;
-    FractionalMillis read{0};
+    FractionalMillis prefill_time{0};
   };
   // Short prompts that were asked for lately.
   std::deque<Demand> demand_;
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -29,23 +29,24 @@
 WorkId EndpointLoads::Begin(const WorkPart& part,
                             std::optional<TimePoint> late_at) {
   const WorkId id{next_id_++};
-  const EnginePasses::Prompt prompt{clock_(), part.read, late_at};
+  const EnginePasses::Prompt prompt{clock_(), part.prefill_time, late_at};
   work_.emplace(id, Work{part, prompt, false});
   OwnLoad& own = own_[part.endpoint];
   own.passes.OnSent(prompt);
-  own.read_until = std::max(own.read_until, clock_()) + ToSteady(part.read);
+  own.read_until =
+      std::max(own.read_until, clock_()) + ToSteady(part.prefill_time);
   ++own.unread;
   if (part.gap > Millis(0)) {
     own.gaps.insert(part.gap);
   }
-  own.load.pending_prefills += part.read >= kLongPart ? 1 : 0;
+  own.load.pending_prefills += part.prefill_time >= kLongPart ? 1 : 0;
   own.load.memory = own.load.memory + part.memory;
   if (int* members = MembersOf(&own.load, part.work_class)) {
     ++*members;
   }
   if (part.work_class == WorkClass::kShort) {
     ++short_members_;
-    NoteShortRead(part.read);
+    NoteShortRead(part.prefill_time);
   }
   return id;
 }
@@ -63,7 +64,7 @@
   FractionalMillis sum(0);
   for (const ShortRead& one : short_reads_) {
     if (now - one.begun <= kRateWindow) {
-      sum += one.read;
+      sum += one.prefill_time;
     }
   }
   return sum / FractionalMillis(kRateWindow);
@@ -133,7 +134,7 @@
   OwnLoad& own = own_[work->part.endpoint];
   own.passes.Remove(work->prompt);
   --own.unread;
-  own.load.pending_prefills -= work->part.read >= kLongPart ? 1 : 0;
+  own.load.pending_prefills -= work->part.prefill_time >= kLongPart ? 1 : 0;
   if (own.unread == 0) {
     own.read_until = clock_();
   }
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -65,7 +65,7 @@
   WorkPart part;
   part.endpoint = reader->TakeString<EndpointId>();
   part.work_class = TakeWorkClass(reader);
-  part.read = reader->TakeTime();
+  part.prefill_time = reader->TakeTime();
   part.memory = reader->TakeNumber<Tokens>();
   part.gap = reader->TakeMillis();
   return part;
@@ -95,7 +95,7 @@
     placed.helpers.push_back(std::move(helper));
   });
   placed.work_class = TakeWorkClass(reader);
-  placed.read = reader->TakeTime();
+  placed.prefill_time = reader->TakeTime();
   placed.first_event = reader->TakeTime();
   placed.candidates = reader->Take<std::size_t>();
   return placed;
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -11,7 +11,8 @@
 
 json EncodePart(const WorkPart& part) {
   return json::array({part.endpoint.value, static_cast<int>(part.work_class),
-                      part.read.count(), part.memory.value, part.gap.count()});
+                      part.prefill_time.count(), part.memory.value,
+                      part.gap.count()});
 }
 
 json EncodeWork(const std::vector<AskedWork>& work) {
@@ -33,10 +34,11 @@
       for (const PlannedHelper& helper : placed.helpers) {
         helpers.push_back({helper.endpoint.value, helper.held.value});
       }
-      return json::array(
-          {static_cast<int>(DecisionKind::kPlaced), placed.endpoint.value,
-           std::move(helpers), static_cast<int>(placed.work_class),
-           placed.read.count(), placed.first_event.count(), placed.candidates});
+      return json::array({static_cast<int>(DecisionKind::kPlaced),
+                          placed.endpoint.value, std::move(helpers),
+                          static_cast<int>(placed.work_class),
+                          placed.prefill_time.count(),
+                          placed.first_event.count(), placed.candidates});
     }
     json operator()(const AskWaits& /*waits*/) const {
       return json::array({static_cast<int>(DecisionKind::kWaits)});
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -135,7 +135,7 @@
   REQUIRE(work.parts.size() == 1);
   CHECK(work.parts.front().endpoint == EndpointId{"e"});
   CHECK(work.parts.front().work_class == WorkClass::kLong);
-  CHECK(work.parts.front().read == FractionalMillis(12.5));
+  CHECK(work.parts.front().prefill_time == FractionalMillis(12.5));
   CHECK(work.parts.front().memory == Tokens{7});
   CHECK(work.parts.front().gap == Millis(600));
 }
@@ -190,7 +190,7 @@
   placed.endpoint = EndpointId{"e"};
   placed.helpers = {PlannedHelper{EndpointId{"f"}, Tokens{90}}};
   placed.work_class = WorkClass::kLong;
-  placed.read = FractionalMillis(150);
+  placed.prefill_time = FractionalMillis(150);
   placed.first_event = FractionalMillis(250);
   placed.candidates = 12;
   answer.decision = placed;
--- a/src/core/pass_forecast.cc
+++ b/src/core/pass_forecast.cc
@@ -19,7 +19,7 @@
 }
 
 bool IsSame(const EnginePasses::Prompt& a, const EnginePasses::Prompt& b) {
-  return a.sent == b.sent && a.read == b.read;
+  return a.sent == b.sent && a.prefill_time == b.prefill_time;
 }
 
 }  // namespace
@@ -61,7 +61,8 @@
   };
   FractionalMillis reads_now(0);
   for (const Prompt& one : unread_) {
-    (is_read_now(one) ? reads_now : forecast.next_pass_prefill) += one.read;
+    (is_read_now(one) ? reads_now : forecast.next_pass_prefill) +=
+        one.prefill_time;
   }
   const TimePoint ends =
       began > now ? began : After(began, reads_now + bare_pass);
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -74,13 +74,14 @@
 
 std::vector<WorkPart> PartsOf(const Placement& placement,
                               const PlacementRequest& request) {
-  WorkPart own{placement.endpoint.id, placement.work_class, placement.read,
-               request.prompt + request.answer, request.target_gap};
+  WorkPart own{placement.endpoint.id, placement.work_class,
+               placement.prefill_time, request.prompt + request.answer,
+               request.target_gap};
   std::vector<WorkPart> parts(1);
   for (const PrefillHelper& helper : placement.helpers) {
     own.memory = own.memory - helper.held;
     parts.push_back(WorkPart{helper.record.id, WorkClass::kHelper,
-                             placement.read, helper.held, Millis(0)});
+                             placement.prefill_time, helper.held, Millis(0)});
   }
   parts.front() = std::move(own);
   return parts;
@@ -226,7 +227,7 @@
   Placement placement;
   placement.endpoint = *best->record;
   placement.work_class = WorkClass::kShort;
-  placement.read = read;
+  placement.prefill_time = read;
   placement.first_event = FirstEvent(engine, best->load, best->pace, read);
   return placement;
 }
@@ -275,7 +276,7 @@
   Placement placement;
   placement.endpoint = *best->record;
   placement.work_class = WorkClass::kShort;
-  placement.read = PrefillTime(engine, request.prompt);
+  placement.prefill_time = PrefillTime(engine, request.prompt);
   placement.first_event = first_event;
   return placement;
 }
@@ -353,13 +354,14 @@
   placement.endpoint = *group.decode_engine.record;
   placement.work_class =
       IsTight(request) ? WorkClass::kShort : WorkClass::kLong;
-  placement.read = group.part;
-  placement.first_event = FirstEvent(engine, group.decode_engine.load,
-                                     group.decode_engine.pace, placement.read);
+  placement.prefill_time = group.part;
+  placement.first_event =
+      FirstEvent(engine, group.decode_engine.load, group.decode_engine.pace,
+                 placement.prefill_time);
   for (const EngineCandidate& helper : group.helpers) {
-    placement.first_event =
-        std::max(placement.first_event,
-                 FirstEvent(engine, helper.load, helper.pace, placement.read));
+    placement.first_event = std::max(
+        placement.first_event,
+        FirstEvent(engine, helper.load, helper.pace, placement.prefill_time));
     placement.helpers.push_back(PrefillHelper{*helper.record, Tokens{0}});
   }
   const Tokens needed = request.prompt + request.answer;
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -10,7 +10,7 @@
   PlannedPlacement planned;
   planned.endpoint = placement.endpoint.id;
   planned.work_class = placement.work_class;
-  planned.read = placement.read;
+  planned.prefill_time = placement.prefill_time;
   planned.first_event = placement.first_event;
   planned.candidates = placement.candidates;
   for (const PrefillHelper& helper : placement.helpers) {
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -138,7 +138,7 @@
     }
     const TimePoint ends =
         now_ + std::chrono::duration_cast<TimePoint::duration>(
-                   std::max(placed->first_event, placed->read));
+                   std::max(placed->first_event, placed->prefill_time));
     running_.push_back(Running{one.ask, ends});
     if (ends <= one.late_at) {
       ++outcomes_[one.ask.origin.request.account].in_time;
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -83,10 +83,12 @@
       AskedWork work;
       work.id = ask.id;
       work.parts.push_back(WorkPart{placed.endpoint, placed.work_class,
-                                    placed.read, ask.prompt, ask.target_gap});
+                                    placed.prefill_time, ask.prompt,
+                                    ask.target_gap});
       for (const PlannedHelper& helper : placed.helpers) {
         work.parts.push_back(WorkPart{helper.endpoint, WorkClass::kHelper,
-                                      placed.read, helper.held, Millis(0)});
+                                      placed.prefill_time, helper.held,
+                                      Millis(0)});
       }
       word.work->push_back(std::move(work));
     }
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -105,7 +105,7 @@
   for (const Demand& one : demand_) {
     if (now - one.at <= kDemandWindow) {
       demand.requests += 1;
-      demand.reading += one.read;
+      demand.reading += one.prefill_time;
     }
   }
   const double share = FractionalMillis(time) / kDemandWindow;
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -55,7 +55,7 @@
     fields["helper_ids"] = Joined(placement.helpers);
   }
   fields["predicted_ms"] = placement.first_event.count();
-  fields["read_ms"] = placement.read.count();
+  fields["read_ms"] = placement.prefill_time.count();
   fields["prompt"] = prompt.value;
   if (waited.has_value()) {
     fields["waited_ms"] = waited->count();
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -137,7 +137,7 @@
   Placement placement;
   placement.endpoint = *endpoint;
   placement.work_class = planned.work_class;
-  placement.read = planned.read;
+  placement.prefill_time = planned.prefill_time;
   placement.first_event = planned.first_event;
   placement.candidates = planned.candidates;
   for (const PlannedHelper& helper : planned.helpers) {
