--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -21,11 +21,11 @@
 namespace harecrank {
 
 // Not thread-safe.
-class HostBook {
+class Membership {
  public:
   // `seeds` may be stale.
-  HostBook(KnownHost self, std::vector<HostAddress> seeds, MonotonicClock clock,
-           RandomSource random);
+  Membership(KnownHost self, std::vector<HostAddress> seeds,
+             MonotonicClock clock, RandomSource random);
 
   void SetSeeds(std::vector<HostAddress> seeds);
 
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-HostBook::HostBook(KnownHost self, std::vector<HostAddress> seeds,
-                   MonotonicClock clock, RandomSource random)
+Membership::Membership(KnownHost self, std::vector<HostAddress> seeds,
+                       MonotonicClock clock, RandomSource random)
     : self_(std::move(self)),
       clock_(std::move(clock)),
       random_(std::move(random)),
@@ -31,14 +31,14 @@
   SetSeeds(std::move(seeds));
 }
 
-void HostBook::SetSeeds(std::vector<HostAddress> seeds) {
+void Membership::SetSeeds(std::vector<HostAddress> seeds) {
   seeds_ = std::move(seeds);
   size_.SetHasOtherSeeds(std::any_of(
       seeds_.begin(), seeds_.end(),
       [this](const HostAddress& seed) { return seed != self_.address; }));
 }
 
-bool HostBook::OnHeartbeat(const HostWord& word) {
+bool Membership::OnHeartbeat(const HostWord& word) {
   if (word.address == self_.address) {
     return false;
   }
@@ -71,8 +71,8 @@
   return is_new;
 }
 
-HostBook::Hosts::value_type* HostBook::Known(const HostAddress& address,
-                                             HostPower power) {
+Membership::Hosts::value_type* Membership::Known(const HostAddress& address,
+                                                 HostPower power) {
   const auto [known, is_new] = hosts_.try_emplace(address);
   Host& host = known->second;
   if (is_new) {
@@ -94,7 +94,7 @@
   return &*known;
 }
 
-void HostBook::NoteHeard(Hosts::value_type* host) {
+void Membership::NoteHeard(Hosts::value_type* host) {
   const TimePoint now = clock_();
   heard_any_ = now;
   host->second.heard = now;
@@ -105,12 +105,12 @@
   Rank(host);
 }
 
-void HostBook::Rank(Hosts::value_type* host) {
+void Membership::Rank(Hosts::value_type* host) {
   host->second.standing.claims = host->second.planner == host->first;
   ranking_.Set(host->first, host->second.standing);
 }
 
-void HostBook::Expire() const {
+void Membership::Expire() const {
   const TimePoint now = clock_();
   heard_.Expire(now,
                 [this](const HostAddress& host) { ranking_.Remove(host); });
@@ -122,21 +122,22 @@
   });
 }
 
-void HostBook::OnHeard(const HostAddress& host) {
+void Membership::OnHeard(const HostAddress& host) {
   const auto found = hosts_.find(host);
   if (found != hosts_.end()) {
     NoteHeard(&*found);
   }
 }
 
-void HostBook::OnSilent(const HostAddress& host) {
+void Membership::OnSilent(const HostAddress& host) {
   const auto found = hosts_.find(host);
   if (found != hosts_.end()) {
     found->second.suspect_until = clock_() + kSuspectFor;
   }
 }
 
-void HostBook::OnRedirect(const HostAddress& host, const HostAddress& planner) {
+void Membership::OnRedirect(const HostAddress& host,
+                            const HostAddress& planner) {
   const auto found = hosts_.find(host);
   if (found != hosts_.end()) {
     found->second.planner = planner;
@@ -144,12 +145,12 @@
   }
 }
 
-void HostBook::Leave() {
+void Membership::Leave() {
   leaving_ = true;
   claims_ = false;
 }
 
-std::optional<HostAddress> HostBook::Planner() {
+std::optional<HostAddress> Membership::Planner() {
   Expire();
   std::optional<HostAddress> claimant = Best(ranking_.Claimants(), claims_);
   if (claimant.has_value()) {
@@ -164,8 +165,8 @@
   return candidate;
 }
 
-std::optional<HostAddress> HostBook::Best(const HostsByRank& hosts,
-                                          bool self_stands) const {
+std::optional<HostAddress> Membership::Best(const HostsByRank& hosts,
+                                            bool self_stands) const {
   const HostRank own = RankOf(self_.address, self_.power);
   for (const auto& [rank, address] : hosts) {
     if (self_stands && own > rank) {
@@ -178,7 +179,7 @@
   return self_stands ? std::make_optional(self_.address) : std::nullopt;
 }
 
-std::vector<HostAddress> HostBook::Strangers() const {
+std::vector<HostAddress> Membership::Strangers() const {
   std::vector<HostAddress> seeds;
   for (const HostAddress& seed : seeds_) {
     if (seed != self_.address) {
@@ -192,7 +193,7 @@
   return {drawn < seeds.size() ? seeds[drawn] : order_[drawn - seeds.size()]};
 }
 
-std::vector<HostAddress> HostBook::AliveOthers() const {
+std::vector<HostAddress> Membership::AliveOthers() const {
   Expire();
   std::vector<HostAddress> alive;
   alive.reserve(alive_by_rank_.size());
@@ -202,7 +203,7 @@
   return alive;
 }
 
-std::vector<KnownHost> HostBook::AliveByRank(std::size_t most) const {
+std::vector<KnownHost> Membership::AliveByRank(std::size_t most) const {
   Expire();
   const HostRank own = RankOf(self_.address, self_.power);
   bool self_stands = !leaving_;
@@ -225,7 +226,7 @@
   return best;
 }
 
-std::vector<KnownHost> HostBook::HostsFor(const HostAddress& reader) {
+std::vector<KnownHost> Membership::HostsFor(const HostAddress& reader) {
   std::vector<KnownHost> told = AliveByRank(kSuccessors + 1);
   const bool may_plan_next = std::any_of(
       told.begin(), told.end(),
@@ -246,7 +247,7 @@
   return told;
 }
 
-void HostBook::NameInTurn(std::size_t most, std::vector<KnownHost>* told) {
+void Membership::NameInTurn(std::size_t most, std::vector<KnownHost>* told) {
   for (std::size_t i = 0; i < most; ++i) {
     named_next_ = (named_next_ + 1) % order_.size();
     const HostAddress& host = order_[named_next_];
@@ -256,7 +257,7 @@
   }
 }
 
-std::vector<HostAddress> HostBook::SourceReaders() const {
+std::vector<HostAddress> Membership::SourceReaders() const {
   const TimePoint now = clock_();
   const std::vector<KnownHost> best = AliveByRank(kReadersTried);
   std::vector<HostAddress> readers;
@@ -279,43 +280,43 @@
   return readers;
 }
 
-std::optional<HostAddress> HostBook::BetterInformed(
+std::optional<HostAddress> Membership::BetterInformed(
     RoutingVersion routing, StoreRevision known_up_to) const {
   Expire();
   return ranking_.BetterInformed(routing, known_up_to, random_());
 }
 
-HostPower HostBook::PowerOf(const HostAddress& host) const {
+HostPower Membership::PowerOf(const HostAddress& host) const {
   const auto found = hosts_.find(host);
   return found == hosts_.end() ? HostPower{} : found->second.power;
 }
 
-int HostBook::ReadingHosts() const {
+int Membership::ReadingHosts() const {
   const bool is_lone =
       heard_any_ == TimePoint{} || clock_() - heard_any_ > kLoneAfter;
   return is_lone ? 1 : AliveHosts();
 }
 
-int HostBook::CountedHosts() const {
+int Membership::CountedHosts() const {
   Expire();
   return 1 + static_cast<int>(alive_.Count());
 }
 
-void HostBook::NoteSize() { size_.OnCounted(CountedHosts()); }
+void Membership::NoteSize() { size_.OnCounted(CountedHosts()); }
 
-int HostBook::AliveHosts() const {
+int Membership::AliveHosts() const {
   return std::max(CountedHosts(), ranking_.MostAliveHosts());
 }
 
-int HostBook::SharingHosts() const {
+int Membership::SharingHosts() const {
   return std::max(AliveHosts(), size_.Most().value_or(0));
 }
 
-HostRank HostBook::RankOf(const HostAddress& address, HostPower power) {
+HostRank Membership::RankOf(const HostAddress& address, HostPower power) {
   return {power.value, RendezvousWeight(kPlannerKey, address.value)};
 }
 
-bool HostBook::HasSettled() const {
+bool Membership::HasSettled() const {
   const bool has_seeds =
       std::any_of(seeds_.begin(), seeds_.end(),
                   [this](const HostAddress& s) { return s != self_.address; });
@@ -324,11 +325,11 @@
   return expected_ || clock_() - started_ >= needed;
 }
 
-bool HostBook::IsEligible(const Host& host) const {
+bool Membership::IsEligible(const Host& host) const {
   return !host.leaving && clock_() >= host.suspect_until;
 }
 
-void HostBook::DropForgotten() {
+void Membership::DropForgotten() {
   const TimePoint now = clock_();
   if (now - dropped_forgotten_ < kAliveFor) {
     return;
@@ -345,7 +346,7 @@
   }
 }
 
-void HostBook::Forget(Hosts::iterator host) {
+void Membership::Forget(Hosts::iterator host) {
   const std::size_t place = host->second.place;
   order_[place] = order_.back();
   hosts_.at(order_[place]).place = place;
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -1,5 +1,5 @@
-// The orders that a HostBook keeps up to date against a plain scan of all that
-// it was told.
+// The orders that a Membership keeps up to date against a plain scan of all
+// that it was told.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -47,12 +47,12 @@
 
   void OnSilent(const HostAddress& host, TimePoint now) {
     if (hosts.count(host) > 0) {
-      hosts[host].suspect_until = now + HostBook::kSuspectFor;
+      hosts[host].suspect_until = now + Membership::kSuspectFor;
     }
   }
 
   static bool IsRecent(const std::optional<TimePoint>& time, TimePoint now) {
-    return time.has_value() && now - *time <= HostBook::kAliveFor;
+    return time.has_value() && now - *time <= Membership::kAliveFor;
   }
   static bool IsAlive(const Host& host, TimePoint now) {
     return IsRecent(host.heard, now) || IsRecent(host.vouched, now);
@@ -247,8 +247,9 @@
       const PlainScan::Host& host = plain_.hosts.at(reader);
       CHECK(PlainScan::IsRecent(host.heard, now_));
       CHECK(PlainScan::IsEligible(host, now_));
-      const bool passed_over = host.unanswered.has_value() &&
-                               now_ - *host.unanswered <= HostBook::kPassedOver;
+      const bool passed_over =
+          host.unanswered.has_value() &&
+          now_ - *host.unanswered <= Membership::kPassedOver;
       CHECK((host.word.own_reading == OwnReading::kAnswered || !passed_over));
     }
   }
@@ -258,17 +259,17 @@
 
   std::mt19937_64 random_{GENERATE(1U, 2U, 3U, 4U, 5U)};
   TimePoint now_{std::chrono::hours(1)};
-  HostBook book_{kSelf,
-                 {Address(1)},
-                 [this] { return now_; },
-                 [this] { return random_(); }};
+  Membership book_{kSelf,
+                   {Address(1)},
+                   [this] { return now_; },
+                   [this] { return random_(); }};
   PlainScan plain_{kSelf};
   bool claims_ = false;
 };
 
 TEST_CASE_METHOD(PropertyFixture,
                  "A host book answers as a scan of all hosts would") {
-  now_ += HostBook::kAlone;
+  now_ += Membership::kAlone;
   constexpr int kSteps = 3000;
   for (int step = 0; step < kSteps; ++step) {
     Play();
@@ -281,7 +282,7 @@
   constexpr int kHosts = 3000;
   TimePoint now{std::chrono::hours(1)};
   std::mt19937_64 random(7);
-  HostBook book(
+  Membership book(
       KnownHost{HostAddress{"10.0.0.1:1"}, HostPower{2}},
       {HostAddress{"10.0.0.1:1"}}, [&now] { return now; },
       [&random] { return random(); });
@@ -294,7 +295,8 @@
     next = host == 0 ? word.address : next;
   }
   std::set<HostAddress> named;
-  for (Millis passed{0}; passed < HostBook::kAliveFor; passed += Millis(300)) {
+  for (Millis passed{0}; passed < Membership::kAliveFor;
+       passed += Millis(300)) {
     HostWord word;
     word.hosts = book.HostsFor(next);
     constexpr std::size_t kMostBytes = 16384;
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -25,7 +25,7 @@
   }
 
   void AddHost(int host) {
-    books_[host] = std::make_unique<HostBook>(
+    books_[host] = std::make_unique<Membership>(
         KnownHost{Address(host), PowerOf(host)},
         std::vector<HostAddress>{Address(0), Address(1)},
         [this] { return now_; }, [this] { return drawn_ += 7; });
@@ -84,7 +84,7 @@
 
   TimePoint now_{std::chrono::hours(1)};
   std::uint64_t drawn_ = 0;
-  std::map<int, std::unique_ptr<HostBook>> books_;
+  std::map<int, std::unique_ptr<Membership>> books_;
 };
 
 TEST_CASE_METHOD(FleetFixture,
@@ -92,7 +92,7 @@
                  "had time to hear of a planner") {
   books_.at(0)->OnHeartbeat(WordOf(1));
   CHECK_FALSE(books_.at(0)->Planner().has_value());
-  now_ += HostBook::kSettles;
+  now_ += Membership::kSettles;
   CHECK(books_.at(0)->Planner() == Address(0));
 }
 
@@ -100,15 +100,15 @@
 TEST_CASE_METHOD(FleetFixture,
                  "A host that hears nobody waits for longer before it plans "
                  "for itself") {
-  now_ += HostBook::kSettles;
+  now_ += Membership::kSettles;
   CHECK_FALSE(books_.at(3)->Planner().has_value());
-  now_ += HostBook::kAlone;
+  now_ += Membership::kAlone;
   CHECK(books_.at(3)->IsPlanner());
 }
 
 TEST_CASE_METHOD(FleetFixture,
                  "Hosts that start together agree on the strongest") {
-  TalkFor(HostBook::kSettles + Millis(300));
+  TalkFor(Membership::kSettles + Millis(300));
   CHECK(FollowersOf(0) == 6);
   CHECK(books_.at(0)->IsPlanner());
   CHECK(books_.at(0)->CountedHosts() == 6);
@@ -118,7 +118,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "When the planner dies the others agree on the next, and a "
                  "silent one is not asked again at once") {
-  TalkFor(HostBook::kSettles + Millis(300));
+  TalkFor(Membership::kSettles + Millis(300));
   books_.erase(0);
   for (const auto& [host, book] : books_) {
     book->OnSilent(Address(0));
@@ -128,7 +128,7 @@
 }
 
 TEST_CASE_METHOD(FleetFixture, "A planner that stops hands over") {
-  TalkFor(HostBook::kSettles + Millis(300));
+  TalkFor(Membership::kSettles + Millis(300));
   books_.at(0)->Leave();
   for (int host = 1; host < 6; ++host) {
     books_.at(host)->OnHeartbeat(WordOf(0));
@@ -140,7 +140,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "A strong host that joins does not displace the planner") {
   books_.erase(0);
-  TalkFor(HostBook::kSettles + Millis(300));
+  TalkFor(Membership::kSettles + Millis(300));
   REQUIRE(FollowersOf(1) == 5);
   AddHost(0);
   TalkFor(Millis(1000));
@@ -157,7 +157,7 @@
       }
     }
   }
-  now_ += HostBook::kSettles;
+  now_ += Membership::kSettles;
   REQUIRE(FollowersOf(0) == 3);
   REQUIRE(FollowersOf(1) == 3);
   Talk(1, 0);
@@ -169,7 +169,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "A planner that was started again plans on as soon as one "
                  "that follows it tells it so") {
-  TalkFor(HostBook::kSettles + Millis(300));
+  TalkFor(Membership::kSettles + Millis(300));
   const HostWord word = WordOf(3);
   AddHost(0);
   CHECK_FALSE(books_.at(0)->Planner().has_value());
@@ -187,15 +187,15 @@
   for (int host = 6; host < 60; ++host) {
     AddHost(host);
   }
-  TalkFor(HostBook::kSettles + Millis(1000));
+  TalkFor(Membership::kSettles + Millis(1000));
   CHECK(FollowersOf(0) == 60);
   CHECK(books_.at(0)->IsPlanner());
 }
 
 TEST_CASE_METHOD(FleetFixture,
                  "Hosts that say nothing are not alive for long") {
-  TalkFor(HostBook::kSettles + Millis(300));
-  now_ += HostBook::kAliveFor + Millis(1);
+  TalkFor(Membership::kSettles + Millis(300));
+  now_ += Membership::kAliveFor + Millis(1);
   CHECK(books_.at(0)->CountedHosts() == 1);
   CHECK(books_.at(3)->IsPlanner());
 }
@@ -211,8 +211,9 @@
   }
   CHECK(books_.at(0)->HostsFor(Address(1)).size() == 40);
   const std::vector<KnownHost> told = books_.at(0)->HostsFor(Address(30));
-  CHECK(told.size() == HostBook::kSuccessors + 1 + HostBook::kNamedBeside);
-  for (int host = 0; host <= static_cast<int>(HostBook::kSuccessors); ++host) {
+  CHECK(told.size() == Membership::kSuccessors + 1 + Membership::kNamedBeside);
+  for (int host = 0; host <= static_cast<int>(Membership::kSuccessors);
+       ++host) {
     CHECK(told.at(static_cast<std::size_t>(host)).address == Address(host));
   }
 }
@@ -221,7 +222,7 @@
                  "A host that is sent on follows the one that it was sent to, "
                  "as soon as that says that it plans") {
   books_.erase(0);
-  TalkFor(HostBook::kSettles + Millis(300));
+  TalkFor(Membership::kSettles + Millis(300));
   AddHost(6);
   HostWord stale = WordOf(2);
   stale.planner = Address(2);
@@ -234,7 +235,7 @@
 
 TEST_CASE_METHOD(FleetFixture,
                  "Only a living host that knows more is asked for it") {
-  HostBook& book = *books_.at(5);
+  Membership& book = *books_.at(5);
   HostWord word = WordOf(1);
   word.routing = RoutingVersion{3};
   word.known_up_to = StoreRevision{40};
@@ -245,7 +246,7 @@
   CHECK(book.BetterInformed(RoutingVersion{3}, StoreRevision{39}) ==
         Address(1));
   CHECK_FALSE(book.BetterInformed(RoutingVersion{3}, StoreRevision{40}));
-  now_ += HostBook::kAliveFor + Millis(1);
+  now_ += Membership::kAliveFor + Millis(1);
   CHECK_FALSE(book.BetterInformed(RoutingVersion{2}, StoreRevision{0}));
 }
 
@@ -254,12 +255,12 @@
 TEST_CASE_METHOD(FleetFixture,
                  "A host that has begun to read is not passed over before it "
                  "can have been answered") {
-  HostBook& book = *books_.at(0);
+  Membership& book = *books_.at(0);
   for (int host = 1; host <= 4; ++host) {
     book.OnHeartbeat(WordOf(host));
   }
   const std::vector<HostAddress> chosen = book.SourceReaders();
-  REQUIRE(chosen.size() == HostBook::kReadersBeside);
+  REQUIRE(chosen.size() == Membership::kReadersBeside);
   for (int host = 1; host <= 4; ++host) {
     HostWord word = WordOf(host);
     word.own_reading = OwnReading::kBegun;
@@ -270,7 +271,7 @@
 
 TEST_CASE_METHOD(FleetFixture,
                  "A host whose reading failed is passed over for a while") {
-  HostBook& book = *books_.at(0);
+  Membership& book = *books_.at(0);
   for (int host = 1; host <= 4; ++host) {
     book.OnHeartbeat(WordOf(host));
   }
@@ -287,7 +288,7 @@
   for (const HostAddress& reader : book.SourceReaders()) {
     CHECK(reader != first);
   }
-  now_ += HostBook::kPassedOver + Millis(1);
+  now_ += Membership::kPassedOver + Millis(1);
   failed.own_reading = OwnReading::kNone;
   for (int host = 1; host <= 4; ++host) {
     book.OnHeartbeat(WordOf(host));
--- a/src/gateway/copy_server.h
+++ b/src/gateway/copy_server.h
@@ -26,7 +26,7 @@
   using KnownUpTo = std::function<StoreRevision()>;
 
   // `book` and `metrics` must outlive this and all replies.
-  CopyServer(HostPower power, HostBook* book, Source source,
+  CopyServer(HostPower power, Membership* book, Source source,
              KnownUpTo known_up_to, Metrics* metrics, MonotonicClock clock);
 
   // Returns whether `target` is one of this server's pages.
@@ -49,7 +49,7 @@
   SmallReply Give(StoreRevision since);
 
   HostPower power_;
-  HostBook* book_;
+  Membership* book_;
   Source source_;
   KnownUpTo known_up_to_;
   Metrics* metrics_;
--- a/src/gateway/crash_relay.cc
+++ b/src/gateway/crash_relay.cc
@@ -6,7 +6,7 @@
 namespace harecrank {
 
 CrashRelay::CrashRelay(boost::asio::io_context* io, HostAddress self,
-                       HostBook* book, FleetSocket* socket,
+                       Membership* book, FleetSocket* socket,
                        CrashRelayPorts ports)
     : io_(io),
       self_(std::move(self)),
--- a/src/gateway/crash_relay.h
+++ b/src/gateway/crash_relay.h
@@ -29,7 +29,7 @@
 class CrashRelay {
  public:
   // All pointers must outlive this.
-  CrashRelay(boost::asio::io_context* io, HostAddress self, HostBook* book,
+  CrashRelay(boost::asio::io_context* io, HostAddress self, Membership* book,
              FleetSocket* socket, CrashRelayPorts ports);
 
   // Tells all others what this host knows of a request.
@@ -46,7 +46,7 @@
 
   boost::asio::io_context* io_;
   HostAddress self_;
-  HostBook* book_;
+  Membership* book_;
   FleetSocket* socket_;
   CrashRelayPorts ports_;
   // What ended together is told together.
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -44,7 +44,7 @@
 };
 
 FleetMember::FleetMember(boost::asio::io_context* io, NodeId node,
-                         KnownHost self, Incarnation life, HostBook* book,
+                         KnownHost self, Incarnation life, Membership* book,
                          Planner* planner, EndpointHealth* health,
                          FleetSocket* socket, FleetMemberPorts ports,
                          EventLog* log, Metrics* metrics, MonotonicClock clock,
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -61,7 +61,7 @@
  public:
   // All pointers must outlive this.
   FleetMember(boost::asio::io_context* io, NodeId node, KnownHost self,
-              Incarnation life, HostBook* book, Planner* planner,
+              Incarnation life, Membership* book, Planner* planner,
               EndpointHealth* health, FleetSocket* socket,
               FleetMemberPorts ports, EventLog* log, Metrics* metrics,
               MonotonicClock clock, RandomSource random);
@@ -136,7 +136,7 @@
   NodeId node_;
   KnownHost self_;
   Incarnation life_;
-  HostBook* book_;
+  Membership* book_;
   Planner* planner_;
   EndpointHealth* health_;
   FleetSocket* socket_;
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -30,7 +30,7 @@
   EndpointNews* endpoint_news;
   RequestQuarantine* quarantine;
   DispatchQueue* queue;
-  HostBook* hosts;
+  Membership* hosts;
   StartGate* start_gate;
   Planner* planner;
   FleetMember* fleet;
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -112,7 +112,7 @@
   RepeatBudgets budgets_;
   DispatchQueue queue_;
   std::unique_ptr<MemoryOrders> orders_;
-  HostBook hosts_;
+  Membership hosts_;
   StartGate start_gate_;
   Planner planner_;
   FleetSocket fleet_socket_;
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -53,7 +53,7 @@
 }  // namespace
 
 PublicationRelay::PublicationRelay(boost::asio::io_context* io,
-                                   HostAddress self, HostBook* book,
+                                   HostAddress self, Membership* book,
                                    FleetSocket* socket,
                                    PublicationRelayPorts ports, EventLog* log,
                                    MonotonicClock clock, RandomSource random)
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -43,7 +43,7 @@
  public:
   // All pointers must outlive this.
   PublicationRelay(boost::asio::io_context* io, HostAddress self,
-                   HostBook* book, FleetSocket* socket,
+                   Membership* book, FleetSocket* socket,
                    PublicationRelayPorts ports, EventLog* log,
                    MonotonicClock clock, RandomSource random);
 
@@ -73,7 +73,7 @@
 
   boost::asio::io_context* io_;
   HostAddress self_;
-  HostBook* book_;
+  Membership* book_;
   FleetSocket* socket_;
   PublicationRelayPorts ports_;
   EventLog* log_;
