--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -60,7 +60,7 @@
 };
 
 // A host's account of itself.
-struct HostWord {
+struct Heartbeat {
   NodeId node;
   HostAddress address;
   Incarnation life;
@@ -197,7 +197,7 @@
   std::vector<CrashReport> reports;
 };
 
-using FleetMessage = std::variant<HostWord, PlaceAsk, PlaceAnswer, WorkNote,
+using FleetMessage = std::variant<Heartbeat, PlaceAsk, PlaceAnswer, WorkNote,
                                   PublishedChanges, CrashReports>;
 
 // Returns `message` as CBOR.
--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -30,7 +30,7 @@
   void SetSeeds(std::vector<HostAddress> seeds);
 
   // Notes a host's word. Returns whether the host was not known as alive.
-  bool OnHeartbeat(const HostWord& word);
+  bool OnHeartbeat(const Heartbeat& word);
 
   // Notes that another message came from `host`.
   void OnHeard(const HostAddress& host);
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -69,7 +69,7 @@
 
   // Takes a host's account of what it has under way, which replaces what was
   // known of it, but for places so new that the account may have crossed them.
-  void OnHeartbeat(const HostWord& word);
+  void OnHeartbeat(const Heartbeat& word);
 
   // Tries those that wait, first to last, and returns those that start.
   std::vector<DeferredReply> ProcessWaitQueue();
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -165,9 +165,9 @@
   throw UnknownNumber{};
 }
 
-HostWord TakeWord(ArrayReader* reader, std::size_t size) {
+Heartbeat TakeWord(ArrayReader* reader, std::size_t size) {
   constexpr std::size_t kSizeWithoutWork = 17;
-  HostWord word;
+  Heartbeat word;
   word.node = reader->TakeString<NodeId>();
   word.address = reader->TakeString<HostAddress>();
   word.life = reader->TakeNumber<Incarnation>();
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -88,7 +88,7 @@
 }
 
 struct MessageEncoder {
-  json operator()(const HostWord& word) const {
+  json operator()(const Heartbeat& word) const {
     json hosts = json::array();
     for (const KnownHost& host : word.hosts) {
       hosts.push_back({host.address.value, host.power.value});
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -14,8 +14,8 @@
   return std::get<T>(*read);
 }
 
-HostWord Word() {
-  HostWord word;
+Heartbeat Word() {
+  Heartbeat word;
   word.node = NodeId{"n"};
   word.address = kHost;
   word.life = Incarnation{77};
@@ -79,7 +79,7 @@
 }
 
 TEST_CASE("A word tells the digest of suspects with or without its work") {
-  HostWord word = Word();
+  Heartbeat word = Word();
   word.crash_digest = ~std::uint64_t{0};
   CHECK(SentAndRead(word).crash_digest == ~std::uint64_t{0});
   CHECK(SentAndRead(word).work.has_value());
@@ -91,7 +91,7 @@
 }
 
 TEST_CASE("A word tells the size of the fleet with or without the rest") {
-  HostWord word = Word();
+  Heartbeat word = Word();
   word.most_hosts = 24;
   CHECK(SentAndRead(word).most_hosts == 24);
   CHECK(SentAndRead(word).work.has_value());
@@ -104,7 +104,7 @@
 }
 
 TEST_CASE("A host's word comes back as it was told") {
-  const HostWord read = SentAndRead(Word());
+  const Heartbeat read = SentAndRead(Word());
   CHECK(read.node == NodeId{"n"});
   CHECK(read.address == kHost);
   CHECK(read.life == Incarnation{77});
@@ -141,7 +141,7 @@
 }
 
 TEST_CASE("A word that tells no work is another than one that tells of none") {
-  HostWord word = Word();
+  Heartbeat word = Word();
   word.work = std::vector<AskedWork>{};
   CHECK(SentAndRead(word).work.has_value());
   word.work.reset();
@@ -239,7 +239,7 @@
 }
 
 TEST_CASE("A number that stands for no class of work is refused") {
-  HostWord word = Word();
+  Heartbeat word = Word();
   word.work->front().parts.front().work_class = static_cast<WorkClass>(9);
   CHECK_FALSE(DecodeFleetMessage(EncodeFleetMessage(word)).has_value());
 }
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -38,7 +38,7 @@
       [this](const HostAddress& seed) { return seed != self_.address; }));
 }
 
-bool Membership::OnHeartbeat(const HostWord& word) {
+bool Membership::OnHeartbeat(const Heartbeat& word) {
   if (word.address == self_.address) {
     return false;
   }
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -20,14 +20,14 @@
   explicit PlainScan(KnownHost self) : self_(std::move(self)) {}
 
   struct Host {
-    HostWord word;
+    Heartbeat word;
     std::optional<TimePoint> heard;
     std::optional<TimePoint> vouched;
     std::optional<TimePoint> unanswered;
     TimePoint suspect_until{};
   };
 
-  void OnHeartbeat(const HostWord& word, TimePoint now) {
+  void OnHeartbeat(const Heartbeat& word, TimePoint now) {
     Host& host = hosts[word.address];
     host.word = word;
     host.heard = now;
@@ -153,8 +153,8 @@
     return HostAddress{"10.0.0." + std::to_string(host) + ":1"};
   }
 
-  HostWord RandomWord() {
-    HostWord word;
+  Heartbeat RandomWord() {
+    Heartbeat word;
     const std::uint64_t host = 1 + random_() % kHosts;
     word.address = Address(host);
     word.power = HostPower{host % 3 == 0 ? 1.0 : 0.09};
@@ -185,7 +185,7 @@
         break;
       }
       default: {
-        const HostWord word = RandomWord();
+        const Heartbeat word = RandomWord();
         book_.OnHeartbeat(word);
         plain_.OnHeartbeat(word, now_);
       }
@@ -288,7 +288,7 @@
       [&random] { return random(); });
   HostAddress next;
   for (int host = 0; host < kHosts; ++host) {
-    HostWord word;
+    Heartbeat word;
     word.address = HostAddress{"10.1." + std::to_string(host) + ":1"};
     word.power = HostPower{host == 0 ? 1.0 : 0.09};
     book.OnHeartbeat(word);
@@ -297,7 +297,7 @@
   std::set<HostAddress> named;
   for (Millis passed{0}; passed < Membership::kAliveFor;
        passed += Millis(300)) {
-    HostWord word;
+    Heartbeat word;
     word.hosts = book.HostsFor(next);
     constexpr std::size_t kMostBytes = 16384;
     CHECK(EncodeFleetMessage(word).size() <= kMostBytes);
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -31,8 +31,8 @@
         [this] { return now_; }, [this] { return drawn_ += 7; });
   }
 
-  HostWord WordOf(int host) {
-    HostWord word;
+  Heartbeat WordOf(int host) {
+    Heartbeat word;
     word.node = NodeId{std::to_string(host)};
     word.address = Address(host);
     word.power = PowerOf(host);
@@ -44,7 +44,7 @@
   // `from` tells `to`, and hears back.
   void Talk(int from, int to) {
     books_.at(to)->OnHeartbeat(WordOf(from));
-    HostWord reply = WordOf(to);
+    Heartbeat reply = WordOf(to);
     reply.hosts = books_.at(to)->HostsFor(Address(from));
     books_.at(from)->OnHeartbeat(reply);
   }
@@ -170,7 +170,7 @@
                  "A planner that was started again plans on as soon as one "
                  "that follows it tells it so") {
   TalkFor(Membership::kSettles + Millis(300));
-  const HostWord word = WordOf(3);
+  const Heartbeat word = WordOf(3);
   AddHost(0);
   CHECK_FALSE(books_.at(0)->Planner().has_value());
   books_.at(0)->OnHeartbeat(word);
@@ -224,7 +224,7 @@
   books_.erase(0);
   TalkFor(Membership::kSettles + Millis(300));
   AddHost(6);
-  HostWord stale = WordOf(2);
+  Heartbeat stale = WordOf(2);
   stale.planner = Address(2);
   books_.at(6)->OnHeartbeat(stale);
   REQUIRE(books_.at(6)->Planner() == Address(2));
@@ -236,7 +236,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "Only a living host that knows more is asked for it") {
   Membership& book = *books_.at(5);
-  HostWord word = WordOf(1);
+  Heartbeat word = WordOf(1);
   word.routing = RoutingVersion{3};
   word.known_up_to = StoreRevision{40};
   word.source_well = true;
@@ -262,7 +262,7 @@
   const std::vector<HostAddress> chosen = book.SourceReaders();
   REQUIRE(chosen.size() == Membership::kReadersBeside);
   for (int host = 1; host <= 4; ++host) {
-    HostWord word = WordOf(host);
+    Heartbeat word = WordOf(host);
     word.own_reading = OwnReading::kBegun;
     book.OnHeartbeat(word);
   }
@@ -276,7 +276,7 @@
     book.OnHeartbeat(WordOf(host));
   }
   const HostAddress first = book.SourceReaders().front();
-  HostWord failed;
+  Heartbeat failed;
   for (int host = 1; host <= 4; ++host) {
     failed = WordOf(host);
     if (failed.address == first) {
@@ -305,7 +305,7 @@
   now_ += std::chrono::minutes(5);
   books_.at(0)->NoteSize();
   CHECK(books_.at(0)->CountedHosts() == 1);
-  HostWord word = WordOf(0);
+  Heartbeat word = WordOf(0);
   word.most_hosts = books_.at(0)->Size().Counted();
   AddHost(9);
   books_.at(9)->OnHeartbeat(word);
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -191,7 +191,7 @@
   }
 }
 
-void Planner::OnHeartbeat(const HostWord& word) {
+void Planner::OnHeartbeat(const Heartbeat& word) {
   if (!word.work.has_value()) {
     return;
   }
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -73,9 +73,9 @@
   }
 
   // Returns the account of a host that has under way what `asks` were given.
-  static HostWord AccountOf(
+  static Heartbeat AccountOf(
       const std::vector<std::pair<PlaceAsk, PlannedPlacement>>& asks) {
-    HostWord word;
+    Heartbeat word;
     word.address = asks.front().first.host;
     word.life = asks.front().first.life;
     word.work.emplace();
@@ -237,7 +237,7 @@
   planner_->Begin({HostAddress{"h1"}});
   const PlaceAsk ask = Short(1);
   REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(ask)));
-  HostWord nothing;
+  Heartbeat nothing;
   nothing.address = ask.host;
   nothing.life = ask.life;
   nothing.work.emplace();
@@ -250,7 +250,7 @@
                  "not before the host can have told") {
   const PlaceAsk taken = Long(1);
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(taken));
-  HostWord nothing = AccountOf({{taken, placed}});
+  Heartbeat nothing = AccountOf({{taken, placed}});
   nothing.work->clear();
   planner_->OnHeartbeat(nothing);
   CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
@@ -278,7 +278,7 @@
   planner_->OnQuery(Long(1));
   const PlaceAsk waits = Long(2);
   planner_->OnQuery(waits);
-  HostWord alive;
+  Heartbeat alive;
   alive.address = waits.host;
   alive.life = waits.life;
   alive.work.emplace();
--- a/src/gateway/crash_relay.cc
+++ b/src/gateway/crash_relay.cc
@@ -42,7 +42,7 @@
   }
 }
 
-void CrashRelay::Repair(const HostWord& word, std::uint64_t own_digest) {
+void CrashRelay::Repair(const Heartbeat& word, std::uint64_t own_digest) {
   if (own_digest == word.crash_digest || own_digest == 0) {
     return;
   }
--- a/src/gateway/crash_relay.h
+++ b/src/gateway/crash_relay.h
@@ -39,7 +39,7 @@
 
   // Sends what it has missed to a host whose digest is another than this one's,
   // `own_digest`.
-  void Repair(const HostWord& word, std::uint64_t own_digest);
+  void Repair(const Heartbeat& word, std::uint64_t own_digest);
 
  private:
   void TellAll();
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -22,7 +22,7 @@
 struct FleetMember::Receiver {
   FleetMember* member;
 
-  void operator()(const HostWord& word) const { member->OnHeartbeat(word); }
+  void operator()(const Heartbeat& word) const { member->OnHeartbeat(word); }
   void operator()(const PlaceAsk& ask) const { member->desk_.OnQuery(ask); }
   void operator()(const PlaceAnswer& answer) const {
     member->book_->OnHeard(answer.from);
@@ -138,7 +138,7 @@
   std::visit(Receiver{this}, message);
 }
 
-void FleetMember::OnHeartbeat(const HostWord& word) {
+void FleetMember::OnHeartbeat(const Heartbeat& word) {
   const TimePoint now = clock_();
   if (book_->OnHeartbeat(word)) {
     peers_log_.OnHeard();
@@ -162,11 +162,11 @@
   if (word.planner == word.address && word.address != followed_) {
     // It plans, for some hosts at least, and must not take this host's engines
     // for idle.
-    HostWord account = OwnWord();
+    Heartbeat account = OwnWord();
     account.work = places_.Work();
     Send(word.address, account);
   }
-  const HostWord own = Described();
+  const Heartbeat own = Described();
   HearOfSource(word, own);
   crashes_.Repair(word, own.crash_digest);
   relay_.AskBetterInformed(own);
@@ -176,8 +176,8 @@
   }
 }
 
-void FleetMember::Reply(const HostWord& word) {
-  HostWord reply = OwnWord();
+void FleetMember::Reply(const Heartbeat& word) {
+  Heartbeat reply = OwnWord();
   reply.hosts = book_->HostsFor(word.address);
   if (IsPlanner()) {
     TellTurn(word.address, &reply);
@@ -185,7 +185,7 @@
   Send(word.address, reply);
 }
 
-void FleetMember::TellTurn(const HostAddress& reader, HostWord* word) const {
+void FleetMember::TellTurn(const HostAddress& reader, Heartbeat* word) const {
   const auto found = std::find(readers_.begin(), readers_.end(), reader);
   word->should_read = found != readers_.end();
   if (*word->should_read) {
@@ -198,7 +198,7 @@
 void FleetMember::TellReaders() {
   readers_ = book_->SourceReaders();
   is_answered_ = Described().own_reading == OwnReading::kAnswered;
-  HostWord word = OwnWord();
+  Heartbeat word = OwnWord();
   for (const HostAddress& reader : readers_) {
     TellTurn(reader, &word);
     Send(reader, word);
@@ -213,19 +213,19 @@
     return;
   }
   probed_at_ = now;
-  HostWord word = OwnWord();
+  Heartbeat word = OwnWord();
   word.wants_reply = true;
   Send(planner, word);
 }
 
-HostWord FleetMember::Described() const {
-  HostWord own;
+Heartbeat FleetMember::Described() const {
+  Heartbeat own;
   ports_.describe(&own);
   return own;
 }
 
-HostWord FleetMember::OwnWord() const {
-  HostWord word = Described();
+Heartbeat FleetMember::OwnWord() const {
+  Heartbeat word = Described();
   word.node = node_;
   word.address = self_.address;
   word.life = life_;
@@ -243,7 +243,7 @@
   if (!followed_.has_value()) {
     return;
   }
-  HostWord word = OwnWord();
+  Heartbeat word = OwnWord();
   word.work = places_.Work();
   word.wants_reply = *followed_ != self_.address;
   if (*followed_ == self_.address) {
@@ -273,7 +273,7 @@
   search_interval_ = followed_.has_value()
                          ? kSearchInterval
                          : std::min(2 * search_interval_, kLongestSearch);
-  HostWord word = OwnWord();
+  Heartbeat word = OwnWord();
   word.wants_reply = true;
   for (const HostAddress& stranger : book_->Strangers()) {
     Send(stranger, word);
@@ -354,7 +354,7 @@
   });
 }
 
-void FleetMember::HearOfSource(const HostWord& word, const HostWord& own) {
+void FleetMember::HearOfSource(const Heartbeat& word, const Heartbeat& own) {
   const bool from_planner = word.address == followed_;
   if (from_planner && word.should_read.has_value()) {
     ports_.on_reading_turn(*word.should_read
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -31,7 +31,7 @@
 // What the member asks of its owner.
 struct FleetMemberPorts {
   // Fills the owner's part of the host's word: what it knows of the platform.
-  std::function<void(HostWord* word)> describe;
+  std::function<void(Heartbeat* word)> describe;
   // As those of PublicationRelayPorts.
   std::function<std::vector<std::string>(StoreRevision since,
                                          std::size_t most_bytes)>
@@ -109,13 +109,13 @@
   PublicationRelayPorts MakeRelayPorts();
   void Send(const HostAddress& to, const FleetMessage& message);
   void OnMessage(const FleetMessage& message);
-  void OnHeartbeat(const HostWord& word);
-  HostWord OwnWord() const;
+  void OnHeartbeat(const Heartbeat& word);
+  Heartbeat OwnWord() const;
   // Returns what the owner tells of itself, without the rest of a word.
-  HostWord Described() const;
-  void Reply(const HostWord& word);
+  Heartbeat Described() const;
+  void Reply(const Heartbeat& word);
   // As the planner: adds to `word` whether `reader` is to read the platform.
-  void TellTurn(const HostAddress& reader, HostWord* word) const;
+  void TellTurn(const HostAddress& reader, Heartbeat* word) const;
   // As the planner: tells those that read the platform beside it how its own
   // reading goes.
   void TellReaders();
@@ -130,7 +130,7 @@
   void FollowPlanner();
   void LookForSilence();
   void OnChanges(const PublishedChanges& published);
-  void HearOfSource(const HostWord& word, const HostWord& own);
+  void HearOfSource(const Heartbeat& word, const Heartbeat& own);
 
   boost::asio::io_context* io_;
   NodeId node_;
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -109,7 +109,7 @@
 nlohmann::json DumpOf(const GatewayParts& parts) {
   const auto planner = parts.hosts->Planner();
   const auto table = parts.routing->InForce();
-  HostWord source;
+  Heartbeat source;
   parts.source->Describe(&source);
   return {{"configuration", table == nullptr ? 0 : table->Version().value},
           {"source",
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -253,7 +253,7 @@
 
 FleetMemberPorts GatewayNode::MakeFleetPorts() {
   FleetMemberPorts ports;
-  ports.describe = [this](HostWord* word) {
+  ports.describe = [this](Heartbeat* word) {
     const auto table = routing_.InForce();
     word->routing = table == nullptr ? RoutingVersion{} : table->Version();
     source_.Describe(word);
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -49,7 +49,7 @@
   }
 }
 
-void PlanningDesk::OnHeartbeat(const HostWord& word) {
+void PlanningDesk::OnHeartbeat(const Heartbeat& word) {
   if (IsPlanner()) {
     planner_->OnHeartbeat(word);
     TryWaitingSoon();
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planning_desk.h
@@ -31,7 +31,7 @@
 
   void OnQuery(const PlaceAsk& ask);
   void OnProgressReport(const WorkNote& note);
-  void OnHeartbeat(const HostWord& word);
+  void OnHeartbeat(const Heartbeat& word);
 
   // To be called every few tens of milliseconds on the host that plans.
   void Tick();
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -81,7 +81,7 @@
 
 void PublicationRelay::TellPublished() {
   tells_published_ = false;
-  const HostWord own = ports_.describe();
+  const Heartbeat own = ports_.describe();
   if (!(told_up_to_ < own.known_up_to)) {
     return;
   }
@@ -116,7 +116,7 @@
   ports_.on_published(published.changes, true);
 }
 
-void PublicationRelay::AskBetterInformed(const HostWord& own) {
+void PublicationRelay::AskBetterInformed(const Heartbeat& own) {
   // What this host is reading already need not be asked for.
   const RoutingVersion routing =
       ports_.reads_routing()
@@ -137,7 +137,7 @@
   Ask(*host, own.known_up_to, false);
 }
 
-Millis PublicationRelay::Grace(const HostWord& own) const {
+Millis PublicationRelay::Grace(const Heartbeat& own) const {
   if (own.routing == RoutingVersion{}) {
     return Millis(0);
   }
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -20,7 +20,7 @@
 // What the relay asks of its owner.
 struct PublicationRelayPorts {
   // Returns what this host knows of the platform.
-  std::function<HostWord()> describe;
+  std::function<Heartbeat()> describe;
   // Returns what the platform has published since `since`, for hosts that know
   // all before it, in parts of at most `most_bytes` that follow each other; the
   // last one may be larger.
@@ -59,12 +59,12 @@
   // Asks a host that knows more of the platform, unless this one, which knows
   // what `own` says, is about to learn it by itself. To be called with each
   // word and every few tens of milliseconds.
-  void AskBetterInformed(const HostWord& own);
+  void AskBetterInformed(const Heartbeat& own);
 
  private:
   void TellPublished();
   // Returns how long another host may know more before it is asked.
-  Millis Grace(const HostWord& own) const;
+  Millis Grace(const Heartbeat& own) const;
   void Ask(const HostAddress& host, StoreRevision since, bool sent_on);
   void OnAnswer(const HostAddress& host, StoreRevision since, bool sent_on,
                 const CallResult& result);
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -45,7 +45,7 @@
   Update("told to stop reading");
 }
 
-void SourceState::Describe(HostWord* word) const {
+void SourceState::Describe(Heartbeat* word) const {
   word->known_up_to = known_up_to_;
   word->source_well = is_well_;
   word->source_age = duty_.Age();
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -59,7 +59,7 @@
   bool IsWell() const { return is_well_; }
   StoreRevision KnownUpTo() const { return known_up_to_; }
   // Adds what others are told of this.
-  void Describe(HostWord* word) const;
+  void Describe(Heartbeat* word) const;
 
  private:
   void AdvanceTo(StoreRevision at);
