--- a/include/harecrank/core/configuration_parse_scheduler.h
+++ b/include/harecrank/core/configuration_parse_scheduler.h
@@ -43,7 +43,7 @@
 class ConfigurationParseScheduler {
  public:
   // `power` is the share of a core that the host has.
-  ConfigurationParseScheduler(HostPower power, ParseSchedulePolicy policy);
+  ConfigurationParseScheduler(CpuShare power, ParseSchedulePolicy policy);
 
   // A version newer than all before has come. Returns whether it is to be read
   // now, instead of the one that is being read if there is one. Otherwise it
@@ -76,7 +76,7 @@
   // Nanoseconds of this host for a nanosecond of a whole core.
   double NominalStretch() const;
 
-  HostPower power_;
+  CpuShare power_;
   ParseSchedulePolicy policy_;
   // As NominalStretch, as slices have shown it.
   double stretch_;
--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -32,7 +32,7 @@
 class CopyDesk {
  public:
   // `power` is this host's.
-  CopyDesk(HostPower power, MonotonicClock clock);
+  CopyDesk(CpuShare power, MonotonicClock clock);
 
   // A host asks. `elsewhere` is another one that gives the same, if any is
   // known. Each GiveCopy is followed by one OnGone.
--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -32,12 +32,12 @@
 using AskId = StrongNumber<struct AskTag, std::uint64_t>;
 
 // The processor share of a host's machine. Strong hosts plan for weak ones.
-using HostPower = StrongNumber<struct HostPowerTag, double>;
+using CpuShare = StrongNumber<struct HostPowerTag, double>;
 
 // A host that another one knows.
 struct KnownHost {
   HostAddress address;
-  HostPower power;
+  CpuShare power;
 };
 
 // What a host has under way by one ask.
@@ -64,7 +64,7 @@
   NodeId node;
   HostAddress address;
   Incarnation life;
-  HostPower power;
+  CpuShare power;
   RoutingVersion routing;
   StoreRevision known_up_to;
   // The platform answers it, or it hears from a host that the platform answers.
--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -76,7 +76,7 @@
                                             StoreRevision known_up_to) const;
 
   // Returns the power of `host`, or zero if it is not known.
-  HostPower PowerOf(const HostAddress& host) const;
+  CpuShare PowerOf(const HostAddress& host) const;
 
   // Returns among how many hosts the turns to read the platform's service are
   // divided: one if no other host was heard within kLoneAfter.
@@ -129,7 +129,7 @@
 
  private:
   struct Host {
-    HostPower power;
+    CpuShare power;
     HostStanding standing;
     bool leaving = false;
     HostAddress planner;
@@ -145,10 +145,10 @@
   };
   using Hosts = std::map<HostAddress, Host>;
 
-  static HostRank RankOf(const HostAddress& address, HostPower power);
+  static HostRank RankOf(const HostAddress& address, CpuShare power);
 
   // Returns the host of `address`, which is new if it was not known.
-  Hosts::value_type* Known(const HostAddress& address, HostPower power);
+  Hosts::value_type* Known(const HostAddress& address, CpuShare power);
   void NoteHeard(Hosts::value_type* host);
   // Puts a host that was heard, and has changed, into all orders.
   void Rank(Hosts::value_type* host);
--- a/src/core/configuration_parse_scheduler.cc
+++ b/src/core/configuration_parse_scheduler.cc
@@ -23,7 +23,7 @@
 }  // namespace
 
 ConfigurationParseScheduler::ConfigurationParseScheduler(
-    HostPower power, ParseSchedulePolicy policy)
+    CpuShare power, ParseSchedulePolicy policy)
     : power_(power), policy_(policy), stretch_(NominalStretch()) {}
 
 double ConfigurationParseScheduler::NominalStretch() const {
--- a/src/core/configuration_parse_scheduler_test.cc
+++ b/src/core/configuration_parse_scheduler_test.cc
@@ -24,7 +24,7 @@
 class Host {
  public:
   explicit Host(ParseSchedulePolicy policy, double power = kWeakHost)
-      : power_(power), parse_scheduler_(HostPower{power}, policy) {}
+      : power_(power), parse_scheduler_(CpuShare{power}, policy) {}
 
   // Plays versions that arrive at `arrivals`, in order.
   void Play(const std::vector<Millis>& arrivals, std::size_t cost) {
@@ -160,7 +160,7 @@
 
 TEST_CASE("A host that has read nothing yet reads without pauses",
           "[configuration_intake]") {
-  ConfigurationParseScheduler parse_scheduler(HostPower{kWeakHost},
+  ConfigurationParseScheduler parse_scheduler(CpuShare{kWeakHost},
                                               ParseSchedulePolicy{});
   TimePoint now{};
   REQUIRE(parse_scheduler.OnVersionArrived(now));
@@ -175,7 +175,7 @@
 TEST_CASE(
     "A host that was suspended in the middle of a slice goes on as before",
     "[configuration_intake]") {
-  ConfigurationParseScheduler parse_scheduler(HostPower{kWeakHost},
+  ConfigurationParseScheduler parse_scheduler(CpuShare{kWeakHost},
                                               ParseSchedulePolicy{});
   TimePoint now{};
   REQUIRE(parse_scheduler.OnVersionArrived(now));
@@ -189,7 +189,7 @@
 
 TEST_CASE("A version that waits is read once the one before it is done",
           "[configuration_intake]") {
-  ConfigurationParseScheduler parse_scheduler(HostPower{kWeakHost},
+  ConfigurationParseScheduler parse_scheduler(CpuShare{kWeakHost},
                                               ParseSchedulePolicy{});
   TimePoint now{};
   REQUIRE(parse_scheduler.OnVersionArrived(now));
--- a/src/core/copy_desk.cc
+++ b/src/core/copy_desk.cc
@@ -6,7 +6,7 @@
 
 namespace harecrank {
 
-CopyDesk::CopyDesk(HostPower power, MonotonicClock clock)
+CopyDesk::CopyDesk(CpuShare power, MonotonicClock clock)
     : most_(std::max(1, static_cast<int>(power.value * kAtOnceOfWholeCore))),
       clock_(std::move(clock)) {}
 
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -18,7 +18,7 @@
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  CopyDesk desk_{HostPower{0.25}, [this] { return now_; }};
+  CopyDesk desk_{CpuShare{0.25}, [this] { return now_; }};
 };
 
 TEST_CASE_METHOD(DeskFixture, "As many copies go out as the host bears") {
@@ -53,7 +53,7 @@
 }
 
 TEST_CASE_METHOD(DeskFixture, "The weakest host gives one copy at a time") {
-  CopyDesk desk(HostPower{0.09}, [this] { return now_; });
+  CopyDesk desk(CpuShare{0.09}, [this] { return now_; });
   CHECK(IsGiven(desk.OnAsked(std::nullopt)));
   CHECK_FALSE(IsGiven(desk.OnAsked(std::nullopt)));
 }
@@ -127,7 +127,7 @@
     most_asks_ = std::max(most_asks_, giver.asks);
     if (giver.desk == nullptr) {
       giver.desk =
-          std::make_unique<CopyDesk>(HostPower{1.0}, [this] { return now_; });
+          std::make_unique<CopyDesk>(CpuShare{1.0}, [this] { return now_; });
     }
     const bool knows_others = ask.to == 0 && !givers_.empty();
     const CopyDecision decision = giver.desk->OnAsked(
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -19,7 +19,7 @@
   word.node = NodeId{"n"};
   word.address = kHost;
   word.life = Incarnation{77};
-  word.power = HostPower{0.19};
+  word.power = CpuShare{0.19};
   word.routing = RoutingVersion{3};
   word.known_up_to = StoreRevision{40};
   word.source_well = true;
@@ -28,7 +28,7 @@
   word.planner = HostAddress{"10.0.0.2:1"};
   word.wants_reply = true;
   word.alive_hosts = 9;
-  word.hosts = {KnownHost{HostAddress{"10.0.0.3:1"}, HostPower{0.5}}};
+  word.hosts = {KnownHost{HostAddress{"10.0.0.3:1"}, CpuShare{0.5}}};
   word.avoided = {AvoidedEndpoint{EndpointId{"f"}, Millis(70)}};
   const WorkPart part{EndpointId{"e"}, WorkClass::kLong, FractionalMillis(12.5),
                       Tokens{7}, Millis(600)};
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -72,7 +72,7 @@
 }
 
 Membership::Hosts::value_type* Membership::Known(const HostAddress& address,
-                                                 HostPower power) {
+                                                 CpuShare power) {
   const auto [known, is_new] = hosts_.try_emplace(address);
   Host& host = known->second;
   if (is_new) {
@@ -217,7 +217,7 @@
       return best;
     }
     if (IsEligible(hosts_.at(address))) {
-      best.push_back(KnownHost{address, HostPower{rank.first}});
+      best.push_back(KnownHost{address, CpuShare{rank.first}});
     }
   }
   if (self_stands && best.size() < most) {
@@ -286,9 +286,9 @@
   return ranking_.BetterInformed(routing, known_up_to, random_());
 }
 
-HostPower Membership::PowerOf(const HostAddress& host) const {
+CpuShare Membership::PowerOf(const HostAddress& host) const {
   const auto found = hosts_.find(host);
-  return found == hosts_.end() ? HostPower{} : found->second.power;
+  return found == hosts_.end() ? CpuShare{} : found->second.power;
 }
 
 int Membership::ReadingHosts() const {
@@ -312,7 +312,7 @@
   return std::max(AliveHosts(), size_.Most().value_or(0));
 }
 
-HostRank Membership::RankOf(const HostAddress& address, HostPower power) {
+HostRank Membership::RankOf(const HostAddress& address, CpuShare power) {
   return {power.value, RendezvousWeight(kPlannerKey, address.value)};
 }
 
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -61,7 +61,7 @@
     return !host.word.leaving && now >= host.suspect_until;
   }
 
-  static HostRank RankOf(const HostAddress& address, HostPower power) {
+  static HostRank RankOf(const HostAddress& address, CpuShare power) {
     return {power.value, RendezvousWeight("planner", address.value)};
   }
 
@@ -157,7 +157,7 @@
     Heartbeat word;
     const std::uint64_t host = 1 + random_() % kHosts;
     word.address = Address(host);
-    word.power = HostPower{host % 3 == 0 ? 1.0 : 0.09};
+    word.power = CpuShare{host % 3 == 0 ? 1.0 : 0.09};
     word.routing = RoutingVersion{random_() % 4};
     word.known_up_to = StoreRevision{random_() % 5};
     word.source_well = random_() % 3 != 0;
@@ -168,7 +168,7 @@
     for (std::uint64_t i = random_() % 4; i > 0; --i) {
       const std::uint64_t other = random_() % kHosts;
       word.hosts.push_back(
-          KnownHost{Address(other), HostPower{other % 3 == 0 ? 1.0 : 0.09}});
+          KnownHost{Address(other), CpuShare{other % 3 == 0 ? 1.0 : 0.09}});
     }
     return word;
   }
@@ -255,7 +255,7 @@
   }
 
   static constexpr std::uint64_t kHosts = 40;
-  const KnownHost kSelf{Address(0), HostPower{0.01}};
+  const KnownHost kSelf{Address(0), CpuShare{0.01}};
 
   std::mt19937_64 random_{GENERATE(1U, 2U, 3U, 4U, 5U)};
   TimePoint now_{std::chrono::hours(1)};
@@ -283,14 +283,14 @@
   TimePoint now{std::chrono::hours(1)};
   std::mt19937_64 random(7);
   Membership book(
-      KnownHost{HostAddress{"10.0.0.1:1"}, HostPower{2}},
+      KnownHost{HostAddress{"10.0.0.1:1"}, CpuShare{2}},
       {HostAddress{"10.0.0.1:1"}}, [&now] { return now; },
       [&random] { return random(); });
   HostAddress next;
   for (int host = 0; host < kHosts; ++host) {
     Heartbeat word;
     word.address = HostAddress{"10.1." + std::to_string(host) + ":1"};
-    word.power = HostPower{host == 0 ? 1.0 : 0.09};
+    word.power = CpuShare{host == 0 ? 1.0 : 0.09};
     book.OnHeartbeat(word);
     next = host == 0 ? word.address : next;
   }
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -13,7 +13,7 @@
 }
 
 // Host 0 is the strongest.
-HostPower PowerOf(int host) { return HostPower{1.0 - 0.01 * host}; }
+CpuShare PowerOf(int host) { return CpuShare{1.0 - 0.01 * host}; }
 
 // Hosts that tell each other what the test says, without a network.
 class FleetFixture {
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-CopyServer::CopyServer(HostPower power, Membership* book, Source source,
+CopyServer::CopyServer(CpuShare power, Membership* book, Source source,
                        KnownUpTo known_up_to, Metrics* metrics,
                        MonotonicClock clock)
     : power_(power),
--- a/src/gateway/copy_server.h
+++ b/src/gateway/copy_server.h
@@ -26,7 +26,7 @@
   using KnownUpTo = std::function<StoreRevision()>;
 
   // `book` and `metrics` must outlive this and all replies.
-  CopyServer(HostPower power, Membership* book, Source source,
+  CopyServer(CpuShare power, Membership* book, Source source,
              KnownUpTo known_up_to, Metrics* metrics, MonotonicClock clock);
 
   // Returns whether `target` is one of this server's pages.
@@ -48,7 +48,7 @@
   std::optional<HostAddress> Elsewhere() const;
   SmallReply Give(StoreRevision since);
 
-  HostPower power_;
+  CpuShare power_;
   Membership* book_;
   Source source_;
   KnownUpTo known_up_to_;
--- a/src/gateway/settings_views.cc
+++ b/src/gateway/settings_views.cc
@@ -19,7 +19,7 @@
 
 KnownHost Self(const GatewaySettings& settings) {
   return KnownHost{HostAddress{settings.operations_address},
-                   HostPower{settings.power}};
+                   CpuShare{settings.power}};
 }
 
 bool IsSeed(const GatewaySettings& settings) {
