--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -76,7 +76,7 @@
                                             StoreRevision known_up_to) const;
 
   // Returns the power of `host`, or zero if it is not known.
-  CpuShare PowerOf(const HostAddress& host) const;
+  CpuShare CpuShareOf(const HostAddress& host) const;
 
   // Returns among how many hosts the turns to read the platform's service are
   // divided: one if no other host was heard within kLoneAfter.
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -286,7 +286,7 @@
   return ranking_.BetterInformed(routing, known_up_to, random_());
 }
 
-CpuShare Membership::PowerOf(const HostAddress& host) const {
+CpuShare Membership::CpuShareOf(const HostAddress& host) const {
   const auto found = hosts_.find(host);
   return found == hosts_.end() ? CpuShare{} : found->second.power;
 }
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -13,7 +13,7 @@
 }
 
 // Host 0 is the strongest.
-CpuShare PowerOf(int host) { return CpuShare{1.0 - 0.01 * host}; }
+CpuShare CpuShareOf(int host) { return CpuShare{1.0 - 0.01 * host}; }
 
 // Hosts that tell each other what the test says, without a network.
 class FleetFixture {
@@ -26,7 +26,7 @@
 
   void AddHost(int host) {
     books_[host] = std::make_unique<Membership>(
-        KnownHost{Address(host), PowerOf(host)},
+        KnownHost{Address(host), CpuShareOf(host)},
         std::vector<HostAddress>{Address(0), Address(1)},
         [this] { return now_; }, [this] { return drawn_ += 7; });
   }
@@ -35,7 +35,7 @@
     Heartbeat word;
     word.node = NodeId{std::to_string(host)};
     word.address = Address(host);
-    word.power = PowerOf(host);
+    word.power = CpuShareOf(host);
     word.planner = books_.at(host)->Planner().value_or(HostAddress{});
     word.leaving = books_.at(host)->IsLeaving();
     return word;
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -93,8 +93,8 @@
   }
   const RoutingVersion any{std::numeric_limits<std::uint64_t>::max()};
   const auto host = book_->BetterInformed(any, StoreRevision{known - 1});
-  const bool serves = host.has_value() &&
-                      book_->PowerOf(*host).value >= kLeastPower * power_.value;
+  const bool serves = host.has_value() && book_->CpuShareOf(*host).value >=
+                                              kLeastPower * power_.value;
   return serves ? host : std::nullopt;
 }
 
