--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -37,7 +37,7 @@
 // A host that another one knows.
 struct KnownHost {
   HostAddress address;
-  CpuShare power;
+  CpuShare cpu_share;
 };
 
 // What a host has under way by one ask.
@@ -64,7 +64,7 @@
   NodeId node;
   HostAddress address;
   Incarnation life;
-  CpuShare power;
+  CpuShare cpu_share;
   RoutingVersion routing;
   StoreRevision known_up_to;
   // The platform answers it, or it hears from a host that the platform answers.
--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -75,7 +75,7 @@
   std::optional<HostAddress> BetterInformed(RoutingVersion routing,
                                             StoreRevision known_up_to) const;
 
-  // Returns the power of `host`, or zero if it is not known.
+  // Returns the cpu_share of `host`, or zero if it is not known.
   CpuShare CpuShareOf(const HostAddress& host) const;
 
   // Returns among how many hosts the turns to read the platform's service are
@@ -129,7 +129,7 @@
 
  private:
   struct Host {
-    CpuShare power;
+    CpuShare cpu_share;
     HostStanding standing;
     bool leaving = false;
     HostAddress planner;
@@ -145,10 +145,10 @@
   };
   using Hosts = std::map<HostAddress, Host>;
 
-  static HostRank RankOf(const HostAddress& address, CpuShare power);
+  static HostRank RankOf(const HostAddress& address, CpuShare cpu_share);
 
   // Returns the host of `address`, which is new if it was not known.
-  Hosts::value_type* Known(const HostAddress& address, CpuShare power);
+  Hosts::value_type* Known(const HostAddress& address, CpuShare cpu_share);
   void NoteHeard(Hosts::value_type* host);
   // Puts a host that was heard, and has changed, into all orders.
   void Rank(Hosts::value_type* host);
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -171,7 +171,7 @@
   word.node = reader->TakeString<NodeId>();
   word.address = reader->TakeString<HostAddress>();
   word.life = reader->TakeNumber<Incarnation>();
-  word.power = reader->TakeNumber<CpuShare>();
+  word.cpu_share = reader->TakeNumber<CpuShare>();
   word.routing = reader->TakeNumber<RoutingVersion>();
   word.known_up_to = reader->TakeNumber<StoreRevision>();
   word.source_well = reader->Take<bool>();
@@ -182,7 +182,7 @@
   reader->EachOf([&word](ArrayReader* entry) {
     KnownHost host;
     host.address = entry->TakeString<HostAddress>();
-    host.power = entry->TakeNumber<CpuShare>();
+    host.cpu_share = entry->TakeNumber<CpuShare>();
     word.hosts.push_back(std::move(host));
   });
   reader->EachOf([&word](ArrayReader* entry) {
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -91,7 +91,7 @@
   json operator()(const Heartbeat& word) const {
     json hosts = json::array();
     for (const KnownHost& host : word.hosts) {
-      hosts.push_back({host.address.value, host.power.value});
+      hosts.push_back({host.address.value, host.cpu_share.value});
     }
     json avoided = json::array();
     for (const AvoidedEndpoint& endpoint : word.avoided) {
@@ -99,7 +99,7 @@
     }
     json array = json::array(
         {static_cast<int>(MessageKind::kWord), word.node.value,
-         word.address.value, word.life.value, word.power.value,
+         word.address.value, word.life.value, word.cpu_share.value,
          word.routing.value, word.known_up_to.value, word.source_well,
          word.planner.value, word.leaving, word.wants_reply, word.alive_hosts,
          std::move(hosts), std::move(avoided), word.source_age.count(),
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -19,7 +19,7 @@
   word.node = NodeId{"n"};
   word.address = kHost;
   word.life = Incarnation{77};
-  word.power = CpuShare{0.19};
+  word.cpu_share = CpuShare{0.19};
   word.routing = RoutingVersion{3};
   word.known_up_to = StoreRevision{40};
   word.source_well = true;
@@ -108,7 +108,7 @@
   CHECK(read.node == NodeId{"n"});
   CHECK(read.address == kHost);
   CHECK(read.life == Incarnation{77});
-  CHECK(read.power.value == 0.19);
+  CHECK(read.cpu_share.value == 0.19);
   CHECK(read.routing == RoutingVersion{3});
   CHECK(read.known_up_to == StoreRevision{40});
   CHECK(read.source_well);
@@ -119,7 +119,7 @@
   CHECK(read.wants_reply);
   CHECK(read.alive_hosts == 9);
   REQUIRE(read.hosts.size() == 1);
-  CHECK(read.hosts.front().power.value == 0.5);
+  CHECK(read.hosts.front().cpu_share.value == 0.5);
   REQUIRE(read.avoided.size() == 1);
   CHECK(read.avoided.front().left == Millis(70));
   REQUIRE(read.limits.size() == 2);
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -14,7 +14,7 @@
 // Of so many hosts of highest rank those that read the platform are chosen:
 // with all of them unanswered, the others read for themselves.
 constexpr std::size_t kReadersTried = 16;
-// The key by which hosts of equal power are ranked.
+// The key by which hosts of equal cpu_share are ranked.
 constexpr char kPlannerKey[] = "planner";
 // The key by which hosts that know the same are drawn.
 constexpr char kDrawKey[] = "draw";
@@ -44,7 +44,7 @@
   }
   Expire();
   const bool is_new = !heard_.Holds(word.address);
-  Hosts::value_type* known = Known(word.address, word.power);
+  Hosts::value_type* known = Known(word.address, word.cpu_share);
   Host& host = known->second;
   host.standing.routing = word.routing;
   host.standing.known_up_to = word.known_up_to;
@@ -60,7 +60,7 @@
   NoteHeard(known);
   for (const KnownHost& other : word.hosts) {
     if (other.address != self_.address) {
-      Hosts::value_type* vouched = Known(other.address, other.power);
+      Hosts::value_type* vouched = Known(other.address, other.cpu_share);
       vouched->second.vouched = clock_();
       alive_.Hold(vouched->first, clock_() + kAliveFor);
       alive_by_rank_.emplace(vouched->second.standing.rank, vouched->first);
@@ -72,7 +72,7 @@
 }
 
 Membership::Hosts::value_type* Membership::Known(const HostAddress& address,
-                                                 CpuShare power) {
+                                                 CpuShare cpu_share) {
   const auto [known, is_new] = hosts_.try_emplace(address);
   Host& host = known->second;
   if (is_new) {
@@ -80,10 +80,10 @@
     host.standing.draw = RendezvousWeight(kDrawKey, address.value);
     order_.push_back(address);
   }
-  if (is_new || host.power != power) {
+  if (is_new || host.cpu_share != cpu_share) {
     alive_by_rank_.erase({host.standing.rank, address});
-    host.power = power;
-    host.standing.rank = RankOf(address, power);
+    host.cpu_share = cpu_share;
+    host.standing.rank = RankOf(address, cpu_share);
     if (alive_.Holds(address)) {
       alive_by_rank_.emplace(host.standing.rank, address);
     }
@@ -167,7 +167,7 @@
 
 std::optional<HostAddress> Membership::Best(const HostsByRank& hosts,
                                             bool self_stands) const {
-  const HostRank own = RankOf(self_.address, self_.power);
+  const HostRank own = RankOf(self_.address, self_.cpu_share);
   for (const auto& [rank, address] : hosts) {
     if (self_stands && own > rank) {
       break;
@@ -205,7 +205,7 @@
 
 std::vector<KnownHost> Membership::AliveByRank(std::size_t most) const {
   Expire();
-  const HostRank own = RankOf(self_.address, self_.power);
+  const HostRank own = RankOf(self_.address, self_.cpu_share);
   bool self_stands = !leaving_;
   std::vector<KnownHost> best;
   for (const auto& [rank, address] : ranking_.ByRank()) {
@@ -241,7 +241,7 @@
   for (std::size_t i = 0; i < kNamedBeside && !order_.empty(); ++i) {
     const HostAddress& drawn = order_[random_() % order_.size()];
     if (heard_.Holds(drawn)) {
-      told.push_back(KnownHost{drawn, hosts_.at(drawn).power});
+      told.push_back(KnownHost{drawn, hosts_.at(drawn).cpu_share});
     }
   }
   return told;
@@ -252,7 +252,7 @@
     named_next_ = (named_next_ + 1) % order_.size();
     const HostAddress& host = order_[named_next_];
     if (heard_.Holds(host)) {
-      told->push_back(KnownHost{host, hosts_.at(host).power});
+      told->push_back(KnownHost{host, hosts_.at(host).cpu_share});
     }
   }
 }
@@ -288,7 +288,7 @@
 
 CpuShare Membership::CpuShareOf(const HostAddress& host) const {
   const auto found = hosts_.find(host);
-  return found == hosts_.end() ? CpuShare{} : found->second.power;
+  return found == hosts_.end() ? CpuShare{} : found->second.cpu_share;
 }
 
 int Membership::ReadingHosts() const {
@@ -312,8 +312,8 @@
   return std::max(AliveHosts(), size_.Most().value_or(0));
 }
 
-HostRank Membership::RankOf(const HostAddress& address, CpuShare power) {
-  return {power.value, RendezvousWeight(kPlannerKey, address.value)};
+HostRank Membership::RankOf(const HostAddress& address, CpuShare cpu_share) {
+  return {cpu_share.value, RendezvousWeight(kPlannerKey, address.value)};
 }
 
 bool Membership::HasSettled() const {
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -39,7 +39,7 @@
       if (known.address != self_.address) {
         Host& other = hosts[known.address];
         other.word.address = known.address;
-        other.word.power = known.power;
+        other.word.cpu_share = known.cpu_share;
         other.vouched = now;
       }
     }
@@ -61,19 +61,19 @@
     return !host.word.leaving && now >= host.suspect_until;
   }
 
-  static HostRank RankOf(const HostAddress& address, CpuShare power) {
-    return {power.value, RendezvousWeight("planner", address.value)};
+  static HostRank RankOf(const HostAddress& address, CpuShare cpu_share) {
+    return {cpu_share.value, RendezvousWeight("planner", address.value)};
   }
 
   // Returns the best of the hosts that `may` be chosen, and this one.
   template <typename May>
   HostAddress Best(const May& may) const {
     HostAddress best = self_.address;
-    HostRank rank = RankOf(self_.address, self_.power);
+    HostRank rank = RankOf(self_.address, self_.cpu_share);
     for (const auto& [address, host] : hosts) {
-      if (may(host) && RankOf(address, host.word.power) > rank) {
+      if (may(host) && RankOf(address, host.word.cpu_share) > rank) {
         best = address;
-        rank = RankOf(address, host.word.power);
+        rank = RankOf(address, host.word.cpu_share);
       }
     }
     return best;
@@ -107,7 +107,7 @@
       return host.word.source_well && known < host.word.known_up_to
                  ? std::make_tuple(true, std::uint64_t{0},
                                    host.word.known_up_to.value,
-                                   host.word.power.value)
+                                   host.word.cpu_share.value)
                  : std::make_tuple(false, std::uint64_t{0}, std::uint64_t{0},
                                    0.0);
     });
@@ -117,7 +117,7 @@
     return Most(now, [&](const Host& host) {
       return std::make_tuple(
           routing < host.word.routing, host.word.routing.value,
-          host.word.known_up_to.value, host.word.power.value);
+          host.word.known_up_to.value, host.word.cpu_share.value);
     });
   }
 
@@ -157,7 +157,7 @@
     Heartbeat word;
     const std::uint64_t host = 1 + random_() % kHosts;
     word.address = Address(host);
-    word.power = CpuShare{host % 3 == 0 ? 1.0 : 0.09};
+    word.cpu_share = CpuShare{host % 3 == 0 ? 1.0 : 0.09};
     word.routing = RoutingVersion{random_() % 4};
     word.known_up_to = StoreRevision{random_() % 5};
     word.source_well = random_() % 3 != 0;
@@ -290,7 +290,7 @@
   for (int host = 0; host < kHosts; ++host) {
     Heartbeat word;
     word.address = HostAddress{"10.1." + std::to_string(host) + ":1"};
-    word.power = CpuShare{host == 0 ? 1.0 : 0.09};
+    word.cpu_share = CpuShare{host == 0 ? 1.0 : 0.09};
     book.OnHeartbeat(word);
     next = host == 0 ? word.address : next;
   }
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -35,7 +35,7 @@
     Heartbeat word;
     word.node = NodeId{std::to_string(host)};
     word.address = Address(host);
-    word.power = CpuShareOf(host);
+    word.cpu_share = CpuShareOf(host);
     word.planner = books_.at(host)->Planner().value_or(HostAddress{});
     word.leaving = books_.at(host)->IsLeaving();
     return word;
@@ -96,7 +96,7 @@
   CHECK(books_.at(0)->Planner() == Address(0));
 }
 
-// All hosts lost power: those that are back first hear nobody yet.
+// All hosts lost cpu_share: those that are back first hear nobody yet.
 TEST_CASE_METHOD(FleetFixture,
                  "A host that hears nobody waits for longer before it plans "
                  "for itself") {
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -229,7 +229,7 @@
   word.node = node_;
   word.address = self_.address;
   word.life = life_;
-  word.power = self_.power;
+  word.cpu_share = self_.cpu_share;
   word.leaving = book_->IsLeaving();
   word.planner = followed_.value_or(HostAddress{});
   word.alive_hosts = book_->CountedHosts();
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -99,7 +99,7 @@
           [this] { AcceptCallers(); }, &log_, &metrics_),
       feed_(platform.make_feed(&io_, settings_, &news_, &holds_)),
       copies_(
-          Self(settings_).power, &hosts_,
+          Self(settings_).cpu_share, &hosts_,
           [this](StoreRevision since) { return feed_->Export(since); },
           [this] { return source_.KnownUpTo(); }, &metrics_, clock_),
       callers_(&io_, settings_.callers_address,
