--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -33,7 +33,7 @@
   bool OnHeartbeat(const Heartbeat& word);
 
   // Notes that another message came from `host`.
-  void OnHeard(const HostAddress& host);
+  void OnMessageReceived(const HostAddress& host);
 
   // Notes that `host` left questions unanswered for longer than it may.
   void OnSilent(const HostAddress& host);
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -122,7 +122,7 @@
   });
 }
 
-void Membership::OnHeard(const HostAddress& host) {
+void Membership::OnMessageReceived(const HostAddress& host) {
   const auto found = hosts_.find(host);
   if (found != hosts_.end()) {
     NoteHeard(&*found);
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -25,7 +25,7 @@
   void operator()(const Heartbeat& word) const { member->OnHeartbeat(word); }
   void operator()(const PlaceAsk& ask) const { member->desk_.OnQuery(ask); }
   void operator()(const PlaceAnswer& answer) const {
-    member->book_->OnHeard(answer.from);
+    member->book_->OnMessageReceived(answer.from);
     if (answer.from == member->followed_) {
       member->planner_heard_ = member->clock_();
     }
@@ -38,7 +38,7 @@
     member->OnChanges(published);
   }
   void operator()(const CrashReports& told) const {
-    member->book_->OnHeard(told.from);
+    member->book_->OnMessageReceived(told.from);
     member->crashes_.OnReports(told);
   }
 };
@@ -141,7 +141,7 @@
 void FleetMember::OnHeartbeat(const Heartbeat& word) {
   const TimePoint now = clock_();
   if (book_->OnHeartbeat(word)) {
-    peers_log_.OnHeard();
+    peers_log_.OnMessageReceived();
   }
   if (word.address == followed_) {
     planner_heard_ = now;
@@ -390,7 +390,7 @@
 }
 
 void FleetMember::OnChanges(const PublishedChanges& published) {
-  book_->OnHeard(published.from);
+  book_->OnMessageReceived(published.from);
   if (published.from == followed_) {
     planner_heard_ = clock_();
   }
--- a/src/gateway/peers_log.h
+++ b/src/gateway/peers_log.h
@@ -14,7 +14,7 @@
   PeersLog(EventLog* log, MonotonicClock clock);
 
   // A host was heard that was not known as alive.
-  void OnHeard() { ++heard_; }
+  void OnMessageReceived() { ++heard_; }
 
   // Looks whether a line is due. `alive` hosts are known now. Only the host
   // that plans writes: others hear few hosts at a time, and always other ones.
