--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -36,7 +36,7 @@
   void OnMessageReceived(const HostAddress& host);
 
   // Notes that `host` left questions unanswered for longer than it may.
-  void OnSilent(const HostAddress& host);
+  void OnUnresponsive(const HostAddress& host);
 
   // Notes that `host` does not plan, and takes `planner` for the planner.
   void OnRedirect(const HostAddress& host, const HostAddress& planner);
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -129,7 +129,7 @@
   }
 }
 
-void Membership::OnSilent(const HostAddress& host) {
+void Membership::OnUnresponsive(const HostAddress& host) {
   const auto found = hosts_.find(host);
   if (found != hosts_.end()) {
     found->second.suspect_until = clock_() + kSuspectFor;
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -45,7 +45,7 @@
     }
   }
 
-  void OnSilent(const HostAddress& host, TimePoint now) {
+  void OnUnresponsive(const HostAddress& host, TimePoint now) {
     if (hosts.count(host) > 0) {
       hosts[host].suspect_until = now + Membership::kSuspectFor;
     }
@@ -180,8 +180,8 @@
         break;
       case 1: {
         const HostAddress host = Address(1 + random_() % kHosts);
-        book_.OnSilent(host);
-        plain_.OnSilent(host, now_);
+        book_.OnUnresponsive(host);
+        plain_.OnUnresponsive(host, now_);
         break;
       }
       default: {
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -121,7 +121,7 @@
   TalkFor(Membership::kSettles + Millis(300));
   books_.erase(0);
   for (const auto& [host, book] : books_) {
-    book->OnSilent(Address(0));
+    book->OnUnresponsive(Address(0));
   }
   TalkFor(Millis(300));
   CHECK(FollowersOf(1) == 5);
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -79,7 +79,7 @@
     Send(to, message);
   };
   ports.on_silent = [this](const HostAddress& host) {
-    book_->OnSilent(host);
+    book_->OnUnresponsive(host);
     log_->Write("planner_silent", {{"planner", host.value}, {"by", "ask"}},
                 LogWeight::kAlwaysKept);
     FollowPlanner();
@@ -149,7 +149,7 @@
              *followed_ != self_.address &&
              now - planner_heard_ > kMissedWord) {
     // Another host took over, and the old planner has missed a word.
-    book_->OnSilent(*followed_);
+    book_->OnUnresponsive(*followed_);
   }
   if (word.planner != word.address) {
     Probe(word.planner);
@@ -323,7 +323,7 @@
     log_->Write("planner_silent",
                 {{"planner", followed_->value}, {"by", "word"}},
                 LogWeight::kAlwaysKept);
-    book_->OnSilent(*followed_);
+    book_->OnUnresponsive(*followed_);
   }
   FollowPlanner();
 }
