--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -54,7 +54,7 @@
   // Returns hosts beside the planner to tell this host's word now: the seeds
   // while no other host is known, and then one host or seed at a time, so that
   // two parts of a fleet that follow different planners find each other.
-  std::vector<HostAddress> Strangers() const;
+  std::vector<HostAddress> GossipTargets() const;
 
   // Returns all other hosts that are known to be alive.
   std::vector<HostAddress> AliveOthers() const;
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -179,7 +179,7 @@
   return self_stands ? std::make_optional(self_.address) : std::nullopt;
 }
 
-std::vector<HostAddress> Membership::Strangers() const {
+std::vector<HostAddress> Membership::GossipTargets() const {
   std::vector<HostAddress> seeds;
   for (const HostAddress& seed : seeds_) {
     if (seed != self_.address) {
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -52,7 +52,7 @@
   // Every living host tells the strangers that it would tell, and the planner.
   void TalkRound() {
     for (const auto& [host, book] : books_) {
-      std::vector<HostAddress> targets = book->Strangers();
+      std::vector<HostAddress> targets = book->GossipTargets();
       if (const auto planner = book->Planner()) {
         targets.push_back(*planner);
       }
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -275,7 +275,7 @@
                          : std::min(2 * search_interval_, kLongestSearch);
   Heartbeat word = OwnWord();
   word.wants_reply = true;
-  for (const HostAddress& stranger : book_->Strangers()) {
+  for (const HostAddress& stranger : book_->GossipTargets()) {
     Send(stranger, word);
   }
 }
