--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -57,7 +57,7 @@
   std::vector<HostAddress> GossipTargets() const;
 
   // Returns all other hosts that are known to be alive.
-  std::vector<HostAddress> AliveOthers() const;
+  std::vector<HostAddress> OtherAliveHosts() const;
 
   // Returns what to tell `reader` of: those of highest rank and a few more; if
   // it may plan next, as many others as fit, and the next ones at the next
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -193,7 +193,7 @@
   return {drawn < seeds.size() ? seeds[drawn] : order_[drawn - seeds.size()]};
 }
 
-std::vector<HostAddress> Membership::AliveOthers() const {
+std::vector<HostAddress> Membership::OtherAliveHosts() const {
   Expire();
   std::vector<HostAddress> alive;
   alive.reserve(alive_by_rank_.size());
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -194,7 +194,7 @@
 
   void Check() {
     const std::set<HostAddress> alive = plain_.Alive(now_);
-    const std::vector<HostAddress> others = book_.AliveOthers();
+    const std::vector<HostAddress> others = book_.OtherAliveHosts();
     CHECK(std::set<HostAddress>(others.begin(), others.end()) == alive);
     CHECK(others.size() == alive.size());
     CHECK(book_.CountedHosts() == 1 + static_cast<int>(alive.size()));
--- a/src/gateway/crash_relay.cc
+++ b/src/gateway/crash_relay.cc
@@ -24,7 +24,7 @@
 void CrashRelay::TellAll() {
   const CrashReports told{self_, std::move(untold_)};
   untold_.clear();
-  socket_->SendToAll(book_->AliveOthers(), told);
+  socket_->SendToAll(book_->OtherAliveHosts(), told);
 }
 
 void CrashRelay::OnReports(const CrashReports& told) {
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -281,7 +281,7 @@
 }
 
 void FleetMember::Announce() {
-  socket_->SendToAll(book_->AliveOthers(), OwnWord());
+  socket_->SendToAll(book_->OtherAliveHosts(), OwnWord());
 }
 
 void FleetMember::FollowPlanner() {
@@ -302,7 +302,7 @@
   }
   if (planner == self_.address) {
     relay_.BeginToPlan();
-    planner_->Begin(book_->AliveOthers());
+    planner_->Begin(book_->OtherAliveHosts());
     Announce();
   }
   // Without a planner nobody else tells what this host has read.
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -105,7 +105,7 @@
     ports_.announce();
     return;
   }
-  const std::vector<HostAddress> others = book_->AliveOthers();
+  const std::vector<HostAddress> others = book_->OtherAliveHosts();
   for (const std::string& part : parts) {
     socket_->SendToAll(others, PublishedChanges{self_, part});
   }
