--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -62,7 +62,7 @@
   // Returns what to tell `reader` of: those of highest rank and a few more; if
   // it may plan next, as many others as fit, and the next ones at the next
   // call, so that it soon knows all.
-  std::vector<KnownHost> HostsFor(const HostAddress& reader);
+  std::vector<KnownHost> PartialViewFor(const HostAddress& reader);
 
   // Returns the hosts beside the planner that should read the platform's
   // service, as the planner sees it: first those that the service answers,
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -226,7 +226,7 @@
   return best;
 }
 
-std::vector<KnownHost> Membership::HostsFor(const HostAddress& reader) {
+std::vector<KnownHost> Membership::PartialViewFor(const HostAddress& reader) {
   std::vector<KnownHost> told = AliveByRank(kSuccessors + 1);
   const bool may_plan_next = std::any_of(
       told.begin(), told.end(),
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -298,7 +298,7 @@
   for (Millis passed{0}; passed < Membership::kAliveFor;
        passed += Millis(300)) {
     Heartbeat word;
-    word.hosts = book.HostsFor(next);
+    word.hosts = book.PartialViewFor(next);
     constexpr std::size_t kMostBytes = 16384;
     CHECK(EncodeFleetMessage(word).size() <= kMostBytes);
     for (const KnownHost& known : word.hosts) {
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -45,7 +45,7 @@
   void Talk(int from, int to) {
     books_.at(to)->OnHeartbeat(WordOf(from));
     Heartbeat reply = WordOf(to);
-    reply.hosts = books_.at(to)->HostsFor(Address(from));
+    reply.hosts = books_.at(to)->PartialViewFor(Address(from));
     books_.at(from)->OnHeartbeat(reply);
   }
 
@@ -209,8 +209,8 @@
   for (int host = 1; host < 40; ++host) {
     books_.at(0)->OnHeartbeat(WordOf(host));
   }
-  CHECK(books_.at(0)->HostsFor(Address(1)).size() == 40);
-  const std::vector<KnownHost> told = books_.at(0)->HostsFor(Address(30));
+  CHECK(books_.at(0)->PartialViewFor(Address(1)).size() == 40);
+  const std::vector<KnownHost> told = books_.at(0)->PartialViewFor(Address(30));
   CHECK(told.size() == Membership::kSuccessors + 1 + Membership::kNamedBeside);
   for (int host = 0; host <= static_cast<int>(Membership::kSuccessors);
        ++host) {
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -178,7 +178,7 @@
 
 void FleetMember::Reply(const Heartbeat& word) {
   Heartbeat reply = OwnWord();
-  reply.hosts = book_->HostsFor(word.address);
+  reply.hosts = book_->PartialViewFor(word.address);
   if (IsPlanner()) {
     TellTurn(word.address, &reply);
   }
