--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -68,7 +68,7 @@
   // service, as the planner sees it: first those that the service answers,
   // then those of highest rank, without any that it has not answered for a
   // while.
-  std::vector<HostAddress> SourceReaders() const;
+  std::vector<HostAddress> StorePollers() const;
 
   // Returns one of the hosts that were heard lately and know the most, if that
   // is more than `routing` and `known_up_to`; nothing otherwise.
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -257,7 +257,7 @@
   }
 }
 
-std::vector<HostAddress> Membership::SourceReaders() const {
+std::vector<HostAddress> Membership::StorePollers() const {
   const TimePoint now = clock_();
   const std::vector<KnownHost> best = AliveByRank(kReadersTried);
   std::vector<HostAddress> readers;
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -243,7 +243,7 @@
   }
 
   void CheckReaders() {
-    for (const HostAddress& reader : book_.SourceReaders()) {
+    for (const HostAddress& reader : book_.StorePollers()) {
       const PlainScan::Host& host = plain_.hosts.at(reader);
       CHECK(PlainScan::IsRecent(host.heard, now_));
       CHECK(PlainScan::IsEligible(host, now_));
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -259,14 +259,14 @@
   for (int host = 1; host <= 4; ++host) {
     book.OnHeartbeat(WordOf(host));
   }
-  const std::vector<HostAddress> chosen = book.SourceReaders();
+  const std::vector<HostAddress> chosen = book.StorePollers();
   REQUIRE(chosen.size() == Membership::kReadersBeside);
   for (int host = 1; host <= 4; ++host) {
     Heartbeat word = WordOf(host);
     word.own_reading = OwnReading::kBegun;
     book.OnHeartbeat(word);
   }
-  CHECK(book.SourceReaders() == chosen);
+  CHECK(book.StorePollers() == chosen);
 }
 
 TEST_CASE_METHOD(FleetFixture,
@@ -275,7 +275,7 @@
   for (int host = 1; host <= 4; ++host) {
     book.OnHeartbeat(WordOf(host));
   }
-  const HostAddress first = book.SourceReaders().front();
+  const HostAddress first = book.StorePollers().front();
   Heartbeat failed;
   for (int host = 1; host <= 4; ++host) {
     failed = WordOf(host);
@@ -285,7 +285,7 @@
   }
   failed.own_reading = OwnReading::kFailed;
   book.OnHeartbeat(failed);
-  for (const HostAddress& reader : book.SourceReaders()) {
+  for (const HostAddress& reader : book.StorePollers()) {
     CHECK(reader != first);
   }
   now_ += Membership::kPassedOver + Millis(1);
@@ -294,7 +294,7 @@
     book.OnHeartbeat(WordOf(host));
   }
   book.OnHeartbeat(failed);
-  CHECK(book.SourceReaders().front() == first);
+  CHECK(book.StorePollers().front() == first);
 }
 
 TEST_CASE_METHOD(FleetFixture,
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -196,7 +196,7 @@
 }
 
 void FleetMember::TellReaders() {
-  readers_ = book_->SourceReaders();
+  readers_ = book_->StorePollers();
   is_answered_ = Described().own_reading == OwnReading::kAnswered;
   Heartbeat word = OwnWord();
   for (const HostAddress& reader : readers_) {
@@ -341,7 +341,7 @@
     TellStrangers();
   }
   if (IsPlanner()) {
-    readers_ = book_->SourceReaders();
+    readers_ = book_->StorePollers();
     is_answered_ = Described().own_reading == OwnReading::kAnswered;
     desk_.Tick();
   }
