--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -72,8 +72,8 @@
 
   // Returns one of the hosts that were heard lately and know the most, if that
   // is more than `routing` and `known_up_to`; nothing otherwise.
-  std::optional<HostAddress> BetterInformed(RoutingVersion routing,
-                                            StoreRevision known_up_to) const;
+  std::optional<HostAddress> FindMoreUpToDate(RoutingVersion routing,
+                                              StoreRevision known_up_to) const;
 
   // Returns the cpu_share of `host`, or zero if it is not known.
   CpuShare CpuShareOf(const HostAddress& host) const;
--- a/include/harecrank/core/host_ranking.h
+++ b/include/harecrank/core/host_ranking.h
@@ -62,9 +62,9 @@
   // platform answers and that know more than `known_up_to`, then of those in
   // which a newer routing table than `routing` is in force. Nothing if there is
   // none. `draw` is a random number.
-  std::optional<HostAddress> BetterInformed(RoutingVersion routing,
-                                            StoreRevision known_up_to,
-                                            std::uint64_t draw) const;
+  std::optional<HostAddress> FindMoreUpToDate(RoutingVersion routing,
+                                              StoreRevision known_up_to,
+                                              std::uint64_t draw) const;
 
   // Returns the most hosts that any of these counts as alive, or zero.
   int MostAliveHosts() const;
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -280,10 +280,10 @@
   return readers;
 }
 
-std::optional<HostAddress> Membership::BetterInformed(
+std::optional<HostAddress> Membership::FindMoreUpToDate(
     RoutingVersion routing, StoreRevision known_up_to) const {
   Expire();
-  return ranking_.BetterInformed(routing, known_up_to, random_());
+  return ranking_.FindMoreUpToDate(routing, known_up_to, random_());
 }
 
 CpuShare Membership::CpuShareOf(const HostAddress& host) const {
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -100,9 +100,9 @@
   }
 
   // Returns the hosts any of which may be asked for what it knows.
-  std::set<HostAddress> BetterInformed(RoutingVersion routing,
-                                       StoreRevision known,
-                                       TimePoint now) const {
+  std::set<HostAddress> FindMoreUpToDate(RoutingVersion routing,
+                                         StoreRevision known,
+                                         TimePoint now) const {
     std::set<HostAddress> best = Most(now, [&](const Host& host) {
       return host.word.source_well && known < host.word.known_up_to
                  ? std::make_tuple(true, std::uint64_t{0},
@@ -233,9 +233,9 @@
   void CheckBetterInformed() {
     const RoutingVersion routing{random_() % 4};
     const StoreRevision known{random_() % 5};
-    const auto asked = book_.BetterInformed(routing, known);
+    const auto asked = book_.FindMoreUpToDate(routing, known);
     const std::set<HostAddress> best =
-        plain_.BetterInformed(routing, known, now_);
+        plain_.FindMoreUpToDate(routing, known, now_);
     CHECK(asked.has_value() == !best.empty());
     if (asked.has_value()) {
       CHECK(best.count(*asked) == 1);
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -241,13 +241,13 @@
   word.known_up_to = StoreRevision{40};
   word.source_well = true;
   book.OnHeartbeat(word);
-  CHECK(book.BetterInformed(RoutingVersion{2}, StoreRevision{50}) ==
+  CHECK(book.FindMoreUpToDate(RoutingVersion{2}, StoreRevision{50}) ==
         Address(1));
-  CHECK(book.BetterInformed(RoutingVersion{3}, StoreRevision{39}) ==
+  CHECK(book.FindMoreUpToDate(RoutingVersion{3}, StoreRevision{39}) ==
         Address(1));
-  CHECK_FALSE(book.BetterInformed(RoutingVersion{3}, StoreRevision{40}));
+  CHECK_FALSE(book.FindMoreUpToDate(RoutingVersion{3}, StoreRevision{40}));
   now_ += Membership::kAliveFor + Millis(1);
-  CHECK_FALSE(book.BetterInformed(RoutingVersion{2}, StoreRevision{0}));
+  CHECK_FALSE(book.FindMoreUpToDate(RoutingVersion{2}, StoreRevision{0}));
 }
 
 // Otherwise it is replaced by one that meets the same, and for a while nobody
--- a/src/core/host_ranking.cc
+++ b/src/core/host_ranking.cc
@@ -49,7 +49,7 @@
   alive_hosts_.erase(alive_hosts_.find(standing.alive_hosts));
 }
 
-std::optional<HostAddress> HostRanking::BetterInformed(
+std::optional<HostAddress> HostRanking::FindMoreUpToDate(
     RoutingVersion routing, StoreRevision known_up_to,
     std::uint64_t draw) const {
   if (!informed_.empty()) {
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -92,7 +92,7 @@
     return std::nullopt;
   }
   const RoutingVersion any{std::numeric_limits<std::uint64_t>::max()};
-  const auto host = book_->BetterInformed(any, StoreRevision{known - 1});
+  const auto host = book_->FindMoreUpToDate(any, StoreRevision{known - 1});
   const bool serves = host.has_value() && book_->CpuShareOf(*host).value >=
                                               kLeastPower * power_.value;
   return serves ? host : std::nullopt;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -236,7 +236,7 @@
   ReadingDutyPorts ports;
   ports.sharers = [this] { return hosts_.ReadingHosts(); };
   ports.copy_is_near = [this] {
-    return hosts_.BetterInformed(RoutingVersion{}, source_.KnownUpTo())
+    return hosts_.FindMoreUpToDate(RoutingVersion{}, source_.KnownUpTo())
         .has_value();
   };
   return ports;
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -122,7 +122,7 @@
       ports_.reads_routing()
           ? RoutingVersion{std::numeric_limits<std::uint64_t>::max()}
           : own.routing;
-  const auto host = book_->BetterInformed(routing, own.known_up_to);
+  const auto host = book_->FindMoreUpToDate(routing, own.known_up_to);
   if (!host.has_value()) {
     behind_since_.reset();
     return;
