--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -80,7 +80,7 @@
 
   // Returns among how many hosts the turns to read the platform's service are
   // divided: one if no other host was heard within kLoneAfter.
-  int ReadingHosts() const;
+  int PollingHosts() const;
 
   // Returns how many hosts are alive, this one among them, by what reached this
   // host itself: what a word may tell.
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -291,7 +291,7 @@
   return found == hosts_.end() ? CpuShare{} : found->second.cpu_share;
 }
 
-int Membership::ReadingHosts() const {
+int Membership::PollingHosts() const {
   const bool is_lone =
       heard_any_ == TimePoint{} || clock_() - heard_any_ > kLoneAfter;
   return is_lone ? 1 : AliveHosts();
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -234,7 +234,7 @@
 
 ReadingDutyPorts GatewayNode::MakeReadingPorts() {
   ReadingDutyPorts ports;
-  ports.sharers = [this] { return hosts_.ReadingHosts(); };
+  ports.sharers = [this] { return hosts_.PollingHosts(); };
   ports.copy_is_near = [this] {
     return hosts_.FindMoreUpToDate(RoutingVersion{}, source_.KnownUpTo())
         .has_value();
