--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -84,7 +84,7 @@
 
   // Returns how many hosts are alive, this one among them, by what reached this
   // host itself: what a word may tell.
-  int CountedHosts() const;
+  int ObservedHosts() const;
 
   // Returns the most that this host has counted or was lately told.
   int AliveHosts() const;
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -297,15 +297,15 @@
   return is_lone ? 1 : AliveHosts();
 }
 
-int Membership::CountedHosts() const {
+int Membership::ObservedHosts() const {
   Expire();
   return 1 + static_cast<int>(alive_.Count());
 }
 
-void Membership::NoteSize() { size_.OnCounted(CountedHosts()); }
+void Membership::NoteSize() { size_.OnCounted(ObservedHosts()); }
 
 int Membership::AliveHosts() const {
-  return std::max(CountedHosts(), ranking_.MostAliveHosts());
+  return std::max(ObservedHosts(), ranking_.MostAliveHosts());
 }
 
 int Membership::SharingHosts() const {
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -197,7 +197,7 @@
     const std::vector<HostAddress> others = book_.OtherAliveHosts();
     CHECK(std::set<HostAddress>(others.begin(), others.end()) == alive);
     CHECK(others.size() == alive.size());
-    CHECK(book_.CountedHosts() == 1 + static_cast<int>(alive.size()));
+    CHECK(book_.ObservedHosts() == 1 + static_cast<int>(alive.size()));
     CHECK(book_.AliveHosts() == plain_.AliveHosts(now_));
     CheckPlanner();
     CheckBetterInformed();
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -111,7 +111,7 @@
   TalkFor(Membership::kSettles + Millis(300));
   CHECK(FollowersOf(0) == 6);
   CHECK(books_.at(0)->IsPlanner());
-  CHECK(books_.at(0)->CountedHosts() == 6);
+  CHECK(books_.at(0)->ObservedHosts() == 6);
   CHECK(books_.at(5)->AliveHosts() >= 5);
 }
 
@@ -196,7 +196,7 @@
                  "Hosts that say nothing are not alive for long") {
   TalkFor(Membership::kSettles + Millis(300));
   now_ += Membership::kAliveFor + Millis(1);
-  CHECK(books_.at(0)->CountedHosts() == 1);
+  CHECK(books_.at(0)->ObservedHosts() == 1);
   CHECK(books_.at(3)->IsPlanner());
 }
 
@@ -304,7 +304,7 @@
   books_.at(0)->NoteSize();
   now_ += std::chrono::minutes(5);
   books_.at(0)->NoteSize();
-  CHECK(books_.at(0)->CountedHosts() == 1);
+  CHECK(books_.at(0)->ObservedHosts() == 1);
   Heartbeat word = WordOf(0);
   word.most_hosts = books_.at(0)->Size().Counted();
   AddHost(9);
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -232,7 +232,7 @@
   word.cpu_share = self_.cpu_share;
   word.leaving = book_->IsLeaving();
   word.planner = followed_.value_or(HostAddress{});
-  word.alive_hosts = book_->CountedHosts();
+  word.alive_hosts = book_->ObservedHosts();
   word.avoided = health_->Avoided();
   word.limits = ports_.limits();
   return word;
@@ -295,7 +295,7 @@
   log_->Write("planner",
               {{"planner", planner.value_or(HostAddress{}).value},
                {"own", planner == self_.address},
-               {"hosts", book_->CountedHosts()}},
+               {"hosts", book_->ObservedHosts()}},
               LogWeight::kAlwaysKept);
   if (planned) {
     planner_->Clear();
@@ -331,7 +331,7 @@
 void FleetMember::Tick() {
   const TimePoint now = clock_();
   LookForSilence();
-  peers_log_.Tick(book_->CountedHosts(), IsPlanner());
+  peers_log_.Tick(book_->ObservedHosts(), IsPlanner());
   if (now - told_at_ >= kWordInterval) {
     TellPlanner();
   }
