--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -91,7 +91,7 @@
 
   // Returns among how many hosts a bound for all of them is divided: not only
   // those that are heard now. A fleet that is cut in two would take it twice.
-  int SharingHosts() const;
+  int HostsSharingLimits() const;
 
   // Counts the living hosts for Size. To be called a few times a second.
   void NoteSize();
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -308,7 +308,7 @@
   return std::max(ObservedHosts(), ranking_.MostAliveHosts());
 }
 
-int Membership::SharingHosts() const {
+int Membership::HostsSharingLimits() const {
   return std::max(AliveHosts(), size_.Most().value_or(0));
 }
 
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -332,10 +332,10 @@
     }
   };
   talk(0, 5);
-  CHECK(books_.at(0)->SharingHosts() == 6);
+  CHECK(books_.at(0)->HostsSharingLimits() == 6);
   talk(0, 2);
   CHECK(books_.at(0)->AliveHosts() == 3);
-  CHECK(books_.at(0)->SharingHosts() == 6);
+  CHECK(books_.at(0)->HostsSharingLimits() == 6);
 }
 
 }  // namespace
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -61,7 +61,9 @@
           settings_.placement, random_),
       budgets_(
           settings_.repeat_bound,
-          [this] { return std::max(KnownHosts(), hosts_.SharingHosts()); },
+          [this] {
+            return std::max(KnownHosts(), hosts_.HostsSharingLimits());
+          },
           clock_),
       queue_(&io_, clock_, settings_.placement.tried,
              settings_.placement.shares_by_account),
