--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -94,7 +94,7 @@
   int HostsSharingLimits() const;
 
   // Counts the living hosts for Size. To be called a few times a second.
-  void NoteSize();
+  void RecordFleetSize();
 
   // How many hosts the fleet may have.
   const FleetSize& Size() const { return size_; }
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -302,7 +302,7 @@
   return 1 + static_cast<int>(alive_.Count());
 }
 
-void Membership::NoteSize() { size_.OnCounted(ObservedHosts()); }
+void Membership::RecordFleetSize() { size_.OnCounted(ObservedHosts()); }
 
 int Membership::AliveHosts() const {
   return std::max(ObservedHosts(), ranking_.MostAliveHosts());
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -301,9 +301,9 @@
                  "A host that starts in a part of a fleet that is cut is told "
                  "how large the whole was") {
   TalkFor(Millis(3000));
-  books_.at(0)->NoteSize();
+  books_.at(0)->RecordFleetSize();
   now_ += std::chrono::minutes(5);
-  books_.at(0)->NoteSize();
+  books_.at(0)->RecordFleetSize();
   CHECK(books_.at(0)->ObservedHosts() == 1);
   Heartbeat word = WordOf(0);
   word.most_hosts = books_.at(0)->Size().Counted();
@@ -327,7 +327,7 @@
             Talk(from, to);
           }
         }
-        books_.at(from)->NoteSize();
+        books_.at(from)->RecordFleetSize();
       }
     }
   };
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -363,7 +363,7 @@
   const TimePoint now = clock_();
   AcceptCallers();
   endpoint_news_.DropLapsed();
-  hosts_.NoteSize();
+  hosts_.RecordFleetSize();
   start_gate_.Tick();
   source_.Tick();
   if (now - swept_ >= kSweepInterval) {
