--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -101,7 +101,7 @@
 
   // How long a host counts as alive after its last word: many times the pause
   // between two words.
-  static constexpr Millis kAliveFor{3000};
+  static constexpr Millis kHeartbeatTimeout{3000};
   // A host that has heard no other for this long has missed every word.
   static constexpr Millis kLoneAfter{1000};
   // How long a silent host is not taken for the planner, unless it is heard.
@@ -124,7 +124,7 @@
   // How many other hosts are named beside them.
   static constexpr std::size_t kNamedBeside = 4;
   // How many hosts a word names to one that may plan next: what fits into a
-  // datagram. Within kAliveFor it is told of ten times as many.
+  // datagram. Within kHeartbeatTimeout it is told of ten times as many.
   static constexpr std::size_t kMostNamed = 400;
 
  private:
@@ -188,8 +188,8 @@
   // The same, to draw from, and who is named next.
   std::vector<HostAddress> order_;
   std::size_t named_next_ = 0;
-  // Those heard within kAliveFor, and those that were heard or vouched for.
-  // Brought up to date by time whenever they are looked at.
+  // Those heard within kHeartbeatTimeout, and those that were heard or vouched
+  // for. Brought up to date by time whenever they are looked at.
   mutable ExpiryQueue<HostAddress> heard_;
   mutable ExpiryQueue<HostAddress> alive_;
   mutable HostRanking ranking_;
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -62,7 +62,7 @@
     if (other.address != self_.address) {
       Hosts::value_type* vouched = Known(other.address, other.cpu_share);
       vouched->second.vouched = clock_();
-      alive_.Hold(vouched->first, clock_() + kAliveFor);
+      alive_.Hold(vouched->first, clock_() + kHeartbeatTimeout);
       alive_by_rank_.emplace(vouched->second.standing.rank, vouched->first);
     }
   }
@@ -99,8 +99,8 @@
   heard_any_ = now;
   host->second.heard = now;
   host->second.suspect_until = TimePoint{};
-  heard_.Hold(host->first, now + kAliveFor);
-  alive_.Hold(host->first, now + kAliveFor);
+  heard_.Hold(host->first, now + kHeartbeatTimeout);
+  alive_.Hold(host->first, now + kHeartbeatTimeout);
   alive_by_rank_.emplace(host->second.standing.rank, host->first);
   Rank(host);
 }
@@ -331,7 +331,7 @@
 
 void Membership::DropForgotten() {
   const TimePoint now = clock_();
-  if (now - dropped_forgotten_ < kAliveFor) {
+  if (now - dropped_forgotten_ < kHeartbeatTimeout) {
     return;
   }
   dropped_forgotten_ = now;
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -52,7 +52,7 @@
   }
 
   static bool IsRecent(const std::optional<TimePoint>& time, TimePoint now) {
-    return time.has_value() && now - *time <= Membership::kAliveFor;
+    return time.has_value() && now - *time <= Membership::kHeartbeatTimeout;
   }
   static bool IsAlive(const Host& host, TimePoint now) {
     return IsRecent(host.heard, now) || IsRecent(host.vouched, now);
@@ -295,7 +295,7 @@
     next = host == 0 ? word.address : next;
   }
   std::set<HostAddress> named;
-  for (Millis passed{0}; passed < Membership::kAliveFor;
+  for (Millis passed{0}; passed < Membership::kHeartbeatTimeout;
        passed += Millis(300)) {
     Heartbeat word;
     word.hosts = book.PartialViewFor(next);
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -195,7 +195,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "Hosts that say nothing are not alive for long") {
   TalkFor(Membership::kSettles + Millis(300));
-  now_ += Membership::kAliveFor + Millis(1);
+  now_ += Membership::kHeartbeatTimeout + Millis(1);
   CHECK(books_.at(0)->ObservedHosts() == 1);
   CHECK(books_.at(3)->IsPlanner());
 }
@@ -246,7 +246,7 @@
   CHECK(book.FindMoreUpToDate(RoutingVersion{3}, StoreRevision{39}) ==
         Address(1));
   CHECK_FALSE(book.FindMoreUpToDate(RoutingVersion{3}, StoreRevision{40}));
-  now_ += Membership::kAliveFor + Millis(1);
+  now_ += Membership::kHeartbeatTimeout + Millis(1);
   CHECK_FALSE(book.FindMoreUpToDate(RoutingVersion{2}, StoreRevision{0}));
 }
 
