--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -79,7 +79,7 @@
   CpuShare CpuShareOf(const HostAddress& host) const;
 
   // Returns among how many hosts the turns to read the platform's service are
-  // divided: one if no other host was heard within kLoneAfter.
+  // divided: one if no other host was heard within kIsolatedAfter.
   int PollingHosts() const;
 
   // Returns how many hosts are alive, this one among them, by what reached this
@@ -103,7 +103,7 @@
   // between two words.
   static constexpr Millis kHeartbeatTimeout{3000};
   // A host that has heard no other for this long has missed every word.
-  static constexpr Millis kLoneAfter{1000};
+  static constexpr Millis kIsolatedAfter{1000};
   // How long a silent host is not taken for the planner, unless it is heard.
   static constexpr Millis kSuspectFor{2000};
   // A host that has just started waits so long for word of a planner before it
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -293,7 +293,7 @@
 
 int Membership::PollingHosts() const {
   const bool is_lone =
-      heard_any_ == TimePoint{} || clock_() - heard_any_ > kLoneAfter;
+      heard_any_ == TimePoint{} || clock_() - heard_any_ > kIsolatedAfter;
   return is_lone ? 1 : AliveHosts();
 }
 
