--- a/include/harecrank/core/fleet_size.h
+++ b/include/harecrank/core/fleet_size.h
@@ -64,7 +64,7 @@
 
   // A host that has started within this does not know the size: hosts that
   // start together have not counted each other yet.
-  static constexpr Millis kSettles{2000};
+  static constexpr Millis kStartupGrace{2000};
 
  private:
   bool has_other_seeds_ = true;
--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -109,7 +109,7 @@
   // A host that has just started waits so long for word of a planner before it
   // takes one by rank: many times what a seed takes to answer. Hosts that start
   // later find the one that plans then.
-  static constexpr Millis kSettles{100};
+  static constexpr Millis kStartupGrace{100};
   // A host that hears nobody, though it has seeds, takes itself for the planner
   // after this. Sooner, hosts that come back together, one after the other,
   // each plan for themselves and pack the same engines.
--- a/src/core/fleet_size.cc
+++ b/src/core/fleet_size.cc
@@ -39,7 +39,7 @@
 int FleetSize::Counted() const { return std::max(1, counted_.Value()); }
 
 std::optional<int> FleetSize::Most() const {
-  if (clock_() - started_ < kSettles) {
+  if (clock_() - started_ < kStartupGrace) {
     return std::nullopt;
   }
   const int most = std::max(Counted(), told_.Value());
--- a/src/core/fleet_size_test.cc
+++ b/src/core/fleet_size_test.cc
@@ -15,20 +15,20 @@
                  "A host that has just started does not know the size") {
   size_.OnTold(24);
   CHECK_FALSE(size_.Most().has_value());
-  now_ += FleetSize::kSettles;
+  now_ += FleetSize::kStartupGrace;
   CHECK(size_.Most() == 24);
 }
 
 TEST_CASE_METHOD(FleetSizeFixture,
                  "A host that has heard of no other does not know the size") {
   size_.OnCounted(1);
-  now_ += FleetSize::kSettles;
+  now_ += FleetSize::kStartupGrace;
   CHECK_FALSE(size_.Most().has_value());
 }
 
 TEST_CASE_METHOD(FleetSizeFixture, "A host without seeds is alone") {
   size_.SetHasOtherSeeds(false);
-  now_ += FleetSize::kSettles;
+  now_ += FleetSize::kStartupGrace;
   CHECK(size_.Most() == 1);
 }
 
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -92,7 +92,7 @@
                  "had time to hear of a planner") {
   books_.at(0)->OnHeartbeat(WordOf(1));
   CHECK_FALSE(books_.at(0)->Planner().has_value());
-  now_ += Membership::kSettles;
+  now_ += Membership::kStartupGrace;
   CHECK(books_.at(0)->Planner() == Address(0));
 }
 
@@ -100,7 +100,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "A host that hears nobody waits for longer before it plans "
                  "for itself") {
-  now_ += Membership::kSettles;
+  now_ += Membership::kStartupGrace;
   CHECK_FALSE(books_.at(3)->Planner().has_value());
   now_ += Membership::kAlone;
   CHECK(books_.at(3)->IsPlanner());
@@ -108,7 +108,7 @@
 
 TEST_CASE_METHOD(FleetFixture,
                  "Hosts that start together agree on the strongest") {
-  TalkFor(Membership::kSettles + Millis(300));
+  TalkFor(Membership::kStartupGrace + Millis(300));
   CHECK(FollowersOf(0) == 6);
   CHECK(books_.at(0)->IsPlanner());
   CHECK(books_.at(0)->ObservedHosts() == 6);
@@ -118,7 +118,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "When the planner dies the others agree on the next, and a "
                  "silent one is not asked again at once") {
-  TalkFor(Membership::kSettles + Millis(300));
+  TalkFor(Membership::kStartupGrace + Millis(300));
   books_.erase(0);
   for (const auto& [host, book] : books_) {
     book->OnUnresponsive(Address(0));
@@ -128,7 +128,7 @@
 }
 
 TEST_CASE_METHOD(FleetFixture, "A planner that stops hands over") {
-  TalkFor(Membership::kSettles + Millis(300));
+  TalkFor(Membership::kStartupGrace + Millis(300));
   books_.at(0)->Leave();
   for (int host = 1; host < 6; ++host) {
     books_.at(host)->OnHeartbeat(WordOf(0));
@@ -140,7 +140,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "A strong host that joins does not displace the planner") {
   books_.erase(0);
-  TalkFor(Membership::kSettles + Millis(300));
+  TalkFor(Membership::kStartupGrace + Millis(300));
   REQUIRE(FollowersOf(1) == 5);
   AddHost(0);
   TalkFor(Millis(1000));
@@ -157,7 +157,7 @@
       }
     }
   }
-  now_ += Membership::kSettles;
+  now_ += Membership::kStartupGrace;
   REQUIRE(FollowersOf(0) == 3);
   REQUIRE(FollowersOf(1) == 3);
   Talk(1, 0);
@@ -169,7 +169,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "A planner that was started again plans on as soon as one "
                  "that follows it tells it so") {
-  TalkFor(Membership::kSettles + Millis(300));
+  TalkFor(Membership::kStartupGrace + Millis(300));
   const Heartbeat word = WordOf(3);
   AddHost(0);
   CHECK_FALSE(books_.at(0)->Planner().has_value());
@@ -187,14 +187,14 @@
   for (int host = 6; host < 60; ++host) {
     AddHost(host);
   }
-  TalkFor(Membership::kSettles + Millis(1000));
+  TalkFor(Membership::kStartupGrace + Millis(1000));
   CHECK(FollowersOf(0) == 60);
   CHECK(books_.at(0)->IsPlanner());
 }
 
 TEST_CASE_METHOD(FleetFixture,
                  "Hosts that say nothing are not alive for long") {
-  TalkFor(Membership::kSettles + Millis(300));
+  TalkFor(Membership::kStartupGrace + Millis(300));
   now_ += Membership::kHeartbeatTimeout + Millis(1);
   CHECK(books_.at(0)->ObservedHosts() == 1);
   CHECK(books_.at(3)->IsPlanner());
@@ -222,7 +222,7 @@
                  "A host that is sent on follows the one that it was sent to, "
                  "as soon as that says that it plans") {
   books_.erase(0);
-  TalkFor(Membership::kSettles + Millis(300));
+  TalkFor(Membership::kStartupGrace + Millis(300));
   AddHost(6);
   Heartbeat stale = WordOf(2);
   stale.planner = Address(2);
@@ -310,7 +310,7 @@
   AddHost(9);
   books_.at(9)->OnHeartbeat(word);
   CHECK_FALSE(books_.at(9)->Size().Most().has_value());
-  now_ += FleetSize::kSettles;
+  now_ += FleetSize::kStartupGrace;
   CHECK(books_.at(9)->Size().Most() == 6);
 }
 
