--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -113,7 +113,7 @@
   // A host that hears nobody, though it has seeds, takes itself for the planner
   // after this. Sooner, hosts that come back together, one after the other,
   // each plan for themselves and pack the same engines.
-  static constexpr Millis kAlone{1500};
+  static constexpr Millis kIsolatedStartupGrace{1500};
   // Those that may plan next: so many fail together without a search.
   static constexpr std::size_t kSuccessors = 3;
   // Those that read the platform's service beside the planner. Each call has a
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -321,7 +321,7 @@
       std::any_of(seeds_.begin(), seeds_.end(),
                   [this](const HostAddress& s) { return s != self_.address; });
   const bool hears_nobody = has_seeds && hosts_.empty();
-  const Millis needed = hears_nobody ? kAlone : kStartupGrace;
+  const Millis needed = hears_nobody ? kIsolatedStartupGrace : kStartupGrace;
   return expected_ || clock_() - started_ >= needed;
 }
 
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -269,7 +269,7 @@
 
 TEST_CASE_METHOD(PropertyFixture,
                  "A host book answers as a scan of all hosts would") {
-  now_ += Membership::kAlone;
+  now_ += Membership::kIsolatedStartupGrace;
   constexpr int kSteps = 3000;
   for (int step = 0; step < kSteps; ++step) {
     Play();
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -102,7 +102,7 @@
                  "for itself") {
   now_ += Membership::kStartupGrace;
   CHECK_FALSE(books_.at(3)->Planner().has_value());
-  now_ += Membership::kAlone;
+  now_ += Membership::kIsolatedStartupGrace;
   CHECK(books_.at(3)->IsPlanner());
 }
 
