--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -118,7 +118,7 @@
   static constexpr std::size_t kSuccessors = 3;
   // Those that read the platform's service beside the planner. Each call has a
   // price; with three in all, two may be turned away and a third one tells.
-  static constexpr std::size_t kReadersBeside = 2;
+  static constexpr std::size_t kPollersBesidePlanner = 2;
   // How long a host that reads and is not answered is passed over.
   static constexpr Millis kPassedOver{5000};
   // How many other hosts are named beside them.
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -262,12 +262,14 @@
   const std::vector<KnownHost> best = AliveByRank(kReadersTried);
   std::vector<HostAddress> readers;
   for (const auto& [rank, address] : ranking_.Answered()) {
-    if (readers.size() < kReadersBeside && IsEligible(hosts_.at(address))) {
+    if (readers.size() < kPollersBesidePlanner &&
+        IsEligible(hosts_.at(address))) {
       readers.push_back(address);
     }
   }
   for (const KnownHost& known : best) {
-    if (known.address == self_.address || readers.size() >= kReadersBeside) {
+    if (known.address == self_.address ||
+        readers.size() >= kPollersBesidePlanner) {
       continue;
     }
     const Host& host = hosts_.at(known.address);
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -260,7 +260,7 @@
     book.OnHeartbeat(WordOf(host));
   }
   const std::vector<HostAddress> chosen = book.StorePollers();
-  REQUIRE(chosen.size() == Membership::kReadersBeside);
+  REQUIRE(chosen.size() == Membership::kPollersBesidePlanner);
   for (int host = 1; host <= 4; ++host) {
     Heartbeat word = WordOf(host);
     word.own_reading = OwnReading::kBegun;
