--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -120,7 +120,7 @@
   // price; with three in all, two may be turned away and a third one tells.
   static constexpr std::size_t kPollersBesidePlanner = 2;
   // How long a host that reads and is not answered is passed over.
-  static constexpr Millis kPassedOver{5000};
+  static constexpr Millis kFailedPollerCooldown{5000};
   // How many other hosts are named beside them.
   static constexpr std::size_t kNamedBeside = 4;
   // How many hosts a word names to one that may plan next: what fits into a
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -273,8 +273,8 @@
       continue;
     }
     const Host& host = hosts_.at(known.address);
-    const bool passed_over =
-        host.unanswered != TimePoint{} && now - host.unanswered <= kPassedOver;
+    const bool passed_over = host.unanswered != TimePoint{} &&
+                             now - host.unanswered <= kFailedPollerCooldown;
     if (!passed_over && !host.standing.is_answered) {
       readers.push_back(known.address);
     }
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -249,7 +249,7 @@
       CHECK(PlainScan::IsEligible(host, now_));
       const bool passed_over =
           host.unanswered.has_value() &&
-          now_ - *host.unanswered <= Membership::kPassedOver;
+          now_ - *host.unanswered <= Membership::kFailedPollerCooldown;
       CHECK((host.word.own_reading == OwnReading::kAnswered || !passed_over));
     }
   }
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -288,7 +288,7 @@
   for (const HostAddress& reader : book.StorePollers()) {
     CHECK(reader != first);
   }
-  now_ += Membership::kPassedOver + Millis(1);
+  now_ += Membership::kFailedPollerCooldown + Millis(1);
   failed.own_reading = OwnReading::kNone;
   for (int host = 1; host <= 4; ++host) {
     book.OnHeartbeat(WordOf(host));
