--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -122,7 +122,7 @@
   // How long a host that reads and is not answered is passed over.
   static constexpr Millis kFailedPollerCooldown{5000};
   // How many other hosts are named beside them.
-  static constexpr std::size_t kNamedBeside = 4;
+  static constexpr std::size_t kRandomMembersPerHeartbeat = 4;
   // How many hosts a word names to one that may plan next: what fits into a
   // datagram. Within kHeartbeatTimeout it is told of ten times as many.
   static constexpr std::size_t kMostNamed = 400;
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -238,7 +238,8 @@
     NameInTurn(kMostNamed - told.size(), &told);
     return told;
   }
-  for (std::size_t i = 0; i < kNamedBeside && !order_.empty(); ++i) {
+  for (std::size_t i = 0; i < kRandomMembersPerHeartbeat && !order_.empty();
+       ++i) {
     const HostAddress& drawn = order_[random_() % order_.size()];
     if (heard_.Holds(drawn)) {
       told.push_back(KnownHost{drawn, hosts_.at(drawn).cpu_share});
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -211,7 +211,8 @@
   }
   CHECK(books_.at(0)->PartialViewFor(Address(1)).size() == 40);
   const std::vector<KnownHost> told = books_.at(0)->PartialViewFor(Address(30));
-  CHECK(told.size() == Membership::kSuccessors + 1 + Membership::kNamedBeside);
+  CHECK(told.size() ==
+        Membership::kSuccessors + 1 + Membership::kRandomMembersPerHeartbeat);
   for (int host = 0; host <= static_cast<int>(Membership::kSuccessors);
        ++host) {
     CHECK(told.at(static_cast<std::size_t>(host)).address == Address(host));
