--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -125,7 +125,7 @@
   static constexpr std::size_t kRandomMembersPerHeartbeat = 4;
   // How many hosts a word names to one that may plan next: what fits into a
   // datagram. Within kHeartbeatTimeout it is told of ten times as many.
-  static constexpr std::size_t kMostNamed = 400;
+  static constexpr std::size_t kMaxMembersPerHeartbeat = 400;
 
  private:
   struct Host {
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -232,10 +232,10 @@
       told.begin(), told.end(),
       [&reader](const KnownHost& host) { return host.address == reader; });
   if (may_plan_next) {
-    if (hosts_.size() < kMostNamed) {
+    if (hosts_.size() < kMaxMembersPerHeartbeat) {
       return AliveByRank(hosts_.size() + 1);
     }
-    NameInTurn(kMostNamed - told.size(), &told);
+    NameInTurn(kMaxMembersPerHeartbeat - told.size(), &told);
     return told;
   }
   for (std::size_t i = 0; i < kRandomMembersPerHeartbeat && !order_.empty();
