--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/host_book.h
@@ -130,7 +130,7 @@
  private:
   struct Host {
     CpuShare cpu_share;
-    HostStanding standing;
+    HostRankingEntry standing;
     bool leaving = false;
     HostAddress planner;
     // When it last said that its own reading failed.
--- a/include/harecrank/core/host_ranking.h
+++ b/include/harecrank/core/host_ranking.h
@@ -20,7 +20,7 @@
 using HostRank = std::pair<double, std::uint64_t>;
 
 // What a host is chosen by.
-struct HostStanding {
+struct HostRankingEntry {
   HostRank rank;
   // It says that it plans.
   bool claims = false;
@@ -33,7 +33,7 @@
   // Sorts hosts that know the same.
   std::uint64_t draw = 0;
 
-  friend bool operator==(const HostStanding& a, const HostStanding& b) {
+  friend bool operator==(const HostRankingEntry& a, const HostRankingEntry& b) {
     return a.Key() == b.Key();
   }
 
@@ -51,7 +51,7 @@
 // Not thread-safe.
 class HostRanking {
  public:
-  void Set(const HostAddress& host, const HostStanding& standing);
+  void Set(const HostAddress& host, const HostRankingEntry& standing);
   void Remove(const HostAddress& host);
 
   const HostsByRank& ByRank() const { return by_rank_; }
@@ -78,10 +78,10 @@
   using Routed = std::pair<std::uint64_t, Informed>;
 
   static Informed InformedOf(const HostAddress& host,
-                             const HostStanding& standing);
-  void Unlist(const HostAddress& host, const HostStanding& standing);
+                             const HostRankingEntry& standing);
+  void Unlist(const HostAddress& host, const HostRankingEntry& standing);
 
-  std::map<HostAddress, HostStanding> standings_;
+  std::map<HostAddress, HostRankingEntry> standings_;
   HostsByRank by_rank_;
   HostsByRank claimants_;
   HostsByRank answered_;
--- a/src/core/host_ranking.cc
+++ b/src/core/host_ranking.cc
@@ -2,13 +2,14 @@
 
 namespace harecrank {
 
-HostRanking::Informed HostRanking::InformedOf(const HostAddress& host,
-                                              const HostStanding& standing) {
+HostRanking::Informed HostRanking::InformedOf(
+    const HostAddress& host, const HostRankingEntry& standing) {
   return {Knowledge{standing.known_up_to.value, standing.rank.first},
           standing.draw, host};
 }
 
-void HostRanking::Set(const HostAddress& host, const HostStanding& standing) {
+void HostRanking::Set(const HostAddress& host,
+                      const HostRankingEntry& standing) {
   const auto [held, is_new] = standings_.try_emplace(host, standing);
   if (!is_new) {
     if (held->second == standing) {
@@ -40,7 +41,7 @@
 }
 
 void HostRanking::Unlist(const HostAddress& host,
-                         const HostStanding& standing) {
+                         const HostRankingEntry& standing) {
   by_rank_.erase({standing.rank, host});
   claimants_.erase({standing.rank, host});
   answered_.erase({standing.rank, host});
