--- a/include/harecrank/core/fleet_size.h
+++ b/include/harecrank/core/fleet_size.h
@@ -49,7 +49,7 @@
   }
 
   // Notes how many living hosts this one has heard itself, itself among them.
-  void OnCounted(int hosts);
+  void OnObserved(int hosts);
 
   // Notes how many another host has counted.
   void OnTold(int hosts);
--- a/src/core/fleet_size.cc
+++ b/src/core/fleet_size.cc
@@ -32,7 +32,7 @@
       counted_(clock_),
       told_(clock_) {}
 
-void FleetSize::OnCounted(int hosts) { counted_.Note(hosts); }
+void FleetSize::OnObserved(int hosts) { counted_.Note(hosts); }
 
 void FleetSize::OnTold(int hosts) { told_.Note(hosts); }
 
--- a/src/core/fleet_size_test.cc
+++ b/src/core/fleet_size_test.cc
@@ -21,7 +21,7 @@
 
 TEST_CASE_METHOD(FleetSizeFixture,
                  "A host that has heard of no other does not know the size") {
-  size_.OnCounted(1);
+  size_.OnObserved(1);
   now_ += FleetSize::kStartupGrace;
   CHECK_FALSE(size_.Most().has_value());
 }
@@ -33,25 +33,25 @@
 }
 
 TEST_CASE_METHOD(FleetSizeFixture, "A host that is cut off keeps the size") {
-  size_.OnCounted(24);
+  size_.OnObserved(24);
   for (int minute = 0; minute < 9; ++minute) {
     now_ += std::chrono::minutes(1);
-    size_.OnCounted(3);
+    size_.OnObserved(3);
   }
   CHECK(size_.Most() == 24);
 }
 
 TEST_CASE_METHOD(FleetSizeFixture, "A fleet that has shrunk is smaller later") {
-  size_.OnCounted(24);
+  size_.OnObserved(24);
   for (int minute = 0; minute < 21; ++minute) {
     now_ += std::chrono::minutes(1);
-    size_.OnCounted(3);
+    size_.OnObserved(3);
   }
   CHECK(size_.Most() == 3);
 }
 
 TEST_CASE_METHOD(FleetSizeFixture, "What a host was told it does not tell on") {
-  size_.OnCounted(3);
+  size_.OnObserved(3);
   size_.OnTold(24);
   CHECK(size_.Counted() == 3);
 }
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -305,7 +305,7 @@
   return 1 + static_cast<int>(alive_.Count());
 }
 
-void Membership::RecordFleetSize() { size_.OnCounted(ObservedHosts()); }
+void Membership::RecordFleetSize() { size_.OnObserved(ObservedHosts()); }
 
 int Membership::AliveHosts() const {
   return std::max(ObservedHosts(), ranking_.MostAliveHosts());
