--- a/include/harecrank/core/fleet_size.h
+++ b/include/harecrank/core/fleet_size.h
@@ -52,7 +52,7 @@
   void OnObserved(int hosts);
 
   // Notes how many another host has counted.
-  void OnTold(int hosts);
+  void OnReported(int hosts);
 
   // Returns the most that this host has counted: what it may tell others. What
   // it was told is not told on, or an old number would go round for ever.
--- a/src/core/fleet_size.cc
+++ b/src/core/fleet_size.cc
@@ -34,7 +34,7 @@
 
 void FleetSize::OnObserved(int hosts) { counted_.Note(hosts); }
 
-void FleetSize::OnTold(int hosts) { told_.Note(hosts); }
+void FleetSize::OnReported(int hosts) { told_.Note(hosts); }
 
 int FleetSize::Counted() const { return std::max(1, counted_.Value()); }
 
--- a/src/core/fleet_size_test.cc
+++ b/src/core/fleet_size_test.cc
@@ -13,7 +13,7 @@
 
 TEST_CASE_METHOD(FleetSizeFixture,
                  "A host that has just started does not know the size") {
-  size_.OnTold(24);
+  size_.OnReported(24);
   CHECK_FALSE(size_.Most().has_value());
   now_ += FleetSize::kStartupGrace;
   CHECK(size_.Most() == 24);
@@ -52,7 +52,7 @@
 
 TEST_CASE_METHOD(FleetSizeFixture, "What a host was told it does not tell on") {
   size_.OnObserved(3);
-  size_.OnTold(24);
+  size_.OnReported(24);
   CHECK(size_.Counted() == 3);
 }
 
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -53,7 +53,7 @@
   host.standing.alive_hosts = word.alive_hosts;
   host.leaving = word.leaving;
   host.planner = word.planner;
-  size_.OnTold(std::max(word.alive_hosts, word.most_hosts));
+  size_.OnReported(std::max(word.alive_hosts, word.most_hosts));
   if (word.own_reading == OwnReading::kFailed) {
     host.unanswered = clock_();
   }
