--- a/include/harecrank/core/fleet_size.h
+++ b/include/harecrank/core/fleet_size.h
@@ -56,7 +56,7 @@
 
   // Returns the most that this host has counted: what it may tell others. What
   // it was told is not told on, or an old number would go round for ever.
-  int Counted() const;
+  int PeakObserved() const;
 
   // Returns the most hosts that the fleet may have; nothing if this host has
   // started just now, or has not heard of any other.
--- a/src/core/fleet_size.cc
+++ b/src/core/fleet_size.cc
@@ -36,13 +36,13 @@
 
 void FleetSize::OnReported(int hosts) { told_.Note(hosts); }
 
-int FleetSize::Counted() const { return std::max(1, counted_.Value()); }
+int FleetSize::PeakObserved() const { return std::max(1, counted_.Value()); }
 
 std::optional<int> FleetSize::Most() const {
   if (clock_() - started_ < kStartupGrace) {
     return std::nullopt;
   }
-  const int most = std::max(Counted(), told_.Value());
+  const int most = std::max(PeakObserved(), told_.Value());
   if (has_other_seeds_ && most <= 1) {
     return std::nullopt;
   }
--- a/src/core/fleet_size_test.cc
+++ b/src/core/fleet_size_test.cc
@@ -53,7 +53,7 @@
 TEST_CASE_METHOD(FleetSizeFixture, "What a host was told it does not tell on") {
   size_.OnObserved(3);
   size_.OnReported(24);
-  CHECK(size_.Counted() == 3);
+  CHECK(size_.PeakObserved() == 3);
 }
 
 }  // namespace
