--- a/include/harecrank/core/fleet_size.h
+++ b/include/harecrank/core/fleet_size.h
@@ -60,7 +60,7 @@
 
   // Returns the most hosts that the fleet may have; nothing if this host has
   // started just now, or has not heard of any other.
-  std::optional<int> Most() const;
+  std::optional<int> MaxHosts() const;
 
   // A host that has started within this does not know the size: hosts that
   // start together have not counted each other yet.
--- a/src/core/fleet_size.cc
+++ b/src/core/fleet_size.cc
@@ -38,7 +38,7 @@
 
 int FleetSize::PeakObserved() const { return std::max(1, counted_.Value()); }
 
-std::optional<int> FleetSize::Most() const {
+std::optional<int> FleetSize::MaxHosts() const {
   if (clock_() - started_ < kStartupGrace) {
     return std::nullopt;
   }
--- a/src/core/fleet_size_test.cc
+++ b/src/core/fleet_size_test.cc
@@ -14,22 +14,22 @@
 TEST_CASE_METHOD(FleetSizeFixture,
                  "A host that has just started does not know the size") {
   size_.OnReported(24);
-  CHECK_FALSE(size_.Most().has_value());
+  CHECK_FALSE(size_.MaxHosts().has_value());
   now_ += FleetSize::kStartupGrace;
-  CHECK(size_.Most() == 24);
+  CHECK(size_.MaxHosts() == 24);
 }
 
 TEST_CASE_METHOD(FleetSizeFixture,
                  "A host that has heard of no other does not know the size") {
   size_.OnObserved(1);
   now_ += FleetSize::kStartupGrace;
-  CHECK_FALSE(size_.Most().has_value());
+  CHECK_FALSE(size_.MaxHosts().has_value());
 }
 
 TEST_CASE_METHOD(FleetSizeFixture, "A host without seeds is alone") {
   size_.SetHasOtherSeeds(false);
   now_ += FleetSize::kStartupGrace;
-  CHECK(size_.Most() == 1);
+  CHECK(size_.MaxHosts() == 1);
 }
 
 TEST_CASE_METHOD(FleetSizeFixture, "A host that is cut off keeps the size") {
@@ -38,7 +38,7 @@
     now_ += std::chrono::minutes(1);
     size_.OnObserved(3);
   }
-  CHECK(size_.Most() == 24);
+  CHECK(size_.MaxHosts() == 24);
 }
 
 TEST_CASE_METHOD(FleetSizeFixture, "A fleet that has shrunk is smaller later") {
@@ -47,7 +47,7 @@
     now_ += std::chrono::minutes(1);
     size_.OnObserved(3);
   }
-  CHECK(size_.Most() == 3);
+  CHECK(size_.MaxHosts() == 3);
 }
 
 TEST_CASE_METHOD(FleetSizeFixture, "What a host was told it does not tell on") {
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -312,7 +312,7 @@
 }
 
 int Membership::HostsSharingLimits() const {
-  return std::max(AliveHosts(), size_.Most().value_or(0));
+  return std::max(AliveHosts(), size_.MaxHosts().value_or(0));
 }
 
 HostRank Membership::RankOf(const HostAddress& address, CpuShare cpu_share) {
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -310,9 +310,9 @@
   word.most_hosts = books_.at(0)->Size().PeakObserved();
   AddHost(9);
   books_.at(9)->OnHeartbeat(word);
-  CHECK_FALSE(books_.at(9)->Size().Most().has_value());
+  CHECK_FALSE(books_.at(9)->Size().MaxHosts().has_value());
   now_ += FleetSize::kStartupGrace;
-  CHECK(books_.at(9)->Size().Most() == 6);
+  CHECK(books_.at(9)->Size().MaxHosts() == 6);
 }
 
 TEST_CASE_METHOD(FleetFixture,
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -70,7 +70,7 @@
     return static_cast<double>(parts.start_gate->RestingCount());
   });
   metrics->AddGauge("harecrank_gateway_fleet_size", [parts] {
-    return static_cast<double>(parts.hosts->Size().Most().value_or(0));
+    return static_cast<double>(parts.hosts->Size().MaxHosts().value_or(0));
   });
   metrics->AddGauge("harecrank_gateway_data_centres_closed", [parts] {
     return static_cast<double>(parts.directory->Closed().Count());
@@ -121,7 +121,7 @@
            {{"planner", planner.value_or(HostAddress{}).value},
             {"plans", parts.fleet->IsPlanner()},
             {"alive", parts.hosts->AliveHosts()},
-            {"size", parts.hosts->Size().Most().value_or(0)}}},
+            {"size", parts.hosts->Size().MaxHosts().value_or(0)}}},
           {"endpoints",
            {{"known", parts.directory->Count()},
             {"leaving", Names(parts.directory->Leaving())},
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -71,7 +71,7 @@
       hosts_(Self(settings_), Addresses(settings_.seed_peers), clock_, random_),
       start_gate_(
           Self(settings_).address, settings_.cold_bound,
-          [this] { return hosts_.Size().Most(); },
+          [this] { return hosts_.Size().MaxHosts(); },
           [this] { return routing_.InForce(); }, &log_, &metrics_, clock_),
       planner_(
           &directory_, &health_, start_gate_.Shares(), settings_.data_centre,
