--- a/include/harecrank/core/fleet_size.h
+++ b/include/harecrank/core/fleet_size.h
@@ -17,9 +17,9 @@
 
 // The highest of the numbers that were noted within a long time. Not
 // thread-safe.
-class LastingPeak {
+class WindowedMax {
  public:
-  explicit LastingPeak(MonotonicClock clock);
+  explicit WindowedMax(MonotonicClock clock);
 
   void Note(int number);
 
@@ -70,8 +70,8 @@
   bool has_other_seeds_ = true;
   MonotonicClock clock_;
   TimePoint started_;
-  LastingPeak counted_;
-  LastingPeak told_;
+  WindowedMax counted_;
+  WindowedMax told_;
 };
 
 }  // namespace harecrank
--- a/src/core/fleet_size.cc
+++ b/src/core/fleet_size.cc
@@ -5,10 +5,10 @@
 
 namespace harecrank {
 
-LastingPeak::LastingPeak(MonotonicClock clock)
+WindowedMax::WindowedMax(MonotonicClock clock)
     : clock_(std::move(clock)), began_(clock_()) {}
 
-void LastingPeak::Note(int number) {
+void WindowedMax::Note(int number) {
   const TimePoint now = clock_();
   if (now - began_ >= kRemembered) {
     former_ = now - began_ < 2 * kRemembered ? current_ : 0;
@@ -18,7 +18,7 @@
   current_ = std::max(current_, number);
 }
 
-int LastingPeak::Value() const {
+int WindowedMax::Value() const {
   const auto age = clock_() - began_;
   if (age >= 2 * kRemembered) {
     return 0;
