--- a/include/harecrank/core/fleet_size.h
+++ b/include/harecrank/core/fleet_size.h
@@ -28,7 +28,7 @@
 
   // A number is remembered for this long at the least, and twice that at the
   // most: longer than any cut or restart of a fleet lasts.
-  static constexpr Millis kRemembered{600000};
+  static constexpr Millis kWindow{600000};
 
  private:
   MonotonicClock clock_;
--- a/src/core/fleet_size.cc
+++ b/src/core/fleet_size.cc
@@ -10,8 +10,8 @@
 
 void WindowedMax::Note(int number) {
   const TimePoint now = clock_();
-  if (now - began_ >= kRemembered) {
-    former_ = now - began_ < 2 * kRemembered ? current_ : 0;
+  if (now - began_ >= kWindow) {
+    former_ = now - began_ < 2 * kWindow ? current_ : 0;
     current_ = 0;
     began_ = now;
   }
@@ -20,10 +20,10 @@
 
 int WindowedMax::Value() const {
   const auto age = clock_() - began_;
-  if (age >= 2 * kRemembered) {
+  if (age >= 2 * kWindow) {
     return 0;
   }
-  return age >= kRemembered ? current_ : std::max(current_, former_);
+  return age >= kWindow ? current_ : std::max(current_, former_);
 }
 
 FleetSize::FleetSize(MonotonicClock clock)
