--- a/include/harecrank/core/host_states.h
+++ b/include/harecrank/core/host_states.h
@@ -22,9 +22,9 @@
 
 // Holds the newest version of the list that this process has heard of.
 // Thread-safe; reading is wait-free.
-class HostStates {
+class HostListCache {
  public:
-  HostStates();
+  HostListCache();
 
   // Offers a version. Returns whether it was newer and is held now.
   bool Offer(HostListVersion version);
--- a/src/core/host_states.cc
+++ b/src/core/host_states.cc
@@ -4,10 +4,10 @@
 
 namespace harecrank {
 
-HostStates::HostStates()
+HostListCache::HostListCache()
     : current_(std::make_shared<const HostListVersion>()) {}
 
-bool HostStates::Offer(HostListVersion version) {
+bool HostListCache::Offer(HostListVersion version) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (version.version <= current_.Load()->version) {
     return false;
@@ -16,11 +16,11 @@
   return true;
 }
 
-std::shared_ptr<const HostListVersion> HostStates::Current() const {
+std::shared_ptr<const HostListVersion> HostListCache::Current() const {
   return current_.Load();
 }
 
-bool HostStates::IsLeaving(const NodeId& node) const {
+bool HostListCache::IsLeaving(const NodeId& node) const {
   return current_.Load()->leaving.count(node) > 0;
 }
 
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -30,7 +30,7 @@
   // Null where the platform has no host list.
   HostListPort* host_list = nullptr;
   ActiveConfig* active_config = nullptr;
-  HostStates* hosts = nullptr;
+  HostListCache* hosts = nullptr;
   Metrics* metrics = nullptr;
   MonotonicClock clock;
   RandomSource random;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -26,7 +26,7 @@
 }
 
 ConfigFeedPorts MakePorts(ConfigServicePort* service, HostListPort* host_list,
-                          ActiveConfig* active_config, HostStates* hosts,
+                          ActiveConfig* active_config, HostListCache* hosts,
                           Metrics* metrics, MonotonicClock clock,
                           RandomSource random) {
   return ConfigFeedPorts{service, host_list,        active_config,    hosts,
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -73,7 +73,7 @@
   TimePoint started_;
   Metrics metrics_;
   ActiveConfig active_config_;
-  HostStates hosts_;
+  HostListCache hosts_;
   HttpConfigService service_;
   std::unique_ptr<HttpHostList> host_list_;
   ConfigFeed feed_;
