--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -100,7 +100,7 @@
 };
 
 // Asks the planner for a place.
-struct PlaceAsk {
+struct PlacementQuery {
   HostAddress host;
   Incarnation life;
   AskId id;
@@ -197,8 +197,8 @@
   std::vector<CrashReport> reports;
 };
 
-using FleetMessage = std::variant<Heartbeat, PlaceAsk, PlaceAnswer, WorkNote,
-                                  PublishedChanges, CrashReports>;
+using FleetMessage = std::variant<Heartbeat, PlacementQuery, PlaceAnswer,
+                                  WorkNote, PublishedChanges, CrashReports>;
 
 // Returns `message` as CBOR.
 std::string EncodeFleetMessage(const FleetMessage& message);
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -62,7 +62,7 @@
   void Begin(const std::vector<HostAddress>& hosts);
 
   // Decides on an ask. The same ask once more gets the same answer.
-  PlaceDecision OnQuery(const PlaceAsk& ask);
+  PlaceDecision OnQuery(const PlacementQuery& ask);
 
   // Takes what became of places.
   void OnProgressReport(const WorkNote& note);
@@ -111,7 +111,7 @@
 
  private:
   struct Entry {
-    PlaceAsk ask;
+    PlacementQuery ask;
     TimePoint late_at{};
     TimePoint came_at{};
     // When its caller or route gives it up.
@@ -153,7 +153,8 @@
   WaitingRoom& RoomOf(const Entry& entry) {
     return entry.is_short ? short_room_ : room_;
   }
-  bool WaitsInVain(const PlaceAsk& ask, const PlacementRequest& request) const;
+  bool WaitsInVain(const PlacementQuery& ask,
+                   const PlacementRequest& request) const;
   void Wait(Entry* entry, const PlacementRequest& request);
   void LeaveRoom(Entry* entry);
   void NoteDemand(const PlacementRequest& request);
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -225,9 +225,9 @@
   return ids;
 }
 
-PlaceAsk TakeAsk(ArrayReader* reader, std::size_t size) {
+PlacementQuery TakeAsk(ArrayReader* reader, std::size_t size) {
   constexpr std::size_t kSizeWithoutWithheld = 17;
-  PlaceAsk ask;
+  PlacementQuery ask;
   ask.host = reader->TakeString<HostAddress>();
   ask.life = reader->TakeNumber<Incarnation>();
   ask.id = reader->TakeNumber<AskId>();
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -129,7 +129,7 @@
     return array;
   }
 
-  json operator()(const PlaceAsk& ask) const {
+  json operator()(const PlacementQuery& ask) const {
     json array = json::array(
         {static_cast<int>(MessageKind::kAsk), ask.host.value, ask.life.value,
          ask.id.value, ask.service.value, ask.target_latency.count(),
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -149,7 +149,7 @@
 }
 
 TEST_CASE("An ask comes back as it was sent") {
-  PlaceAsk ask;
+  PlacementQuery ask;
   ask.host = kHost;
   ask.life = Incarnation{77};
   ask.id = AskId{5};
@@ -164,7 +164,7 @@
   ask.until_deadline = FractionalMillis(9000);
   ask.origin.request = RequestFingerprint{AccountId{"press"}, 7, 9};
   ask.origin.priority = 2;
-  const PlaceAsk read = SentAndRead(ask);
+  const PlacementQuery read = SentAndRead(ask);
   CHECK(read.host == ask.host);
   CHECK(read.life == ask.life);
   CHECK(read.id == ask.id);
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -50,7 +50,7 @@
   return !untold_.empty() && clock_() < learns_until_;
 }
 
-PlaceDecision Planner::OnQuery(const PlaceAsk& ask) {
+PlaceDecision Planner::OnQuery(const PlacementQuery& ask) {
   Host* host = HostOf(ask.host, ask.life);
   const auto [found, is_new] = host->asks.try_emplace(ask.id);
   Entry& entry = found->second;
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -114,12 +114,12 @@
 
  private:
   struct Pending {
-    PlaceAsk ask;
+    PlacementQuery ask;
     TimePoint late_at{};
     TimePoint ends_at{};
   };
   struct Running {
-    PlaceAsk ask;
+    PlacementQuery ask;
     TimePoint ends{};
   };
 
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -48,13 +48,15 @@
         [this] { return drawn_ += 77; });
   }
 
-  PlaceAsk Short(int host) { return Ask(host, 5000, Millis(400), Millis(300)); }
-  PlaceAsk Long(int host, std::int64_t prompt = 220000) {
+  PlacementQuery Short(int host) {
+    return Ask(host, 5000, Millis(400), Millis(300));
+  }
+  PlacementQuery Long(int host, std::int64_t prompt = 220000) {
     return Ask(host, prompt, Millis(4000), Millis(1200));
   }
 
-  PlaceAsk Ask(int host, std::int64_t prompt, Millis target, Millis gap) {
-    PlaceAsk ask;
+  PlacementQuery Ask(int host, std::int64_t prompt, Millis target, Millis gap) {
+    PlacementQuery ask;
     ask.host = HostAddress{"h" + std::to_string(host)};
     ask.life = Incarnation{1};
     ask.id = AskId{++last_id_};
@@ -67,14 +69,14 @@
     return ask;
   }
 
-  void End(const PlaceAsk& ask) {
+  void End(const PlacementQuery& ask) {
     planner_->OnProgressReport(
         WorkNote{ask.host, ask.life, {}, {EndNote{ask.id, false}}});
   }
 
   // Returns the account of a host that has under way what `asks` were given.
   static Heartbeat AccountOf(
-      const std::vector<std::pair<PlaceAsk, PlannedPlacement>>& asks) {
+      const std::vector<std::pair<PlacementQuery, PlannedPlacement>>& asks) {
     Heartbeat word;
     word.address = asks.front().first.host;
     word.life = asks.front().first.life;
@@ -144,9 +146,9 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "A prompt that finds all engines reading waits, and starts "
                  "when they have read") {
-  const PlaceAsk first = Long(1);
+  const PlacementQuery first = Long(1);
   REQUIRE(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(first)));
-  const PlaceAsk second = Long(2);
+  const PlacementQuery second = Long(2);
   REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(second)));
   CHECK(planner_->ProcessWaitQueue().empty());
   planner_->OnProgressReport(
@@ -162,11 +164,11 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "Of two that wait the one with less time to spare starts "
                  "first") {
-  const PlaceAsk first = Long(1);
+  const PlacementQuery first = Long(1);
   planner_->OnQuery(first);
-  const PlaceAsk patient = Long(2);
+  const PlacementQuery patient = Long(2);
   planner_->OnQuery(patient);
-  PlaceAsk pressed = Long(3);
+  PlacementQuery pressed = Long(3);
   pressed.until_late = FractionalMillis(2000);
   planner_->OnQuery(pressed);
   planner_->OnProgressReport(
@@ -179,7 +181,7 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "The same ask once more gets the same answer and no second "
                  "place") {
-  const PlaceAsk ask = Long(1);
+  const PlacementQuery ask = Long(1);
   const auto first = std::get<PlannedPlacement>(planner_->OnQuery(ask));
   const auto again = std::get<PlannedPlacement>(planner_->OnQuery(ask));
   CHECK(first.endpoint == again.endpoint);
@@ -192,12 +194,12 @@
                  "A prompt is refused at once where one that takes no longer "
                  "can no longer be in time") {
   planner_->OnQuery(Long(1));
-  PlaceAsk late = Long(2);
+  PlacementQuery late = Long(2);
   late.until_late = FractionalMillis(-1);
   REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(late)));
   CHECK(std::holds_alternative<AskRefused>(planner_->OnQuery(Long(3, 230000))));
   // One that an endpoint may have run is never told that it was not.
-  PlaceAsk started = Long(3, 230000);
+  PlacementQuery started = Long(3, 230000);
   started.may_have_run = true;
   CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(started)));
 }
@@ -205,7 +207,7 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "A planner that is new learns from the hosts what is under "
                  "way") {
-  const PlaceAsk first = Long(1);
+  const PlacementQuery first = Long(1);
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(first));
   planner_ = MakePlanner();
   planner_->OnHeartbeat(AccountOf({{first, placed}}));
@@ -215,7 +217,7 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "A planner that is new gives no place before it has learnt "
                  "what is under way, and then all that can be given") {
-  const PlaceAsk first = Long(1);
+  const PlacementQuery first = Long(1);
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(first));
   planner_ = MakePlanner();
   planner_->Begin({first.host, HostAddress{"silent"}});
@@ -235,7 +237,7 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "A planner that all hosts have told goes on at once") {
   planner_->Begin({HostAddress{"h1"}});
-  const PlaceAsk ask = Short(1);
+  const PlacementQuery ask = Short(1);
   REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(ask)));
   Heartbeat nothing;
   nothing.address = ask.host;
@@ -248,7 +250,7 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "A place that its host does not tell of is free again, but "
                  "not before the host can have told") {
-  const PlaceAsk taken = Long(1);
+  const PlacementQuery taken = Long(1);
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(taken));
   Heartbeat nothing = AccountOf({{taken, placed}});
   nothing.work->clear();
@@ -262,9 +264,9 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "What silent and restarted hosts had under way is forgotten") {
   planner_->OnQuery(Long(1));
-  PlaceAsk waits = Long(2);
+  PlacementQuery waits = Long(2);
   REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(waits)));
-  PlaceAsk reborn = Long(1);
+  PlacementQuery reborn = Long(1);
   reborn.life = Incarnation{2};
   CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(reborn)));
   now_ += Planner::kHostTimeout + Millis(1);
@@ -276,7 +278,7 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "An ask that waits and is not repeated was given up") {
   planner_->OnQuery(Long(1));
-  const PlaceAsk waits = Long(2);
+  const PlacementQuery waits = Long(2);
   planner_->OnQuery(waits);
   Heartbeat alive;
   alive.address = waits.host;
@@ -292,11 +294,11 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "An endpoint that failed a host's requests is left alone for "
                  "all") {
-  const PlaceAsk ask = Short(1);
+  const PlacementQuery ask = Short(1);
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(ask));
   End(ask);
   for (int i = 0; i < 10; ++i) {
-    PlaceAsk again = Short(1);
+    PlacementQuery again = Short(1);
     planner_->OnQuery(again);
     planner_->OnProgressReport(
         WorkNote{again.host, again.life, {}, {EndNote{again.id, true}}});
@@ -306,7 +308,7 @@
 }
 
 TEST_CASE_METHOD(PlannerFixture, "An unknown service has no endpoint") {
-  PlaceAsk ask = Short(1);
+  PlacementQuery ask = Short(1);
   ask.service = ServiceName{"none"};
   CHECK(std::holds_alternative<NoEndpoint>(planner_->OnQuery(ask)));
 }
@@ -352,9 +354,9 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "A short prompt that waits is refused when it has been late "
                  "for as long as its target") {
-  std::vector<PlaceAsk> waiting;
+  std::vector<PlacementQuery> waiting;
   for (int host = 0; host < 300; ++host) {
-    const PlaceAsk ask = Short(host);
+    const PlacementQuery ask = Short(host);
     if (std::holds_alternative<AskWaits>(planner_->OnQuery(ask))) {
       waiting.push_back(ask);
     }
@@ -375,7 +377,7 @@
   for (int host = 0; host < 300; ++host) {
     planner_->OnQuery(Short(host));
   }
-  PlaceAsk resumed = Short(1);
+  PlacementQuery resumed = Short(1);
   resumed.may_have_run = true;
   CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(resumed)));
 }
@@ -388,7 +390,7 @@
   const auto same = std::get<PlannedPlacement>(planner_->OnQuery(Short(2)));
   CHECK(same.endpoint == first.endpoint);
   planner_ = MakePlanner();
-  PlaceAsk ask = Short(3);
+  PlacementQuery ask = Short(3);
   ask.withheld = {first.endpoint};
   const auto other = std::get<PlannedPlacement>(planner_->OnQuery(ask));
   CHECK_FALSE(other.endpoint == first.endpoint);
@@ -402,7 +404,7 @@
     planner_ = MakePlanner();
   }
 
-  PlaceAsk Told(PlaceAsk ask, std::uint64_t request) {
+  PlacementQuery Told(PlacementQuery ask, std::uint64_t request) {
     ask.until_deadline = FractionalMillis(15000);
     ask.origin.request = RequestFingerprint{AccountId{"press"}, request, 1};
     return ask;
@@ -417,12 +419,12 @@
   }
 
   // Returns when `ask` is told to return in a flood.
-  Millis TurnAway(const PlaceAsk& ask) {
+  Millis TurnAway(const PlacementQuery& ask) {
     Flood();
     return std::get<AskRefused>(planner_->OnQuery(ask)).return_after.value();
   }
 
-  PlaceAsk Return(PlaceAsk ask) {
+  PlacementQuery Return(PlacementQuery ask) {
     ask.id = AskId{++last_id_};
     ask.until_deadline = FractionalMillis(9000);
     return ask;
@@ -434,7 +436,7 @@
 TEST_CASE_METHOD(TurnedAwayFixture,
                  "Who is turned away and returns when it was told to is not "
                  "turned away again, and a stranger is") {
-  const PlaceAsk ask = Told(Long(1), 1);
+  const PlacementQuery ask = Told(Long(1), 1);
   const Millis after = TurnAway(ask);
   CHECK(after <= Millis(5000));
   // Sooner it gains nothing: the same time is told again.
@@ -452,7 +454,7 @@
 TEST_CASE_METHOD(TurnedAwayFixture,
                  "A planner that is replaced between refusal and return has "
                  "forgotten the promise and serves who returns as any other") {
-  const PlaceAsk ask = Told(Long(1), 1);
+  const PlacementQuery ask = Told(Long(1), 1);
   now_ += TurnAway(ask);
   planner_ = MakePlanner();
   CHECK(planner_->ReservationCount() == 0);
@@ -463,7 +465,7 @@
 TEST_CASE_METHOD(TurnedAwayFixture,
                  "Who was promised room that is lost since waits while it can "
                  "be served, and is told at once when it can not") {
-  const PlaceAsk ask = Told(Long(1), 1);
+  const PlacementQuery ask = Told(Long(1), 1);
   now_ += TurnAway(ask);
   for (int i = 0; i + 1 < kEngines; ++i) {
     EndpointRecord lost;
@@ -473,7 +475,7 @@
     lost.draining = true;
     directory_.Upsert(lost);
   }
-  const PlaceAsk returned = Return(ask);
+  const PlacementQuery returned = Return(ask);
   REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(returned)));
   now_ += Millis(8800);
   bool is_told = false;
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -79,7 +79,7 @@
          decision_.MayStart(room.Find(*entry.waiter), kind, clock_(), ahead);
 }
 
-bool Planner::WaitsInVain(const PlaceAsk& ask,
+bool Planner::WaitsInVain(const PlacementQuery& ask,
                           const PlacementRequest& request) const {
   const auto least = room_.LeastLateWork();
   return !ask.may_have_run && least.has_value() &&
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -235,7 +235,7 @@
       }
       return;
     }
-    PlaceAsk ask;
+    PlacementQuery ask;
     ask.host = Host(host);
     ask.life = Incarnation{1};
     ask.id = AskId{++last_id_};
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -115,7 +115,7 @@
 
   void Ask(const Caller& caller) {
     const Traffic& traffic = *caller.traffic;
-    PlaceAsk ask;
+    PlacementQuery ask;
     ask.host = HostAddress{"h"};
     ask.life = Incarnation{1};
     ask.id = AskId{++last_id_};
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -23,7 +23,9 @@
   FleetMember* member;
 
   void operator()(const Heartbeat& word) const { member->OnHeartbeat(word); }
-  void operator()(const PlaceAsk& ask) const { member->desk_.OnQuery(ask); }
+  void operator()(const PlacementQuery& ask) const {
+    member->desk_.OnQuery(ask);
+  }
   void operator()(const PlaceAnswer& answer) const {
     member->book_->OnMessageReceived(answer.from);
     if (answer.from == member->followed_) {
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -34,7 +34,7 @@
                        OnResult on_result) {
   const AskId id = NewId();
   Pending& pending = pending_[id];
-  PlaceAsk& ask = pending.ask;
+  PlacementQuery& ask = pending.ask;
   ask.host = self_;
   ask.life = life_;
   ask.id = id;
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -82,7 +82,7 @@
 
  private:
   struct Pending {
-    PlaceAsk ask;
+    PlacementQuery ask;
     TimePoint late_at{};
     TimePoint ends_at{};
     OnResult on_result;
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -16,7 +16,7 @@
       clock_(std::move(clock)),
       timer_(*io) {}
 
-void PlanningDesk::OnQuery(const PlaceAsk& ask) {
+void PlanningDesk::OnQuery(const PlacementQuery& ask) {
   PlaceAnswer answer{self_, ask.life, ask.id, NotPlanner{}};
   const std::optional<HostAddress> planner = ports_.planner();
   if (planner == self_) {
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planning_desk.h
@@ -29,7 +29,7 @@
                PlanningDeskPorts ports, EventLog* log, Metrics* metrics,
                MonotonicClock clock);
 
-  void OnQuery(const PlaceAsk& ask);
+  void OnQuery(const PlacementQuery& ask);
   void OnProgressReport(const WorkNote& note);
   void OnHeartbeat(const Heartbeat& word);
 
