--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -156,7 +156,7 @@
                                    NoEndpoint, NotPlanner>;
 
 // The planner's answer.
-struct PlaceAnswer {
+struct PlacementReply {
   HostAddress from;
   Incarnation life;
   AskId id;
@@ -197,7 +197,7 @@
   std::vector<CrashReport> reports;
 };
 
-using FleetMessage = std::variant<Heartbeat, PlacementQuery, PlaceAnswer,
+using FleetMessage = std::variant<Heartbeat, PlacementQuery, PlacementReply,
                                   WorkNote, PublishedChanges, CrashReports>;
 
 // Returns `message` as CBOR.
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -250,8 +250,8 @@
   return ask;
 }
 
-PlaceAnswer TakeAnswer(ArrayReader* reader) {
-  PlaceAnswer answer;
+PlacementReply TakeAnswer(ArrayReader* reader) {
+  PlacementReply answer;
   answer.from = reader->TakeString<HostAddress>();
   answer.life = reader->TakeNumber<Incarnation>();
   answer.id = reader->TakeNumber<AskId>();
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -143,7 +143,7 @@
     return array;
   }
 
-  json operator()(const PlaceAnswer& answer) const {
+  json operator()(const PlacementReply& answer) const {
     return json::array({static_cast<int>(MessageKind::kAnswer),
                         answer.from.value, answer.life.value, answer.id.value,
                         EncodeDecision(answer.decision)});
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -185,7 +185,7 @@
 }
 
 TEST_CASE("Every kind of decision comes back as it was taken") {
-  PlaceAnswer answer{kHost, Incarnation{77}, AskId{5}, {}};
+  PlacementReply answer{kHost, Incarnation{77}, AskId{5}, {}};
   PlannedPlacement placed;
   placed.endpoint = EndpointId{"e"};
   placed.helpers = {PlannedHelper{EndpointId{"f"}, Tokens{90}}};
@@ -204,7 +204,7 @@
   answer.decision = AskWaits{};
   CHECK(std::holds_alternative<AskWaits>(SentAndRead(answer).decision));
   answer.decision = AskRefused{Millis(750)};
-  const PlaceAnswer later = SentAndRead(answer);
+  const PlacementReply later = SentAndRead(answer);
   CHECK(std::get<AskRefused>(later.decision).return_after == Millis(750));
   answer.decision = AskRefused{};
   CHECK(std::holds_alternative<AskRefused>(SentAndRead(answer).decision));
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -26,7 +26,7 @@
   void operator()(const PlacementQuery& ask) const {
     member->desk_.OnQuery(ask);
   }
-  void operator()(const PlaceAnswer& answer) const {
+  void operator()(const PlacementReply& answer) const {
     member->book_->OnMessageReceived(answer.from);
     if (answer.from == member->followed_) {
       member->planner_heard_ = member->clock_();
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -86,7 +86,7 @@
   ports_.send(pending->asked, pending->ask);
 }
 
-void PlaceClient::OnAnswer(const PlaceAnswer& answer) {
+void PlaceClient::OnAnswer(const PlacementReply& answer) {
   if (answer.life != life_) {
     return;
   }
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -59,7 +59,7 @@
   // It ended, or is not wanted any more. Ids that have ended are passed over.
   void OnEnd(AskId id, bool failed);
 
-  void OnAnswer(const PlaceAnswer& answer);
+  void OnAnswer(const PlacementReply& answer);
 
   // Another host plans now: what is not answered is asked there.
   void OnPlannerChanged();
