--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -29,7 +29,7 @@
 using HostAddress = StrongString<struct HostAddressTag>;
 
 // Names one place that a host asked for. Never used twice in one life of it.
-using AskId = StrongNumber<struct AskTag, std::uint64_t>;
+using QueryId = StrongNumber<struct AskTag, std::uint64_t>;
 
 // The processor share of a host's machine. Strong hosts plan for weak ones.
 using CpuShare = StrongNumber<struct HostPowerTag, double>;
@@ -42,7 +42,7 @@
 
 // What a host has under way by one ask.
 struct AskedWork {
-  AskId id;
+  QueryId id;
   // The first event has come.
   bool is_read = false;
   // Of the endpoint first, then of the helpers.
@@ -103,7 +103,7 @@
 struct PlacementQuery {
   HostAddress host;
   Incarnation life;
-  AskId id;
+  QueryId id;
   ServiceName service;
   Millis target_latency{0};
   Millis target_gap{0};
@@ -159,19 +159,19 @@
 struct PlacementReply {
   HostAddress from;
   Incarnation life;
-  AskId id;
+  QueryId id;
   PlaceDecision decision;
 };
 
 // The first event of a request came.
 struct ReadNote {
-  AskId id;
+  QueryId id;
   // How long that took in relation to the prediction.
   double pace = 1;
 };
 // A request ended, however.
 struct EndNote {
-  AskId id;
+  QueryId id;
   // Its endpoint answered with a failure or broke off.
   bool failed = false;
 };
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -38,7 +38,7 @@
 struct DeferredReply {
   HostAddress host;
   Incarnation life;
-  AskId id;
+  QueryId id;
   PlaceDecision decision;
 };
 
@@ -131,11 +131,11 @@
   struct Host {
     Incarnation life;
     TimePoint heard{};
-    std::unordered_map<AskId, Entry> asks;
+    std::unordered_map<QueryId, Entry> asks;
   };
   struct AskKey {
     HostAddress host;
-    AskId id;
+    QueryId id;
   };
 
   bool IsLearning() const;
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -76,7 +76,7 @@
   for (const json& element : list) {
     ArrayReader entry(element);
     AskedWork one;
-    one.id = entry.TakeNumber<AskId>();
+    one.id = entry.TakeNumber<QueryId>();
     one.is_read = entry.Take<bool>();
     entry.EachOf(
         [&one](ArrayReader* part) { one.parts.push_back(TakePart(part)); });
@@ -230,7 +230,7 @@
   PlacementQuery ask;
   ask.host = reader->TakeString<HostAddress>();
   ask.life = reader->TakeNumber<Incarnation>();
-  ask.id = reader->TakeNumber<AskId>();
+  ask.id = reader->TakeNumber<QueryId>();
   ask.service = reader->TakeString<ServiceName>();
   ask.target_latency = reader->TakeMillis();
   ask.target_gap = reader->TakeMillis();
@@ -254,7 +254,7 @@
   PlacementReply answer;
   answer.from = reader->TakeString<HostAddress>();
   answer.life = reader->TakeNumber<Incarnation>();
-  answer.id = reader->TakeNumber<AskId>();
+  answer.id = reader->TakeNumber<QueryId>();
   answer.decision = TakeDecision(reader);
   return answer;
 }
@@ -292,13 +292,13 @@
   note.life = reader->TakeNumber<Incarnation>();
   reader->EachOf([&note](ArrayReader* entry) {
     ReadNote one;
-    one.id = entry->TakeNumber<AskId>();
+    one.id = entry->TakeNumber<QueryId>();
     one.pace = entry->Take<double>();
     note.read.push_back(one);
   });
   reader->EachOf([&note](ArrayReader* entry) {
     EndNote one;
-    one.id = entry->TakeNumber<AskId>();
+    one.id = entry->TakeNumber<QueryId>();
     one.failed = entry->Take<bool>();
     note.ended.push_back(one);
   });
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -32,7 +32,7 @@
   word.avoided = {AvoidedEndpoint{EndpointId{"f"}, Millis(70)}};
   const WorkPart part{EndpointId{"e"}, WorkClass::kLong, FractionalMillis(12.5),
                       Tokens{7}, Millis(600)};
-  word.work = {AskedWork{AskId{5}, true, {part}}};
+  word.work = {AskedWork{QueryId{5}, true, {part}}};
   word.limits = {LimitReport{EndpointId{"e"}, RequestRate{1.6}, Millis(120)},
                  LimitReport{EndpointId{"g"}, std::nullopt, Millis(5)}};
   return word;
@@ -130,7 +130,7 @@
   REQUIRE(read.work.has_value());
   REQUIRE(read.work->size() == 1);
   const AskedWork& work = read.work->front();
-  CHECK(work.id == AskId{5});
+  CHECK(work.id == QueryId{5});
   CHECK(work.is_read);
   REQUIRE(work.parts.size() == 1);
   CHECK(work.parts.front().endpoint == EndpointId{"e"});
@@ -152,7 +152,7 @@
   PlacementQuery ask;
   ask.host = kHost;
   ask.life = Incarnation{77};
-  ask.id = AskId{5};
+  ask.id = QueryId{5};
   ask.service = ServiceName{"writers"};
   ask.target_latency = Millis(3000);
   ask.target_gap = Millis(1000);
@@ -185,7 +185,7 @@
 }
 
 TEST_CASE("Every kind of decision comes back as it was taken") {
-  PlacementReply answer{kHost, Incarnation{77}, AskId{5}, {}};
+  PlacementReply answer{kHost, Incarnation{77}, QueryId{5}, {}};
   PlannedPlacement placed;
   placed.endpoint = EndpointId{"e"};
   placed.helpers = {PlannedHelper{EndpointId{"f"}, Tokens{90}}};
@@ -217,13 +217,13 @@
 TEST_CASE("A note comes back as it was sent") {
   const WorkNote note{kHost,
                       Incarnation{77},
-                      {ReadNote{AskId{1}, 1.5}},
-                      {EndNote{AskId{2}, true}}};
+                      {ReadNote{QueryId{1}, 1.5}},
+                      {EndNote{QueryId{2}, true}}};
   const WorkNote read = SentAndRead(note);
   REQUIRE(read.read.size() == 1);
   CHECK(read.read.front().pace == 1.5);
   REQUIRE(read.ended.size() == 1);
-  CHECK(read.ended.front().id == AskId{2});
+  CHECK(read.ended.front().id == QueryId{2});
   CHECK(read.ended.front().failed);
 }
 
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -197,7 +197,7 @@
   }
   untold_.erase(word.address);
   Host* host = HostOf(word.address, word.life);
-  std::unordered_map<AskId, const AskedWork*> told;
+  std::unordered_map<QueryId, const AskedWork*> told;
   for (const AskedWork& work : *word.work) {
     told[work.id] = &work;
     Adopt(host, work);
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -65,7 +65,7 @@
         &directory_, &health_, &start_shares_, DataCentreId{"a"},
         [this] { return table_; }, policy_, [this] { return now_; },
         [this] { return drawn_ += 77; });
-    std::map<AskId, Pending> pending;
+    std::map<QueryId, Pending> pending;
     pending.swap(pending_);
     for (auto& [id, one] : pending) {
       one.ask.until_late = one.late_at - now_;
@@ -77,7 +77,7 @@
     Pending one;
     one.ask.host = HostAddress{"h"};
     one.ask.life = Incarnation{1};
-    one.ask.id = AskId{++last_id_};
+    one.ask.id = QueryId{++last_id_};
     one.ask.service = kReaders;
     one.ask.target_latency = kTarget;
     one.ask.target_gap = Millis(300);
@@ -184,7 +184,7 @@
                             [] { return 1; }, [this] { return now_; }};
   std::shared_ptr<const RoutingTable> table_;
   std::unique_ptr<Planner> planner_;
-  std::map<AskId, Pending> pending_;
+  std::map<QueryId, Pending> pending_;
   std::vector<Running> running_;
   std::map<AccountId, Outcome> outcomes_;
   int idle_steps_ = 0;
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -59,7 +59,7 @@
     PlacementQuery ask;
     ask.host = HostAddress{"h" + std::to_string(host)};
     ask.life = Incarnation{1};
-    ask.id = AskId{++last_id_};
+    ask.id = QueryId{++last_id_};
     ask.service = kWriters;
     ask.target_latency = target;
     ask.target_gap = gap;
@@ -425,7 +425,7 @@
   }
 
   PlacementQuery Return(PlacementQuery ask) {
-    ask.id = AskId{++last_id_};
+    ask.id = QueryId{++last_id_};
     ask.until_deadline = FractionalMillis(9000);
     return ask;
   }
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -238,7 +238,7 @@
     PlacementQuery ask;
     ask.host = Host(host);
     ask.life = Incarnation{1};
-    ask.id = AskId{++last_id_};
+    ask.id = QueryId{++last_id_};
     ask.service = kService;
     ask.target_latency = Millis(500);
     ask.target_gap = Millis(1000);
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -118,7 +118,7 @@
     PlacementQuery ask;
     ask.host = HostAddress{"h"};
     ask.life = Incarnation{1};
-    ask.id = AskId{++last_id_};
+    ask.id = QueryId{++last_id_};
     ask.service = kWriters;
     ask.target_latency = traffic.target;
     ask.target_gap = traffic.gap;
@@ -129,7 +129,7 @@
     ask.origin.request =
         RequestFingerprint{AccountId{"press"}, caller.number, 1};
     waiting_.emplace(ask.id, caller);
-    const AskId id = ask.id;
+    const QueryId id = ask.id;
     const FractionalMillis patience = std::max(
         {FractionalMillis(2000), 4.0 * FractionalMillis(ask.target_latency),
          8.0 * FractionalMillis(ask.target_gap)});
@@ -137,7 +137,7 @@
     OnDecision(id, planner_->OnQuery(ask));
   }
 
-  void Leave(AskId id) {
+  void Leave(QueryId id) {
     const auto found = waiting_.find(id);
     if (found != waiting_.end()) {
       ++tallies_[found->second.kind].lost;
@@ -146,7 +146,7 @@
     }
   }
 
-  void Tell(AskId id, bool ended) {
+  void Tell(QueryId id, bool ended) {
     WorkNote note{HostAddress{"h"}, Incarnation{1}, {}, {}};
     if (ended) {
       note.ended.push_back(EndNote{id, false});
@@ -156,7 +156,7 @@
     planner_->OnProgressReport(note);
   }
 
-  void OnDecision(AskId id, const PlaceDecision& decision) {
+  void OnDecision(QueryId id, const PlaceDecision& decision) {
     if (std::holds_alternative<AskWaits>(decision)) {
       return;
     }
@@ -170,7 +170,7 @@
     }
   }
 
-  void Serve(const Caller& caller, AskId id, const PlannedPlacement& placed) {
+  void Serve(const Caller& caller, QueryId id, const PlannedPlacement& placed) {
     const FractionalMillis age = now_ - caller.came;
     const bool in_time =
         age + placed.first_event <= FractionalMillis(caller.traffic->target);
@@ -223,7 +223,7 @@
                             [] { return 1; }, [this] { return now_; }};
   std::shared_ptr<const RoutingTable> table_;
   std::unique_ptr<Planner> planner_;
-  std::map<AskId, Caller> waiting_;
+  std::map<QueryId, Caller> waiting_;
   std::multimap<TimePoint, std::function<void()>> due_;
   std::vector<Tally> tallies_;
 };
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -30,9 +30,9 @@
       timer_(*io),
       flush_timer_(*io) {}
 
-AskId PlaceClient::Ask(const PlacementRequest& request, bool may_have_run,
-                       OnResult on_result) {
-  const AskId id = NewId();
+QueryId PlaceClient::Ask(const PlacementRequest& request, bool may_have_run,
+                         OnResult on_result) {
+  const QueryId id = NewId();
   Pending& pending = pending_[id];
   PlacementQuery& ask = pending.ask;
   ask.host = self_;
@@ -57,7 +57,7 @@
   return id;
 }
 
-void PlaceClient::SendToPlanner(AskId id) {
+void PlaceClient::SendToPlanner(QueryId id) {
   Pending& pending = pending_.at(id);
   const auto planner = ports_.planner();
   const bool again = pending.hosts_asked > 0 && planner == pending.asked;
@@ -135,22 +135,22 @@
   Resolve(answer.id, std::visit(ToResult{}, answer.decision));
 }
 
-void PlaceClient::GiveBack(const HostAddress& host, AskId id) {
+void PlaceClient::GiveBack(const HostAddress& host, QueryId id) {
   ports_.send(host, WorkNote{self_, life_, {}, {EndNote{id, false}}});
 }
 
-void PlaceClient::Resolve(AskId id, const AskResult& result) {
+void PlaceClient::Resolve(QueryId id, const AskResult& result) {
   const auto found = pending_.find(id);
   const OnResult on_result = std::move(found->second.on_result);
   pending_.erase(found);
   on_result(result);
 }
 
-void PlaceClient::OnStarted(AskId id, std::vector<WorkPart> parts) {
+void PlaceClient::OnStarted(QueryId id, std::vector<WorkPart> parts) {
   under_way_[id] = AskedWork{id, false, std::move(parts)};
 }
 
-void PlaceClient::OnPrefillDone(AskId id, double pace) {
+void PlaceClient::OnPrefillDone(QueryId id, double pace) {
   const auto found = under_way_.find(id);
   if (found != under_way_.end()) {
     found->second.is_read = true;
@@ -159,7 +159,7 @@
   }
 }
 
-void PlaceClient::OnEnd(AskId id, bool failed) {
+void PlaceClient::OnEnd(QueryId id, bool failed) {
   const bool known = pending_.erase(id) + under_way_.erase(id) > 0;
   if (known) {
     ended_.push_back(EndNote{id, failed});
@@ -168,12 +168,12 @@
 }
 
 void PlaceClient::OnPlannerChanged() {
-  std::vector<AskId> ids;
+  std::vector<QueryId> ids;
   for (const auto& [id, pending] : pending_) {
     ids.push_back(id);
   }
   const auto planner = ports_.planner();
-  for (const AskId id : ids) {
+  for (const QueryId id : ids) {
     Pending& pending = pending_.at(id);
     if (planner.has_value() && *planner != pending.asked) {
       SendToPlanner(id);
@@ -201,7 +201,7 @@
          (pending.waits ? kRepeat : Patience(kResend, kResendAnswers));
 }
 
-void PlaceClient::LookAt(AskId id) {
+void PlaceClient::LookAt(QueryId id) {
   const auto found = pending_.find(id);
   if (found == pending_.end()) {
     return;
@@ -246,11 +246,11 @@
 }
 
 void PlaceClient::OnTimer() {
-  std::vector<AskId> ids;
+  std::vector<QueryId> ids;
   for (const auto& [id, pending] : pending_) {
     ids.push_back(id);
   }
-  for (const AskId id : ids) {
+  for (const QueryId id : ids) {
     LookAt(id);
   }
   Arm();
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -46,18 +46,18 @@
 
   // Asks for a place. Until OnEnd of the id that is returned it counts as under
   // way.
-  AskId Ask(const PlacementRequest& request, bool may_have_run,
-            OnResult on_result);
+  QueryId Ask(const PlacementRequest& request, bool may_have_run,
+              OnResult on_result);
 
   // Returns an id for a place that this host has chosen itself.
-  AskId NewId() { return AskId{next_id_++}; }
+  QueryId NewId() { return QueryId{next_id_++}; }
 
   // The request was sent to its endpoints.
-  void OnStarted(AskId id, std::vector<WorkPart> parts);
+  void OnStarted(QueryId id, std::vector<WorkPart> parts);
   // Its first event came, `pace` times as late as predicted.
-  void OnPrefillDone(AskId id, double pace);
+  void OnPrefillDone(QueryId id, double pace);
   // It ended, or is not wanted any more. Ids that have ended are passed over.
-  void OnEnd(AskId id, bool failed);
+  void OnEnd(QueryId id, bool failed);
 
   void OnAnswer(const PlacementReply& answer);
 
@@ -95,14 +95,14 @@
     int hosts_asked = 0;
   };
 
-  void SendToPlanner(AskId id);
+  void SendToPlanner(QueryId id);
   void SendAgain(Pending* pending);
   // Tells `host` that the place it gave, or may yet give, is not used.
-  void GiveBack(const HostAddress& host, AskId id);
-  void Resolve(AskId id, const AskResult& result);
+  void GiveBack(const HostAddress& host, QueryId id);
+  void Resolve(QueryId id, const AskResult& result);
   // Returns when the ask is looked at next.
   TimePoint DueOf(const Pending& pending) const;
-  void LookAt(AskId id);
+  void LookAt(QueryId id);
   void Arm();
   void OnTimer();
   void FlushSoon();
@@ -116,8 +116,8 @@
   Timer timer_;
   Timer flush_timer_;
   std::uint64_t next_id_ = 1;
-  std::map<AskId, Pending> pending_;
-  std::unordered_map<AskId, AskedWork> under_way_;
+  std::map<QueryId, Pending> pending_;
+  std::unordered_map<QueryId, AskedWork> under_way_;
   std::vector<ReadNote> read_;
   std::vector<EndNote> ended_;
   bool flushes_ = false;
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -181,7 +181,7 @@
   Timer retry_timer_;
   SendingHistory history_ = SendingHistory::kNew;
   // The place that was asked for, while it is waited for or used.
-  std::optional<AskId> ask_;
+  std::optional<QueryId> ask_;
   bool waits_at_planner_ = false;
   std::optional<WaiterId> waiter_;
   TimePoint waits_since_{};
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -29,7 +29,7 @@
   ports_.send(ask.host, answer);
 }
 
-void PlanningDesk::NoteTurnedAway(const HostAddress& host, AskId id,
+void PlanningDesk::NoteTurnedAway(const HostAddress& host, QueryId id,
                                   const PlaceDecision& decision) {
   const auto* refused = std::get_if<AskRefused>(&decision);
   if (refused == nullptr || !refused->return_after.has_value()) {
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planning_desk.h
@@ -47,7 +47,7 @@
   void ProcessWaitQueue();
   void TryWaitingSoon();
   // Logs who is told to return, and when.
-  void NoteTurnedAway(const HostAddress& host, AskId id,
+  void NoteTurnedAway(const HostAddress& host, QueryId id,
                       const PlaceDecision& decision);
 
   HostAddress self_;
