--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -41,7 +41,7 @@
 };
 
 // What a host has under way by one ask.
-struct AskedWork {
+struct QueryWork {
   QueryId id;
   // The first event has come.
   bool is_read = false;
@@ -89,7 +89,7 @@
   // Endpoints that it leaves alone by what it has seen itself.
   std::vector<AvoidedEndpoint> avoided;
   // All that it has under way; nothing where the word does not tell that.
-  std::optional<std::vector<AskedWork>> work;
+  std::optional<std::vector<QueryWork>> work;
   // Of what it knows of requests that end endpoints; zero if it knows of none.
   std::uint64_t crash_digest = 0;
   // The most hosts that it has counted for a long time, itself among them; zero
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -177,7 +177,7 @@
   bool HasWaitedEnough(const Entry& entry) const;
   void TryRoom(WaitingRoom* room, std::size_t tried,
                std::vector<DeferredReply>* due);
-  void Adopt(Host* host, const AskedWork& work);
+  void Adopt(Host* host, const QueryWork& work);
   void DropEntry(Entry* entry);
   void DropAsks(Host* host);
 
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -71,11 +71,11 @@
   return part;
 }
 
-std::vector<AskedWork> TakeWork(const json& list) {
-  std::vector<AskedWork> work;
+std::vector<QueryWork> TakeWork(const json& list) {
+  std::vector<QueryWork> work;
   for (const json& element : list) {
     ArrayReader entry(element);
-    AskedWork one;
+    QueryWork one;
     one.id = entry.TakeNumber<QueryId>();
     one.is_read = entry.Take<bool>();
     entry.EachOf(
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -15,9 +15,9 @@
                       part.gap.count()});
 }
 
-json EncodeWork(const std::vector<AskedWork>& work) {
+json EncodeWork(const std::vector<QueryWork>& work) {
   json list = json::array();
-  for (const AskedWork& one : work) {
+  for (const QueryWork& one : work) {
     json parts = json::array();
     for (const WorkPart& part : one.parts) {
       parts.push_back(EncodePart(part));
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -32,7 +32,7 @@
   word.avoided = {AvoidedEndpoint{EndpointId{"f"}, Millis(70)}};
   const WorkPart part{EndpointId{"e"}, WorkClass::kLong, FractionalMillis(12.5),
                       Tokens{7}, Millis(600)};
-  word.work = {AskedWork{QueryId{5}, true, {part}}};
+  word.work = {QueryWork{QueryId{5}, true, {part}}};
   word.limits = {LimitReport{EndpointId{"e"}, RequestRate{1.6}, Millis(120)},
                  LimitReport{EndpointId{"g"}, std::nullopt, Millis(5)}};
   return word;
@@ -129,7 +129,7 @@
   CHECK_FALSE(read.limits.back().rate.has_value());
   REQUIRE(read.work.has_value());
   REQUIRE(read.work->size() == 1);
-  const AskedWork& work = read.work->front();
+  const QueryWork& work = read.work->front();
   CHECK(work.id == QueryId{5});
   CHECK(work.is_read);
   REQUIRE(work.parts.size() == 1);
@@ -142,7 +142,7 @@
 
 TEST_CASE("A word that tells no work is another than one that tells of none") {
   Heartbeat word = Word();
-  word.work = std::vector<AskedWork>{};
+  word.work = std::vector<QueryWork>{};
   CHECK(SentAndRead(word).work.has_value());
   word.work.reset();
   CHECK_FALSE(SentAndRead(word).work.has_value());
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -197,8 +197,8 @@
   }
   untold_.erase(word.address);
   Host* host = HostOf(word.address, word.life);
-  std::unordered_map<QueryId, const AskedWork*> told;
-  for (const AskedWork& work : *word.work) {
+  std::unordered_map<QueryId, const QueryWork*> told;
+  for (const QueryWork& work : *word.work) {
     told[work.id] = &work;
     Adopt(host, work);
   }
@@ -218,7 +218,7 @@
   }
 }
 
-void Planner::Adopt(Host* host, const AskedWork& work) {
+void Planner::Adopt(Host* host, const QueryWork& work) {
   Entry& entry = host->asks[work.id];
   if (entry.work.empty() && !entry.waiter.has_value()) {
     for (const WorkPart& part : work.parts) {
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -82,7 +82,7 @@
     word.life = asks.front().first.life;
     word.work.emplace();
     for (const auto& [ask, placed] : asks) {
-      AskedWork work;
+      QueryWork work;
       work.id = ask.id;
       work.parts.push_back(WorkPart{placed.endpoint, placed.work_class,
                                     placed.prefill_time, ask.prompt,
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -147,7 +147,7 @@
 }
 
 void PlaceClient::OnStarted(QueryId id, std::vector<WorkPart> parts) {
-  under_way_[id] = AskedWork{id, false, std::move(parts)};
+  under_way_[id] = QueryWork{id, false, std::move(parts)};
 }
 
 void PlaceClient::OnPrefillDone(QueryId id, double pace) {
@@ -182,8 +182,8 @@
   Arm();
 }
 
-std::vector<AskedWork> PlaceClient::Work() const {
-  std::vector<AskedWork> work;
+std::vector<QueryWork> PlaceClient::Work() const {
+  std::vector<QueryWork> work;
   work.reserve(under_way_.size());
   for (const auto& [id, one] : under_way_) {
     work.push_back(one);
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -65,7 +65,7 @@
   void OnPlannerChanged();
 
   // Returns all that is under way, for the planner.
-  std::vector<AskedWork> Work() const;
+  std::vector<QueryWork> Work() const;
 
   // How long an answer may take before the ask is sent again, and before its
   // host counts as silent: a lost datagram costs the first, a planner that died
@@ -117,7 +117,7 @@
   Timer flush_timer_;
   std::uint64_t next_id_ = 1;
   std::map<QueryId, Pending> pending_;
-  std::unordered_map<QueryId, AskedWork> under_way_;
+  std::unordered_map<QueryId, QueryWork> under_way_;
   std::vector<ReadNote> read_;
   std::vector<EndNote> ended_;
   bool flushes_ = false;
