--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -152,15 +152,15 @@
 struct NotPlanner {
   HostAddress planner;
 };
-using PlaceDecision = std::variant<PlannedPlacement, AskWaits, AskRefused,
-                                   NoEndpoint, NotPlanner>;
+using PlacementDecision = std::variant<PlannedPlacement, AskWaits, AskRefused,
+                                       NoEndpoint, NotPlanner>;
 
 // The planner's answer.
 struct PlacementReply {
   HostAddress from;
   Incarnation life;
   QueryId id;
-  PlaceDecision decision;
+  PlacementDecision decision;
 };
 
 // The first event of a request came.
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -39,7 +39,7 @@
   HostAddress host;
   Incarnation life;
   QueryId id;
-  PlaceDecision decision;
+  PlacementDecision decision;
 };
 
 // Returns the routing table in force, or null.
@@ -62,7 +62,7 @@
   void Begin(const std::vector<HostAddress>& hosts);
 
   // Decides on an ask. The same ask once more gets the same answer.
-  PlaceDecision OnQuery(const PlacementQuery& ask);
+  PlacementDecision OnQuery(const PlacementQuery& ask);
 
   // Takes what became of places.
   void OnProgressReport(const WorkNote& note);
@@ -141,7 +141,7 @@
   bool IsLearning() const;
   Host* HostOf(const HostAddress& address, Incarnation life);
   // Returns nothing if all engines that could take it are busy.
-  std::optional<PlaceDecision> TryPlace(Entry* entry);
+  std::optional<PlacementDecision> TryPlace(Entry* entry);
   std::optional<PlacementRequest> RequestOf(const Entry& entry) const;
   // Returns where the host that asks may begin nothing now.
   std::set<EndpointId> WithheldFrom(const Entry& entry,
@@ -170,8 +170,8 @@
   bool MayStart(const Entry& entry, const WaitingRoom& room,
                 const WorkAhead& ahead) const;
   // Returns the answer to one that waits after `ahead`, if it should no longer.
-  std::optional<PlaceDecision> EndOfWait(const Entry& entry,
-                                         const WorkAhead& ahead);
+  std::optional<PlacementDecision> EndOfWait(const Entry& entry,
+                                             const WorkAhead& ahead);
   // Whether a short prompt has waited for as long as is of use, where no room
   // is foreseen.
   bool HasWaitedEnough(const Entry& entry) const;
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -110,7 +110,7 @@
   return refused;
 }
 
-PlaceDecision TakeDecision(ArrayReader* message) {
+PlacementDecision TakeDecision(ArrayReader* message) {
   const json& decision = message->Next();
   ArrayReader reader(decision);
   switch (static_cast<DecisionKind>(reader.Take<int>())) {
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -27,7 +27,7 @@
   return list;
 }
 
-json EncodeDecision(const PlaceDecision& decision) {
+json EncodeDecision(const PlacementDecision& decision) {
   struct Encoder {
     json operator()(const PlannedPlacement& placed) const {
       json helpers = json::array();
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -50,7 +50,7 @@
   return !untold_.empty() && clock_() < learns_until_;
 }
 
-PlaceDecision Planner::OnQuery(const PlacementQuery& ask) {
+PlacementDecision Planner::OnQuery(const PlacementQuery& ask) {
   Host* host = HostOf(ask.host, ask.life);
   const auto [found, is_new] = host->asks.try_emplace(ask.id);
   Entry& entry = found->second;
@@ -139,7 +139,7 @@
   return withheld;
 }
 
-std::optional<PlaceDecision> Planner::TryPlace(Entry* entry) {
+std::optional<PlacementDecision> Planner::TryPlace(Entry* entry) {
   const auto request = RequestOf(*entry);
   if (!request.has_value()) {
     return NoEndpoint{};
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -127,7 +127,7 @@
     OnDecision(one, planner_->OnQuery(one.ask));
   }
 
-  void OnDecision(const Pending& one, const PlaceDecision& decision) {
+  void OnDecision(const Pending& one, const PlacementDecision& decision) {
     if (std::holds_alternative<AskWaits>(decision)) {
       pending_[one.ask.id] = one;
       return;
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -323,7 +323,7 @@
   int placed = 0;
   int waiting = 0;
   for (int host = 0; host < kWave; ++host) {
-    const PlaceDecision decision = planner_->OnQuery(Short(host));
+    const PlacementDecision decision = planner_->OnQuery(Short(host));
     if (const auto* place = std::get_if<PlannedPlacement>(&decision)) {
       ++placed;
       CHECK(place->first_event <= FractionalMillis(400));
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -9,9 +9,9 @@
 namespace harecrank {
 namespace {
 
-std::optional<PlaceDecision> AsDecision(
+std::optional<PlacementDecision> AsDecision(
     const std::optional<AskRefused>& refused) {
-  return refused.has_value() ? std::make_optional<PlaceDecision>(*refused)
+  return refused.has_value() ? std::make_optional<PlacementDecision>(*refused)
                              : std::nullopt;
 }
 
@@ -59,8 +59,8 @@
   return in_vain ? std::make_optional(AskRefused{}) : std::nullopt;
 }
 
-std::optional<PlaceDecision> Planner::EndOfWait(const Entry& entry,
-                                                const WorkAhead& ahead) {
+std::optional<PlacementDecision> Planner::EndOfWait(const Entry& entry,
+                                                    const WorkAhead& ahead) {
   if (!entry.is_foreseen) {
     return std::nullopt;
   }
@@ -176,7 +176,7 @@
     const AskKey key = (is_short ? short_waiting_ : waiting_).at(id);
     Host& host = hosts_.at(key.host);
     Entry& entry = host.asks.at(key.id);
-    std::optional<PlaceDecision> decision;
+    std::optional<PlacementDecision> decision;
     if (HasWaitedEnough(entry)) {
       decision = AskRefused{};
     } else if (failed < tried && MayStart(entry, *room, ahead)) {
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -253,7 +253,7 @@
         planners_[static_cast<std::size_t>(host % kPlanners)]->OnQuery(ask));
   }
 
-  void OnDecision(int host, const PlaceDecision& decision) {
+  void OnDecision(int host, const PlacementDecision& decision) {
     if (std::holds_alternative<PlannedPlacement>(decision) && MayBegin(host)) {
       Begin(host);
     }
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -156,7 +156,7 @@
     planner_->OnProgressReport(note);
   }
 
-  void OnDecision(QueryId id, const PlaceDecision& decision) {
+  void OnDecision(QueryId id, const PlacementDecision& decision) {
     if (std::holds_alternative<AskWaits>(decision)) {
       return;
     }
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -30,7 +30,7 @@
 }
 
 void PlanningDesk::NoteTurnedAway(const HostAddress& host, QueryId id,
-                                  const PlaceDecision& decision) {
+                                  const PlacementDecision& decision) {
   const auto* refused = std::get_if<AskRefused>(&decision);
   if (refused == nullptr || !refused->return_after.has_value()) {
     return;
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planning_desk.h
@@ -48,7 +48,7 @@
   void TryWaitingSoon();
   // Logs who is told to return, and when.
   void NoteTurnedAway(const HostAddress& host, QueryId id,
-                      const PlaceDecision& decision);
+                      const PlacementDecision& decision);
 
   HostAddress self_;
   Planner* planner_;
