--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -139,7 +139,7 @@
 };
 
 // The ask stands in the planner's queue; a place follows when there is one.
-struct AskWaits {};
+struct QueryQueued {};
 // It would wait in vain.
 struct AskRefused {
   // When its caller should come again; unset where the planner does not know.
@@ -152,8 +152,8 @@
 struct NotPlanner {
   HostAddress planner;
 };
-using PlacementDecision = std::variant<PlannedPlacement, AskWaits, AskRefused,
-                                       NoEndpoint, NotPlanner>;
+using PlacementDecision = std::variant<PlannedPlacement, QueryQueued,
+                                       AskRefused, NoEndpoint, NotPlanner>;
 
 // The planner's answer.
 struct PlacementReply {
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -117,7 +117,7 @@
     case DecisionKind::kPlaced:
       return TakePlacement(&reader);
     case DecisionKind::kWaits:
-      return AskWaits{};
+      return QueryQueued{};
     case DecisionKind::kRefused:
       return TakeRefusal(&reader, decision.size());
     case DecisionKind::kNoEndpoint:
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -40,7 +40,7 @@
                           placed.prefill_time.count(),
                           placed.first_event.count(), placed.candidates});
     }
-    json operator()(const AskWaits& /*waits*/) const {
+    json operator()(const QueryQueued& /*waits*/) const {
       return json::array({static_cast<int>(DecisionKind::kWaits)});
     }
     json operator()(const AskRefused& refused) const {
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -201,8 +201,8 @@
   CHECK(read.work_class == WorkClass::kLong);
   CHECK(read.first_event == placed.first_event);
   CHECK(read.candidates == 12);
-  answer.decision = AskWaits{};
-  CHECK(std::holds_alternative<AskWaits>(SentAndRead(answer).decision));
+  answer.decision = QueryQueued{};
+  CHECK(std::holds_alternative<QueryQueued>(SentAndRead(answer).decision));
   answer.decision = AskRefused{Millis(750)};
   const PlacementReply later = SentAndRead(answer);
   CHECK(std::get<AskRefused>(later.decision).return_after == Millis(750));
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -59,7 +59,7 @@
     if (entry.placed.has_value()) {
       return *entry.placed;
     }
-    return AskWaits{};
+    return QueryQueued{};
   }
   entry.ask = ask;
   entry.came_at = clock_();
@@ -83,7 +83,7 @@
   }
   if (IsLearning() && request.has_value()) {
     Wait(&entry, *request);
-    return AskWaits{};
+    return QueryQueued{};
   }
   const ShareTurn turn = TurnOf(entry, request);
   // It does not take what others wait for that have had less.
@@ -99,7 +99,7 @@
     return *refused;
   }
   Wait(&entry, *request);
-  return AskWaits{};
+  return QueryQueued{};
 }
 
 std::optional<PlacementRequest> Planner::RequestOf(const Entry& entry) const {
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -128,7 +128,7 @@
   }
 
   void OnDecision(const Pending& one, const PlacementDecision& decision) {
-    if (std::holds_alternative<AskWaits>(decision)) {
+    if (std::holds_alternative<QueryQueued>(decision)) {
       pending_[one.ask.id] = one;
       return;
     }
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -149,7 +149,7 @@
   const PlacementQuery first = Long(1);
   REQUIRE(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(first)));
   const PlacementQuery second = Long(2);
-  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(second)));
+  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(second)));
   CHECK(planner_->ProcessWaitQueue().empty());
   planner_->OnProgressReport(
       WorkNote{first.host, first.life, {ReadNote{first.id, 1}}, {}});
@@ -196,12 +196,12 @@
   planner_->OnQuery(Long(1));
   PlacementQuery late = Long(2);
   late.until_late = FractionalMillis(-1);
-  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(late)));
+  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(late)));
   CHECK(std::holds_alternative<AskRefused>(planner_->OnQuery(Long(3, 230000))));
   // One that an endpoint may have run is never told that it was not.
   PlacementQuery started = Long(3, 230000);
   started.may_have_run = true;
-  CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(started)));
+  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(started)));
 }
 
 TEST_CASE_METHOD(PlannerFixture,
@@ -211,7 +211,7 @@
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(first));
   planner_ = MakePlanner();
   planner_->OnHeartbeat(AccountOf({{first, placed}}));
-  CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
+  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Long(2))));
 }
 
 TEST_CASE_METHOD(PlannerFixture,
@@ -221,10 +221,10 @@
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(first));
   planner_ = MakePlanner();
   planner_->Begin({first.host, HostAddress{"silent"}});
-  CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
+  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Long(2))));
   constexpr int kMore = 12;
   for (int i = 0; i < kMore; ++i) {
-    CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Short(3))));
+    CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Short(3))));
   }
   planner_->OnHeartbeat(AccountOf({{first, placed}}));
   CHECK(planner_->ProcessWaitQueue().empty());
@@ -238,7 +238,7 @@
                  "A planner that all hosts have told goes on at once") {
   planner_->Begin({HostAddress{"h1"}});
   const PlacementQuery ask = Short(1);
-  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(ask)));
+  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(ask)));
   Heartbeat nothing;
   nothing.address = ask.host;
   nothing.life = ask.life;
@@ -255,7 +255,7 @@
   Heartbeat nothing = AccountOf({{taken, placed}});
   nothing.work->clear();
   planner_->OnHeartbeat(nothing);
-  CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Long(2))));
+  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Long(2))));
   now_ += Planner::kHeartbeatGrace + Millis(1);
   planner_->OnHeartbeat(nothing);
   CHECK(planner_->ProcessWaitQueue().size() == 1);
@@ -265,7 +265,7 @@
                  "What silent and restarted hosts had under way is forgotten") {
   planner_->OnQuery(Long(1));
   PlacementQuery waits = Long(2);
-  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(waits)));
+  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(waits)));
   PlacementQuery reborn = Long(1);
   reborn.life = Incarnation{2};
   CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(reborn)));
@@ -328,7 +328,7 @@
       ++placed;
       CHECK(place->first_event <= FractionalMillis(400));
     } else {
-      CHECK(std::holds_alternative<AskWaits>(decision));
+      CHECK(std::holds_alternative<QueryQueued>(decision));
       ++waiting;
     }
   }
@@ -357,7 +357,7 @@
   std::vector<PlacementQuery> waiting;
   for (int host = 0; host < 300; ++host) {
     const PlacementQuery ask = Short(host);
-    if (std::holds_alternative<AskWaits>(planner_->OnQuery(ask))) {
+    if (std::holds_alternative<QueryQueued>(planner_->OnQuery(ask))) {
       waiting.push_back(ask);
     }
   }
@@ -446,7 +446,7 @@
   CHECK(planner_->ReservationCount() > 0);
   now_ += after - Millis(100);
   Flood();
-  CHECK(std::holds_alternative<AskWaits>(planner_->OnQuery(Return(ask))));
+  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Return(ask))));
   CHECK(std::holds_alternative<AskRefused>(
       planner_->OnQuery(Return(Told(Long(2), 2)))));
 }
@@ -476,7 +476,7 @@
     directory_.Upsert(lost);
   }
   const PlacementQuery returned = Return(ask);
-  REQUIRE(std::holds_alternative<AskWaits>(planner_->OnQuery(returned)));
+  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(returned)));
   now_ += Millis(8800);
   bool is_told = false;
   for (const DeferredReply& due : planner_->ProcessWaitQueue()) {
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -157,7 +157,7 @@
   }
 
   void OnDecision(QueryId id, const PlacementDecision& decision) {
-    if (std::holds_alternative<AskWaits>(decision)) {
+    if (std::holds_alternative<QueryQueued>(decision)) {
       return;
     }
     const Caller caller = waiting_.at(id);
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -111,13 +111,13 @@
   answer_time_ +=
       kNewest * (FractionalMillis(now - pending.sent) - answer_time_);
   pending.since = now;
-  if (std::holds_alternative<AskWaits>(answer.decision)) {
+  if (std::holds_alternative<QueryQueued>(answer.decision)) {
     const bool told = pending.waits;
     pending.waits = true;
     if (!told) {
       // A copy, since what it does may end the ask.
       const OnResult on_result = pending.on_result;
-      on_result(AskWaits{});
+      on_result(QueryQueued{});
     }
     return;
   }
@@ -125,7 +125,7 @@
     AskResult operator()(const PlannedPlacement& placed) const {
       return placed;
     }
-    AskResult operator()(const AskWaits& waits) const { return waits; }
+    AskResult operator()(const QueryQueued& waits) const { return waits; }
     AskResult operator()(const AskRefused& refused) const { return refused; }
     AskResult operator()(const NoEndpoint& none) const { return none; }
     AskResult operator()(const NotPlanner& /*other*/) const {
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -32,13 +32,14 @@
 
 // Nobody answered: the host places by itself, from what it knows.
 struct PlaceYourself {};
-using AskResult = std::variant<PlannedPlacement, AskWaits, AskRefused,
+using AskResult = std::variant<PlannedPlacement, QueryQueued, AskRefused,
                                NoEndpoint, PlaceYourself>;
 
 // Not thread-safe; runs on its io_context. Never calls back from within Ask.
 class PlaceClient {
  public:
-  // Called once with anything but AskWaits, before that perhaps with AskWaits.
+  // Called once with anything but QueryQueued, before that perhaps with
+  // QueryQueued.
   using OnResult = std::function<void(const AskResult& result)>;
 
   PlaceClient(boost::asio::io_context* io, HostAddress self, Incarnation life,
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -69,7 +69,7 @@
 }
 
 void PlaceSeeker::OnResult(const AskResult& result) {
-  if (std::holds_alternative<AskWaits>(result)) {
+  if (std::holds_alternative<QueryQueued>(result)) {
     waits_at_planner_ = true;
     NoteWaiting();
     observer_->OnWaits();
