--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -141,7 +141,7 @@
 // The ask stands in the planner's queue; a place follows when there is one.
 struct QueryQueued {};
 // It would wait in vain.
-struct AskRefused {
+struct QueryRejected {
   // When its caller should come again; unset where the planner does not know.
   std::optional<Millis> return_after;
 };
@@ -153,7 +153,7 @@
   HostAddress planner;
 };
 using PlacementDecision = std::variant<PlannedPlacement, QueryQueued,
-                                       AskRefused, NoEndpoint, NotPlanner>;
+                                       QueryRejected, NoEndpoint, NotPlanner>;
 
 // The planner's answer.
 struct PlacementReply {
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -163,9 +163,9 @@
                       const PlacementRequest& request) const;
   // Returns the refusal of one that just came and found no place, if it should
   // not wait.
-  std::optional<AskRefused> RefusalOnArrival(const Entry& entry,
-                                             const PlacementRequest& request,
-                                             ShareTurn turn);
+  std::optional<QueryRejected> RefusalOnArrival(const Entry& entry,
+                                                const PlacementRequest& request,
+                                                ShareTurn turn);
   // Whether one that waits in `room` after `ahead` may take a place now.
   bool MayStart(const Entry& entry, const WaitingRoom& room,
                 const WorkAhead& ahead) const;
--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -90,8 +90,8 @@
 
   // Returns nothing if `seeker` should wait, or else its refusal, with the
   // promise made. Knows(seeker) must hold.
-  std::optional<AskRefused> RefusalOf(const RoomSeeker& seeker,
-                                      const WorkAhead& ahead);
+  std::optional<QueryRejected> RefusalOf(const RoomSeeker& seeker,
+                                         const WorkAhead& ahead);
 
   // Forgets what it promised.
   void Clear() { promises_.Clear(); }
@@ -106,7 +106,7 @@
     return kind == PromptKind::kShort ? short_ : long_;
   }
   PromptTime TimeOf(const RoomSeeker& seeker) const;
-  AskRefused Refuse(const RoomSeeker& seeker, const WorkAhead& ahead);
+  QueryRejected Refuse(const RoomSeeker& seeker, const WorkAhead& ahead);
 
   PlacementPolicy policy_;
   MonotonicClock clock_;
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -101,9 +101,9 @@
   return placed;
 }
 
-AskRefused TakeRefusal(ArrayReader* reader, std::size_t size) {
+QueryRejected TakeRefusal(ArrayReader* reader, std::size_t size) {
   constexpr std::size_t kSizeWithoutReturn = 1;
-  AskRefused refused;
+  QueryRejected refused;
   if (size > kSizeWithoutReturn) {
     refused.return_after = reader->TakeMillis();
   }
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -43,7 +43,7 @@
     json operator()(const QueryQueued& /*waits*/) const {
       return json::array({static_cast<int>(DecisionKind::kWaits)});
     }
-    json operator()(const AskRefused& refused) const {
+    json operator()(const QueryRejected& refused) const {
       json array = json::array({static_cast<int>(DecisionKind::kRefused)});
       if (refused.return_after.has_value()) {
         array.push_back(refused.return_after->count());
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -203,11 +203,11 @@
   CHECK(read.candidates == 12);
   answer.decision = QueryQueued{};
   CHECK(std::holds_alternative<QueryQueued>(SentAndRead(answer).decision));
-  answer.decision = AskRefused{Millis(750)};
+  answer.decision = QueryRejected{Millis(750)};
   const PlacementReply later = SentAndRead(answer);
-  CHECK(std::get<AskRefused>(later.decision).return_after == Millis(750));
-  answer.decision = AskRefused{};
-  CHECK(std::holds_alternative<AskRefused>(SentAndRead(answer).decision));
+  CHECK(std::get<QueryRejected>(later.decision).return_after == Millis(750));
+  answer.decision = QueryRejected{};
+  CHECK(std::holds_alternative<QueryRejected>(SentAndRead(answer).decision));
   answer.decision = NoEndpoint{};
   CHECK(std::holds_alternative<NoEndpoint>(SentAndRead(answer).decision));
   answer.decision = NotPlanner{kHost};
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -197,7 +197,8 @@
   PlacementQuery late = Long(2);
   late.until_late = FractionalMillis(-1);
   REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(late)));
-  CHECK(std::holds_alternative<AskRefused>(planner_->OnQuery(Long(3, 230000))));
+  CHECK(std::holds_alternative<QueryRejected>(
+      planner_->OnQuery(Long(3, 230000))));
   // One that an endpoint may have run is never told that it was not.
   PlacementQuery started = Long(3, 230000);
   started.may_have_run = true;
@@ -365,7 +366,7 @@
   now_ += Millis(2 * 400 + 1);
   std::size_t refused = 0;
   for (const DeferredReply& due : planner_->ProcessWaitQueue()) {
-    refused += std::holds_alternative<AskRefused>(due.decision) ? 1 : 0;
+    refused += std::holds_alternative<QueryRejected>(due.decision) ? 1 : 0;
   }
   CHECK(refused == waiting.size());
   CHECK(planner_->WaitingCount() == 0);
@@ -421,7 +422,7 @@
   // Returns when `ask` is told to return in a flood.
   Millis TurnAway(const PlacementQuery& ask) {
     Flood();
-    return std::get<AskRefused>(planner_->OnQuery(ask)).return_after.value();
+    return std::get<QueryRejected>(planner_->OnQuery(ask)).return_after.value();
   }
 
   PlacementQuery Return(PlacementQuery ask) {
@@ -442,12 +443,12 @@
   // Sooner it gains nothing: the same time is told again.
   now_ += Millis(100);
   const auto sooner = planner_->OnQuery(Return(ask));
-  CHECK(std::get<AskRefused>(sooner).return_after == after - Millis(100));
+  CHECK(std::get<QueryRejected>(sooner).return_after == after - Millis(100));
   CHECK(planner_->ReservationCount() > 0);
   now_ += after - Millis(100);
   Flood();
   CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Return(ask))));
-  CHECK(std::holds_alternative<AskRefused>(
+  CHECK(std::holds_alternative<QueryRejected>(
       planner_->OnQuery(Return(Told(Long(2), 2)))));
 }
 
@@ -481,7 +482,7 @@
   bool is_told = false;
   for (const DeferredReply& due : planner_->ProcessWaitQueue()) {
     is_told = is_told || (due.id == returned.id &&
-                          std::holds_alternative<AskRefused>(due.decision));
+                          std::holds_alternative<QueryRejected>(due.decision));
   }
   CHECK(is_told);
 }
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -10,7 +10,7 @@
 namespace {
 
 std::optional<PlacementDecision> AsDecision(
-    const std::optional<AskRefused>& refused) {
+    const std::optional<QueryRejected>& refused) {
   return refused.has_value() ? std::make_optional<PlacementDecision>(*refused)
                              : std::nullopt;
 }
@@ -43,7 +43,7 @@
   return seeker;
 }
 
-std::optional<AskRefused> Planner::RefusalOnArrival(
+std::optional<QueryRejected> Planner::RefusalOnArrival(
     const Entry& entry, const PlacementRequest& request, ShareTurn turn) {
   if (entry.is_foreseen) {
     const RoomSeeker seeker = SeekerOf(entry, request);
@@ -56,7 +56,7 @@
   const bool in_vain = policy_.refuses_by_precedent && !entry.is_short &&
                        turn != ShareTurn::kBefore &&
                        WaitsInVain(entry.ask, request);
-  return in_vain ? std::make_optional(AskRefused{}) : std::nullopt;
+  return in_vain ? std::make_optional(QueryRejected{}) : std::nullopt;
 }
 
 std::optional<PlacementDecision> Planner::EndOfWait(const Entry& entry,
@@ -178,7 +178,7 @@
     Entry& entry = host.asks.at(key.id);
     std::optional<PlacementDecision> decision;
     if (HasWaitedEnough(entry)) {
-      decision = AskRefused{};
+      decision = QueryRejected{};
     } else if (failed < tried && MayStart(entry, *room, ahead)) {
       decision = TryPlace(&entry);
     }
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -77,8 +77,8 @@
   return clock_() + std::chrono::duration_cast<TimePoint::duration>(left);
 }
 
-std::optional<AskRefused> RoomDecision::RefusalOf(const RoomSeeker& seeker,
-                                                  const WorkAhead& ahead) {
+std::optional<QueryRejected> RoomDecision::RefusalOf(const RoomSeeker& seeker,
+                                                     const WorkAhead& ahead) {
   if (seeker.request->may_have_run) {
     return std::nullopt;
   }
@@ -126,8 +126,8 @@
   return time;
 }
 
-AskRefused RoomDecision::Refuse(const RoomSeeker& seeker,
-                                const WorkAhead& ahead) {
+QueryRejected RoomDecision::Refuse(const RoomSeeker& seeker,
+                                   const WorkAhead& ahead) {
   const PlacementRequest& request = *seeker.request;
   ++counts_.made;
   counts_.broken += seeker.was_promised ? 1 : 0;
@@ -138,7 +138,7 @@
   const FractionalMillis latest = policy_.return_share * request.until_deadline;
   const FractionalMillis after =
       std::max(std::min(foreseen, latest), FractionalMillis(kLeastReturn));
-  return AskRefused{promises_.Promise(
+  return QueryRejected{promises_.Promise(
       request.origin.request, seeker.work,
       clock_() +
           std::chrono::duration_cast<TimePoint::duration>(request.until_late),
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -165,7 +165,7 @@
     if (const auto* placed = std::get_if<PlannedPlacement>(&decision)) {
       Serve(caller, id, *placed);
     } else {
-      const auto* refused = std::get_if<AskRefused>(&decision);
+      const auto* refused = std::get_if<QueryRejected>(&decision);
       Refuse(caller, refused == nullptr ? std::nullopt : refused->return_after);
     }
   }
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -126,7 +126,7 @@
       return placed;
     }
     AskResult operator()(const QueryQueued& waits) const { return waits; }
-    AskResult operator()(const AskRefused& refused) const { return refused; }
+    AskResult operator()(const QueryRejected& refused) const { return refused; }
     AskResult operator()(const NoEndpoint& none) const { return none; }
     AskResult operator()(const NotPlanner& /*other*/) const {
       return PlaceYourself{};
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -32,7 +32,7 @@
 
 // Nobody answered: the host places by itself, from what it knows.
 struct PlaceYourself {};
-using AskResult = std::variant<PlannedPlacement, QueryQueued, AskRefused,
+using AskResult = std::variant<PlannedPlacement, QueryQueued, QueryRejected,
                                NoEndpoint, PlaceYourself>;
 
 // Not thread-safe; runs on its io_context. Never calls back from within Ask.
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -81,10 +81,11 @@
     return;
   }
   ask_.reset();
-  if (std::holds_alternative<AskRefused>(result)) {
+  if (std::holds_alternative<QueryRejected>(result)) {
     observer_->OnTurnedAway(
         TurnAwayReason::kWaitsInVain,
-        std::get<AskRefused>(result).return_after.value_or(PauseForReturn()));
+        std::get<QueryRejected>(result).return_after.value_or(
+            PauseForReturn()));
   } else if (std::holds_alternative<NoEndpoint>(result)) {
     observer_->OnNoEndpoint();
   } else {
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -31,7 +31,7 @@
 
 void PlanningDesk::NoteTurnedAway(const HostAddress& host, QueryId id,
                                   const PlacementDecision& decision) {
-  const auto* refused = std::get_if<AskRefused>(&decision);
+  const auto* refused = std::get_if<QueryRejected>(&decision);
   if (refused == nullptr || !refused->return_after.has_value()) {
     return;
   }
