--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -143,7 +143,7 @@
 // It would wait in vain.
 struct QueryRejected {
   // When its caller should come again; unset where the planner does not know.
-  std::optional<Millis> return_after;
+  std::optional<Millis> retry_after;
 };
 // No endpoint of the service may be used.
 struct NoEndpoint {};
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -105,7 +105,7 @@
   constexpr std::size_t kSizeWithoutReturn = 1;
   QueryRejected refused;
   if (size > kSizeWithoutReturn) {
-    refused.return_after = reader->TakeMillis();
+    refused.retry_after = reader->TakeMillis();
   }
   return refused;
 }
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -45,8 +45,8 @@
     }
     json operator()(const QueryRejected& refused) const {
       json array = json::array({static_cast<int>(DecisionKind::kRefused)});
-      if (refused.return_after.has_value()) {
-        array.push_back(refused.return_after->count());
+      if (refused.retry_after.has_value()) {
+        array.push_back(refused.retry_after->count());
       }
       return array;
     }
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -205,7 +205,7 @@
   CHECK(std::holds_alternative<QueryQueued>(SentAndRead(answer).decision));
   answer.decision = QueryRejected{Millis(750)};
   const PlacementReply later = SentAndRead(answer);
-  CHECK(std::get<QueryRejected>(later.decision).return_after == Millis(750));
+  CHECK(std::get<QueryRejected>(later.decision).retry_after == Millis(750));
   answer.decision = QueryRejected{};
   CHECK(std::holds_alternative<QueryRejected>(SentAndRead(answer).decision));
   answer.decision = NoEndpoint{};
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -422,7 +422,7 @@
   // Returns when `ask` is told to return in a flood.
   Millis TurnAway(const PlacementQuery& ask) {
     Flood();
-    return std::get<QueryRejected>(planner_->OnQuery(ask)).return_after.value();
+    return std::get<QueryRejected>(planner_->OnQuery(ask)).retry_after.value();
   }
 
   PlacementQuery Return(PlacementQuery ask) {
@@ -443,7 +443,7 @@
   // Sooner it gains nothing: the same time is told again.
   now_ += Millis(100);
   const auto sooner = planner_->OnQuery(Return(ask));
-  CHECK(std::get<QueryRejected>(sooner).return_after == after - Millis(100));
+  CHECK(std::get<QueryRejected>(sooner).retry_after == after - Millis(100));
   CHECK(planner_->ReservationCount() > 0);
   now_ += after - Millis(100);
   Flood();
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -166,7 +166,7 @@
       Serve(caller, id, *placed);
     } else {
       const auto* refused = std::get_if<QueryRejected>(&decision);
-      Refuse(caller, refused == nullptr ? std::nullopt : refused->return_after);
+      Refuse(caller, refused == nullptr ? std::nullopt : refused->retry_after);
     }
   }
 
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -84,8 +84,7 @@
   if (std::holds_alternative<QueryRejected>(result)) {
     observer_->OnTurnedAway(
         TurnAwayReason::kWaitsInVain,
-        std::get<QueryRejected>(result).return_after.value_or(
-            PauseForReturn()));
+        std::get<QueryRejected>(result).retry_after.value_or(PauseForReturn()));
   } else if (std::holds_alternative<NoEndpoint>(result)) {
     observer_->OnNoEndpoint();
   } else {
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -32,13 +32,13 @@
 void PlanningDesk::NoteTurnedAway(const HostAddress& host, QueryId id,
                                   const PlacementDecision& decision) {
   const auto* refused = std::get_if<QueryRejected>(&decision);
-  if (refused == nullptr || !refused->return_after.has_value()) {
+  if (refused == nullptr || !refused->retry_after.has_value()) {
     return;
   }
   log_->Write("turned_away",
               {{"host", host.value},
                {"ask", id.value},
-               {"return_after_ms", refused->return_after->count()},
+               {"return_after_ms", refused->retry_after->count()},
                {"promises", planner_->ReservationCount()}});
 }
 
