--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -177,7 +177,7 @@
 };
 
 // Tells the planner what became of places that it gave.
-struct WorkNote {
+struct ProgressReport {
   HostAddress host;
   Incarnation life;
   std::vector<ReadNote> read;
@@ -197,8 +197,9 @@
   std::vector<CrashReport> reports;
 };
 
-using FleetMessage = std::variant<Heartbeat, PlacementQuery, PlacementReply,
-                                  WorkNote, PublishedChanges, CrashReports>;
+using FleetMessage =
+    std::variant<Heartbeat, PlacementQuery, PlacementReply, ProgressReport,
+                 PublishedChanges, CrashReports>;
 
 // Returns `message` as CBOR.
 std::string EncodeFleetMessage(const FleetMessage& message);
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -65,7 +65,7 @@
   PlacementDecision OnQuery(const PlacementQuery& ask);
 
   // Takes what became of places.
-  void OnProgressReport(const WorkNote& note);
+  void OnProgressReport(const ProgressReport& note);
 
   // Takes a host's account of what it has under way, which replaces what was
   // known of it, but for places so new that the account may have crossed them.
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -286,8 +286,8 @@
   return told;
 }
 
-WorkNote TakeNote(ArrayReader* reader) {
-  WorkNote note;
+ProgressReport TakeNote(ArrayReader* reader) {
+  ProgressReport note;
   note.host = reader->TakeString<HostAddress>();
   note.life = reader->TakeNumber<Incarnation>();
   reader->EachOf([&note](ArrayReader* entry) {
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -168,7 +168,7 @@
                         told.from.value, std::move(reports)});
   }
 
-  json operator()(const WorkNote& note) const {
+  json operator()(const ProgressReport& note) const {
     json read = json::array();
     for (const ReadNote& one : note.read) {
       read.push_back({one.id.value, one.pace});
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -215,11 +215,11 @@
 }
 
 TEST_CASE("A note comes back as it was sent") {
-  const WorkNote note{kHost,
-                      Incarnation{77},
-                      {ReadNote{QueryId{1}, 1.5}},
-                      {EndNote{QueryId{2}, true}}};
-  const WorkNote read = SentAndRead(note);
+  const ProgressReport note{kHost,
+                            Incarnation{77},
+                            {ReadNote{QueryId{1}, 1.5}},
+                            {EndNote{QueryId{2}, true}}};
+  const ProgressReport read = SentAndRead(note);
   REQUIRE(read.read.size() == 1);
   CHECK(read.read.front().pace == 1.5);
   REQUIRE(read.ended.size() == 1);
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -166,7 +166,7 @@
   return *entry->placed;
 }
 
-void Planner::OnProgressReport(const WorkNote& note) {
+void Planner::OnProgressReport(const ProgressReport& note) {
   Host* host = HostOf(note.host, note.life);
   for (const ReadNote& read : note.read) {
     const auto found = host->asks.find(read.id);
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -146,7 +146,7 @@
   }
 
   void EndRead() {
-    WorkNote note{HostAddress{"h"}, Incarnation{1}, {}, {}};
+    ProgressReport note{HostAddress{"h"}, Incarnation{1}, {}, {}};
     for (auto it = running_.begin(); it != running_.end();) {
       const bool ended = it->ends <= now_;
       if (ended) {
@@ -160,7 +160,7 @@
 
   // Their callers leave; the host tells so.
   void DropGivenUp() {
-    WorkNote note{HostAddress{"h"}, Incarnation{1}, {}, {}};
+    ProgressReport note{HostAddress{"h"}, Incarnation{1}, {}, {}};
     for (auto it = pending_.begin(); it != pending_.end();) {
       const bool gone = it->second.ends_at <= now_;
       if (gone) {
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -71,7 +71,7 @@
 
   void End(const PlacementQuery& ask) {
     planner_->OnProgressReport(
-        WorkNote{ask.host, ask.life, {}, {EndNote{ask.id, false}}});
+        ProgressReport{ask.host, ask.life, {}, {EndNote{ask.id, false}}});
   }
 
   // Returns the account of a host that has under way what `asks` were given.
@@ -152,7 +152,7 @@
   REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(second)));
   CHECK(planner_->ProcessWaitQueue().empty());
   planner_->OnProgressReport(
-      WorkNote{first.host, first.life, {ReadNote{first.id, 1}}, {}});
+      ProgressReport{first.host, first.life, {ReadNote{first.id, 1}}, {}});
   const auto due = planner_->ProcessWaitQueue();
   REQUIRE(due.size() == 1);
   CHECK(due.front().host == second.host);
@@ -172,7 +172,7 @@
   pressed.until_late = FractionalMillis(2000);
   planner_->OnQuery(pressed);
   planner_->OnProgressReport(
-      WorkNote{first.host, first.life, {ReadNote{first.id, 1}}, {}});
+      ProgressReport{first.host, first.life, {ReadNote{first.id, 1}}, {}});
   const auto due = planner_->ProcessWaitQueue();
   REQUIRE_FALSE(due.empty());
   CHECK(due.front().id == pressed.id);
@@ -302,7 +302,7 @@
     PlacementQuery again = Short(1);
     planner_->OnQuery(again);
     planner_->OnProgressReport(
-        WorkNote{again.host, again.life, {}, {EndNote{again.id, true}}});
+        ProgressReport{again.host, again.life, {}, {EndNote{again.id, true}}});
   }
   const auto later = std::get<PlannedPlacement>(planner_->OnQuery(Short(2)));
   CHECK(later.endpoint != placed.endpoint);
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -147,7 +147,7 @@
   }
 
   void Tell(QueryId id, bool ended) {
-    WorkNote note{HostAddress{"h"}, Incarnation{1}, {}, {}};
+    ProgressReport note{HostAddress{"h"}, Incarnation{1}, {}, {}};
     if (ended) {
       note.ended.push_back(EndNote{id, false});
     } else {
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -33,7 +33,7 @@
     }
     member->places_.OnAnswer(answer);
   }
-  void operator()(const WorkNote& note) const {
+  void operator()(const ProgressReport& note) const {
     member->desk_.OnProgressReport(note);
   }
   void operator()(const PublishedChanges& published) const {
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -136,7 +136,7 @@
 }
 
 void PlaceClient::GiveBack(const HostAddress& host, QueryId id) {
-  ports_.send(host, WorkNote{self_, life_, {}, {EndNote{id, false}}});
+  ports_.send(host, ProgressReport{self_, life_, {}, {EndNote{id, false}}});
 }
 
 void PlaceClient::Resolve(QueryId id, const AskResult& result) {
@@ -271,7 +271,7 @@
 
 void PlaceClient::Flush() {
   flushes_ = false;
-  WorkNote note{self_, life_, std::move(read_), std::move(ended_)};
+  ProgressReport note{self_, life_, std::move(read_), std::move(ended_)};
   read_.clear();
   ended_.clear();
   // Without a planner the next one is told all by this host's word.
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -42,7 +42,7 @@
                {"promises", planner_->ReservationCount()}});
 }
 
-void PlanningDesk::OnProgressReport(const WorkNote& note) {
+void PlanningDesk::OnProgressReport(const ProgressReport& note) {
   if (IsPlanner()) {
     planner_->OnProgressReport(note);
     TryWaitingSoon();
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planning_desk.h
@@ -30,7 +30,7 @@
                MonotonicClock clock);
 
   void OnQuery(const PlacementQuery& ask);
-  void OnProgressReport(const WorkNote& note);
+  void OnProgressReport(const ProgressReport& note);
   void OnHeartbeat(const Heartbeat& word);
 
   // To be called every few tens of milliseconds on the host that plans.
