--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -164,7 +164,7 @@
 };
 
 // The first event of a request came.
-struct ReadNote {
+struct PrefillDone {
   QueryId id;
   // How long that took in relation to the prediction.
   double pace = 1;
@@ -180,7 +180,7 @@
 struct ProgressReport {
   HostAddress host;
   Incarnation life;
-  std::vector<ReadNote> read;
+  std::vector<PrefillDone> read;
   std::vector<EndNote> ended;
 };
 
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -291,7 +291,7 @@
   note.host = reader->TakeString<HostAddress>();
   note.life = reader->TakeNumber<Incarnation>();
   reader->EachOf([&note](ArrayReader* entry) {
-    ReadNote one;
+    PrefillDone one;
     one.id = entry->TakeNumber<QueryId>();
     one.pace = entry->Take<double>();
     note.read.push_back(one);
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -170,7 +170,7 @@
 
   json operator()(const ProgressReport& note) const {
     json read = json::array();
-    for (const ReadNote& one : note.read) {
+    for (const PrefillDone& one : note.read) {
       read.push_back({one.id.value, one.pace});
     }
     json ended = json::array();
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -217,7 +217,7 @@
 TEST_CASE("A note comes back as it was sent") {
   const ProgressReport note{kHost,
                             Incarnation{77},
-                            {ReadNote{QueryId{1}, 1.5}},
+                            {PrefillDone{QueryId{1}, 1.5}},
                             {EndNote{QueryId{2}, true}}};
   const ProgressReport read = SentAndRead(note);
   REQUIRE(read.read.size() == 1);
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -168,7 +168,7 @@
 
 void Planner::OnProgressReport(const ProgressReport& note) {
   Host* host = HostOf(note.host, note.life);
-  for (const ReadNote& read : note.read) {
+  for (const PrefillDone& read : note.read) {
     const auto found = host->asks.find(read.id);
     if (found == host->asks.end()) {
       continue;
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -150,7 +150,7 @@
     for (auto it = running_.begin(); it != running_.end();) {
       const bool ended = it->ends <= now_;
       if (ended) {
-        note.read.push_back(ReadNote{it->ask.id, 1});
+        note.read.push_back(PrefillDone{it->ask.id, 1});
         note.ended.push_back(EndNote{it->ask.id, false});
       }
       it = ended ? running_.erase(it) : std::next(it);
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -152,7 +152,7 @@
   REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(second)));
   CHECK(planner_->ProcessWaitQueue().empty());
   planner_->OnProgressReport(
-      ProgressReport{first.host, first.life, {ReadNote{first.id, 1}}, {}});
+      ProgressReport{first.host, first.life, {PrefillDone{first.id, 1}}, {}});
   const auto due = planner_->ProcessWaitQueue();
   REQUIRE(due.size() == 1);
   CHECK(due.front().host == second.host);
@@ -172,7 +172,7 @@
   pressed.until_late = FractionalMillis(2000);
   planner_->OnQuery(pressed);
   planner_->OnProgressReport(
-      ProgressReport{first.host, first.life, {ReadNote{first.id, 1}}, {}});
+      ProgressReport{first.host, first.life, {PrefillDone{first.id, 1}}, {}});
   const auto due = planner_->ProcessWaitQueue();
   REQUIRE_FALSE(due.empty());
   CHECK(due.front().id == pressed.id);
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -151,7 +151,7 @@
     if (ended) {
       note.ended.push_back(EndNote{id, false});
     } else {
-      note.read.push_back(ReadNote{id, 1});
+      note.read.push_back(PrefillDone{id, 1});
     }
     planner_->OnProgressReport(note);
   }
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -154,7 +154,7 @@
   const auto found = under_way_.find(id);
   if (found != under_way_.end()) {
     found->second.is_read = true;
-    read_.push_back(ReadNote{id, pace});
+    read_.push_back(PrefillDone{id, pace});
     FlushSoon();
   }
 }
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -119,7 +119,7 @@
   std::uint64_t next_id_ = 1;
   std::map<QueryId, Pending> pending_;
   std::unordered_map<QueryId, QueryWork> under_way_;
-  std::vector<ReadNote> read_;
+  std::vector<PrefillDone> read_;
   std::vector<EndNote> ended_;
   bool flushes_ = false;
   // What answers lately took.
