--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -170,7 +170,7 @@
   double pace = 1;
 };
 // A request ended, however.
-struct EndNote {
+struct RequestDone {
   QueryId id;
   // Its endpoint answered with a failure or broke off.
   bool failed = false;
@@ -181,7 +181,7 @@
   HostAddress host;
   Incarnation life;
   std::vector<PrefillDone> read;
-  std::vector<EndNote> ended;
+  std::vector<RequestDone> ended;
 };
 
 // What the platform has published since a revision, told by the planner.
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -297,7 +297,7 @@
     note.read.push_back(one);
   });
   reader->EachOf([&note](ArrayReader* entry) {
-    EndNote one;
+    RequestDone one;
     one.id = entry->TakeNumber<QueryId>();
     one.failed = entry->Take<bool>();
     note.ended.push_back(one);
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -174,7 +174,7 @@
       read.push_back({one.id.value, one.pace});
     }
     json ended = json::array();
-    for (const EndNote& one : note.ended) {
+    for (const RequestDone& one : note.ended) {
       ended.push_back({one.id.value, one.failed});
     }
     return json::array({static_cast<int>(MessageKind::kNote), note.host.value,
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -218,7 +218,7 @@
   const ProgressReport note{kHost,
                             Incarnation{77},
                             {PrefillDone{QueryId{1}, 1.5}},
-                            {EndNote{QueryId{2}, true}}};
+                            {RequestDone{QueryId{2}, true}}};
   const ProgressReport read = SentAndRead(note);
   REQUIRE(read.read.size() == 1);
   CHECK(read.read.front().pace == 1.5);
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -178,7 +178,7 @@
     }
     health_->OnSuccess(found->second.endpoint, read.pace);
   }
-  for (const EndNote& ended : note.ended) {
+  for (const RequestDone& ended : note.ended) {
     const auto found = host->asks.find(ended.id);
     if (found == host->asks.end()) {
       continue;
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -151,7 +151,7 @@
       const bool ended = it->ends <= now_;
       if (ended) {
         note.read.push_back(PrefillDone{it->ask.id, 1});
-        note.ended.push_back(EndNote{it->ask.id, false});
+        note.ended.push_back(RequestDone{it->ask.id, false});
       }
       it = ended ? running_.erase(it) : std::next(it);
     }
@@ -164,7 +164,7 @@
     for (auto it = pending_.begin(); it != pending_.end();) {
       const bool gone = it->second.ends_at <= now_;
       if (gone) {
-        note.ended.push_back(EndNote{it->first, false});
+        note.ended.push_back(RequestDone{it->first, false});
       }
       it = gone ? pending_.erase(it) : std::next(it);
     }
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -71,7 +71,7 @@
 
   void End(const PlacementQuery& ask) {
     planner_->OnProgressReport(
-        ProgressReport{ask.host, ask.life, {}, {EndNote{ask.id, false}}});
+        ProgressReport{ask.host, ask.life, {}, {RequestDone{ask.id, false}}});
   }
 
   // Returns the account of a host that has under way what `asks` were given.
@@ -301,8 +301,8 @@
   for (int i = 0; i < 10; ++i) {
     PlacementQuery again = Short(1);
     planner_->OnQuery(again);
-    planner_->OnProgressReport(
-        ProgressReport{again.host, again.life, {}, {EndNote{again.id, true}}});
+    planner_->OnProgressReport(ProgressReport{
+        again.host, again.life, {}, {RequestDone{again.id, true}}});
   }
   const auto later = std::get<PlannedPlacement>(planner_->OnQuery(Short(2)));
   CHECK(later.endpoint != placed.endpoint);
--- a/src/core/too_little_room_test.cc
+++ b/src/core/too_little_room_test.cc
@@ -149,7 +149,7 @@
   void Tell(QueryId id, bool ended) {
     ProgressReport note{HostAddress{"h"}, Incarnation{1}, {}, {}};
     if (ended) {
-      note.ended.push_back(EndNote{id, false});
+      note.ended.push_back(RequestDone{id, false});
     } else {
       note.read.push_back(PrefillDone{id, 1});
     }
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -136,7 +136,7 @@
 }
 
 void PlaceClient::GiveBack(const HostAddress& host, QueryId id) {
-  ports_.send(host, ProgressReport{self_, life_, {}, {EndNote{id, false}}});
+  ports_.send(host, ProgressReport{self_, life_, {}, {RequestDone{id, false}}});
 }
 
 void PlaceClient::Resolve(QueryId id, const AskResult& result) {
@@ -162,7 +162,7 @@
 void PlaceClient::OnEnd(QueryId id, bool failed) {
   const bool known = pending_.erase(id) + under_way_.erase(id) > 0;
   if (known) {
-    ended_.push_back(EndNote{id, failed});
+    ended_.push_back(RequestDone{id, failed});
     FlushSoon();
   }
 }
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -120,7 +120,7 @@
   std::map<QueryId, Pending> pending_;
   std::unordered_map<QueryId, QueryWork> under_way_;
   std::vector<PrefillDone> read_;
-  std::vector<EndNote> ended_;
+  std::vector<RequestDone> ended_;
   bool flushes_ = false;
   // What answers lately took.
   FractionalMillis answer_time_{0};
