--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -44,7 +44,7 @@
 struct QueryWork {
   QueryId id;
   // The first event has come.
-  bool is_read = false;
+  bool prefill_done = false;
   // Of the endpoint first, then of the helpers.
   std::vector<WorkPart> parts;
 };
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -77,7 +77,7 @@
     ArrayReader entry(element);
     QueryWork one;
     one.id = entry.TakeNumber<QueryId>();
-    one.is_read = entry.Take<bool>();
+    one.prefill_done = entry.Take<bool>();
     entry.EachOf(
         [&one](ArrayReader* part) { one.parts.push_back(TakePart(part)); });
     work.push_back(std::move(one));
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -22,7 +22,7 @@
     for (const WorkPart& part : one.parts) {
       parts.push_back(EncodePart(part));
     }
-    list.push_back({one.id.value, one.is_read, std::move(parts)});
+    list.push_back({one.id.value, one.prefill_done, std::move(parts)});
   }
   return list;
 }
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -131,7 +131,7 @@
   REQUIRE(read.work->size() == 1);
   const QueryWork& work = read.work->front();
   CHECK(work.id == QueryId{5});
-  CHECK(work.is_read);
+  CHECK(work.prefill_done);
   REQUIRE(work.parts.size() == 1);
   CHECK(work.parts.front().endpoint == EndpointId{"e"});
   CHECK(work.parts.front().work_class == WorkClass::kLong);
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -229,7 +229,7 @@
       entry.endpoint = work.parts.front().endpoint;
     }
   }
-  if (work.is_read) {
+  if (work.prefill_done) {
     for (const WorkId id : entry.work) {
       loads_.OnPrefillDone(id);
     }
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -153,7 +153,7 @@
 void PlaceClient::OnPrefillDone(QueryId id, double pace) {
   const auto found = under_way_.find(id);
   if (found != under_way_.end()) {
-    found->second.is_read = true;
+    found->second.prefill_done = true;
     read_.push_back(PrefillDone{id, pace});
     FlushSoon();
   }
