--- a/include/harecrank/core/fleet_message_kinds.h
+++ b/include/harecrank/core/fleet_message_kinds.h
@@ -8,7 +8,7 @@
 // The first element of each message. Kept small: an ask is sent for each
 // request.
 enum class MessageKind {
-  kWord = 1,
+  kHeartbeat = 1,
   kAsk = 2,
   kAnswer = 3,
   kNote = 4,
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -312,7 +312,7 @@
     const json array = json::from_cbor(bytes);
     ArrayReader reader(array);
     switch (static_cast<MessageKind>(reader.Take<int>())) {
-      case MessageKind::kWord:
+      case MessageKind::kHeartbeat:
         return TakeWord(&reader, array.size());
       case MessageKind::kAsk:
         return TakeAsk(&reader, array.size());
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -98,7 +98,7 @@
       avoided.push_back({endpoint.id.value, endpoint.left.count()});
     }
     json array = json::array(
-        {static_cast<int>(MessageKind::kWord), word.node.value,
+        {static_cast<int>(MessageKind::kHeartbeat), word.node.value,
          word.address.value, word.life.value, word.cpu_share.value,
          word.routing.value, word.known_up_to.value, word.source_well,
          word.planner.value, word.leaving, word.wants_reply, word.alive_hosts,
