--- a/include/harecrank/core/fleet_message_kinds.h
+++ b/include/harecrank/core/fleet_message_kinds.h
@@ -9,7 +9,7 @@
 // request.
 enum class MessageKind {
   kHeartbeat = 1,
-  kAsk = 2,
+  kQuery = 2,
   kAnswer = 3,
   kNote = 4,
   kChanges = 5,
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -314,7 +314,7 @@
     switch (static_cast<MessageKind>(reader.Take<int>())) {
       case MessageKind::kHeartbeat:
         return TakeWord(&reader, array.size());
-      case MessageKind::kAsk:
+      case MessageKind::kQuery:
         return TakeAsk(&reader, array.size());
       case MessageKind::kAnswer:
         return TakeAnswer(&reader);
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -131,7 +131,7 @@
 
   json operator()(const PlacementQuery& ask) const {
     json array = json::array(
-        {static_cast<int>(MessageKind::kAsk), ask.host.value, ask.life.value,
+        {static_cast<int>(MessageKind::kQuery), ask.host.value, ask.life.value,
          ask.id.value, ask.service.value, ask.target_latency.count(),
          ask.target_gap.count(), ask.prompt.value, ask.answer.value,
          ask.until_late.count(), ask.may_have_run, EncodeIds(ask.tried),
