--- a/include/harecrank/core/fleet_message_kinds.h
+++ b/include/harecrank/core/fleet_message_kinds.h
@@ -10,7 +10,7 @@
 enum class MessageKind {
   kHeartbeat = 1,
   kQuery = 2,
-  kAnswer = 3,
+  kReply = 3,
   kNote = 4,
   kChanges = 5,
   kCrashes = 6
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -316,7 +316,7 @@
         return TakeWord(&reader, array.size());
       case MessageKind::kQuery:
         return TakeAsk(&reader, array.size());
-      case MessageKind::kAnswer:
+      case MessageKind::kReply:
         return TakeAnswer(&reader);
       case MessageKind::kNote:
         return TakeNote(&reader);
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -144,7 +144,7 @@
   }
 
   json operator()(const PlacementReply& answer) const {
-    return json::array({static_cast<int>(MessageKind::kAnswer),
+    return json::array({static_cast<int>(MessageKind::kReply),
                         answer.from.value, answer.life.value, answer.id.value,
                         EncodeDecision(answer.decision)});
   }
