--- a/include/harecrank/core/fleet_message_kinds.h
+++ b/include/harecrank/core/fleet_message_kinds.h
@@ -11,7 +11,7 @@
   kHeartbeat = 1,
   kQuery = 2,
   kReply = 3,
-  kNote = 4,
+  kProgress = 4,
   kChanges = 5,
   kCrashes = 6
 };
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -318,7 +318,7 @@
         return TakeAsk(&reader, array.size());
       case MessageKind::kReply:
         return TakeAnswer(&reader);
-      case MessageKind::kNote:
+      case MessageKind::kProgress:
         return TakeNote(&reader);
       case MessageKind::kChanges:
         return TakeChanges(&reader);
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -177,8 +177,9 @@
     for (const RequestDone& one : note.ended) {
       ended.push_back({one.id.value, one.failed});
     }
-    return json::array({static_cast<int>(MessageKind::kNote), note.host.value,
-                        note.life.value, std::move(read), std::move(ended)});
+    return json::array({static_cast<int>(MessageKind::kProgress),
+                        note.host.value, note.life.value, std::move(read),
+                        std::move(ended)});
   }
 };
 
