--- a/include/harecrank/core/fleet_message_kinds.h
+++ b/include/harecrank/core/fleet_message_kinds.h
@@ -19,7 +19,7 @@
 // The first element of a decision.
 enum class DecisionKind {
   kPlaced = 1,
-  kWaits = 2,
+  kQueued = 2,
   kRefused = 3,
   kNoEndpoint = 4,
   kNotPlanner = 5
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -116,7 +116,7 @@
   switch (static_cast<DecisionKind>(reader.Take<int>())) {
     case DecisionKind::kPlaced:
       return TakePlacement(&reader);
-    case DecisionKind::kWaits:
+    case DecisionKind::kQueued:
       return QueryQueued{};
     case DecisionKind::kRefused:
       return TakeRefusal(&reader, decision.size());
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -41,7 +41,7 @@
                           placed.first_event.count(), placed.candidates});
     }
     json operator()(const QueryQueued& /*waits*/) const {
-      return json::array({static_cast<int>(DecisionKind::kWaits)});
+      return json::array({static_cast<int>(DecisionKind::kQueued)});
     }
     json operator()(const QueryRejected& refused) const {
       json array = json::array({static_cast<int>(DecisionKind::kRefused)});
