--- a/include/harecrank/core/fleet_message_kinds.h
+++ b/include/harecrank/core/fleet_message_kinds.h
@@ -20,7 +20,7 @@
 enum class DecisionKind {
   kPlaced = 1,
   kQueued = 2,
-  kRefused = 3,
+  kRejected = 3,
   kNoEndpoint = 4,
   kNotPlanner = 5
 };
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -118,7 +118,7 @@
       return TakePlacement(&reader);
     case DecisionKind::kQueued:
       return QueryQueued{};
-    case DecisionKind::kRefused:
+    case DecisionKind::kRejected:
       return TakeRefusal(&reader, decision.size());
     case DecisionKind::kNoEndpoint:
       return NoEndpoint{};
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -44,7 +44,7 @@
       return json::array({static_cast<int>(DecisionKind::kQueued)});
     }
     json operator()(const QueryRejected& refused) const {
-      json array = json::array({static_cast<int>(DecisionKind::kRefused)});
+      json array = json::array({static_cast<int>(DecisionKind::kRejected)});
       if (refused.retry_after.has_value()) {
         array.push_back(refused.retry_after->count());
       }
