--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -50,7 +50,7 @@
 };
 
 // How a host's own reading of the platform's service goes.
-enum class OwnReading {
+enum class PollState {
   kNone,
   // It reads, and the first answer may still come.
   kBegun,
@@ -71,7 +71,7 @@
   bool source_well = false;
   // How long ago the platform answered the host that this is known from.
   Millis source_age{0};
-  OwnReading own_reading = OwnReading::kNone;
+  PollState own_reading = PollState::kNone;
   // In a planner's word: whether the host that it goes to is one of those that
   // read the platform's service for all.
   std::optional<bool> should_read;
--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -78,7 +78,7 @@
   Reading Kind() const;
 
   // Returns how this host's own reading goes.
-  OwnReading Own() const;
+  PollState Own() const;
 
   // Returns whether this host knows what is published, from the service or from
   // another host.
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -153,13 +153,13 @@
   return limits;
 }
 
-OwnReading TakeOwnReading(ArrayReader* reader) {
-  const auto reading = static_cast<OwnReading>(reader->Take<int>());
+PollState TakeOwnReading(ArrayReader* reader) {
+  const auto reading = static_cast<PollState>(reader->Take<int>());
   switch (reading) {
-    case OwnReading::kNone:
-    case OwnReading::kBegun:
-    case OwnReading::kAnswered:
-    case OwnReading::kFailed:
+    case PollState::kNone:
+    case PollState::kBegun:
+    case PollState::kAnswered:
+    case PollState::kFailed:
       return reading;
   }
   throw UnknownNumber{};
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -122,18 +122,18 @@
   return reads_once_ ? Reading::kOnce : Reading::kNone;
 }
 
-OwnReading ReadingDuty::Own() const {
+PollState ReadingDuty::Own() const {
   const TimePoint now = clock_();
   const auto is_recent = [now](const std::optional<TimePoint>& time) {
     return time.has_value() && now - *time <= kInformedFor;
   };
   if (is_recent(failed_at_)) {
-    return OwnReading::kFailed;
+    return PollState::kFailed;
   }
   if (is_recent(own_answered_at_)) {
-    return OwnReading::kAnswered;
+    return PollState::kAnswered;
   }
-  return Kind() == Reading::kNone ? OwnReading::kNone : OwnReading::kBegun;
+  return Kind() == Reading::kNone ? PollState::kNone : PollState::kBegun;
 }
 
 Millis ReadingDuty::Age() const {
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -72,7 +72,7 @@
   duty_.OnAnswered();
   CHECK(duty_.IsWell());
   CHECK(duty_.Kind() == Reading::kNone);
-  CHECK(duty_.Own() == OwnReading::kAnswered);
+  CHECK(duty_.Own() == PollState::kAnswered);
 }
 
 // Otherwise it would lose the source and regain it again and again.
@@ -92,7 +92,7 @@
   duty_.SetTurn(0);
   CHECK(duty_.Kind() == Reading::kContinuously);
   CHECK(duty_.IsWell());
-  CHECK(duty_.Own() == OwnReading::kBegun);
+  CHECK(duty_.Own() == PollState::kBegun);
 }
 
 TEST_CASE_METHOD(DutyFixture,
@@ -126,7 +126,7 @@
   duty_.SetTurn(0);
   duty_.OnAnswered();
   Pass(ReadingDuty::kInformedFor + Millis(1));
-  CHECK_FALSE(duty_.Own() == OwnReading::kAnswered);
+  CHECK_FALSE(duty_.Own() == PollState::kAnswered);
   CHECK_FALSE(duty_.IsWell());
 }
 
@@ -155,13 +155,13 @@
 
 TEST_CASE_METHOD(DutyFixture,
                  "Reading has begun until the service answers or fails") {
-  CHECK(duty_.Own() == OwnReading::kNone);
+  CHECK(duty_.Own() == PollState::kNone);
   duty_.SetTurn(0);
-  CHECK(duty_.Own() == OwnReading::kBegun);
+  CHECK(duty_.Own() == PollState::kBegun);
   duty_.OnFailed();
-  CHECK(duty_.Own() == OwnReading::kFailed);
+  CHECK(duty_.Own() == PollState::kFailed);
   duty_.OnAnswered();
-  CHECK(duty_.Own() == OwnReading::kAnswered);
+  CHECK(duty_.Own() == PollState::kAnswered);
 }
 
 TEST_CASE_METHOD(DutyFixture,
