--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -71,7 +71,7 @@
   bool source_well = false;
   // How long ago the platform answered the host that this is known from.
   Millis source_age{0};
-  PollState own_reading = PollState::kNone;
+  PollState poll_state = PollState::kNone;
   // In a planner's word: whether the host that it goes to is one of those that
   // read the platform's service for all.
   std::optional<bool> should_read;
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -192,7 +192,7 @@
     word.avoided.push_back(std::move(endpoint));
   });
   word.source_age = reader->TakeMillis();
-  word.own_reading = TakeOwnReading(reader);
+  word.poll_state = TakeOwnReading(reader);
   if (const json& should_read = reader->Next(); !should_read.is_null()) {
     word.should_read = should_read.get<bool>();
   }
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -103,7 +103,7 @@
          word.routing.value, word.known_up_to.value, word.source_well,
          word.planner.value, word.leaving, word.wants_reply, word.alive_hosts,
          std::move(hosts), std::move(avoided), word.source_age.count(),
-         static_cast<int>(word.own_reading),
+         static_cast<int>(word.poll_state),
          word.should_read.has_value() ? json(*word.should_read) : json()});
     // What follows is left out where there is nothing to tell: hosts of an
     // earlier version pass over a word that is longer than they know.
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -24,7 +24,7 @@
   word.known_up_to = StoreRevision{40};
   word.source_well = true;
   word.source_age = Millis(340);
-  word.own_reading = PollState::kFailed;
+  word.poll_state = PollState::kFailed;
   word.planner = HostAddress{"10.0.0.2:1"};
   word.wants_reply = true;
   word.alive_hosts = 9;
@@ -113,7 +113,7 @@
   CHECK(read.known_up_to == StoreRevision{40});
   CHECK(read.source_well);
   CHECK(read.source_age == Millis(340));
-  CHECK(read.own_reading == PollState::kFailed);
+  CHECK(read.poll_state == PollState::kFailed);
   CHECK(read.planner == HostAddress{"10.0.0.2:1"});
   CHECK_FALSE(read.leaving);
   CHECK(read.wants_reply);
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -49,12 +49,12 @@
   host.standing.routing = word.routing;
   host.standing.known_up_to = word.known_up_to;
   host.standing.source_well = word.source_well;
-  host.standing.is_answered = word.own_reading == PollState::kAnswered;
+  host.standing.is_answered = word.poll_state == PollState::kAnswered;
   host.standing.alive_hosts = word.alive_hosts;
   host.leaving = word.leaving;
   host.planner = word.planner;
   size_.OnReported(std::max(word.alive_hosts, word.most_hosts));
-  if (word.own_reading == PollState::kFailed) {
+  if (word.poll_state == PollState::kFailed) {
     host.unanswered = clock_();
   }
   NoteHeard(known);
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -32,7 +32,7 @@
     host.word = word;
     host.heard = now;
     host.suspect_until = TimePoint{};
-    if (word.own_reading == PollState::kFailed) {
+    if (word.poll_state == PollState::kFailed) {
       host.unanswered = now;
     }
     for (const KnownHost& known : word.hosts) {
@@ -161,7 +161,7 @@
     word.routing = RoutingVersion{random_() % 4};
     word.known_up_to = StoreRevision{random_() % 5};
     word.source_well = random_() % 3 != 0;
-    word.own_reading = static_cast<PollState>(random_() % 4);
+    word.poll_state = static_cast<PollState>(random_() % 4);
     word.planner = Address(random_() % 8 == 0 ? host : random_() % kHosts);
     word.leaving = random_() % 20 == 0;
     word.alive_hosts = static_cast<int>(random_() % 30);
@@ -250,7 +250,7 @@
       const bool passed_over =
           host.unanswered.has_value() &&
           now_ - *host.unanswered <= Membership::kFailedPollerCooldown;
-      CHECK((host.word.own_reading == PollState::kAnswered || !passed_over));
+      CHECK((host.word.poll_state == PollState::kAnswered || !passed_over));
     }
   }
 
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -264,7 +264,7 @@
   REQUIRE(chosen.size() == Membership::kPollersBesidePlanner);
   for (int host = 1; host <= 4; ++host) {
     Heartbeat word = WordOf(host);
-    word.own_reading = PollState::kBegun;
+    word.poll_state = PollState::kBegun;
     book.OnHeartbeat(word);
   }
   CHECK(book.StorePollers() == chosen);
@@ -284,13 +284,13 @@
       break;
     }
   }
-  failed.own_reading = PollState::kFailed;
+  failed.poll_state = PollState::kFailed;
   book.OnHeartbeat(failed);
   for (const HostAddress& reader : book.StorePollers()) {
     CHECK(reader != first);
   }
   now_ += Membership::kFailedPollerCooldown + Millis(1);
-  failed.own_reading = PollState::kNone;
+  failed.poll_state = PollState::kNone;
   for (int host = 1; host <= 4; ++host) {
     book.OnHeartbeat(WordOf(host));
   }
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -199,7 +199,7 @@
 
 void FleetMember::TellReaders() {
   readers_ = book_->StorePollers();
-  is_answered_ = Described().own_reading == PollState::kAnswered;
+  is_answered_ = Described().poll_state == PollState::kAnswered;
   Heartbeat word = OwnWord();
   for (const HostAddress& reader : readers_) {
     TellTurn(reader, &word);
@@ -344,7 +344,7 @@
   }
   if (IsPlanner()) {
     readers_ = book_->StorePollers();
-    is_answered_ = Described().own_reading == PollState::kAnswered;
+    is_answered_ = Described().poll_state == PollState::kAnswered;
     desk_.Tick();
   }
   relay_.AskBetterInformed(Described());
@@ -370,7 +370,7 @@
   // those that read, or two hosts would assure each other of what neither sees.
   const bool informs =
       from_planner ? word.source_well
-                   : IsPlanner() && word.own_reading == PollState::kAnswered;
+                   : IsPlanner() && word.poll_state == PollState::kAnswered;
   if (informs) {
     ports_.on_informed(word.source_age);
   }
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -116,7 +116,7 @@
            {{"well", source.source_well},
             {"at", source.known_up_to.value},
             {"age_ms", source.source_age.count()},
-            {"reads", source.own_reading != PollState::kNone}}},
+            {"reads", source.poll_state != PollState::kNone}}},
           {"fleet",
            {{"planner", planner.value_or(HostAddress{}).value},
             {"plans", parts.fleet->IsPlanner()},
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -88,7 +88,7 @@
   const StoreRevision since = told_up_to_;
   told_up_to_ = own.known_up_to;
   const bool is_first = since == StoreRevision{};
-  if (is_first && own.own_reading != PollState::kNone) {
+  if (is_first && own.poll_state != PollState::kNone) {
     // Others that have just started too wait for what this host has read.
     ports_.announce();
     return;
@@ -141,7 +141,7 @@
   if (own.routing == RoutingVersion{}) {
     return Millis(0);
   }
-  return own.own_reading == PollState::kAnswered ? kReadWithin : kToldWithin;
+  return own.poll_state == PollState::kAnswered ? kReadWithin : kToldWithin;
 }
 
 void PublicationRelay::Ask(const HostAddress& host, StoreRevision since,
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -49,7 +49,7 @@
   word->known_up_to = known_up_to_;
   word->source_well = is_well_;
   word->source_age = duty_.Age();
-  word->own_reading = duty_.Own();
+  word->poll_state = duty_.Own();
 }
 
 void SourceState::AdvanceTo(StoreRevision at) {
