--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -53,7 +53,7 @@
 enum class PollState {
   kNone,
   // It reads, and the first answer may still come.
-  kBegun,
+  kStarted,
   kAnswered,
   // The service refused, broke off or was silent.
   kFailed
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -157,7 +157,7 @@
   const auto reading = static_cast<PollState>(reader->Take<int>());
   switch (reading) {
     case PollState::kNone:
-    case PollState::kBegun:
+    case PollState::kStarted:
     case PollState::kAnswered:
     case PollState::kFailed:
       return reading;
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -264,7 +264,7 @@
   REQUIRE(chosen.size() == Membership::kPollersBesidePlanner);
   for (int host = 1; host <= 4; ++host) {
     Heartbeat word = WordOf(host);
-    word.poll_state = PollState::kBegun;
+    word.poll_state = PollState::kStarted;
     book.OnHeartbeat(word);
   }
   CHECK(book.StorePollers() == chosen);
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -133,7 +133,7 @@
   if (is_recent(own_answered_at_)) {
     return PollState::kAnswered;
   }
-  return Kind() == Reading::kNone ? PollState::kNone : PollState::kBegun;
+  return Kind() == Reading::kNone ? PollState::kNone : PollState::kStarted;
 }
 
 Millis ReadingDuty::Age() const {
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -92,7 +92,7 @@
   duty_.SetTurn(0);
   CHECK(duty_.Kind() == Reading::kContinuously);
   CHECK(duty_.IsWell());
-  CHECK(duty_.Own() == PollState::kBegun);
+  CHECK(duty_.Own() == PollState::kStarted);
 }
 
 TEST_CASE_METHOD(DutyFixture,
@@ -157,7 +157,7 @@
                  "Reading has begun until the service answers or fails") {
   CHECK(duty_.Own() == PollState::kNone);
   duty_.SetTurn(0);
-  CHECK(duty_.Own() == PollState::kBegun);
+  CHECK(duty_.Own() == PollState::kStarted);
   duty_.OnFailed();
   CHECK(duty_.Own() == PollState::kFailed);
   duty_.OnAnswered();
