--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -68,7 +68,7 @@
   RoutingVersion routing;
   StoreRevision known_up_to;
   // The platform answers it, or it hears from a host that the platform answers.
-  bool source_well = false;
+  bool store_data_fresh = false;
   // How long ago the platform answered the host that this is known from.
   Millis source_age{0};
   PollState poll_state = PollState::kNone;
--- a/include/harecrank/core/host_ranking.h
+++ b/include/harecrank/core/host_ranking.h
@@ -26,7 +26,7 @@
   bool claims = false;
   RoutingVersion routing;
   StoreRevision known_up_to;
-  bool source_well = false;
+  bool store_data_fresh = false;
   // The platform answers it.
   bool is_answered = false;
   int alive_hosts = 0;
@@ -40,8 +40,13 @@
  private:
   std::tuple<HostRank, bool, std::uint64_t, std::uint64_t, bool, bool, int>
   Key() const {
-    return {rank,        claims,      routing.value, known_up_to.value,
-            source_well, is_answered, alive_hosts};
+    return {rank,
+            claims,
+            routing.value,
+            known_up_to.value,
+            store_data_fresh,
+            is_answered,
+            alive_hosts};
   }
 };
 
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -174,7 +174,7 @@
   word.cpu_share = reader->TakeNumber<CpuShare>();
   word.routing = reader->TakeNumber<RoutingVersion>();
   word.known_up_to = reader->TakeNumber<StoreRevision>();
-  word.source_well = reader->Take<bool>();
+  word.store_data_fresh = reader->Take<bool>();
   word.planner = reader->TakeString<HostAddress>();
   word.leaving = reader->Take<bool>();
   word.wants_reply = reader->Take<bool>();
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -100,7 +100,7 @@
     json array = json::array(
         {static_cast<int>(MessageKind::kHeartbeat), word.node.value,
          word.address.value, word.life.value, word.cpu_share.value,
-         word.routing.value, word.known_up_to.value, word.source_well,
+         word.routing.value, word.known_up_to.value, word.store_data_fresh,
          word.planner.value, word.leaving, word.wants_reply, word.alive_hosts,
          std::move(hosts), std::move(avoided), word.source_age.count(),
          static_cast<int>(word.poll_state),
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -22,7 +22,7 @@
   word.cpu_share = CpuShare{0.19};
   word.routing = RoutingVersion{3};
   word.known_up_to = StoreRevision{40};
-  word.source_well = true;
+  word.store_data_fresh = true;
   word.source_age = Millis(340);
   word.poll_state = PollState::kFailed;
   word.planner = HostAddress{"10.0.0.2:1"};
@@ -111,7 +111,7 @@
   CHECK(read.cpu_share.value == 0.19);
   CHECK(read.routing == RoutingVersion{3});
   CHECK(read.known_up_to == StoreRevision{40});
-  CHECK(read.source_well);
+  CHECK(read.store_data_fresh);
   CHECK(read.source_age == Millis(340));
   CHECK(read.poll_state == PollState::kFailed);
   CHECK(read.planner == HostAddress{"10.0.0.2:1"});
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -48,7 +48,7 @@
   Host& host = known->second;
   host.standing.routing = word.routing;
   host.standing.known_up_to = word.known_up_to;
-  host.standing.source_well = word.source_well;
+  host.standing.store_data_fresh = word.store_data_fresh;
   host.standing.is_answered = word.poll_state == PollState::kAnswered;
   host.standing.alive_hosts = word.alive_hosts;
   host.leaving = word.leaving;
--- a/src/core/host_book_property_test.cc
+++ b/src/core/host_book_property_test.cc
@@ -104,7 +104,7 @@
                                          StoreRevision known,
                                          TimePoint now) const {
     std::set<HostAddress> best = Most(now, [&](const Host& host) {
-      return host.word.source_well && known < host.word.known_up_to
+      return host.word.store_data_fresh && known < host.word.known_up_to
                  ? std::make_tuple(true, std::uint64_t{0},
                                    host.word.known_up_to.value,
                                    host.word.cpu_share.value)
@@ -160,7 +160,7 @@
     word.cpu_share = CpuShare{host % 3 == 0 ? 1.0 : 0.09};
     word.routing = RoutingVersion{random_() % 4};
     word.known_up_to = StoreRevision{random_() % 5};
-    word.source_well = random_() % 3 != 0;
+    word.store_data_fresh = random_() % 3 != 0;
     word.poll_state = static_cast<PollState>(random_() % 4);
     word.planner = Address(random_() % 8 == 0 ? host : random_() % kHosts);
     word.leaving = random_() % 20 == 0;
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -240,7 +240,7 @@
   Heartbeat word = WordOf(1);
   word.routing = RoutingVersion{3};
   word.known_up_to = StoreRevision{40};
-  word.source_well = true;
+  word.store_data_fresh = true;
   book.OnHeartbeat(word);
   CHECK(book.FindMoreUpToDate(RoutingVersion{2}, StoreRevision{50}) ==
         Address(1));
--- a/src/core/host_ranking.cc
+++ b/src/core/host_ranking.cc
@@ -25,7 +25,7 @@
   if (standing.is_answered) {
     answered_.emplace(standing.rank, host);
   }
-  if (standing.source_well) {
+  if (standing.store_data_fresh) {
     informed_.insert(InformedOf(host, standing));
   }
   routed_.emplace(standing.routing.value, InformedOf(host, standing));
--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -81,11 +81,11 @@
   virtual bool ReadsRouting() const = 0;
 
   // Takes what another host's feed exported, and tells the sink of it.
-  // `source_well` tells whether the platform answers that host. Returns up to
-  // which revision this one is complete now, or nothing if it cannot be used:
-  // unreadable, or changes that leave a gap.
+  // `store_data_fresh` tells whether the platform answers that host. Returns up
+  // to which revision this one is complete now, or nothing if it cannot be
+  // used: unreadable, or changes that leave a gap.
   virtual std::optional<StoreRevision> Import(const std::string& exported,
-                                              bool source_well) = 0;
+                                              bool store_data_fresh) = 0;
 };
 
 }  // namespace harecrank
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -369,7 +369,7 @@
   // The planner tells what it has from others too; it itself believes only
   // those that read, or two hosts would assure each other of what neither sees.
   const bool informs =
-      from_planner ? word.source_well
+      from_planner ? word.store_data_fresh
                    : IsPlanner() && word.poll_state == PollState::kAnswered;
   if (informs) {
     ports_.on_informed(word.source_age);
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -36,7 +36,7 @@
   std::function<std::vector<std::string>(StoreRevision since,
                                          std::size_t most_bytes)>
       published;
-  std::function<bool(const std::string& changes, bool source_well)>
+  std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
   std::function<bool()> reads_routing;
   // Another host, whom the platform answered `age` ago, knows no more than this
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -113,7 +113,7 @@
   parts.source->Describe(&source);
   return {{"configuration", table == nullptr ? 0 : table->Version().value},
           {"source",
-           {{"well", source.source_well},
+           {{"well", source.store_data_fresh},
             {"at", source.known_up_to.value},
             {"age_ms", source.source_age.count()},
             {"reads", source.poll_state != PollState::kNone}}},
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -279,9 +279,10 @@
   ports.on_reading_turn = [this](std::optional<int> turn) {
     source_.SetTurn(turn);
   };
-  ports.on_published = [this](const std::string& changes, bool source_well) {
+  ports.on_published = [this](const std::string& changes,
+                              bool store_data_fresh) {
     endpoint_news_.BeginTold();
-    const auto at = feed_->Import(changes, source_well);
+    const auto at = feed_->Import(changes, store_data_fresh);
     endpoint_news_.EndTold();
     if (at.has_value()) {
       source_.OnTaken(*at);
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -28,7 +28,7 @@
                                          std::size_t most_bytes)>
       published;
   // Takes what another host told of that. Returns false if it cannot be used.
-  std::function<bool(const std::string& changes, bool source_well)>
+  std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
   // Whether a newer routing table is known and about to be in force.
   std::function<bool()> reads_routing;
