--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -70,7 +70,7 @@
   // The platform answers it, or it hears from a host that the platform answers.
   bool store_data_fresh = false;
   // How long ago the platform answered the host that this is known from.
-  Millis source_age{0};
+  Millis store_data_age{0};
   PollState poll_state = PollState::kNone;
   // In a planner's word: whether the host that it goes to is one of those that
   // read the platform's service for all.
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -191,7 +191,7 @@
     endpoint.left = entry->TakeMillis();
     word.avoided.push_back(std::move(endpoint));
   });
-  word.source_age = reader->TakeMillis();
+  word.store_data_age = reader->TakeMillis();
   word.poll_state = TakeOwnReading(reader);
   if (const json& should_read = reader->Next(); !should_read.is_null()) {
     word.should_read = should_read.get<bool>();
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -102,7 +102,7 @@
          word.address.value, word.life.value, word.cpu_share.value,
          word.routing.value, word.known_up_to.value, word.store_data_fresh,
          word.planner.value, word.leaving, word.wants_reply, word.alive_hosts,
-         std::move(hosts), std::move(avoided), word.source_age.count(),
+         std::move(hosts), std::move(avoided), word.store_data_age.count(),
          static_cast<int>(word.poll_state),
          word.should_read.has_value() ? json(*word.should_read) : json()});
     // What follows is left out where there is nothing to tell: hosts of an
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -23,7 +23,7 @@
   word.routing = RoutingVersion{3};
   word.known_up_to = StoreRevision{40};
   word.store_data_fresh = true;
-  word.source_age = Millis(340);
+  word.store_data_age = Millis(340);
   word.poll_state = PollState::kFailed;
   word.planner = HostAddress{"10.0.0.2:1"};
   word.wants_reply = true;
@@ -112,7 +112,7 @@
   CHECK(read.routing == RoutingVersion{3});
   CHECK(read.known_up_to == StoreRevision{40});
   CHECK(read.store_data_fresh);
-  CHECK(read.source_age == Millis(340));
+  CHECK(read.store_data_age == Millis(340));
   CHECK(read.poll_state == PollState::kFailed);
   CHECK(read.planner == HostAddress{"10.0.0.2:1"});
   CHECK_FALSE(read.leaving);
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -115,7 +115,7 @@
           {"source",
            {{"well", source.store_data_fresh},
             {"at", source.known_up_to.value},
-            {"age_ms", source.source_age.count()},
+            {"age_ms", source.store_data_age.count()},
             {"reads", source.poll_state != PollState::kNone}}},
           {"fleet",
            {{"planner", planner.value_or(HostAddress{}).value},
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -48,7 +48,7 @@
 void SourceState::Describe(Heartbeat* word) const {
   word->known_up_to = known_up_to_;
   word->store_data_fresh = is_well_;
-  word->source_age = duty_.Age();
+  word->store_data_age = duty_.Age();
   word->poll_state = duty_.Own();
 }
 
