--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -74,7 +74,7 @@
   PollState poll_state = PollState::kNone;
   // In a planner's word: whether the host that it goes to is one of those that
   // read the platform's service for all.
-  std::optional<bool> should_read;
+  std::optional<bool> should_poll;
   // If it is: zero reads all the time, others stand by in this turn.
   int reading_turn = 0;
   // Whom it takes for the planner; itself if it plans. Empty if it knows none.
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -193,8 +193,8 @@
   });
   word.store_data_age = reader->TakeMillis();
   word.poll_state = TakeOwnReading(reader);
-  if (const json& should_read = reader->Next(); !should_read.is_null()) {
-    word.should_read = should_read.get<bool>();
+  if (const json& should_poll = reader->Next(); !should_poll.is_null()) {
+    word.should_poll = should_poll.get<bool>();
   }
   if (size > kSizeWithoutWork) {
     const json& work = reader->Next();
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -104,7 +104,7 @@
          word.planner.value, word.leaving, word.wants_reply, word.alive_hosts,
          std::move(hosts), std::move(avoided), word.store_data_age.count(),
          static_cast<int>(word.poll_state),
-         word.should_read.has_value() ? json(*word.should_read) : json()});
+         word.should_poll.has_value() ? json(*word.should_poll) : json()});
     // What follows is left out where there is nothing to tell: hosts of an
     // earlier version pass over a word that is longer than they know.
     const bool tells_turn = word.reading_turn != 0;
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -189,8 +189,8 @@
 
 void FleetMember::TellTurn(const HostAddress& reader, Heartbeat* word) const {
   const auto found = std::find(readers_.begin(), readers_.end(), reader);
-  word->should_read = found != readers_.end();
-  if (*word->should_read) {
+  word->should_poll = found != readers_.end();
+  if (*word->should_poll) {
     // While the platform does not answer this host, the first reads for it.
     word->reading_turn =
         static_cast<int>(found - readers_.begin()) + (is_answered_ ? 1 : 0);
@@ -358,8 +358,8 @@
 
 void FleetMember::HearOfSource(const Heartbeat& word, const Heartbeat& own) {
   const bool from_planner = word.address == followed_;
-  if (from_planner && word.should_read.has_value()) {
-    ports_.on_reading_turn(*word.should_read
+  if (from_planner && word.should_poll.has_value()) {
+    ports_.on_reading_turn(*word.should_poll
                                ? std::make_optional(word.reading_turn)
                                : std::nullopt);
   }
