--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -76,7 +76,7 @@
   // read the platform's service for all.
   std::optional<bool> should_poll;
   // If it is: zero reads all the time, others stand by in this turn.
-  int reading_turn = 0;
+  int poll_rank = 0;
   // Whom it takes for the planner; itself if it plans. Empty if it knows none.
   HostAddress planner;
   // It is about to stop, and plans no more.
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -212,7 +212,7 @@
     word.limits = TakeLimits(reader);
   }
   if (size > kSizeWithoutWork + 4) {
-    word.reading_turn = reader->Take<int>();
+    word.poll_rank = reader->Take<int>();
   }
   return word;
 }
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -107,7 +107,7 @@
          word.should_poll.has_value() ? json(*word.should_poll) : json()});
     // What follows is left out where there is nothing to tell: hosts of an
     // earlier version pass over a word that is longer than they know.
-    const bool tells_turn = word.reading_turn != 0;
+    const bool tells_turn = word.poll_rank != 0;
     const bool tells_limits = tells_turn || !word.limits.empty();
     const bool tells_size = tells_limits || word.most_hosts != 0;
     const bool tells_digest = tells_size || word.crash_digest != 0;
@@ -124,7 +124,7 @@
       array.push_back(EncodeLimits(word.limits));
     }
     if (tells_turn) {
-      array.push_back(word.reading_turn);
+      array.push_back(word.poll_rank);
     }
     return array;
   }
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -192,7 +192,7 @@
   word->should_poll = found != readers_.end();
   if (*word->should_poll) {
     // While the platform does not answer this host, the first reads for it.
-    word->reading_turn =
+    word->poll_rank =
         static_cast<int>(found - readers_.begin()) + (is_answered_ ? 1 : 0);
   }
 }
@@ -359,9 +359,8 @@
 void FleetMember::HearOfSource(const Heartbeat& word, const Heartbeat& own) {
   const bool from_planner = word.address == followed_;
   if (from_planner && word.should_poll.has_value()) {
-    ports_.on_reading_turn(*word.should_poll
-                               ? std::make_optional(word.reading_turn)
-                               : std::nullopt);
+    ports_.on_reading_turn(
+        *word.should_poll ? std::make_optional(word.poll_rank) : std::nullopt);
   }
   if (own.known_up_to < word.known_up_to) {
     return;
