--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -94,7 +94,7 @@
   std::uint64_t crash_digest = 0;
   // The most hosts that it has counted for a long time, itself among them; zero
   // from hosts that do not tell it.
-  int most_hosts = 0;
+  int peak_hosts = 0;
   // What it has heard of limits that endpoints name.
   std::vector<LimitReport> limits;
 };
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -206,7 +206,7 @@
     word.crash_digest = reader->Take<std::uint64_t>();
   }
   if (size > kSizeWithoutWork + 2) {
-    word.most_hosts = reader->Take<int>();
+    word.peak_hosts = reader->Take<int>();
   }
   if (size > kSizeWithoutWork + 3) {
     word.limits = TakeLimits(reader);
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -109,7 +109,7 @@
     // earlier version pass over a word that is longer than they know.
     const bool tells_turn = word.poll_rank != 0;
     const bool tells_limits = tells_turn || !word.limits.empty();
-    const bool tells_size = tells_limits || word.most_hosts != 0;
+    const bool tells_size = tells_limits || word.peak_hosts != 0;
     const bool tells_digest = tells_size || word.crash_digest != 0;
     if (word.work.has_value() || tells_digest) {
       array.push_back(word.work.has_value() ? EncodeWork(*word.work) : json());
@@ -118,7 +118,7 @@
       array.push_back(word.crash_digest);
     }
     if (tells_size) {
-      array.push_back(word.most_hosts);
+      array.push_back(word.peak_hosts);
     }
     if (tells_limits) {
       array.push_back(EncodeLimits(word.limits));
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -92,14 +92,14 @@
 
 TEST_CASE("A word tells the size of the fleet with or without the rest") {
   Heartbeat word = Word();
-  word.most_hosts = 24;
-  CHECK(SentAndRead(word).most_hosts == 24);
+  word.peak_hosts = 24;
+  CHECK(SentAndRead(word).peak_hosts == 24);
   CHECK(SentAndRead(word).work.has_value());
   word.work.reset();
-  CHECK(SentAndRead(word).most_hosts == 24);
+  CHECK(SentAndRead(word).peak_hosts == 24);
   CHECK_FALSE(SentAndRead(word).work.has_value());
   word.crash_digest = 7;
-  CHECK(SentAndRead(word).most_hosts == 24);
+  CHECK(SentAndRead(word).peak_hosts == 24);
   CHECK(SentAndRead(word).crash_digest == 7);
 }
 
--- a/src/core/host_book.cc
+++ b/src/core/host_book.cc
@@ -53,7 +53,7 @@
   host.standing.alive_hosts = word.alive_hosts;
   host.leaving = word.leaving;
   host.planner = word.planner;
-  size_.OnReported(std::max(word.alive_hosts, word.most_hosts));
+  size_.OnReported(std::max(word.alive_hosts, word.peak_hosts));
   if (word.poll_state == PollState::kFailed) {
     host.unanswered = clock_();
   }
--- a/src/core/host_book_test.cc
+++ b/src/core/host_book_test.cc
@@ -307,7 +307,7 @@
   books_.at(0)->RecordFleetSize();
   CHECK(books_.at(0)->ObservedHosts() == 1);
   Heartbeat word = WordOf(0);
-  word.most_hosts = books_.at(0)->Size().PeakObserved();
+  word.peak_hosts = books_.at(0)->Size().PeakObserved();
   AddHost(9);
   books_.at(9)->OnHeartbeat(word);
   CHECK_FALSE(books_.at(9)->Size().MaxHosts().has_value());
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -260,7 +260,7 @@
     word->routing = table == nullptr ? RoutingVersion{} : table->Version();
     source_.Describe(word);
     word->crash_digest = quarantine_.SharedDigest();
-    word->most_hosts = hosts_.Size().PeakObserved();
+    word->peak_hosts = hosts_.Size().PeakObserved();
   };
   ports.on_crashes = [this](const std::vector<CrashReport>& reports,
                             std::vector<CrashReport>* missing) {
