--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -50,11 +50,11 @@
 };
 
 // Not thread-safe.
-class ReadingDuty {
+class PollSchedule {
  public:
   // `is_seed`: other hosts turn to this one first.
-  ReadingDuty(bool is_seed, ReadingDutyPorts ports, MonotonicClock clock,
-              RandomSource random);
+  PollSchedule(bool is_seed, ReadingDutyPorts ports, MonotonicClock clock,
+               RandomSource random);
 
   // The planner, which may be this host, has named this one's turn among those
   // that read for all: zero reads all the time, others stand by. Nothing: it
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -7,8 +7,8 @@
 
 namespace harecrank {
 
-ReadingDuty::ReadingDuty(bool is_seed, ReadingDutyPorts ports,
-                         MonotonicClock clock, RandomSource random)
+PollSchedule::PollSchedule(bool is_seed, ReadingDutyPorts ports,
+                           MonotonicClock clock, RandomSource random)
     : ports_(std::move(ports)),
       clock_(std::move(clock)),
       random_(std::move(random)),
@@ -17,7 +17,7 @@
   BeginRounds(started_ + kPatienceAtStart);
 }
 
-void ReadingDuty::SetTurn(std::optional<int> turn) {
+void PollSchedule::SetTurn(std::optional<int> turn) {
   if (turn == turn_) {
     return;
   }
@@ -29,7 +29,7 @@
   }
 }
 
-void ReadingDuty::OnAnswered() {
+void PollSchedule::OnAnswered() {
   own_answered_at_ = clock_();
   failed_at_.reset();
   failures_ = 0;
@@ -37,7 +37,7 @@
   OnInformed(Millis(0));
 }
 
-void ReadingDuty::OnFailed() {
+void PollSchedule::OnFailed() {
   failed_at_ = clock_();
   reads_once_ = false;
   ++failures_;
@@ -45,7 +45,7 @@
   BeginRounds(clock_() + RoundLength());
 }
 
-void ReadingDuty::OnInformed(Millis age) {
+void PollSchedule::OnInformed(Millis age) {
   const TimePoint answered = clock_() - age;
   if (answered_at_.has_value() && answered <= *answered_at_) {
     return;
@@ -54,7 +54,7 @@
   BeginRounds(answered + Patience());
 }
 
-Millis ReadingDuty::Patience() const {
+Millis PollSchedule::Patience() const {
   if (turn_.has_value()) {
     // The turn of zero has come anyway.
     return kStandByAge + std::max(0, *turn_ - 1) * kStandByStep;
@@ -62,19 +62,19 @@
   return ports_.sharers() > 1 ? kInformedFor : kStandByAge;
 }
 
-void ReadingDuty::BeginRounds(TimePoint from) {
+void PollSchedule::BeginRounds(TimePoint from) {
   round_began_ = from;
   draw_ = static_cast<double>(random_()) /
           static_cast<double>(std::numeric_limits<std::uint64_t>::max());
 }
 
-Millis ReadingDuty::RoundLength() const {
+Millis PollSchedule::RoundLength() const {
   constexpr int kMostDoublings = 2;
   return std::min(kRound * (1 << std::min(failures_, kMostDoublings)),
                   kLongestRound);
 }
 
-std::optional<Millis> ReadingDuty::TurnInRound() const {
+std::optional<Millis> PollSchedule::TurnInRound() const {
   const int sharers = std::max(1, ports_.sharers());
   if (turn_.has_value()) {
     return Millis(0);
@@ -100,7 +100,7 @@
       static_cast<std::int64_t>(part * static_cast<double>(kSpread.count())));
 }
 
-void ReadingDuty::Update() {
+void PollSchedule::Update() {
   const TimePoint now = clock_();
   if (reads_once_ || now < round_began_) {
     return;
@@ -115,14 +115,14 @@
       !waits_for_copy && turn.has_value() && now - round_began_ >= *turn;
 }
 
-Reading ReadingDuty::Kind() const {
+Reading PollSchedule::Kind() const {
   if (turn_ == 0) {
     return Reading::kContinuously;
   }
   return reads_once_ ? Reading::kOnce : Reading::kNone;
 }
 
-PollState ReadingDuty::Own() const {
+PollState PollSchedule::Own() const {
   const TimePoint now = clock_();
   const auto is_recent = [now](const std::optional<TimePoint>& time) {
     return time.has_value() && now - *time <= kInformedFor;
@@ -136,7 +136,7 @@
   return Kind() == Reading::kNone ? PollState::kNone : PollState::kStarted;
 }
 
-Millis ReadingDuty::Age() const {
+Millis PollSchedule::Age() const {
   return answered_at_.has_value()
              ? std::chrono::duration_cast<Millis>(clock_() - *answered_at_)
              : kUnknownAge;
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -9,8 +9,8 @@
  protected:
   explicit DutyFixture(int sharers = 2) : sharers_(sharers) {}
 
-  ReadingDuty MakeDuty(bool is_seed) {
-    return ReadingDuty(
+  PollSchedule MakeDuty(bool is_seed) {
+    return PollSchedule(
         is_seed,
         ReadingDutyPorts{[this] { return sharers_; },
                          [this] { return copy_is_near_; }},
@@ -26,17 +26,17 @@
   static constexpr std::uint64_t kLast = ~std::uint64_t{0};
   // Longer than either of two hosts ever waits for word before it reads.
   static constexpr Millis kBlind =
-      ReadingDuty::kInformedFor + ReadingDuty::kSpread + Millis(1);
+      PollSchedule::kInformedFor + PollSchedule::kSpread + Millis(1);
 
   TimePoint now_{std::chrono::hours(1)};
   int sharers_;
   bool copy_is_near_ = false;
   std::uint64_t draw_ = 0;
-  ReadingDuty duty_ = MakeDuty(false);
+  PollSchedule duty_ = MakeDuty(false);
 };
 
 TEST_CASE_METHOD(DutyFixture, "A seed that has just started reads at once") {
-  const ReadingDuty seed = MakeDuty(true);
+  const PollSchedule seed = MakeDuty(true);
   CHECK(seed.Kind() == Reading::kOnce);
 }
 
@@ -53,9 +53,9 @@
                  "A host that has just started waits for a copy that another "
                  "one can give, but not for long") {
   copy_is_near_ = true;
-  Pass(ReadingDuty::kCopyWithin - Millis(1));
+  Pass(PollSchedule::kCopyWithin - Millis(1));
   CHECK(duty_.Kind() == Reading::kNone);
-  Pass(ReadingDuty::kLongestRound);
+  Pass(PollSchedule::kLongestRound);
   CHECK(duty_.Kind() == Reading::kOnce);
 }
 
@@ -63,10 +63,10 @@
                  "A host that is told does not read, and one that is told no "
                  "more reads again soon, and once") {
   duty_.OnInformed(Millis(0));
-  Pass(ReadingDuty::kInformedFor - Millis(1));
+  Pass(PollSchedule::kInformedFor - Millis(1));
   CHECK(duty_.Kind() == Reading::kNone);
   CHECK(duty_.IsWell());
-  Pass(ReadingDuty::kSpread + Millis(2));
+  Pass(PollSchedule::kSpread + Millis(2));
   CHECK(duty_.Kind() == Reading::kOnce);
   CHECK_FALSE(duty_.IsWell());
   duty_.OnAnswered();
@@ -81,7 +81,7 @@
                  "old") {
   sharers_ = 1;
   duty_.OnInformed(Millis(0));
-  Pass(ReadingDuty::kStandByAge);
+  Pass(PollSchedule::kStandByAge);
   CHECK(duty_.Kind() == Reading::kOnce);
   CHECK(duty_.IsWell());
 }
@@ -102,9 +102,9 @@
   draw_ = kLast;
   duty_.SetTurn(2);
   duty_.OnInformed(Millis(0));
-  Pass(ReadingDuty::kStandByAge);
+  Pass(PollSchedule::kStandByAge);
   CHECK(duty_.Kind() == Reading::kNone);
-  Pass(ReadingDuty::kStandByStep);
+  Pass(PollSchedule::kStandByStep);
   CHECK(duty_.Kind() == Reading::kOnce);
 }
 
@@ -114,7 +114,7 @@
                  "it has read") {
   duty_.SetTurn(0);
   duty_.OnAnswered();
-  Pass(ReadingDuty::kWatchWait);
+  Pass(PollSchedule::kWatchWait);
   duty_.SetTurn(std::nullopt);
   CHECK(duty_.IsWell());
   CHECK(duty_.Kind() == Reading::kNone);
@@ -125,7 +125,7 @@
                  "reading goes") {
   duty_.SetTurn(0);
   duty_.OnAnswered();
-  Pass(ReadingDuty::kInformedFor + Millis(1));
+  Pass(PollSchedule::kInformedFor + Millis(1));
   CHECK_FALSE(duty_.Own() == PollState::kAnswered);
   CHECK_FALSE(duty_.IsWell());
 }
@@ -135,12 +135,12 @@
 TEST_CASE_METHOD(DutyFixture,
                  "A host at the end of a chain reads as soon as one at its "
                  "beginning") {
-  ReadingDuty planner = MakeDuty(false);
+  PollSchedule planner = MakeDuty(false);
   planner.OnInformed(Millis(0));
-  now_ += ReadingDuty::kInformedFor - Millis(100);
+  now_ += PollSchedule::kInformedFor - Millis(100);
   REQUIRE(planner.IsWell());
   duty_.OnInformed(planner.Age());
-  Pass(Millis(100) + ReadingDuty::kSpread + Millis(1));
+  Pass(Millis(100) + PollSchedule::kSpread + Millis(1));
   CHECK_FALSE(duty_.IsWell());
   CHECK(duty_.Kind() == Reading::kOnce);
 }
@@ -172,9 +172,9 @@
   REQUIRE(duty_.Kind() == Reading::kOnce);
   duty_.OnFailed();
   CHECK(duty_.Kind() == Reading::kNone);
-  Pass(ReadingDuty::kRound);
+  Pass(PollSchedule::kRound);
   CHECK(duty_.Kind() == Reading::kNone);
-  Pass(ReadingDuty::kRound);
+  Pass(PollSchedule::kRound);
   CHECK(duty_.Kind() == Reading::kOnce);
 }
 
@@ -187,7 +187,7 @@
   Pass(kBlind);
   CHECK(duty_.Kind() == Reading::kNone);
   draw_ = 0;
-  Pass(ReadingDuty::kRound);
+  Pass(PollSchedule::kRound);
   CHECK(duty_.Kind() == Reading::kOnce);
 }
 
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -1,5 +1,5 @@
 // How many hosts read the platform's service, and how long a host is blind, in
-// fleets of 30 to 3,000 hosts. Each host takes its decisions by a ReadingDuty
+// fleets of 30 to 3,000 hosts. Each host takes its decisions by a PollSchedule
 // of its own; messages between hosts and answers of the service are played.
 
 #include <algorithm>
@@ -100,7 +100,7 @@
           phase(static_cast<std::int64_t>(
               fleet->random_() % static_cast<std::uint64_t>(kLook.count()))) {}
 
-    ReadingDuty duty;
+    PollSchedule duty;
     std::int64_t phase;
     Treatment treatment = Treatment::kAnswers;
     bool is_dead = false;
@@ -164,7 +164,7 @@
   }
 
   void Inform(int to, TimePoint answered) {
-    ReadingDuty& duty = At(to).duty;
+    PollSchedule& duty = At(to).duty;
     const bool is_late = duty.IsLate();
     duty.OnInformed(std::chrono::duration_cast<Millis>(now_ - answered));
     if (to == planner_ && is_late && !duty.IsLate()) {
@@ -197,7 +197,7 @@
     if (host.duty.Kind() != Reading::kNone && !host.call_ends.has_value()) {
       BeginCall(&host);
     }
-    if (now_ - host.told_at >= ReadingDuty::kWordPause) {
+    if (now_ - host.told_at >= PollSchedule::kWordPause) {
       host.told_at = now_;
       if (!At(planner_).is_dead) {
         Tell(i, AnsweredAt(planner_));
@@ -209,7 +209,7 @@
   void BeginCall(Host* host) {
     calls_.push_back(now_);
     const bool waits = host->duty.Kind() == Reading::kContinuously;
-    const Millis wait = waits ? ReadingDuty::kWatchWait : Millis(0);
+    const Millis wait = waits ? PollSchedule::kWatchWait : Millis(0);
     switch (host->treatment) {
       case Treatment::kAnswers:
         host->call_ends = now_ + wait + kAnswerTime;
@@ -256,10 +256,10 @@
 };
 
 // What hosts are granted before they read, and what a call and two words take.
-constexpr Millis kBound = ReadingDuty::kInformedFor + ReadingDuty::kSpread +
-                          ReadingDuty::kRound + Millis(200);
+constexpr Millis kBound = PollSchedule::kInformedFor + PollSchedule::kSpread +
+                          PollSchedule::kRound + Millis(200);
 // A round of turns, in the worst second, and those that read for all.
-constexpr int kMostCallsInASecond = 3 * ReadingDuty::kMostAtOnce + 20;
+constexpr int kMostCallsInASecond = 3 * PollSchedule::kMostAtOnce + 20;
 
 constexpr Millis kLongRun{20000};
 
@@ -270,15 +270,15 @@
   ReadingFleet fleet(FleetSizeOfTest(), 1);
   fleet.Run(kLongRun);
   // One call each time that the wait is over.
-  CHECK(fleet.Calls() <= kLongRun / ReadingDuty::kWatchWait + 1);
-  CHECK(fleet.LongestAge() <= ReadingDuty::kInformedFor);
+  CHECK(fleet.Calls() <= kLongRun / PollSchedule::kWatchWait + 1);
+  CHECK(fleet.LongestAge() <= PollSchedule::kInformedFor);
 }
 
 TEST_CASE("Lost and late words do not multiply the calls", "[fleet]") {
   ReadingFleet fleet(FleetSizeOfTest(), 2);
   fleet.SetLosses(0.02, 0.05);
   fleet.Run(kLongRun);
-  CHECK(fleet.Calls() <= 2 * (kLongRun / ReadingDuty::kWatchWait));
+  CHECK(fleet.Calls() <= 2 * (kLongRun / PollSchedule::kWatchWait));
   CHECK(fleet.LongestAge() <= kBound);
 }
 
@@ -293,7 +293,7 @@
   fleet.Treat(0, 1, treatment);
   fleet.Run(Millis(10000));
   CHECK(fleet.MostCallsInASecond() <= 20);
-  CHECK(fleet.LongestAge() <= ReadingDuty::kInformedFor + Millis(200));
+  CHECK(fleet.LongestAge() <= PollSchedule::kInformedFor + Millis(200));
 }
 
 TEST_CASE(
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -68,7 +68,7 @@
   // Reads or not, and tells of it if the platform is lost or back.
   void Update(const std::string& reason);
 
-  ReadingDuty duty_;
+  PollSchedule duty_;
   SourceStatePorts ports_;
   EndpointDirectory* directory_;
   EventLog* log_;
