--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -41,7 +41,7 @@
 };
 
 // What the duty asks of its owner.
-struct ReadingDutyPorts {
+struct PollSchedulePorts {
   // How many hosts share the turns, this one among them; one if it hears no
   // other.
   std::function<int()> sharers;
@@ -53,7 +53,7 @@
 class PollSchedule {
  public:
   // `is_seed`: other hosts turn to this one first.
-  PollSchedule(bool is_seed, ReadingDutyPorts ports, MonotonicClock clock,
+  PollSchedule(bool is_seed, PollSchedulePorts ports, MonotonicClock clock,
                RandomSource random);
 
   // The planner, which may be this host, has named this one's turn among those
@@ -147,7 +147,7 @@
   // nothing if not in this round.
   std::optional<Millis> TurnInRound() const;
 
-  ReadingDutyPorts ports_;
+  PollSchedulePorts ports_;
   MonotonicClock clock_;
   RandomSource random_;
   TimePoint started_;
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -7,7 +7,7 @@
 
 namespace harecrank {
 
-PollSchedule::PollSchedule(bool is_seed, ReadingDutyPorts ports,
+PollSchedule::PollSchedule(bool is_seed, PollSchedulePorts ports,
                            MonotonicClock clock, RandomSource random)
     : ports_(std::move(ports)),
       clock_(std::move(clock)),
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -12,8 +12,8 @@
   PollSchedule MakeDuty(bool is_seed) {
     return PollSchedule(
         is_seed,
-        ReadingDutyPorts{[this] { return sharers_; },
-                         [this] { return copy_is_near_; }},
+        PollSchedulePorts{[this] { return sharers_; },
+                          [this] { return copy_is_near_; }},
         [this] { return now_; }, [this] { return draw_; });
   }
 
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -93,8 +93,8 @@
     explicit Host(ReadingFleet* fleet)
         : duty(
               false,
-              ReadingDutyPorts{[fleet] { return fleet->Count(); },
-                               [] { return false; }},
+              PollSchedulePorts{[fleet] { return fleet->Count(); },
+                                [] { return false; }},
               [fleet] { return fleet->now_; },
               [fleet] { return fleet->random_(); }),
           phase(static_cast<std::int64_t>(
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -234,8 +234,8 @@
                       &source_,      &copies_,        &callers_,    &log_};
 }
 
-ReadingDutyPorts GatewayNode::MakeReadingPorts() {
-  ReadingDutyPorts ports;
+PollSchedulePorts GatewayNode::MakeReadingPorts() {
+  PollSchedulePorts ports;
   ports.sharers = [this] { return hosts_.PollingHosts(); };
   ports.copy_is_near = [this] {
     return hosts_.FindMoreUpToDate(RoutingVersion{}, source_.KnownUpTo())
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -73,7 +73,7 @@
   HttpReply AnswerReadiness(const HttpRequest& request);
   SmallReply AnswerOperations(const HttpRequest& request);
   FleetMemberPorts MakeFleetPorts();
-  ReadingDutyPorts MakeReadingPorts();
+  PollSchedulePorts MakeReadingPorts();
   SourceStatePorts MakeSourcePorts();
   GatewayParts MakeParts();
   void AwaitSignal();
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -5,7 +5,7 @@
 
 namespace harecrank {
 
-SourceState::SourceState(bool is_seed, ReadingDutyPorts duty,
+SourceState::SourceState(bool is_seed, PollSchedulePorts duty,
                          SourceStatePorts ports, EndpointDirectory* directory,
                          EventLog* log, const MonotonicClock& clock,
                          const RandomSource& random)
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -31,7 +31,7 @@
  public:
   // All pointers must outlive this. `is_seed`: other hosts turn to this one
   // first.
-  SourceState(bool is_seed, ReadingDutyPorts duty, SourceStatePorts ports,
+  SourceState(bool is_seed, PollSchedulePorts duty, SourceStatePorts ports,
               EndpointDirectory* directory, EventLog* log,
               const MonotonicClock& clock, const RandomSource& random);
 
