--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -31,7 +31,7 @@
 namespace harecrank {
 
 // How a host reads the platform.
-enum class Reading {
+enum class PollMode {
   // Not at all: it is told by others.
   kNone,
   // One answer, since nobody has told it for a while.
@@ -75,7 +75,7 @@
   void Update();
 
   // Returns how this host has to read.
-  Reading Kind() const;
+  PollMode Kind() const;
 
   // Returns how this host's own reading goes.
   PollState Own() const;
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -115,11 +115,11 @@
       !waits_for_copy && turn.has_value() && now - round_began_ >= *turn;
 }
 
-Reading PollSchedule::Kind() const {
+PollMode PollSchedule::Kind() const {
   if (turn_ == 0) {
-    return Reading::kContinuously;
+    return PollMode::kContinuously;
   }
-  return reads_once_ ? Reading::kOnce : Reading::kNone;
+  return reads_once_ ? PollMode::kOnce : PollMode::kNone;
 }
 
 PollState PollSchedule::Own() const {
@@ -133,7 +133,7 @@
   if (is_recent(own_answered_at_)) {
     return PollState::kAnswered;
   }
-  return Kind() == Reading::kNone ? PollState::kNone : PollState::kStarted;
+  return Kind() == PollMode::kNone ? PollState::kNone : PollState::kStarted;
 }
 
 Millis PollSchedule::Age() const {
