--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -61,7 +61,7 @@
   virtual ~DirectoryFeed() = default;
 
   // Goes on, or begins, or ends. What is under way ends by itself.
-  virtual void SetReading(PollMode reading) = 0;
+  virtual void SetPollMode(PollMode reading) = 0;
   virtual void Stop() = 0;
 
   // Returns what is known, in the feed's own form, for other hosts: what has
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -246,7 +246,7 @@
 
 SourceStatePorts GatewayNode::MakeSourcePorts() {
   SourceStatePorts ports;
-  ports.set_reading = [this](PollMode reading) { feed_->SetReading(reading); };
+  ports.set_reading = [this](PollMode reading) { feed_->SetPollMode(reading); };
   ports.on_published = [this] { fleet_.OnPublished(); };
   ports.on_own_reading = [this] { fleet_.OnOwnReading(); };
   ports.on_informed_late = [this] { fleet_.OnInformedLate(); };
