--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -37,7 +37,7 @@
   // One answer, since nobody has told it for a while.
   kOnce,
   // All the time, for others too.
-  kContinuously
+  kContinuous
 };
 
 // What the duty asks of its owner.
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -117,7 +117,7 @@
 
 PollMode PollSchedule::Kind() const {
   if (turn_ == 0) {
-    return PollMode::kContinuously;
+    return PollMode::kContinuous;
   }
   return reads_once_ ? PollMode::kOnce : PollMode::kNone;
 }
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -90,7 +90,7 @@
                  "The host that reads for all reads whatever it is told") {
   duty_.OnInformed(Millis(0));
   duty_.SetTurn(0);
-  CHECK(duty_.Kind() == PollMode::kContinuously);
+  CHECK(duty_.Kind() == PollMode::kContinuous);
   CHECK(duty_.IsWell());
   CHECK(duty_.Own() == PollState::kStarted);
 }
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -208,7 +208,7 @@
 
   void BeginCall(Host* host) {
     calls_.push_back(now_);
-    const bool waits = host->duty.Kind() == PollMode::kContinuously;
+    const bool waits = host->duty.Kind() == PollMode::kContinuous;
     const Millis wait = waits ? PollSchedule::kWatchWait : Millis(0);
     switch (host->treatment) {
       case Treatment::kAnswers:
