--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -71,11 +71,11 @@
   void OnInformed(Millis age);
 
   // Looks whether this host's turn has come. To be called a few times a second
-  // and before Kind is looked at.
+  // and before Mode is looked at.
   void Update();
 
   // Returns how this host has to read.
-  PollMode Kind() const;
+  PollMode Mode() const;
 
   // Returns how this host's own reading goes.
   PollState Own() const;
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -115,7 +115,7 @@
       !waits_for_copy && turn.has_value() && now - round_began_ >= *turn;
 }
 
-PollMode PollSchedule::Kind() const {
+PollMode PollSchedule::Mode() const {
   if (turn_ == 0) {
     return PollMode::kContinuous;
   }
@@ -133,7 +133,7 @@
   if (is_recent(own_answered_at_)) {
     return PollState::kAnswered;
   }
-  return Kind() == PollMode::kNone ? PollState::kNone : PollState::kStarted;
+  return Mode() == PollMode::kNone ? PollState::kNone : PollState::kStarted;
 }
 
 Millis PollSchedule::Age() const {
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -37,16 +37,16 @@
 
 TEST_CASE_METHOD(DutyFixture, "A seed that has just started reads at once") {
   const PollSchedule seed = MakeDuty(true);
-  CHECK(seed.Kind() == PollMode::kOnce);
+  CHECK(seed.Mode() == PollMode::kOnce);
 }
 
 TEST_CASE_METHOD(DutyFixture,
                  "A host that has just started gives others time to tell it") {
   Pass(Millis(0));
-  CHECK(duty_.Kind() == PollMode::kNone);
+  CHECK(duty_.Mode() == PollMode::kNone);
   CHECK_FALSE(duty_.IsWell());
   Pass(kBlind);
-  CHECK(duty_.Kind() == PollMode::kOnce);
+  CHECK(duty_.Mode() == PollMode::kOnce);
 }
 
 TEST_CASE_METHOD(DutyFixture,
@@ -54,9 +54,9 @@
                  "one can give, but not for long") {
   copy_is_near_ = true;
   Pass(PollSchedule::kCopyWithin - Millis(1));
-  CHECK(duty_.Kind() == PollMode::kNone);
+  CHECK(duty_.Mode() == PollMode::kNone);
   Pass(PollSchedule::kLongestRound);
-  CHECK(duty_.Kind() == PollMode::kOnce);
+  CHECK(duty_.Mode() == PollMode::kOnce);
 }
 
 TEST_CASE_METHOD(DutyFixture,
@@ -64,14 +64,14 @@
                  "more reads again soon, and once") {
   duty_.OnInformed(Millis(0));
   Pass(PollSchedule::kInformedFor - Millis(1));
-  CHECK(duty_.Kind() == PollMode::kNone);
+  CHECK(duty_.Mode() == PollMode::kNone);
   CHECK(duty_.IsWell());
   Pass(PollSchedule::kSpread + Millis(2));
-  CHECK(duty_.Kind() == PollMode::kOnce);
+  CHECK(duty_.Mode() == PollMode::kOnce);
   CHECK_FALSE(duty_.IsWell());
   duty_.OnAnswered();
   CHECK(duty_.IsWell());
-  CHECK(duty_.Kind() == PollMode::kNone);
+  CHECK(duty_.Mode() == PollMode::kNone);
   CHECK(duty_.Own() == PollState::kAnswered);
 }
 
@@ -82,7 +82,7 @@
   sharers_ = 1;
   duty_.OnInformed(Millis(0));
   Pass(PollSchedule::kStandByAge);
-  CHECK(duty_.Kind() == PollMode::kOnce);
+  CHECK(duty_.Mode() == PollMode::kOnce);
   CHECK(duty_.IsWell());
 }
 
@@ -90,7 +90,7 @@
                  "The host that reads for all reads whatever it is told") {
   duty_.OnInformed(Millis(0));
   duty_.SetTurn(0);
-  CHECK(duty_.Kind() == PollMode::kContinuous);
+  CHECK(duty_.Mode() == PollMode::kContinuous);
   CHECK(duty_.IsWell());
   CHECK(duty_.Own() == PollState::kStarted);
 }
@@ -103,9 +103,9 @@
   duty_.SetTurn(2);
   duty_.OnInformed(Millis(0));
   Pass(PollSchedule::kStandByAge);
-  CHECK(duty_.Kind() == PollMode::kNone);
+  CHECK(duty_.Mode() == PollMode::kNone);
   Pass(PollSchedule::kStandByStep);
-  CHECK(duty_.Kind() == PollMode::kOnce);
+  CHECK(duty_.Mode() == PollMode::kOnce);
 }
 
 // A planner that hands over would otherwise take the platform for lost.
@@ -117,7 +117,7 @@
   Pass(PollSchedule::kWatchWait);
   duty_.SetTurn(std::nullopt);
   CHECK(duty_.IsWell());
-  CHECK(duty_.Kind() == PollMode::kNone);
+  CHECK(duty_.Mode() == PollMode::kNone);
 }
 
 TEST_CASE_METHOD(DutyFixture,
@@ -142,7 +142,7 @@
   duty_.OnInformed(planner.Age());
   Pass(Millis(100) + PollSchedule::kSpread + Millis(1));
   CHECK_FALSE(duty_.IsWell());
-  CHECK(duty_.Kind() == PollMode::kOnce);
+  CHECK(duty_.Mode() == PollMode::kOnce);
 }
 
 TEST_CASE_METHOD(DutyFixture,
@@ -169,13 +169,13 @@
                  "round later, and later each time") {
   duty_.OnInformed(Millis(0));
   Pass(kBlind);
-  REQUIRE(duty_.Kind() == PollMode::kOnce);
+  REQUIRE(duty_.Mode() == PollMode::kOnce);
   duty_.OnFailed();
-  CHECK(duty_.Kind() == PollMode::kNone);
+  CHECK(duty_.Mode() == PollMode::kNone);
   Pass(PollSchedule::kRound);
-  CHECK(duty_.Kind() == PollMode::kNone);
+  CHECK(duty_.Mode() == PollMode::kNone);
   Pass(PollSchedule::kRound);
-  CHECK(duty_.Kind() == PollMode::kOnce);
+  CHECK(duty_.Mode() == PollMode::kOnce);
 }
 
 TEST_CASE_METHOD(DutyFixture,
@@ -185,10 +185,10 @@
   draw_ = kLast;
   duty_.OnInformed(Millis(0));
   Pass(kBlind);
-  CHECK(duty_.Kind() == PollMode::kNone);
+  CHECK(duty_.Mode() == PollMode::kNone);
   draw_ = 0;
   Pass(PollSchedule::kRound);
-  CHECK(duty_.Kind() == PollMode::kOnce);
+  CHECK(duty_.Mode() == PollMode::kOnce);
 }
 
 }  // namespace
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -194,7 +194,7 @@
     if (looks) {
       host.duty.Update();
     }
-    if (host.duty.Kind() != PollMode::kNone && !host.call_ends.has_value()) {
+    if (host.duty.Mode() != PollMode::kNone && !host.call_ends.has_value()) {
       BeginCall(&host);
     }
     if (now_ - host.told_at >= PollSchedule::kWordPause) {
@@ -208,7 +208,7 @@
 
   void BeginCall(Host* host) {
     calls_.push_back(now_);
-    const bool waits = host->duty.Kind() == PollMode::kContinuous;
+    const bool waits = host->duty.Mode() == PollMode::kContinuous;
     const Millis wait = waits ? PollSchedule::kWatchWait : Millis(0);
     switch (host->treatment) {
       case Treatment::kAnswers:
