--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -78,7 +78,7 @@
   PollMode Mode() const;
 
   // Returns how this host's own reading goes.
-  PollState Own() const;
+  PollState OwnPollState() const;
 
   // Returns whether this host knows what is published, from the service or from
   // another host.
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -122,7 +122,7 @@
   return reads_once_ ? PollMode::kOnce : PollMode::kNone;
 }
 
-PollState PollSchedule::Own() const {
+PollState PollSchedule::OwnPollState() const {
   const TimePoint now = clock_();
   const auto is_recent = [now](const std::optional<TimePoint>& time) {
     return time.has_value() && now - *time <= kInformedFor;
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -72,7 +72,7 @@
   duty_.OnAnswered();
   CHECK(duty_.IsWell());
   CHECK(duty_.Mode() == PollMode::kNone);
-  CHECK(duty_.Own() == PollState::kAnswered);
+  CHECK(duty_.OwnPollState() == PollState::kAnswered);
 }
 
 // Otherwise it would lose the source and regain it again and again.
@@ -92,7 +92,7 @@
   duty_.SetTurn(0);
   CHECK(duty_.Mode() == PollMode::kContinuous);
   CHECK(duty_.IsWell());
-  CHECK(duty_.Own() == PollState::kStarted);
+  CHECK(duty_.OwnPollState() == PollState::kStarted);
 }
 
 TEST_CASE_METHOD(DutyFixture,
@@ -126,7 +126,7 @@
   duty_.SetTurn(0);
   duty_.OnAnswered();
   Pass(PollSchedule::kInformedFor + Millis(1));
-  CHECK_FALSE(duty_.Own() == PollState::kAnswered);
+  CHECK_FALSE(duty_.OwnPollState() == PollState::kAnswered);
   CHECK_FALSE(duty_.IsWell());
 }
 
@@ -155,13 +155,13 @@
 
 TEST_CASE_METHOD(DutyFixture,
                  "Reading has begun until the service answers or fails") {
-  CHECK(duty_.Own() == PollState::kNone);
+  CHECK(duty_.OwnPollState() == PollState::kNone);
   duty_.SetTurn(0);
-  CHECK(duty_.Own() == PollState::kStarted);
+  CHECK(duty_.OwnPollState() == PollState::kStarted);
   duty_.OnFailed();
-  CHECK(duty_.Own() == PollState::kFailed);
+  CHECK(duty_.OwnPollState() == PollState::kFailed);
   duty_.OnAnswered();
-  CHECK(duty_.Own() == PollState::kAnswered);
+  CHECK(duty_.OwnPollState() == PollState::kAnswered);
 }
 
 TEST_CASE_METHOD(DutyFixture,
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -49,7 +49,7 @@
   word->known_up_to = known_up_to_;
   word->store_data_fresh = is_well_;
   word->store_data_age = duty_.Age();
-  word->poll_state = duty_.Own();
+  word->poll_state = duty_.OwnPollState();
 }
 
 void SourceState::AdvanceTo(StoreRevision at) {
