--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -82,7 +82,7 @@
 
   // Returns whether this host knows what is published, from the service or from
   // another host.
-  bool IsWell() const { return Age() <= kInformedFor; }
+  bool HasFreshData() const { return Age() <= kInformedFor; }
 
   // Returns whether the turns of hosts that stand by have begun to come.
   bool IsLate() const { return Age() > kStandByAge; }
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -44,7 +44,7 @@
                  "A host that has just started gives others time to tell it") {
   Pass(Millis(0));
   CHECK(duty_.Mode() == PollMode::kNone);
-  CHECK_FALSE(duty_.IsWell());
+  CHECK_FALSE(duty_.HasFreshData());
   Pass(kBlind);
   CHECK(duty_.Mode() == PollMode::kOnce);
 }
@@ -65,12 +65,12 @@
   duty_.OnInformed(Millis(0));
   Pass(PollSchedule::kInformedFor - Millis(1));
   CHECK(duty_.Mode() == PollMode::kNone);
-  CHECK(duty_.IsWell());
+  CHECK(duty_.HasFreshData());
   Pass(PollSchedule::kSpread + Millis(2));
   CHECK(duty_.Mode() == PollMode::kOnce);
-  CHECK_FALSE(duty_.IsWell());
+  CHECK_FALSE(duty_.HasFreshData());
   duty_.OnAnswered();
-  CHECK(duty_.IsWell());
+  CHECK(duty_.HasFreshData());
   CHECK(duty_.Mode() == PollMode::kNone);
   CHECK(duty_.OwnPollState() == PollState::kAnswered);
 }
@@ -83,7 +83,7 @@
   duty_.OnInformed(Millis(0));
   Pass(PollSchedule::kStandByAge);
   CHECK(duty_.Mode() == PollMode::kOnce);
-  CHECK(duty_.IsWell());
+  CHECK(duty_.HasFreshData());
 }
 
 TEST_CASE_METHOD(DutyFixture,
@@ -91,7 +91,7 @@
   duty_.OnInformed(Millis(0));
   duty_.SetTurn(0);
   CHECK(duty_.Mode() == PollMode::kContinuous);
-  CHECK(duty_.IsWell());
+  CHECK(duty_.HasFreshData());
   CHECK(duty_.OwnPollState() == PollState::kStarted);
 }
 
@@ -116,7 +116,7 @@
   duty_.OnAnswered();
   Pass(PollSchedule::kWatchWait);
   duty_.SetTurn(std::nullopt);
-  CHECK(duty_.IsWell());
+  CHECK(duty_.HasFreshData());
   CHECK(duty_.Mode() == PollMode::kNone);
 }
 
@@ -127,7 +127,7 @@
   duty_.OnAnswered();
   Pass(PollSchedule::kInformedFor + Millis(1));
   CHECK_FALSE(duty_.OwnPollState() == PollState::kAnswered);
-  CHECK_FALSE(duty_.IsWell());
+  CHECK_FALSE(duty_.HasFreshData());
 }
 
 // Were the age counted anew at each host, the end of a chain would be blind for
@@ -138,10 +138,10 @@
   PollSchedule planner = MakeDuty(false);
   planner.OnInformed(Millis(0));
   now_ += PollSchedule::kInformedFor - Millis(100);
-  REQUIRE(planner.IsWell());
+  REQUIRE(planner.HasFreshData());
   duty_.OnInformed(planner.Age());
   Pass(Millis(100) + PollSchedule::kSpread + Millis(1));
-  CHECK_FALSE(duty_.IsWell());
+  CHECK_FALSE(duty_.HasFreshData());
   CHECK(duty_.Mode() == PollMode::kOnce);
 }
 
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -78,8 +78,9 @@
   metrics->AddGauge("harecrank_gateway_closed_endpoints_busy", [parts] {
     return static_cast<double>(parts.endpoint_news->BusyClosed(*parts.loads));
   });
-  metrics->AddGauge("harecrank_gateway_source_well",
-                    [parts] { return parts.source->IsWell() ? 1.0 : 0.0; });
+  metrics->AddGauge("harecrank_gateway_source_well", [parts] {
+    return parts.source->HasFreshData() ? 1.0 : 0.0;
+  });
   metrics->AddGauge("harecrank_gateway_copies_under_way", [parts] {
     return static_cast<double>(parts.copies->UnderWay());
   });
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -68,7 +68,7 @@
 void SourceState::Update(const std::string& reason) {
   duty_.Update();
   ports_.set_reading(duty_.Mode());
-  const bool is_well = duty_.IsWell();
+  const bool is_well = duty_.HasFreshData();
   if (is_well == is_well_) {
     return;
   }
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -56,7 +56,7 @@
   // To be called a few times a second.
   void Tick() { Update("nobody told for a while"); }
 
-  bool IsWell() const { return is_well_; }
+  bool HasFreshData() const { return is_well_; }
   StoreRevision KnownUpTo() const { return known_up_to_; }
   // Adds what others are told of this.
   void Describe(Heartbeat* word) const;
