--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -85,7 +85,7 @@
   bool HasFreshData() const { return Age() <= kInformedFor; }
 
   // Returns whether the turns of hosts that stand by have begun to come.
-  bool IsLate() const { return Age() > kStandByAge; }
+  bool IsOverdue() const { return Age() > kStandByAge; }
 
   // Returns how long ago the service answered what this host knows; kUnknownAge
   // if it knows nothing.
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -165,9 +165,9 @@
 
   void Inform(int to, TimePoint answered) {
     PollSchedule& duty = At(to).duty;
-    const bool is_late = duty.IsLate();
+    const bool is_late = duty.IsOverdue();
     duty.OnInformed(std::chrono::duration_cast<Millis>(now_ - answered));
-    if (to == planner_ && is_late && !duty.IsLate()) {
+    if (to == planner_ && is_late && !duty.IsOverdue()) {
       for (int i = 0; i < Count(); ++i) {
         Tell(i, answered);
       }
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -16,7 +16,7 @@
 
 void SourceState::OnAnswered(StoreRevision at) {
   AdvanceTo(at);
-  const bool is_late = duty_.IsLate();
+  const bool is_late = duty_.IsOverdue();
   duty_.OnAnswered();
   NoteKnown(Millis(0), is_late);
   ports_.on_own_reading();
@@ -35,7 +35,7 @@
 }
 
 void SourceState::OnNothingNew(Millis age) {
-  const bool is_late = duty_.IsLate();
+  const bool is_late = duty_.IsOverdue();
   duty_.OnInformed(age);
   NoteKnown(age, is_late);
 }
