--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -59,7 +59,7 @@
   // The planner, which may be this host, has named this one's turn among those
   // that read for all: zero reads all the time, others stand by. Nothing: it
   // is none of them.
-  void SetTurn(std::optional<int> turn);
+  void SetPollRank(std::optional<int> turn);
 
   // The service answered this host, or not as it should.
   void OnAnswered();
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -17,7 +17,7 @@
   BeginRounds(started_ + kPatienceAtStart);
 }
 
-void PollSchedule::SetTurn(std::optional<int> turn) {
+void PollSchedule::SetPollRank(std::optional<int> turn) {
   if (turn == turn_) {
     return;
   }
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -89,7 +89,7 @@
 TEST_CASE_METHOD(DutyFixture,
                  "The host that reads for all reads whatever it is told") {
   duty_.OnInformed(Millis(0));
-  duty_.SetTurn(0);
+  duty_.SetPollRank(0);
   CHECK(duty_.Mode() == PollMode::kContinuous);
   CHECK(duty_.HasFreshData());
   CHECK(duty_.OwnPollState() == PollState::kStarted);
@@ -100,7 +100,7 @@
                  "other host") {
   sharers_ = 402;
   draw_ = kLast;
-  duty_.SetTurn(2);
+  duty_.SetPollRank(2);
   duty_.OnInformed(Millis(0));
   Pass(PollSchedule::kStandByAge);
   CHECK(duty_.Mode() == PollMode::kNone);
@@ -112,10 +112,10 @@
 TEST_CASE_METHOD(DutyFixture,
                  "A host that stops to read for others knows for a while what "
                  "it has read") {
-  duty_.SetTurn(0);
+  duty_.SetPollRank(0);
   duty_.OnAnswered();
   Pass(PollSchedule::kWatchWait);
-  duty_.SetTurn(std::nullopt);
+  duty_.SetPollRank(std::nullopt);
   CHECK(duty_.HasFreshData());
   CHECK(duty_.Mode() == PollMode::kNone);
 }
@@ -123,7 +123,7 @@
 TEST_CASE_METHOD(DutyFixture,
                  "What the service answered a while ago says nothing of how "
                  "reading goes") {
-  duty_.SetTurn(0);
+  duty_.SetPollRank(0);
   duty_.OnAnswered();
   Pass(PollSchedule::kInformedFor + Millis(1));
   CHECK_FALSE(duty_.OwnPollState() == PollState::kAnswered);
@@ -156,7 +156,7 @@
 TEST_CASE_METHOD(DutyFixture,
                  "Reading has begun until the service answers or fails") {
   CHECK(duty_.OwnPollState() == PollState::kNone);
-  duty_.SetTurn(0);
+  duty_.SetPollRank(0);
   CHECK(duty_.OwnPollState() == PollState::kStarted);
   duty_.OnFailed();
   CHECK(duty_.OwnPollState() == PollState::kFailed);
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -33,7 +33,7 @@
     }
     planner_ = 0;
     for (int i = 0; i <= std::min(kStandBy, hosts - 1); ++i) {
-      At(i).duty.SetTurn(i);
+      At(i).duty.SetPollRank(i);
     }
     for (auto& host : hosts_) {
       host->duty.OnInformed(Millis(0));
@@ -179,7 +179,7 @@
       replaced_at_.reset();
       ++planner_;
       for (int i = 0; i <= kStandBy; ++i) {
-        At(planner_ + i).duty.SetTurn(i);
+        At(planner_ + i).duty.SetPollRank(i);
       }
     }
   }
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -277,7 +277,7 @@
   ports.reads_routing = [this] { return feed_->ReadsRouting(); };
   ports.on_informed = [this](Millis age) { source_.OnNothingNew(age); };
   ports.on_reading_turn = [this](std::optional<int> turn) {
-    source_.SetTurn(turn);
+    source_.SetPollRank(turn);
   };
   ports.on_published = [this](const std::string& changes,
                               bool store_data_fresh) {
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -40,8 +40,8 @@
   NoteKnown(age, is_late);
 }
 
-void SourceState::SetTurn(std::optional<int> turn) {
-  duty_.SetTurn(turn);
+void SourceState::SetPollRank(std::optional<int> turn) {
+  duty_.SetPollRank(turn);
   Update("told to stop reading");
 }
 
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -51,7 +51,7 @@
   void OnTaken(StoreRevision at) { AdvanceTo(at); }
 
   // This host's turn among those that read for all.
-  void SetTurn(std::optional<int> turn);
+  void SetPollRank(std::optional<int> turn);
 
   // To be called a few times a second.
   void Tick() { Update("nobody told for a while"); }
