--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -68,7 +68,7 @@
   // A host has told this one all that it knows, which the service answered
   // `age` ago. What was read long ago counts as little at the end of a chain of
   // hosts as at its beginning.
-  void OnInformed(Millis age);
+  void OnPeerUpdate(Millis age);
 
   // Looks whether this host's turn has come. To be called a few times a second
   // and before Mode is looked at.
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -34,7 +34,7 @@
   failed_at_.reset();
   failures_ = 0;
   reads_once_ = false;
-  OnInformed(Millis(0));
+  OnPeerUpdate(Millis(0));
 }
 
 void PollSchedule::OnFailed() {
@@ -45,7 +45,7 @@
   BeginRounds(clock_() + RoundLength());
 }
 
-void PollSchedule::OnInformed(Millis age) {
+void PollSchedule::OnPeerUpdate(Millis age) {
   const TimePoint answered = clock_() - age;
   if (answered_at_.has_value() && answered <= *answered_at_) {
     return;
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -62,7 +62,7 @@
 TEST_CASE_METHOD(DutyFixture,
                  "A host that is told does not read, and one that is told no "
                  "more reads again soon, and once") {
-  duty_.OnInformed(Millis(0));
+  duty_.OnPeerUpdate(Millis(0));
   Pass(PollSchedule::kInformedFor - Millis(1));
   CHECK(duty_.Mode() == PollMode::kNone);
   CHECK(duty_.HasFreshData());
@@ -80,7 +80,7 @@
                  "A host that hears no other reads before what it knows is too "
                  "old") {
   sharers_ = 1;
-  duty_.OnInformed(Millis(0));
+  duty_.OnPeerUpdate(Millis(0));
   Pass(PollSchedule::kStandByAge);
   CHECK(duty_.Mode() == PollMode::kOnce);
   CHECK(duty_.HasFreshData());
@@ -88,7 +88,7 @@
 
 TEST_CASE_METHOD(DutyFixture,
                  "The host that reads for all reads whatever it is told") {
-  duty_.OnInformed(Millis(0));
+  duty_.OnPeerUpdate(Millis(0));
   duty_.SetPollRank(0);
   CHECK(duty_.Mode() == PollMode::kContinuous);
   CHECK(duty_.HasFreshData());
@@ -101,7 +101,7 @@
   sharers_ = 402;
   draw_ = kLast;
   duty_.SetPollRank(2);
-  duty_.OnInformed(Millis(0));
+  duty_.OnPeerUpdate(Millis(0));
   Pass(PollSchedule::kStandByAge);
   CHECK(duty_.Mode() == PollMode::kNone);
   Pass(PollSchedule::kStandByStep);
@@ -136,10 +136,10 @@
                  "A host at the end of a chain reads as soon as one at its "
                  "beginning") {
   PollSchedule planner = MakeDuty(false);
-  planner.OnInformed(Millis(0));
+  planner.OnPeerUpdate(Millis(0));
   now_ += PollSchedule::kInformedFor - Millis(100);
   REQUIRE(planner.HasFreshData());
-  duty_.OnInformed(planner.Age());
+  duty_.OnPeerUpdate(planner.Age());
   Pass(Millis(100) + PollSchedule::kSpread + Millis(1));
   CHECK_FALSE(duty_.HasFreshData());
   CHECK(duty_.Mode() == PollMode::kOnce);
@@ -148,8 +148,8 @@
 TEST_CASE_METHOD(DutyFixture,
                  "Word that is older than what a host knows does not make it "
                  "look blind") {
-  duty_.OnInformed(Millis(100));
-  duty_.OnInformed(Millis(900));
+  duty_.OnPeerUpdate(Millis(100));
+  duty_.OnPeerUpdate(Millis(900));
   CHECK(duty_.Age() == Millis(100));
 }
 
@@ -167,7 +167,7 @@
 TEST_CASE_METHOD(DutyFixture,
                  "A host that the service does not answer has its next turn a "
                  "round later, and later each time") {
-  duty_.OnInformed(Millis(0));
+  duty_.OnPeerUpdate(Millis(0));
   Pass(kBlind);
   REQUIRE(duty_.Mode() == PollMode::kOnce);
   duty_.OnFailed();
@@ -183,7 +183,7 @@
                  "draws have it at once") {
   sharers_ = 402;
   draw_ = kLast;
-  duty_.OnInformed(Millis(0));
+  duty_.OnPeerUpdate(Millis(0));
   Pass(kBlind);
   CHECK(duty_.Mode() == PollMode::kNone);
   draw_ = 0;
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -36,7 +36,7 @@
       At(i).duty.SetPollRank(i);
     }
     for (auto& host : hosts_) {
-      host->duty.OnInformed(Millis(0));
+      host->duty.OnPeerUpdate(Millis(0));
     }
   }
 
@@ -166,7 +166,7 @@
   void Inform(int to, TimePoint answered) {
     PollSchedule& duty = At(to).duty;
     const bool is_late = duty.IsOverdue();
-    duty.OnInformed(std::chrono::duration_cast<Millis>(now_ - answered));
+    duty.OnPeerUpdate(std::chrono::duration_cast<Millis>(now_ - answered));
     if (to == planner_ && is_late && !duty.IsOverdue()) {
       for (int i = 0; i < Count(); ++i) {
         Tell(i, answered);
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -36,7 +36,7 @@
 
 void SourceState::OnNothingNew(Millis age) {
   const bool is_late = duty_.IsOverdue();
-  duty_.OnInformed(age);
+  duty_.OnPeerUpdate(age);
   NoteKnown(age, is_late);
 }
 
