--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -62,7 +62,7 @@
   void SetPollRank(std::optional<int> turn);
 
   // The service answered this host, or not as it should.
-  void OnAnswered();
+  void OnPollSucceeded();
   void OnFailed();
 
   // A host has told this one all that it knows, which the service answered
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -29,7 +29,7 @@
   }
 }
 
-void PollSchedule::OnAnswered() {
+void PollSchedule::OnPollSucceeded() {
   own_answered_at_ = clock_();
   failed_at_.reset();
   failures_ = 0;
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -69,7 +69,7 @@
   Pass(PollSchedule::kSpread + Millis(2));
   CHECK(duty_.Mode() == PollMode::kOnce);
   CHECK_FALSE(duty_.HasFreshData());
-  duty_.OnAnswered();
+  duty_.OnPollSucceeded();
   CHECK(duty_.HasFreshData());
   CHECK(duty_.Mode() == PollMode::kNone);
   CHECK(duty_.OwnPollState() == PollState::kAnswered);
@@ -113,7 +113,7 @@
                  "A host that stops to read for others knows for a while what "
                  "it has read") {
   duty_.SetPollRank(0);
-  duty_.OnAnswered();
+  duty_.OnPollSucceeded();
   Pass(PollSchedule::kWatchWait);
   duty_.SetPollRank(std::nullopt);
   CHECK(duty_.HasFreshData());
@@ -124,7 +124,7 @@
                  "What the service answered a while ago says nothing of how "
                  "reading goes") {
   duty_.SetPollRank(0);
-  duty_.OnAnswered();
+  duty_.OnPollSucceeded();
   Pass(PollSchedule::kInformedFor + Millis(1));
   CHECK_FALSE(duty_.OwnPollState() == PollState::kAnswered);
   CHECK_FALSE(duty_.HasFreshData());
@@ -160,7 +160,7 @@
   CHECK(duty_.OwnPollState() == PollState::kStarted);
   duty_.OnFailed();
   CHECK(duty_.OwnPollState() == PollState::kFailed);
-  duty_.OnAnswered();
+  duty_.OnPollSucceeded();
   CHECK(duty_.OwnPollState() == PollState::kAnswered);
 }
 
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -235,7 +235,7 @@
       return;
     }
     Inform(i, now_);
-    host.duty.OnAnswered();
+    host.duty.OnPollSucceeded();
     if (i == planner_) {
       TellReaders();
     } else if (!At(planner_).is_dead) {
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -79,7 +79,9 @@
   endpoint_news_->OnOpened(id, revision);
 }
 
-void PublishedNews::OnSourceWell(StoreRevision at) { source_->OnAnswered(at); }
+void PublishedNews::OnSourceWell(StoreRevision at) {
+  source_->OnPollSucceeded(at);
+}
 
 void PublishedNews::OnInformed(StoreRevision at) { source_->OnTold(at); }
 
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -14,10 +14,10 @@
       directory_(directory),
       log_(log) {}
 
-void SourceState::OnAnswered(StoreRevision at) {
+void SourceState::OnPollSucceeded(StoreRevision at) {
   AdvanceTo(at);
   const bool is_late = duty_.IsOverdue();
-  duty_.OnAnswered();
+  duty_.OnPollSucceeded();
   NoteKnown(Millis(0), is_late);
   ports_.on_own_reading();
 }
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -36,7 +36,7 @@
               const MonotonicClock& clock, const RandomSource& random);
 
   // The platform has answered this host: what is known is complete up to `at`.
-  void OnAnswered(StoreRevision at);
+  void OnPollSucceeded(StoreRevision at);
   // It has not, for `reason`.
   void OnFailed(const std::string& reason);
 
