--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -63,7 +63,7 @@
 
   // The service answered this host, or not as it should.
   void OnPollSucceeded();
-  void OnFailed();
+  void OnPollFailed();
 
   // A host has told this one all that it knows, which the service answered
   // `age` ago. What was read long ago counts as little at the end of a chain of
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -37,7 +37,7 @@
   OnPeerUpdate(Millis(0));
 }
 
-void PollSchedule::OnFailed() {
+void PollSchedule::OnPollFailed() {
   failed_at_ = clock_();
   reads_once_ = false;
   ++failures_;
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -158,7 +158,7 @@
   CHECK(duty_.OwnPollState() == PollState::kNone);
   duty_.SetPollRank(0);
   CHECK(duty_.OwnPollState() == PollState::kStarted);
-  duty_.OnFailed();
+  duty_.OnPollFailed();
   CHECK(duty_.OwnPollState() == PollState::kFailed);
   duty_.OnPollSucceeded();
   CHECK(duty_.OwnPollState() == PollState::kAnswered);
@@ -170,7 +170,7 @@
   duty_.OnPeerUpdate(Millis(0));
   Pass(kBlind);
   REQUIRE(duty_.Mode() == PollMode::kOnce);
-  duty_.OnFailed();
+  duty_.OnPollFailed();
   CHECK(duty_.Mode() == PollMode::kNone);
   Pass(PollSchedule::kRound);
   CHECK(duty_.Mode() == PollMode::kNone);
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -231,7 +231,7 @@
     }
     host.call_ends.reset();
     if (host.treatment != Treatment::kAnswers) {
-      host.duty.OnFailed();
+      host.duty.OnPollFailed();
       return;
     }
     Inform(i, now_);
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -86,7 +86,7 @@
 void PublishedNews::OnInformed(StoreRevision at) { source_->OnTold(at); }
 
 void PublishedNews::OnSourceLost(const std::string& reason) {
-  source_->OnFailed(reason);
+  source_->OnPollFailed(reason);
 }
 
 void PublishedNews::OnUnusable(const std::string& what,
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -22,8 +22,8 @@
   ports_.on_own_reading();
 }
 
-void SourceState::OnFailed(const std::string& reason) {
-  duty_.OnFailed();
+void SourceState::OnPollFailed(const std::string& reason) {
+  duty_.OnPollFailed();
   directory_->OnSourceLost(duty_.Age());
   Update(reason);
   ports_.on_own_reading();
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -38,7 +38,7 @@
   // The platform has answered this host: what is known is complete up to `at`.
   void OnPollSucceeded(StoreRevision at);
   // It has not, for `reason`.
-  void OnFailed(const std::string& reason);
+  void OnPollFailed(const std::string& reason);
 
   // Another host, which the platform answers, tells what was published up to
   // `at`.
