--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -44,7 +44,7 @@
 struct PollSchedulePorts {
   // How many hosts share the turns, this one among them; one if it hears no
   // other.
-  std::function<int()> sharers;
+  std::function<int()> polling_hosts;
   // Whether another host is known that can tell this one all it does not know.
   std::function<bool()> copy_is_near;
 };
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -59,7 +59,7 @@
     // The turn of zero has come anyway.
     return kStandByAge + std::max(0, *turn_ - 1) * kStandByStep;
   }
-  return ports_.sharers() > 1 ? kInformedFor : kStandByAge;
+  return ports_.polling_hosts() > 1 ? kInformedFor : kStandByAge;
 }
 
 void PollSchedule::BeginRounds(TimePoint from) {
@@ -75,18 +75,18 @@
 }
 
 std::optional<Millis> PollSchedule::TurnInRound() const {
-  const int sharers = std::max(1, ports_.sharers());
+  const int polling_hosts = std::max(1, ports_.polling_hosts());
   if (turn_.has_value()) {
     return Millis(0);
   }
-  if (sharers == 1) {
+  if (polling_hosts == 1) {
     // Others may be there all the same while this host has just started.
     return KnowsNothing() ? Millis(static_cast<std::int64_t>(
                                 draw_ * static_cast<double>(kSpread.count())))
                           : Millis(0);
   }
-  const double place = draw_ * sharers;
-  const int most = std::min(sharers, kMostAtOnce);
+  const double place = draw_ * polling_hosts;
+  const int most = std::min(polling_hosts, kMostAtOnce);
   if (place > most) {
     return std::nullopt;
   }
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -7,7 +7,7 @@
 
 class DutyFixture {
  protected:
-  explicit DutyFixture(int sharers = 2) : sharers_(sharers) {}
+  explicit DutyFixture(int polling_hosts = 2) : sharers_(polling_hosts) {}
 
   PollSchedule MakeDuty(bool is_seed) {
     return PollSchedule(
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -236,7 +236,7 @@
 
 PollSchedulePorts GatewayNode::MakeReadingPorts() {
   PollSchedulePorts ports;
-  ports.sharers = [this] { return hosts_.PollingHosts(); };
+  ports.polling_hosts = [this] { return hosts_.PollingHosts(); };
   ports.copy_is_near = [this] {
     return hosts_.FindMoreUpToDate(RoutingVersion{}, source_.KnownUpTo())
         .has_value();
