--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -46,7 +46,7 @@
   // other.
   std::function<int()> polling_hosts;
   // Whether another host is known that can tell this one all it does not know.
-  std::function<bool()> copy_is_near;
+  std::function<bool()> snapshot_available;
 };
 
 // Not thread-safe.
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -108,8 +108,8 @@
   while (now - round_began_ >= RoundLength()) {
     BeginRounds(round_began_ + RoundLength());
   }
-  const bool waits_for_copy =
-      KnowsNothing() && now - started_ < kCopyWithin && ports_.copy_is_near();
+  const bool waits_for_copy = KnowsNothing() && now - started_ < kCopyWithin &&
+                              ports_.snapshot_available();
   const std::optional<Millis> turn = TurnInRound();
   reads_once_ =
       !waits_for_copy && turn.has_value() && now - round_began_ >= *turn;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -237,7 +237,7 @@
 PollSchedulePorts GatewayNode::MakeReadingPorts() {
   PollSchedulePorts ports;
   ports.polling_hosts = [this] { return hosts_.PollingHosts(); };
-  ports.copy_is_near = [this] {
+  ports.snapshot_available = [this] {
     return hosts_.FindMoreUpToDate(RoutingVersion{}, source_.KnownUpTo())
         .has_value();
   };
