--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -92,7 +92,7 @@
   Millis Age() const;
 
   // How long the reader's calls wait for a change.
-  static constexpr Millis kWatchWait{500};
+  static constexpr Millis kLongPollWait{500};
   // What a call takes, and what a word takes on its way and in the queues of
   // weak hosts.
   static constexpr Millis kCallTime{50};
@@ -125,13 +125,13 @@
 
   // A host that every word reaches has no turn while the service is well, and
   // one that has missed a word does not read for sure.
-  static_assert(kWatchWait + kCallTime + kWordPause + kWordTime <=
+  static_assert(kLongPollWait + kCallTime + kWordPause + kWordTime <=
                 kInformedFor);
-  static_assert(kWatchWait + kCallTime + 2 * kWordPause + kWordTime <=
+  static_assert(kLongPollWait + kCallTime + 2 * kWordPause + kWordTime <=
                 kInformedFor + kSpread);
   // Those that stand by are told within their patience, and others are told
   // what the first of them reads before their own turns come.
-  static_assert(kWatchWait + kCallTime + kWordTime <= kStandByAge);
+  static_assert(kLongPollWait + kCallTime + kWordTime <= kStandByAge);
   static_assert(kStandByAge + kStandByStep + kCallTime + 2 * kWordTime <=
                 kInformedFor);
   static_assert(kSpread < kRound);
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -114,7 +114,7 @@
                  "it has read") {
   duty_.SetPollRank(0);
   duty_.OnPollSucceeded();
-  Pass(PollSchedule::kWatchWait);
+  Pass(PollSchedule::kLongPollWait);
   duty_.SetPollRank(std::nullopt);
   CHECK(duty_.HasFreshData());
   CHECK(duty_.Mode() == PollMode::kNone);
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -209,7 +209,7 @@
   void BeginCall(Host* host) {
     calls_.push_back(now_);
     const bool waits = host->duty.Mode() == PollMode::kContinuous;
-    const Millis wait = waits ? PollSchedule::kWatchWait : Millis(0);
+    const Millis wait = waits ? PollSchedule::kLongPollWait : Millis(0);
     switch (host->treatment) {
       case Treatment::kAnswers:
         host->call_ends = now_ + wait + kAnswerTime;
@@ -270,7 +270,7 @@
   ReadingFleet fleet(FleetSizeOfTest(), 1);
   fleet.Run(kLongRun);
   // One call each time that the wait is over.
-  CHECK(fleet.Calls() <= kLongRun / PollSchedule::kWatchWait + 1);
+  CHECK(fleet.Calls() <= kLongRun / PollSchedule::kLongPollWait + 1);
   CHECK(fleet.LongestAge() <= PollSchedule::kInformedFor);
 }
 
@@ -278,7 +278,7 @@
   ReadingFleet fleet(FleetSizeOfTest(), 2);
   fleet.SetLosses(0.02, 0.05);
   fleet.Run(kLongRun);
-  CHECK(fleet.Calls() <= 2 * (kLongRun / PollSchedule::kWatchWait));
+  CHECK(fleet.Calls() <= 2 * (kLongRun / PollSchedule::kLongPollWait));
   CHECK(fleet.LongestAge() <= kBound);
 }
 
