--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -98,7 +98,7 @@
   static constexpr Millis kCallTime{50};
   static constexpr Millis kWordTime{50};
   // The longest pause between two words of the planner to a host.
-  static constexpr Millis kWordPause{340};
+  static constexpr Millis kMaxHeartbeatInterval{340};
   // How long an answer of the service counts.
   static constexpr Millis kInformedFor{1000};
   // Longer than any answer counts.
@@ -125,9 +125,10 @@
 
   // A host that every word reaches has no turn while the service is well, and
   // one that has missed a word does not read for sure.
-  static_assert(kLongPollWait + kCallTime + kWordPause + kWordTime <=
+  static_assert(kLongPollWait + kCallTime + kMaxHeartbeatInterval + kWordTime <=
                 kInformedFor);
-  static_assert(kLongPollWait + kCallTime + 2 * kWordPause + kWordTime <=
+  static_assert(kLongPollWait + kCallTime + 2 * kMaxHeartbeatInterval +
+                    kWordTime <=
                 kInformedFor + kSpread);
   // Those that stand by are told within their patience, and others are told
   // what the first of them reads before their own turns come.
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -197,7 +197,7 @@
     if (host.duty.Mode() != PollMode::kNone && !host.call_ends.has_value()) {
       BeginCall(&host);
     }
-    if (now_ - host.told_at >= PollSchedule::kWordPause) {
+    if (now_ - host.told_at >= PollSchedule::kMaxHeartbeatInterval) {
       host.told_at = now_;
       if (!At(planner_).is_dead) {
         Tell(i, AnsweredAt(planner_));
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -96,7 +96,7 @@
   // How often it looks after itself: words, silence, prompts that wait.
   static constexpr Millis kTick{40};
   // Turns to read the platform count on the pause between two words.
-  static_assert(kWordInterval + kTick <= PollSchedule::kWordPause);
+  static_assert(kWordInterval + kTick <= PollSchedule::kMaxHeartbeatInterval);
   // A planner that answered no word for this long is silent.
   static constexpr Millis kWordSilence{650};
 
