--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -96,7 +96,7 @@
   // What a call takes, and what a word takes on its way and in the queues of
   // weak hosts.
   static constexpr Millis kCallTime{50};
-  static constexpr Millis kWordTime{50};
+  static constexpr Millis kHeartbeatDelay{50};
   // The longest pause between two words of the planner to a host.
   static constexpr Millis kMaxHeartbeatInterval{340};
   // How long an answer of the service counts.
@@ -125,15 +125,16 @@
 
   // A host that every word reaches has no turn while the service is well, and
   // one that has missed a word does not read for sure.
-  static_assert(kLongPollWait + kCallTime + kMaxHeartbeatInterval + kWordTime <=
+  static_assert(kLongPollWait + kCallTime + kMaxHeartbeatInterval +
+                    kHeartbeatDelay <=
                 kInformedFor);
   static_assert(kLongPollWait + kCallTime + 2 * kMaxHeartbeatInterval +
-                    kWordTime <=
+                    kHeartbeatDelay <=
                 kInformedFor + kSpread);
   // Those that stand by are told within their patience, and others are told
   // what the first of them reads before their own turns come.
-  static_assert(kLongPollWait + kCallTime + kWordTime <= kStandByAge);
-  static_assert(kStandByAge + kStandByStep + kCallTime + 2 * kWordTime <=
+  static_assert(kLongPollWait + kCallTime + kHeartbeatDelay <= kStandByAge);
+  static_assert(kStandByAge + kStandByStep + kCallTime + 2 * kHeartbeatDelay <=
                 kInformedFor);
   static_assert(kSpread < kRound);
 
