--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -10,7 +10,7 @@
 //   the reader         always
 //   those that         at kStandByAge, and kStandByStep later for each before
 //   stand by           them
-//   all others         from kInformedFor on, a few first and more by and by,
+//   all others         from kFreshFor on, a few first and more by and by,
 //                      but never more than kMostAtOnce together
 //
 // So the number of calls a second is bounded whatever the size of the fleet,
@@ -82,7 +82,7 @@
 
   // Returns whether this host knows what is published, from the service or from
   // another host.
-  bool HasFreshData() const { return Age() <= kInformedFor; }
+  bool HasFreshData() const { return Age() <= kFreshFor; }
 
   // Returns whether the turns of hosts that stand by have begun to come.
   bool IsOverdue() const { return Age() > kStandByAge; }
@@ -100,7 +100,7 @@
   // The longest pause between two words of the planner to a host.
   static constexpr Millis kMaxHeartbeatInterval{340};
   // How long an answer of the service counts.
-  static constexpr Millis kInformedFor{1000};
+  static constexpr Millis kFreshFor{1000};
   // Longer than any answer counts.
   static constexpr Millis kUnknownAge{3600000};
   // The age at which the first host that stands by reads: the planner tells it
@@ -127,15 +127,15 @@
   // one that has missed a word does not read for sure.
   static_assert(kLongPollWait + kCallTime + kMaxHeartbeatInterval +
                     kHeartbeatDelay <=
-                kInformedFor);
+                kFreshFor);
   static_assert(kLongPollWait + kCallTime + 2 * kMaxHeartbeatInterval +
                     kHeartbeatDelay <=
-                kInformedFor + kSpread);
+                kFreshFor + kSpread);
   // Those that stand by are told within their patience, and others are told
   // what the first of them reads before their own turns come.
   static_assert(kLongPollWait + kCallTime + kHeartbeatDelay <= kStandByAge);
   static_assert(kStandByAge + kStandByStep + kCallTime + 2 * kHeartbeatDelay <=
-                kInformedFor);
+                kFreshFor);
   static_assert(kSpread < kRound);
 
  private:
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -59,7 +59,7 @@
     // The turn of zero has come anyway.
     return kStandByAge + std::max(0, *turn_ - 1) * kStandByStep;
   }
-  return ports_.polling_hosts() > 1 ? kInformedFor : kStandByAge;
+  return ports_.polling_hosts() > 1 ? kFreshFor : kStandByAge;
 }
 
 void PollSchedule::BeginRounds(TimePoint from) {
@@ -125,7 +125,7 @@
 PollState PollSchedule::OwnPollState() const {
   const TimePoint now = clock_();
   const auto is_recent = [now](const std::optional<TimePoint>& time) {
-    return time.has_value() && now - *time <= kInformedFor;
+    return time.has_value() && now - *time <= kFreshFor;
   };
   if (is_recent(failed_at_)) {
     return PollState::kFailed;
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -26,7 +26,7 @@
   static constexpr std::uint64_t kLast = ~std::uint64_t{0};
   // Longer than either of two hosts ever waits for word before it reads.
   static constexpr Millis kBlind =
-      PollSchedule::kInformedFor + PollSchedule::kSpread + Millis(1);
+      PollSchedule::kFreshFor + PollSchedule::kSpread + Millis(1);
 
   TimePoint now_{std::chrono::hours(1)};
   int sharers_;
@@ -63,7 +63,7 @@
                  "A host that is told does not read, and one that is told no "
                  "more reads again soon, and once") {
   duty_.OnPeerUpdate(Millis(0));
-  Pass(PollSchedule::kInformedFor - Millis(1));
+  Pass(PollSchedule::kFreshFor - Millis(1));
   CHECK(duty_.Mode() == PollMode::kNone);
   CHECK(duty_.HasFreshData());
   Pass(PollSchedule::kSpread + Millis(2));
@@ -125,7 +125,7 @@
                  "reading goes") {
   duty_.SetPollRank(0);
   duty_.OnPollSucceeded();
-  Pass(PollSchedule::kInformedFor + Millis(1));
+  Pass(PollSchedule::kFreshFor + Millis(1));
   CHECK_FALSE(duty_.OwnPollState() == PollState::kAnswered);
   CHECK_FALSE(duty_.HasFreshData());
 }
@@ -137,7 +137,7 @@
                  "beginning") {
   PollSchedule planner = MakeDuty(false);
   planner.OnPeerUpdate(Millis(0));
-  now_ += PollSchedule::kInformedFor - Millis(100);
+  now_ += PollSchedule::kFreshFor - Millis(100);
   REQUIRE(planner.HasFreshData());
   duty_.OnPeerUpdate(planner.Age());
   Pass(Millis(100) + PollSchedule::kSpread + Millis(1));
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -256,7 +256,7 @@
 };
 
 // What hosts are granted before they read, and what a call and two words take.
-constexpr Millis kBound = PollSchedule::kInformedFor + PollSchedule::kSpread +
+constexpr Millis kBound = PollSchedule::kFreshFor + PollSchedule::kSpread +
                           PollSchedule::kRound + Millis(200);
 // A round of turns, in the worst second, and those that read for all.
 constexpr int kMostCallsInASecond = 3 * PollSchedule::kMostAtOnce + 20;
@@ -271,7 +271,7 @@
   fleet.Run(kLongRun);
   // One call each time that the wait is over.
   CHECK(fleet.Calls() <= kLongRun / PollSchedule::kLongPollWait + 1);
-  CHECK(fleet.LongestAge() <= PollSchedule::kInformedFor);
+  CHECK(fleet.LongestAge() <= PollSchedule::kFreshFor);
 }
 
 TEST_CASE("Lost and late words do not multiply the calls", "[fleet]") {
@@ -293,7 +293,7 @@
   fleet.Treat(0, 1, treatment);
   fleet.Run(Millis(10000));
   CHECK(fleet.MostCallsInASecond() <= 20);
-  CHECK(fleet.LongestAge() <= PollSchedule::kInformedFor + Millis(200));
+  CHECK(fleet.LongestAge() <= PollSchedule::kFreshFor + Millis(200));
 }
 
 TEST_CASE(
