--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -8,15 +8,15 @@
 // the others before their turns come:
 //
 //   the reader         always
-//   those that         at kStandByAge, and kStandByStep later for each before
-//   stand by           them
-//   all others         from kFreshFor on, a few first and more by and by,
+//   those that         at kStandbyPollAge, and kStandByStep later for each
+//   before stand by           them all others         from kFreshFor on, a few
+//   first and more by and by,
 //                      but never more than kMostAtOnce together
 //
 // So the number of calls a second is bounded whatever the size of the fleet,
 // also while the service answers nobody, and no rule that binds a host depends
 // on another host for long. A host that hears no other shares the turns with
-// nobody, and reads at kStandByAge.
+// nobody, and reads at kStandbyPollAge.
 
 #ifndef HARECRANK_CORE_READING_DUTY_H_
 #define HARECRANK_CORE_READING_DUTY_H_
@@ -85,7 +85,7 @@
   bool HasFreshData() const { return Age() <= kFreshFor; }
 
   // Returns whether the turns of hosts that stand by have begun to come.
-  bool IsOverdue() const { return Age() > kStandByAge; }
+  bool IsOverdue() const { return Age() > kStandbyPollAge; }
 
   // Returns how long ago the service answered what this host knows; kUnknownAge
   // if it knows nothing.
@@ -105,7 +105,7 @@
   static constexpr Millis kUnknownAge{3600000};
   // The age at which the first host that stands by reads: the planner tells it
   // each answer at once.
-  static constexpr Millis kStandByAge{650};
+  static constexpr Millis kStandbyPollAge{650};
   static constexpr Millis kStandByStep{150};
   // The turns of all other hosts come within this.
   static constexpr Millis kSpread{400};
@@ -133,8 +133,9 @@
                 kFreshFor + kSpread);
   // Those that stand by are told within their patience, and others are told
   // what the first of them reads before their own turns come.
-  static_assert(kLongPollWait + kCallTime + kHeartbeatDelay <= kStandByAge);
-  static_assert(kStandByAge + kStandByStep + kCallTime + 2 * kHeartbeatDelay <=
+  static_assert(kLongPollWait + kCallTime + kHeartbeatDelay <= kStandbyPollAge);
+  static_assert(kStandbyPollAge + kStandByStep + kCallTime +
+                    2 * kHeartbeatDelay <=
                 kFreshFor);
   static_assert(kSpread < kRound);
 
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -57,9 +57,9 @@
 Millis PollSchedule::Patience() const {
   if (turn_.has_value()) {
     // The turn of zero has come anyway.
-    return kStandByAge + std::max(0, *turn_ - 1) * kStandByStep;
+    return kStandbyPollAge + std::max(0, *turn_ - 1) * kStandByStep;
   }
-  return ports_.polling_hosts() > 1 ? kFreshFor : kStandByAge;
+  return ports_.polling_hosts() > 1 ? kFreshFor : kStandbyPollAge;
 }
 
 void PollSchedule::BeginRounds(TimePoint from) {
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -81,7 +81,7 @@
                  "old") {
   sharers_ = 1;
   duty_.OnPeerUpdate(Millis(0));
-  Pass(PollSchedule::kStandByAge);
+  Pass(PollSchedule::kStandbyPollAge);
   CHECK(duty_.Mode() == PollMode::kOnce);
   CHECK(duty_.HasFreshData());
 }
@@ -102,7 +102,7 @@
   draw_ = kLast;
   duty_.SetPollRank(2);
   duty_.OnPeerUpdate(Millis(0));
-  Pass(PollSchedule::kStandByAge);
+  Pass(PollSchedule::kStandbyPollAge);
   CHECK(duty_.Mode() == PollMode::kNone);
   Pass(PollSchedule::kStandByStep);
   CHECK(duty_.Mode() == PollMode::kOnce);
