--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -8,7 +8,7 @@
 // the others before their turns come:
 //
 //   the reader         always
-//   those that         at kStandbyPollAge, and kStandByStep later for each
+//   those that         at kStandbyPollAge, and kStandbyPollStep later for each
 //   before stand by           them all others         from kFreshFor on, a few
 //   first and more by and by,
 //                      but never more than kMostAtOnce together
@@ -106,7 +106,7 @@
   // The age at which the first host that stands by reads: the planner tells it
   // each answer at once.
   static constexpr Millis kStandbyPollAge{650};
-  static constexpr Millis kStandByStep{150};
+  static constexpr Millis kStandbyPollStep{150};
   // The turns of all other hosts come within this.
   static constexpr Millis kSpread{400};
   // With so many that begin at once, all are turned away together only where
@@ -134,7 +134,7 @@
   // Those that stand by are told within their patience, and others are told
   // what the first of them reads before their own turns come.
   static_assert(kLongPollWait + kCallTime + kHeartbeatDelay <= kStandbyPollAge);
-  static_assert(kStandbyPollAge + kStandByStep + kCallTime +
+  static_assert(kStandbyPollAge + kStandbyPollStep + kCallTime +
                     2 * kHeartbeatDelay <=
                 kFreshFor);
   static_assert(kSpread < kRound);
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -57,7 +57,7 @@
 Millis PollSchedule::Patience() const {
   if (turn_.has_value()) {
     // The turn of zero has come anyway.
-    return kStandbyPollAge + std::max(0, *turn_ - 1) * kStandByStep;
+    return kStandbyPollAge + std::max(0, *turn_ - 1) * kStandbyPollStep;
   }
   return ports_.polling_hosts() > 1 ? kFreshFor : kStandbyPollAge;
 }
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -104,7 +104,7 @@
   duty_.OnPeerUpdate(Millis(0));
   Pass(PollSchedule::kStandbyPollAge);
   CHECK(duty_.Mode() == PollMode::kNone);
-  Pass(PollSchedule::kStandByStep);
+  Pass(PollSchedule::kStandbyPollStep);
   CHECK(duty_.Mode() == PollMode::kOnce);
 }
 
