--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -120,7 +120,7 @@
   // A seed that has just started reads at once, since callers may be waiting
   // for the whole fleet. The turns of other hosts come after this, and for so
   // long at the most they wait for a copy of what another one knows.
-  static constexpr Millis kPatienceAtStart{150};
+  static constexpr Millis kStartupDelay{150};
   static constexpr Millis kCopyWithin{2000};
 
   // A host that every word reaches has no turn while the service is well, and
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -14,7 +14,7 @@
       random_(std::move(random)),
       started_(clock_()),
       reads_once_(is_seed) {
-  BeginRounds(started_ + kPatienceAtStart);
+  BeginRounds(started_ + kStartupDelay);
 }
 
 void PollSchedule::SetPollRank(std::optional<int> turn) {
