--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -121,7 +121,7 @@
   // for the whole fleet. The turns of other hosts come after this, and for so
   // long at the most they wait for a copy of what another one knows.
   static constexpr Millis kStartupDelay{150};
-  static constexpr Millis kCopyWithin{2000};
+  static constexpr Millis kMaxSnapshotWait{2000};
 
   // A host that every word reaches has no turn while the service is well, and
   // one that has missed a word does not read for sure.
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -108,7 +108,8 @@
   while (now - round_began_ >= RoundLength()) {
     BeginRounds(round_began_ + RoundLength());
   }
-  const bool waits_for_copy = KnowsNothing() && now - started_ < kCopyWithin &&
+  const bool waits_for_copy = KnowsNothing() &&
+                              now - started_ < kMaxSnapshotWait &&
                               ports_.snapshot_available();
   const std::optional<Millis> turn = TurnInRound();
   reads_once_ =
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -53,7 +53,7 @@
                  "A host that has just started waits for a copy that another "
                  "one can give, but not for long") {
   copy_is_near_ = true;
-  Pass(PollSchedule::kCopyWithin - Millis(1));
+  Pass(PollSchedule::kMaxSnapshotWait - Millis(1));
   CHECK(duty_.Mode() == PollMode::kNone);
   Pass(PollSchedule::kLongestRound);
   CHECK(duty_.Mode() == PollMode::kOnce);
