--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -11,7 +11,7 @@
 //   those that         at kStandbyPollAge, and kStandbyPollStep later for each
 //   before stand by           them all others         from kFreshFor on, a few
 //   first and more by and by,
-//                      but never more than kMostAtOnce together
+//                      but never more than kMaxConcurrentPolls together
 //
 // So the number of calls a second is bounded whatever the size of the fleet,
 // also while the service answers nobody, and no rule that binds a host depends
@@ -111,7 +111,7 @@
   static constexpr Millis kSpread{400};
   // With so many that begin at once, all are turned away together only where
   // the service turns away nearly everyone; and so many begin first.
-  static constexpr int kMostAtOnce = 16;
+  static constexpr int kMaxConcurrentPolls = 16;
   static constexpr int kFirstAtOnce = 2;
   // After this the turns are drawn anew; it doubles while the service does not
   // answer this host.
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -86,7 +86,7 @@
                           : Millis(0);
   }
   const double place = draw_ * polling_hosts;
-  const int most = std::min(polling_hosts, kMostAtOnce);
+  const int most = std::min(polling_hosts, kMaxConcurrentPolls);
   if (place > most) {
     return std::nullopt;
   }
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -259,7 +259,7 @@
 constexpr Millis kBound = PollSchedule::kFreshFor + PollSchedule::kSpread +
                           PollSchedule::kRound + Millis(200);
 // A round of turns, in the worst second, and those that read for all.
-constexpr int kMostCallsInASecond = 3 * PollSchedule::kMostAtOnce + 20;
+constexpr int kMostCallsInASecond = 3 * PollSchedule::kMaxConcurrentPolls + 20;
 
 constexpr Millis kLongRun{20000};
 
