--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -112,7 +112,7 @@
   // With so many that begin at once, all are turned away together only where
   // the service turns away nearly everyone; and so many begin first.
   static constexpr int kMaxConcurrentPolls = 16;
-  static constexpr int kFirstAtOnce = 2;
+  static constexpr int kInitialConcurrentPolls = 2;
   // After this the turns are drawn anew; it doubles while the service does not
   // answer this host.
   static constexpr Millis kRound{500};
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -90,12 +90,13 @@
   if (place > most) {
     return std::nullopt;
   }
-  if (place <= kFirstAtOnce) {
+  if (place <= kInitialConcurrentPolls) {
     return Millis(0);
   }
   // So that their number grows evenly in proportion.
-  const double part = std::log(place / kFirstAtOnce) /
-                      std::log(static_cast<double>(most) / kFirstAtOnce);
+  const double part =
+      std::log(place / kInitialConcurrentPolls) /
+      std::log(static_cast<double>(most) / kInitialConcurrentPolls);
   return Millis(
       static_cast<std::int64_t>(part * static_cast<double>(kSpread.count())));
 }
