--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/reading_duty.h
@@ -116,7 +116,7 @@
   // After this the turns are drawn anew; it doubles while the service does not
   // answer this host.
   static constexpr Millis kRound{500};
-  static constexpr Millis kLongestRound{2000};
+  static constexpr Millis kMaxRound{2000};
   // A seed that has just started reads at once, since callers may be waiting
   // for the whole fleet. The turns of other hosts come after this, and for so
   // long at the most they wait for a copy of what another one knows.
--- a/src/core/reading_duty.cc
+++ b/src/core/reading_duty.cc
@@ -71,7 +71,7 @@
 Millis PollSchedule::RoundLength() const {
   constexpr int kMostDoublings = 2;
   return std::min(kRound * (1 << std::min(failures_, kMostDoublings)),
-                  kLongestRound);
+                  kMaxRound);
 }
 
 std::optional<Millis> PollSchedule::TurnInRound() const {
--- a/src/core/reading_duty_test.cc
+++ b/src/core/reading_duty_test.cc
@@ -55,7 +55,7 @@
   copy_is_near_ = true;
   Pass(PollSchedule::kMaxSnapshotWait - Millis(1));
   CHECK(duty_.Mode() == PollMode::kNone);
-  Pass(PollSchedule::kLongestRound);
+  Pass(PollSchedule::kMaxRound);
   CHECK(duty_.Mode() == PollMode::kOnce);
 }
 
