--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -29,10 +29,10 @@
 using CopyDecision = std::variant<GiveCopy, AskElsewhere, ComeLater>;
 
 // Not thread-safe.
-class CopyDesk {
+class SnapshotAdmission {
  public:
   // `power` is this host's.
-  CopyDesk(CpuShare power, MonotonicClock clock);
+  SnapshotAdmission(CpuShare power, MonotonicClock clock);
 
   // A host asks. `elsewhere` is another one that gives the same, if any is
   // known. Each GiveCopy is followed by one OnGone.
--- a/src/core/copy_desk.cc
+++ b/src/core/copy_desk.cc
@@ -6,11 +6,12 @@
 
 namespace harecrank {
 
-CopyDesk::CopyDesk(CpuShare power, MonotonicClock clock)
+SnapshotAdmission::SnapshotAdmission(CpuShare power, MonotonicClock clock)
     : most_(std::max(1, static_cast<int>(power.value * kAtOnceOfWholeCore))),
       clock_(std::move(clock)) {}
 
-CopyDecision CopyDesk::OnAsked(const std::optional<HostAddress>& elsewhere) {
+CopyDecision SnapshotAdmission::OnAsked(
+    const std::optional<HostAddress>& elsewhere) {
   if (under_way_ < most_) {
     if (under_way_ == 0) {
       busy_since_ = clock_();
@@ -32,7 +33,7 @@
   return ComeLater{std::min(kLongestAway, away)};
 }
 
-FractionalMillis CopyDesk::RoundTime() const {
+FractionalMillis SnapshotAdmission::RoundTime() const {
   if (gone_ == 0) {
     return kUsualRound;
   }
@@ -40,7 +41,7 @@
   return std::max(FractionalMillis(kLeastRound), busy * most_ / gone_);
 }
 
-void CopyDesk::OnGone() {
+void SnapshotAdmission::OnGone() {
   --under_way_;
   ++gone_;
 }
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -18,7 +18,7 @@
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  CopyDesk desk_{CpuShare{0.25}, [this] { return now_; }};
+  SnapshotAdmission desk_{CpuShare{0.25}, [this] { return now_; }};
 };
 
 TEST_CASE_METHOD(DeskFixture, "As many copies go out as the host bears") {
@@ -49,11 +49,11 @@
   const auto first = std::get<ComeLater>(desk_.OnAsked(std::nullopt)).after;
   const auto second = std::get<ComeLater>(desk_.OnAsked(std::nullopt)).after;
   CHECK(first < second);
-  CHECK(second <= CopyDesk::kLongestAway);
+  CHECK(second <= SnapshotAdmission::kLongestAway);
 }
 
 TEST_CASE_METHOD(DeskFixture, "The weakest host gives one copy at a time") {
-  CopyDesk desk(CpuShare{0.09}, [this] { return now_; });
+  SnapshotAdmission desk(CpuShare{0.09}, [this] { return now_; });
   CHECK(IsGiven(desk.OnAsked(std::nullopt)));
   CHECK_FALSE(IsGiven(desk.OnAsked(std::nullopt)));
 }
@@ -92,7 +92,7 @@
     bool is_strong;
     bool has_copy = false;
     int asks = 0;
-    std::unique_ptr<CopyDesk> desk;
+    std::unique_ptr<SnapshotAdmission> desk;
   };
   struct Ask {
     TimePoint at;
@@ -126,8 +126,8 @@
     ++giver.asks;
     most_asks_ = std::max(most_asks_, giver.asks);
     if (giver.desk == nullptr) {
-      giver.desk =
-          std::make_unique<CopyDesk>(CpuShare{1.0}, [this] { return now_; });
+      giver.desk = std::make_unique<SnapshotAdmission>(CpuShare{1.0},
+                                                       [this] { return now_; });
     }
     const bool knows_others = ask.to == 0 && !givers_.empty();
     const CopyDecision decision = giver.desk->OnAsked(
@@ -162,7 +162,8 @@
   const int hosts = GENERATE(402, 804, 3216);
   CopyFleet fleet(hosts, hosts / 7);
   const Millis took = fleet.Run();
-  CHECK(fleet.MostAtOnce() <= static_cast<int>(CopyDesk::kAtOnceOfWholeCore));
+  CHECK(fleet.MostAtOnce() <=
+        static_cast<int>(SnapshotAdmission::kAtOnceOfWholeCore));
   // One host alone would take eight milliseconds for each.
   CHECK(took.count() <= 1000);
   CHECK(took.count() < 8 * hosts / 2);
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -20,7 +20,7 @@
 class CopyUnderWay {
  public:
   CopyUnderWay(std::shared_ptr<const std::string> bytes,
-               std::shared_ptr<CopyDesk> desk)
+               std::shared_ptr<SnapshotAdmission> desk)
       : bytes_(std::move(bytes)), desk_(std::move(desk)) {}
   CopyUnderWay(const CopyUnderWay&) = delete;
   CopyUnderWay& operator=(const CopyUnderWay&) = delete;
@@ -30,7 +30,7 @@
 
  private:
   std::shared_ptr<const std::string> bytes_;
-  std::shared_ptr<CopyDesk> desk_;
+  std::shared_ptr<SnapshotAdmission> desk_;
 };
 
 }  // namespace
@@ -43,7 +43,7 @@
       source_(std::move(source)),
       known_up_to_(std::move(known_up_to)),
       metrics_(metrics),
-      desk_(std::make_shared<CopyDesk>(power, std::move(clock))) {}
+      desk_(std::make_shared<SnapshotAdmission>(power, std::move(clock))) {}
 
 bool CopyServer::Serves(std::string_view target) {
   const std::string_view path = kPath;
--- a/src/gateway/copy_server.h
+++ b/src/gateway/copy_server.h
@@ -54,7 +54,7 @@
   KnownUpTo known_up_to_;
   Metrics* metrics_;
   // Shared with the copies that are under way.
-  std::shared_ptr<CopyDesk> desk_;
+  std::shared_ptr<SnapshotAdmission> desk_;
 };
 
 }  // namespace harecrank
