--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -26,7 +26,7 @@
 struct ComeLater {
   Millis after{0};
 };
-using CopyDecision = std::variant<GiveCopy, AskElsewhere, ComeLater>;
+using SnapshotDecision = std::variant<GiveCopy, AskElsewhere, ComeLater>;
 
 // Not thread-safe.
 class SnapshotAdmission {
@@ -36,7 +36,7 @@
 
   // A host asks. `elsewhere` is another one that gives the same, if any is
   // known. Each GiveCopy is followed by one OnGone.
-  CopyDecision OnAsked(const std::optional<HostAddress>& elsewhere);
+  SnapshotDecision OnAsked(const std::optional<HostAddress>& elsewhere);
 
   // A copy has gone out, or its connection broke.
   void OnGone();
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -13,7 +13,7 @@
 
 class DeskFixture {
  protected:
-  bool IsGiven(const CopyDecision& decision) {
+  bool IsGiven(const SnapshotDecision& decision) {
     return std::holds_alternative<GiveCopy>(decision);
   }
 
@@ -33,7 +33,7 @@
                  "Beyond that hosts are sent to one that gives the same") {
   desk_.OnAsked(std::nullopt);
   desk_.OnAsked(std::nullopt);
-  const CopyDecision decision = desk_.OnAsked(kOther);
+  const SnapshotDecision decision = desk_.OnAsked(kOther);
   REQUIRE(std::holds_alternative<AskElsewhere>(decision));
   CHECK(std::get<AskElsewhere>(decision).host == kOther);
 }
@@ -130,7 +130,7 @@
                                                        [this] { return now_; });
     }
     const bool knows_others = ask.to == 0 && !givers_.empty();
-    const CopyDecision decision = giver.desk->OnAsked(
+    const SnapshotDecision decision = giver.desk->OnAsked(
         knows_others ? std::make_optional(AddressOf(NextGiver()))
                      : std::nullopt);
     most_at_once_ = std::max(most_at_once_, giver.desk->UnderWay());
