--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -18,7 +18,7 @@
 
 namespace harecrank {
 
-struct GiveCopy {};
+struct ServeSnapshot {};
 // Another host gives the same.
 struct AskElsewhere {
   HostAddress host;
@@ -26,7 +26,7 @@
 struct ComeLater {
   Millis after{0};
 };
-using SnapshotDecision = std::variant<GiveCopy, AskElsewhere, ComeLater>;
+using SnapshotDecision = std::variant<ServeSnapshot, AskElsewhere, ComeLater>;
 
 // Not thread-safe.
 class SnapshotAdmission {
@@ -35,7 +35,7 @@
   SnapshotAdmission(CpuShare power, MonotonicClock clock);
 
   // A host asks. `elsewhere` is another one that gives the same, if any is
-  // known. Each GiveCopy is followed by one OnGone.
+  // known. Each ServeSnapshot is followed by one OnGone.
   SnapshotDecision OnAsked(const std::optional<HostAddress>& elsewhere);
 
   // A copy has gone out, or its connection broke.
--- a/src/core/copy_desk.cc
+++ b/src/core/copy_desk.cc
@@ -19,7 +19,7 @@
       sent_away_ = 0;
     }
     ++under_way_;
-    return GiveCopy{};
+    return ServeSnapshot{};
   }
   if (elsewhere.has_value()) {
     return AskElsewhere{*elsewhere};
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -14,7 +14,7 @@
 class DeskFixture {
  protected:
   bool IsGiven(const SnapshotDecision& decision) {
-    return std::holds_alternative<GiveCopy>(decision);
+    return std::holds_alternative<ServeSnapshot>(decision);
   }
 
   TimePoint now_{std::chrono::hours(1)};
@@ -134,7 +134,7 @@
         knows_others ? std::make_optional(AddressOf(NextGiver()))
                      : std::nullopt);
     most_at_once_ = std::max(most_at_once_, giver.desk->UnderWay());
-    if (std::holds_alternative<GiveCopy>(decision)) {
+    if (std::holds_alternative<ServeSnapshot>(decision)) {
       const Millis takes = kCopy * giver.desk->UnderWay() + kHop;
       asks_.push(Ask{now_ + takes, ask.from, ask.to, true});
     } else if (const auto* other = std::get_if<AskElsewhere>(&decision)) {
