--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -20,13 +20,13 @@
 
 struct ServeSnapshot {};
 // Another host gives the same.
-struct AskElsewhere {
+struct RedirectToPeer {
   HostAddress host;
 };
 struct ComeLater {
   Millis after{0};
 };
-using SnapshotDecision = std::variant<ServeSnapshot, AskElsewhere, ComeLater>;
+using SnapshotDecision = std::variant<ServeSnapshot, RedirectToPeer, ComeLater>;
 
 // Not thread-safe.
 class SnapshotAdmission {
--- a/src/core/copy_desk.cc
+++ b/src/core/copy_desk.cc
@@ -22,7 +22,7 @@
     return ServeSnapshot{};
   }
   if (elsewhere.has_value()) {
-    return AskElsewhere{*elsewhere};
+    return RedirectToPeer{*elsewhere};
   }
   // Who comes later finds more hosts that give copies: their number doubles
   // with each round.
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -34,8 +34,8 @@
   desk_.OnAsked(std::nullopt);
   desk_.OnAsked(std::nullopt);
   const SnapshotDecision decision = desk_.OnAsked(kOther);
-  REQUIRE(std::holds_alternative<AskElsewhere>(decision));
-  CHECK(std::get<AskElsewhere>(decision).host == kOther);
+  REQUIRE(std::holds_alternative<RedirectToPeer>(decision));
+  CHECK(std::get<RedirectToPeer>(decision).host == kOther);
 }
 
 TEST_CASE_METHOD(DeskFixture,
@@ -137,7 +137,7 @@
     if (std::holds_alternative<ServeSnapshot>(decision)) {
       const Millis takes = kCopy * giver.desk->UnderWay() + kHop;
       asks_.push(Ask{now_ + takes, ask.from, ask.to, true});
-    } else if (const auto* other = std::get_if<AskElsewhere>(&decision)) {
+    } else if (const auto* other = std::get_if<RedirectToPeer>(&decision)) {
       asks_.push(Ask{now_ + kHop, ask.from, std::stoi(other->host.value)});
     } else {
       asks_.push(Ask{now_ + std::get<ComeLater>(decision).after, ask.from, 0});
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -55,7 +55,7 @@
   const StoreRevision since{static_cast<std::uint64_t>(
       std::max<std::int64_t>(0, number.value_or(0)))};
   const SnapshotDecision decision = desk_->OnAsked(Elsewhere());
-  if (const auto* other = std::get_if<AskElsewhere>(&decision)) {
+  if (const auto* other = std::get_if<RedirectToPeer>(&decision)) {
     HttpReply reply =
         MakeReply(http_status::kTemporaryRedirect, "text/plain", "");
     reply.set(http::field::location, "http://" + other->host.value + kPath +
