--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -23,10 +23,11 @@
 struct RedirectToPeer {
   HostAddress host;
 };
-struct ComeLater {
+struct RetryLater {
   Millis after{0};
 };
-using SnapshotDecision = std::variant<ServeSnapshot, RedirectToPeer, ComeLater>;
+using SnapshotDecision =
+    std::variant<ServeSnapshot, RedirectToPeer, RetryLater>;
 
 // Not thread-safe.
 class SnapshotAdmission {
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -46,8 +46,8 @@
   now_ += Millis(10);
   desk_.OnGone();
   desk_.OnAsked(std::nullopt);
-  const auto first = std::get<ComeLater>(desk_.OnAsked(std::nullopt)).after;
-  const auto second = std::get<ComeLater>(desk_.OnAsked(std::nullopt)).after;
+  const auto first = std::get<RetryLater>(desk_.OnAsked(std::nullopt)).after;
+  const auto second = std::get<RetryLater>(desk_.OnAsked(std::nullopt)).after;
   CHECK(first < second);
   CHECK(second <= SnapshotAdmission::kLongestAway);
 }
@@ -140,7 +140,7 @@
     } else if (const auto* other = std::get_if<RedirectToPeer>(&decision)) {
       asks_.push(Ask{now_ + kHop, ask.from, std::stoi(other->host.value)});
     } else {
-      asks_.push(Ask{now_ + std::get<ComeLater>(decision).after, ask.from, 0});
+      asks_.push(Ask{now_ + std::get<RetryLater>(decision).after, ask.from, 0});
     }
   }
 
