--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -37,7 +37,7 @@
 
   // A host asks. `elsewhere` is another one that gives the same, if any is
   // known. Each ServeSnapshot is followed by one OnGone.
-  SnapshotDecision OnAsked(const std::optional<HostAddress>& elsewhere);
+  SnapshotDecision OnRequest(const std::optional<HostAddress>& elsewhere);
 
   // A copy has gone out, or its connection broke.
   void OnGone();
--- a/src/core/copy_desk.cc
+++ b/src/core/copy_desk.cc
@@ -10,7 +10,7 @@
     : most_(std::max(1, static_cast<int>(power.value * kAtOnceOfWholeCore))),
       clock_(std::move(clock)) {}
 
-SnapshotDecision SnapshotAdmission::OnAsked(
+SnapshotDecision SnapshotAdmission::OnRequest(
     const std::optional<HostAddress>& elsewhere) {
   if (under_way_ < most_) {
     if (under_way_ == 0) {
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -22,18 +22,18 @@
 };
 
 TEST_CASE_METHOD(DeskFixture, "As many copies go out as the host bears") {
-  CHECK(IsGiven(desk_.OnAsked(std::nullopt)));
-  CHECK(IsGiven(desk_.OnAsked(kOther)));
-  CHECK_FALSE(IsGiven(desk_.OnAsked(std::nullopt)));
+  CHECK(IsGiven(desk_.OnRequest(std::nullopt)));
+  CHECK(IsGiven(desk_.OnRequest(kOther)));
+  CHECK_FALSE(IsGiven(desk_.OnRequest(std::nullopt)));
   desk_.OnGone();
-  CHECK(IsGiven(desk_.OnAsked(std::nullopt)));
+  CHECK(IsGiven(desk_.OnRequest(std::nullopt)));
 }
 
 TEST_CASE_METHOD(DeskFixture,
                  "Beyond that hosts are sent to one that gives the same") {
-  desk_.OnAsked(std::nullopt);
-  desk_.OnAsked(std::nullopt);
-  const SnapshotDecision decision = desk_.OnAsked(kOther);
+  desk_.OnRequest(std::nullopt);
+  desk_.OnRequest(std::nullopt);
+  const SnapshotDecision decision = desk_.OnRequest(kOther);
   REQUIRE(std::holds_alternative<RedirectToPeer>(decision));
   CHECK(std::get<RedirectToPeer>(decision).host == kOther);
 }
@@ -41,21 +41,21 @@
 TEST_CASE_METHOD(DeskFixture,
                  "Where there is none they are told when their turn comes, one "
                  "after the other") {
-  desk_.OnAsked(std::nullopt);
-  desk_.OnAsked(std::nullopt);
+  desk_.OnRequest(std::nullopt);
+  desk_.OnRequest(std::nullopt);
   now_ += Millis(10);
   desk_.OnGone();
-  desk_.OnAsked(std::nullopt);
-  const auto first = std::get<RetryLater>(desk_.OnAsked(std::nullopt)).after;
-  const auto second = std::get<RetryLater>(desk_.OnAsked(std::nullopt)).after;
+  desk_.OnRequest(std::nullopt);
+  const auto first = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).after;
+  const auto second = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).after;
   CHECK(first < second);
   CHECK(second <= SnapshotAdmission::kLongestAway);
 }
 
 TEST_CASE_METHOD(DeskFixture, "The weakest host gives one copy at a time") {
   SnapshotAdmission desk(CpuShare{0.09}, [this] { return now_; });
-  CHECK(IsGiven(desk.OnAsked(std::nullopt)));
-  CHECK_FALSE(IsGiven(desk.OnAsked(std::nullopt)));
+  CHECK(IsGiven(desk.OnRequest(std::nullopt)));
+  CHECK_FALSE(IsGiven(desk.OnRequest(std::nullopt)));
 }
 
 // A fleet starts at once: one strong host has a copy, and all others ask it.
@@ -130,7 +130,7 @@
                                                        [this] { return now_; });
     }
     const bool knows_others = ask.to == 0 && !givers_.empty();
-    const SnapshotDecision decision = giver.desk->OnAsked(
+    const SnapshotDecision decision = giver.desk->OnRequest(
         knows_others ? std::make_optional(AddressOf(NextGiver()))
                      : std::nullopt);
     most_at_once_ = std::max(most_at_once_, giver.desk->UnderWay());
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -54,7 +54,7 @@
   const auto number = ReadNumber(target.substr(std::string_view(kPath).size()));
   const StoreRevision since{static_cast<std::uint64_t>(
       std::max<std::int64_t>(0, number.value_or(0)))};
-  const SnapshotDecision decision = desk_->OnAsked(Elsewhere());
+  const SnapshotDecision decision = desk_->OnRequest(Elsewhere());
   if (const auto* other = std::get_if<RedirectToPeer>(&decision)) {
     HttpReply reply =
         MakeReply(http_status::kTemporaryRedirect, "text/plain", "");
