--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -36,11 +36,11 @@
   SnapshotAdmission(CpuShare power, MonotonicClock clock);
 
   // A host asks. `elsewhere` is another one that gives the same, if any is
-  // known. Each ServeSnapshot is followed by one OnGone.
+  // known. Each ServeSnapshot is followed by one OnTransferEnded.
   SnapshotDecision OnRequest(const std::optional<HostAddress>& elsewhere);
 
   // A copy has gone out, or its connection broke.
-  void OnGone();
+  void OnTransferEnded();
 
   int UnderWay() const { return under_way_; }
 
--- a/src/core/copy_desk.cc
+++ b/src/core/copy_desk.cc
@@ -41,7 +41,7 @@
   return std::max(FractionalMillis(kLeastRound), busy * most_ / gone_);
 }
 
-void SnapshotAdmission::OnGone() {
+void SnapshotAdmission::OnTransferEnded() {
   --under_way_;
   ++gone_;
 }
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -25,7 +25,7 @@
   CHECK(IsGiven(desk_.OnRequest(std::nullopt)));
   CHECK(IsGiven(desk_.OnRequest(kOther)));
   CHECK_FALSE(IsGiven(desk_.OnRequest(std::nullopt)));
-  desk_.OnGone();
+  desk_.OnTransferEnded();
   CHECK(IsGiven(desk_.OnRequest(std::nullopt)));
 }
 
@@ -44,7 +44,7 @@
   desk_.OnRequest(std::nullopt);
   desk_.OnRequest(std::nullopt);
   now_ += Millis(10);
-  desk_.OnGone();
+  desk_.OnTransferEnded();
   desk_.OnRequest(std::nullopt);
   const auto first = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).after;
   const auto second = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).after;
@@ -115,7 +115,7 @@
 
   void Take(const Ask& ask) {
     if (ask.arrives) {
-      At(ask.to).desk->OnGone();
+      At(ask.to).desk->OnTransferEnded();
       At(ask.from).has_copy = true;
       if (At(ask.from).is_strong) {
         givers_.push_back(ask.from);
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -24,7 +24,7 @@
       : bytes_(std::move(bytes)), desk_(std::move(desk)) {}
   CopyUnderWay(const CopyUnderWay&) = delete;
   CopyUnderWay& operator=(const CopyUnderWay&) = delete;
-  ~CopyUnderWay() { desk_->OnGone(); }
+  ~CopyUnderWay() { desk_->OnTransferEnded(); }
 
   const std::string* Bytes() const { return bytes_.get(); }
 
