--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -42,7 +42,7 @@
   // A copy has gone out, or its connection broke.
   void OnTransferEnded();
 
-  int UnderWay() const { return under_way_; }
+  int ActiveTransfers() const { return under_way_; }
 
   // How many copies go out at a time from a host with a whole core; fewer from
   // weaker hosts.
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -133,9 +133,9 @@
     const SnapshotDecision decision = giver.desk->OnRequest(
         knows_others ? std::make_optional(AddressOf(NextGiver()))
                      : std::nullopt);
-    most_at_once_ = std::max(most_at_once_, giver.desk->UnderWay());
+    most_at_once_ = std::max(most_at_once_, giver.desk->ActiveTransfers());
     if (std::holds_alternative<ServeSnapshot>(decision)) {
-      const Millis takes = kCopy * giver.desk->UnderWay() + kHop;
+      const Millis takes = kCopy * giver.desk->ActiveTransfers() + kHop;
       asks_.push(Ask{now_ + takes, ask.from, ask.to, true});
     } else if (const auto* other = std::get_if<RedirectToPeer>(&decision)) {
       asks_.push(Ask{now_ + kHop, ask.from, std::stoi(other->host.value)});
--- a/src/gateway/copy_server.h
+++ b/src/gateway/copy_server.h
@@ -36,7 +36,7 @@
   SmallReply Answer(std::string_view target);
 
   // Copies that are under way.
-  int UnderWay() const { return desk_->UnderWay(); }
+  int ActiveTransfers() const { return desk_->ActiveTransfers(); }
 
   // Path at which a host gives what the platform has published since the
   // revision that follows it.
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -82,7 +82,7 @@
     return parts.source->HasFreshData() ? 1.0 : 0.0;
   });
   metrics->AddGauge("harecrank_gateway_copies_under_way", [parts] {
-    return static_cast<double>(parts.copies->UnderWay());
+    return static_cast<double>(parts.copies->ActiveTransfers());
   });
   metrics->AddGauge("harecrank_gateway_waiting", [parts] {
     return static_cast<double>(parts.queue->Count());
@@ -132,7 +132,7 @@
            {{"waiting", parts.queue->Count()},
             {"waiting_at_planner", parts.planner->WaitingCount()},
             {"held", parts.quarantine->HeldCount()}}},
-          {"copies_under_way", parts.copies->UnderWay()},
+          {"copies_under_way", parts.copies->ActiveTransfers()},
           {"bounds", parts.start_gate->Describe()}};
 }
 
