--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -24,7 +24,7 @@
   HostAddress host;
 };
 struct RetryLater {
-  Millis after{0};
+  Millis delay{0};
 };
 using SnapshotDecision =
     std::variant<ServeSnapshot, RedirectToPeer, RetryLater>;
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -46,8 +46,8 @@
   now_ += Millis(10);
   desk_.OnTransferEnded();
   desk_.OnRequest(std::nullopt);
-  const auto first = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).after;
-  const auto second = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).after;
+  const auto first = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).delay;
+  const auto second = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).delay;
   CHECK(first < second);
   CHECK(second <= SnapshotAdmission::kLongestAway);
 }
@@ -140,7 +140,7 @@
     } else if (const auto* other = std::get_if<RedirectToPeer>(&decision)) {
       asks_.push(Ask{now_ + kHop, ask.from, std::stoi(other->host.value)});
     } else {
-      asks_.push(Ask{now_ + std::get<RetryLater>(decision).after, ask.from, 0});
+      asks_.push(Ask{now_ + std::get<RetryLater>(decision).delay, ask.from, 0});
     }
   }
 
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -66,7 +66,7 @@
   if (const auto* later = std::get_if<RetryLater>(&decision)) {
     HttpReply reply = MakeReply(http_status::kUnavailable, "text/plain", "");
     reply.set(http::field::retry_after,
-              std::to_string(static_cast<double>(later->after.count()) /
+              std::to_string(static_cast<double>(later->delay.count()) /
                              kMillisOfSecond));
     metrics_->GetCounter("harecrank_gateway_copies_later_total")->Add();
     return SmallReply{std::move(reply), nullptr};
