--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -46,7 +46,7 @@
 
   // How many copies go out at a time from a host with a whole core; fewer from
   // weaker hosts.
-  static constexpr double kAtOnceOfWholeCore = 8;
+  static constexpr double kTransfersPerCore = 8;
   // What it takes to give so many copies, before any has gone out and at the
   // least, and the longest that a host is sent away for.
   static constexpr Millis kUsualRound{40};
--- a/src/core/copy_desk.cc
+++ b/src/core/copy_desk.cc
@@ -7,7 +7,7 @@
 namespace harecrank {
 
 SnapshotAdmission::SnapshotAdmission(CpuShare power, MonotonicClock clock)
-    : most_(std::max(1, static_cast<int>(power.value * kAtOnceOfWholeCore))),
+    : most_(std::max(1, static_cast<int>(power.value * kTransfersPerCore))),
       clock_(std::move(clock)) {}
 
 SnapshotDecision SnapshotAdmission::OnRequest(
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -163,7 +163,7 @@
   CopyFleet fleet(hosts, hosts / 7);
   const Millis took = fleet.Run();
   CHECK(fleet.MostAtOnce() <=
-        static_cast<int>(SnapshotAdmission::kAtOnceOfWholeCore));
+        static_cast<int>(SnapshotAdmission::kTransfersPerCore));
   // One host alone would take eight milliseconds for each.
   CHECK(took.count() <= 1000);
   CHECK(took.count() < 8 * hosts / 2);
