--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -49,7 +49,7 @@
   static constexpr double kTransfersPerCore = 8;
   // What it takes to give so many copies, before any has gone out and at the
   // least, and the longest that a host is sent away for.
-  static constexpr Millis kUsualRound{40};
+  static constexpr Millis kInitialRoundTime{40};
   static constexpr Millis kLeastRound{10};
   static constexpr Millis kLongestAway{800};
 
--- a/src/core/copy_desk.cc
+++ b/src/core/copy_desk.cc
@@ -35,7 +35,7 @@
 
 FractionalMillis SnapshotAdmission::RoundTime() const {
   if (gone_ == 0) {
-    return kUsualRound;
+    return kInitialRoundTime;
   }
   const FractionalMillis busy = clock_() - busy_since_;
   return std::max(FractionalMillis(kLeastRound), busy * most_ / gone_);
