--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -50,7 +50,7 @@
   // What it takes to give so many copies, before any has gone out and at the
   // least, and the longest that a host is sent away for.
   static constexpr Millis kInitialRoundTime{40};
-  static constexpr Millis kLeastRound{10};
+  static constexpr Millis kMinRoundTime{10};
   static constexpr Millis kLongestAway{800};
 
  private:
--- a/src/core/copy_desk.cc
+++ b/src/core/copy_desk.cc
@@ -38,7 +38,7 @@
     return kInitialRoundTime;
   }
   const FractionalMillis busy = clock_() - busy_since_;
-  return std::max(FractionalMillis(kLeastRound), busy * most_ / gone_);
+  return std::max(FractionalMillis(kMinRoundTime), busy * most_ / gone_);
 }
 
 void SnapshotAdmission::OnTransferEnded() {
