--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/copy_desk.h
@@ -51,7 +51,7 @@
   // least, and the longest that a host is sent away for.
   static constexpr Millis kInitialRoundTime{40};
   static constexpr Millis kMinRoundTime{10};
-  static constexpr Millis kLongestAway{800};
+  static constexpr Millis kMaxRetryDelay{800};
 
  private:
   // Returns what it takes to give as many copies as go out at a time.
--- a/src/core/copy_desk.cc
+++ b/src/core/copy_desk.cc
@@ -30,7 +30,7 @@
   const double rounds =
       1 + std::log2(1 + static_cast<double>(sent_away_) / most_);
   const auto away = std::chrono::duration_cast<Millis>(rounds * RoundTime());
-  return RetryLater{std::min(kLongestAway, away)};
+  return RetryLater{std::min(kMaxRetryDelay, away)};
 }
 
 FractionalMillis SnapshotAdmission::RoundTime() const {
--- a/src/core/copy_desk_test.cc
+++ b/src/core/copy_desk_test.cc
@@ -49,7 +49,7 @@
   const auto first = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).delay;
   const auto second = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).delay;
   CHECK(first < second);
-  CHECK(second <= SnapshotAdmission::kLongestAway);
+  CHECK(second <= SnapshotAdmission::kMaxRetryDelay);
 }
 
 TEST_CASE_METHOD(DeskFixture, "The weakest host gives one copy at a time") {
