--- a/include/harecrank/core/dissemination.h
+++ b/include/harecrank/core/dissemination.h
@@ -32,7 +32,7 @@
                     const DataCentreId& data_centre);
 
   // Returns whether this node should watch the configuration service.
-  bool IsReader() const { return is_reader_; }
+  bool IsWatcher() const { return is_reader_; }
 
   // Returns the nodes that this node pushes a new revision to.
   const std::vector<NodeAddress>& Children() const { return children_; }
--- a/src/core/dissemination_test.cc
+++ b/src/core/dissemination_test.cc
@@ -32,7 +32,7 @@
                      DisseminationPlan(nodes, node.id, node.data_centre))
             .first->second;
     CHECK(plan.Children().size() <= DisseminationPlan::kFanOut);
-    if (plan.IsReader()) {
+    if (plan.IsWatcher()) {
       readers.push_back(node.id.value);
     }
   }
@@ -81,7 +81,7 @@
 
 TEST_CASE("A node alone has nobody to ask") {
   const DisseminationPlan plan({}, NodeId{"n0"}, DataCentreId{"dc0"});
-  CHECK(plan.IsReader());
+  CHECK(plan.IsWatcher());
   CHECK(plan.PickPeer([] { return std::uint64_t{0}; }) == nullptr);
 }
 
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -132,7 +132,7 @@
     if (plan == nullptr) {
       ReadDocument();
       Sleep(Jittered(std::max(service_backoff_, kFirstBackoff)));
-    } else if (plan->IsReader()) {
+    } else if (plan->IsWatcher()) {
       WatchOnce();
       Sleep(Jittered(service_backoff_));
     } else {
@@ -269,7 +269,7 @@
     return;
   }
   const auto plan = Plan();
-  if (plan == nullptr || !plan->IsReader()) {
+  if (plan == nullptr || !plan->IsWatcher()) {
     return;
   }
   leaf::try_handle_all(
