--- a/include/harecrank/core/dissemination.h
+++ b/include/harecrank/core/dissemination.h
@@ -47,7 +47,7 @@
 
   std::size_t NodeCount() const { return local_.size() + remote_.size() + 1; }
 
-  static constexpr std::size_t kReaders = 3;
+  static constexpr std::size_t kWatchers = 3;
   static constexpr std::size_t kFanOut = 4;
 
  private:
--- a/src/core/dissemination.cc
+++ b/src/core/dissemination.cc
@@ -39,8 +39,8 @@
                                    std::move(ids), count);
   const auto place = std::find(order.begin(), order.end(), self.value);
   const auto index = static_cast<std::size_t>(place - order.begin());
-  is_reader_ = index < kReaders;
-  const std::size_t first = kReaders + index * kFanOut;
+  is_reader_ = index < kWatchers;
+  const std::size_t first = kWatchers + index * kFanOut;
   for (std::size_t i = first; i < first + kFanOut && i < order.size(); ++i) {
     children_.push_back(by_id.at(order[i]));
   }
--- a/src/core/dissemination_test.cc
+++ b/src/core/dissemination_test.cc
@@ -36,7 +36,7 @@
       readers.push_back(node.id.value);
     }
   }
-  CHECK(readers.size() == DisseminationPlan::kReaders);
+  CHECK(readers.size() == DisseminationPlan::kWatchers);
   std::set<std::string> reached(readers.begin(), readers.end());
   std::vector<std::string> level = readers;
   int depth = 0;
