--- a/include/harecrank/core/dissemination.h
+++ b/include/harecrank/core/dissemination.h
@@ -43,7 +43,7 @@
 
   // Returns how often a node that is no reader should look at the service
   // itself, so that all such looks together stay within a fixed rate.
-  Millis FallbackInterval() const;
+  Millis FallbackPollInterval() const;
 
   std::size_t NodeCount() const { return local_.size() + remote_.size() + 1; }
 
--- a/src/core/dissemination.cc
+++ b/src/core/dissemination.cc
@@ -58,7 +58,7 @@
   return &pool[random() % pool.size()];
 }
 
-Millis DisseminationPlan::FallbackInterval() const {
+Millis DisseminationPlan::FallbackPollInterval() const {
   const auto nodes = static_cast<std::int64_t>(NodeCount());
   const Millis fair{nodes * kMillisPerSecond / kFallbackLooksPerSecond};
   return std::max(fair, kLeastFallback);
--- a/src/core/dissemination_test.cc
+++ b/src/core/dissemination_test.cc
@@ -60,7 +60,8 @@
   const auto nodes = MakeNodes(4510, 14);
   const DisseminationPlan plan(nodes, NodeId{"n5"}, DataCentreId{"dc5"});
   const double looks_per_second =
-      4510.0 * 1000.0 / static_cast<double>(plan.FallbackInterval().count());
+      4510.0 * 1000.0 /
+      static_cast<double>(plan.FallbackPollInterval().count());
   INFO("all nodes together look " << looks_per_second << " times a second");
   CHECK(looks_per_second <= 51);
 }
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -229,7 +229,7 @@
 
 void ConfigFeed::LookOnce() {
   const auto plan = Plan();
-  if (!WaitToLook(Jittered(plan->FallbackInterval()))) {
+  if (!WaitToLook(Jittered(plan->FallbackPollInterval()))) {
     return;
   }
   service_calls_->Add();
