--- a/include/harecrank/core/host_book.h
+++ b/include/harecrank/core/membership.h
@@ -5,8 +5,8 @@
 // rank that seems to be alive. Hosts that see different memberships for a while
 // follow different planners, place worse for that time and break nothing.
 
-#ifndef HARECRANK_CORE_HOST_BOOK_H_
-#define HARECRANK_CORE_HOST_BOOK_H_
+#ifndef HARECRANK_CORE_MEMBERSHIP_H_
+#define HARECRANK_CORE_MEMBERSHIP_H_
 
 #include <map>
 #include <optional>
@@ -198,4 +198,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_HOST_BOOK_H_
+#endif  // HARECRANK_CORE_MEMBERSHIP_H_
--- a/src/core/host_book_property_test.cc
+++ b/src/core/membership_property_test.cc
@@ -8,7 +8,7 @@
 #include <set>
 #include <string>
 
-#include "harecrank/core/host_book.h"
+#include "harecrank/core/membership.h"
 #include "harecrank/core/rendezvous.h"
 
 namespace harecrank {
--- a/src/core/host_book_test.cc
+++ b/src/core/membership_test.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/host_book.h"
+#include "harecrank/core/membership.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
--- a/src/gateway/copy_server.h
+++ b/src/gateway/copy_server.h
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "harecrank/core/copy_desk.h"
-#include "harecrank/core/host_book.h"
+#include "harecrank/core/membership.h"
 #include "src/adapters/metrics.h"
 #include "src/gateway/small_server.h"
 
--- a/src/gateway/crash_relay.h
+++ b/src/gateway/crash_relay.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <vector>
 
-#include "harecrank/core/host_book.h"
+#include "harecrank/core/membership.h"
 #include "src/gateway/fleet_socket.h"
 
 namespace harecrank {
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "harecrank/core/endpoint_health.h"
-#include "harecrank/core/host_book.h"
+#include "harecrank/core/membership.h"
 #include "harecrank/core/planner.h"
 #include "harecrank/core/reading_duty.h"
 #include "src/adapters/event_log.h"
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "harecrank/core/host_book.h"
+#include "harecrank/core/membership.h"
 #include "harecrank/core/planner.h"
 #include "harecrank/core/request_quarantine.h"
 #include "src/gateway/caller_listener.h"
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "harecrank/core/host_book.h"
+#include "harecrank/core/membership.h"
 #include "src/adapters/event_log.h"
 #include "src/gateway/fleet_socket.h"
 #include "src/gateway/http_client.h"
