--- a/include/harecrank/core/host_states.h
+++ b/include/harecrank/core/host_list_cache.h
@@ -1,7 +1,7 @@
 // What the platform's host list says, as far as routing needs it.
 
-#ifndef HARECRANK_CORE_HOST_STATES_H_
-#define HARECRANK_CORE_HOST_STATES_H_
+#ifndef HARECRANK_CORE_HOST_LIST_CACHE_H_
+#define HARECRANK_CORE_HOST_LIST_CACHE_H_
 
 #include <cstdint>
 #include <memory>
@@ -41,4 +41,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_HOST_STATES_H_
+#endif  // HARECRANK_CORE_HOST_LIST_CACHE_H_
--- a/src/core/host_states.cc
+++ b/src/core/host_list_cache.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/host_states.h"
+#include "harecrank/core/host_list_cache.h"
 
 #include <utility>
 
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -15,7 +15,7 @@
 
 #include "harecrank/core/active_config.h"
 #include "harecrank/core/dissemination.h"
-#include "harecrank/core/host_states.h"
+#include "harecrank/core/host_list_cache.h"
 #include "src/adapters/logging.h"
 #include "src/adapters/metrics.h"
 #include "src/adapters/settings.h"
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "harecrank/core/active_config.h"
-#include "harecrank/core/host_states.h"
+#include "harecrank/core/host_list_cache.h"
 #include "src/adapters/http.h"
 #include "src/adapters/metrics.h"
 #include "src/adapters/settings.h"
--- a/src/node/platform.h
+++ b/src/node/platform.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <variant>
 
-#include "harecrank/core/host_states.h"
+#include "harecrank/core/host_list_cache.h"
 #include "harecrank/core/strong_types.h"
 
 namespace harecrank {
