--- a/include/harecrank/core/reading_duty.h
+++ b/include/harecrank/core/poll_schedule.h
@@ -18,8 +18,8 @@
 // on another host for long. A host that hears no other shares the turns with
 // nobody, and reads at kStandbyPollAge.
 
-#ifndef HARECRANK_CORE_READING_DUTY_H_
-#define HARECRANK_CORE_READING_DUTY_H_
+#ifndef HARECRANK_CORE_POLL_SCHEDULE_H_
+#define HARECRANK_CORE_POLL_SCHEDULE_H_
 
 #include <functional>
 #include <optional>
@@ -170,4 +170,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_READING_DUTY_H_
+#endif  // HARECRANK_CORE_POLL_SCHEDULE_H_
--- a/src/core/reading_duty.cc
+++ b/src/core/poll_schedule.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/reading_duty.h"
+#include "harecrank/core/poll_schedule.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/reading_fleet_test.cc
+++ b/src/core/reading_fleet_test.cc
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "harecrank/core/reading_duty.h"
+#include "harecrank/core/poll_schedule.h"
 
 namespace harecrank {
 namespace {
--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "harecrank/core/endpoint_directory.h"
-#include "harecrank/core/reading_duty.h"
+#include "harecrank/core/poll_schedule.h"
 #include "harecrank/core/routing_table.h"
 
 namespace harecrank {
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -15,7 +15,7 @@
 #include "harecrank/core/endpoint_health.h"
 #include "harecrank/core/membership.h"
 #include "harecrank/core/planner.h"
-#include "harecrank/core/reading_duty.h"
+#include "harecrank/core/poll_schedule.h"
 #include "src/adapters/event_log.h"
 #include "src/adapters/metrics.h"
 #include "src/gateway/crash_relay.h"
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "harecrank/core/endpoint_directory.h"
-#include "harecrank/core/reading_duty.h"
+#include "harecrank/core/poll_schedule.h"
 #include "src/adapters/event_log.h"
 
 namespace harecrank {
