--- a/include/harecrank/core/copy_desk.h
+++ b/include/harecrank/core/snapshot_admission.h
@@ -6,8 +6,8 @@
 // sent on to a host that was given one already, so that their number doubles
 // with each round, and otherwise told when its turn will be.
 
-#ifndef HARECRANK_CORE_COPY_DESK_H_
-#define HARECRANK_CORE_COPY_DESK_H_
+#ifndef HARECRANK_CORE_SNAPSHOT_ADMISSION_H_
+#define HARECRANK_CORE_SNAPSHOT_ADMISSION_H_
 
 #include <optional>
 #include <variant>
@@ -69,4 +69,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_COPY_DESK_H_
+#endif  // HARECRANK_CORE_SNAPSHOT_ADMISSION_H_
--- a/src/core/copy_desk.cc
+++ b/src/core/snapshot_admission.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/copy_desk.h"
+#include "harecrank/core/snapshot_admission.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/gateway/copy_server.h
+++ b/src/gateway/copy_server.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <string_view>
 
-#include "harecrank/core/copy_desk.h"
 #include "harecrank/core/membership.h"
+#include "harecrank/core/snapshot_admission.h"
 #include "src/adapters/metrics.h"
 #include "src/gateway/small_server.h"
 
