--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -150,7 +150,7 @@
   ShareClaim ShareClaimOf(const PlacementRequest& request) const;
   ShareTurn TurnOf(const Entry& entry,
                    const std::optional<PlacementRequest>& request);
-  WaitingRoom& RoomOf(const Entry& entry) {
+  WaitQueue& RoomOf(const Entry& entry) {
     return entry.is_short ? short_room_ : room_;
   }
   bool WaitsInVain(const PlacementQuery& ask,
@@ -167,7 +167,7 @@
                                                 const PlacementRequest& request,
                                                 ShareTurn turn);
   // Whether one that waits in `room` after `ahead` may take a place now.
-  bool MayStart(const Entry& entry, const WaitingRoom& room,
+  bool MayStart(const Entry& entry, const WaitQueue& room,
                 const WorkAhead& ahead) const;
   // Returns the answer to one that waits after `ahead`, if it should no longer.
   std::optional<PlacementDecision> EndOfWait(const Entry& entry,
@@ -175,7 +175,7 @@
   // Whether a short prompt has waited for as long as is of use, where no room
   // is foreseen.
   bool HasWaitedEnough(const Entry& entry) const;
-  void TryRoom(WaitingRoom* room, std::size_t tried,
+  void TryRoom(WaitQueue* room, std::size_t tried,
                std::vector<DeferredReply>* due);
   void Adopt(Host* host, const QueryWork& work);
   void DropEntry(Entry* entry);
@@ -193,8 +193,8 @@
   Placer placer_;
   RoomDecision decision_;
   // Of long prompts and of short ones.
-  WaitingRoom room_;
-  WaitingRoom short_room_;
+  WaitQueue room_;
+  WaitQueue short_room_;
   std::map<WaiterId, AskKey> waiting_;
   std::map<WaiterId, AskKey> short_waiting_;
   struct Demand {
--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -64,10 +64,10 @@
 // before the others, and among their like the quickest first. With shares by
 // account, among either of them those of accounts that have had their share go
 // last. Not thread-safe.
-class WaitingRoom {
+class WaitQueue {
  public:
-  explicit WaitingRoom(MonotonicClock clock, WaitingOrder order = {},
-                       bool shares_by_account = false);
+  explicit WaitQueue(MonotonicClock clock, WaitingOrder order = {},
+                     bool shares_by_account = false);
 
   WaiterId Add(const Waiter& waiter);
   void Remove(WaiterId id);
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -47,7 +47,7 @@
     const Entry& entry, const PlacementRequest& request, ShareTurn turn) {
   if (entry.is_foreseen) {
     const RoomSeeker seeker = SeekerOf(entry, request);
-    const WaitingRoom& room = entry.is_short ? short_room_ : room_;
+    const WaitQueue& room = entry.is_short ? short_room_ : room_;
     return decision_.RefusalOf(
         seeker,
         WorkAhead{room.WorkInTime(), room.LateWork(), room.LeastLateWork()});
@@ -71,7 +71,7 @@
   return AsDecision(decision_.RefusalOf(SeekerOf(entry, *request), ahead));
 }
 
-bool Planner::MayStart(const Entry& entry, const WaitingRoom& room,
+bool Planner::MayStart(const Entry& entry, const WaitQueue& room,
                        const WorkAhead& ahead) const {
   const PromptKind kind =
       entry.is_short ? PromptKind::kShort : PromptKind::kLong;
@@ -165,7 +165,7 @@
   return due;
 }
 
-void Planner::TryRoom(WaitingRoom* room, std::size_t tried,
+void Planner::TryRoom(WaitQueue* room, std::size_t tried,
                       std::vector<DeferredReply>* due) {
   const bool is_short = room == &short_room_;
   decision_.OnWaiting(is_short ? PromptKind::kShort : PromptKind::kLong,
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -60,15 +60,15 @@
   return (waiter.was_promised ? kLate : kLateStranger) + waiter.service;
 }
 
-WaitingRoom::WaitingRoom(MonotonicClock clock, WaitingOrder order,
-                         bool shares_by_account)
+WaitQueue::WaitQueue(MonotonicClock clock, WaitingOrder order,
+                     bool shares_by_account)
     : clock_(std::move(clock)), order_(order) {
   if (shares_by_account) {
     shares_.emplace(clock_);
   }
 }
 
-WaiterId WaitingRoom::Add(const Waiter& waiter) {
+WaiterId WaitQueue::Add(const Waiter& waiter) {
   const WaiterId id{next_id_++};
   waiters_.emplace(id, waiter);
   if (shares_.has_value()) {
@@ -77,7 +77,7 @@
   return id;
 }
 
-void WaitingRoom::Remove(WaiterId id) {
+void WaitQueue::Remove(WaiterId id) {
   const auto found = waiters_.find(id);
   if (found == waiters_.end()) {
     return;
@@ -88,31 +88,31 @@
   waiters_.erase(found);
 }
 
-void WaitingRoom::OnGiven(const ShareClaim& claim) {
+void WaitQueue::OnGiven(const ShareClaim& claim) {
   if (shares_.has_value()) {
     shares_->OnGiven(claim);
   }
 }
 
-ShareTurn WaitingRoom::TurnOf(const ShareClaim& claim) const {
+ShareTurn WaitQueue::TurnOf(const ShareClaim& claim) const {
   return shares_.has_value() ? shares_->TurnOf(claim) : ShareTurn::kEven;
 }
 
-std::size_t WaitingRoom::WaitingAccounts() const {
+std::size_t WaitQueue::WaitingAccounts() const {
   return shares_.has_value() ? shares_->WaitingAccounts() : 0;
 }
 
-std::size_t WaitingRoom::OverShareAccounts() const {
+std::size_t WaitQueue::OverShareAccounts() const {
   return shares_.has_value() ? shares_->Sated().size() : 0;
 }
 
-void WaitingRoom::ForgetGiven() {
+void WaitQueue::ForgetGiven() {
   if (shares_.has_value()) {
     shares_->ForgetGiven();
   }
 }
 
-std::vector<WaiterId> WaitingRoom::InOrder(std::size_t most) const {
+std::vector<WaiterId> WaitQueue::InOrder(std::size_t most) const {
   using Key = std::tuple<Rank, SortKey, WaiterId>;
   const TimePoint now = clock_();
   const std::set<AccountId> sated =
@@ -142,7 +142,7 @@
   return order;
 }
 
-FractionalMillis WaitingRoom::WorkOf(bool in_time) const {
+FractionalMillis WaitQueue::WorkOf(bool in_time) const {
   const TimePoint now = clock_();
   FractionalMillis sum(0);
   for (const auto& [id, waiter] : waiters_) {
@@ -153,11 +153,11 @@
   return sum;
 }
 
-FractionalMillis WaitingRoom::WorkInTime() const { return WorkOf(true); }
+FractionalMillis WaitQueue::WorkInTime() const { return WorkOf(true); }
 
-FractionalMillis WaitingRoom::LateWork() const { return WorkOf(false); }
+FractionalMillis WaitQueue::LateWork() const { return WorkOf(false); }
 
-std::optional<FractionalMillis> WaitingRoom::LeastLateWork() const {
+std::optional<FractionalMillis> WaitQueue::LeastLateWork() const {
   const TimePoint now = clock_();
   std::optional<FractionalMillis> least;
   for (const auto& [id, waiter] : waiters_) {
@@ -168,7 +168,7 @@
   return least;
 }
 
-std::optional<Urgency> WaitingRoom::MostUrgent() const {
+std::optional<Urgency> WaitQueue::MostUrgent() const {
   const std::vector<WaiterId> first = InOrder(1);
   if (first.empty()) {
     return std::nullopt;
--- a/src/core/waiting_room_test.cc
+++ b/src/core/waiting_room_test.cc
@@ -11,7 +11,7 @@
     "Requests with little time to spare go first, and those that are "
     "late after all others, the quickest first") {
   TimePoint now{std::chrono::hours(1)};
-  WaitingRoom room([&now] { return now; });
+  WaitQueue room([&now] { return now; });
   const FractionalMillis quick(50);
   const FractionalMillis slow(500);
   const WaiterId late_slow = room.Add({now - Millis(1), slow, kWork});
@@ -28,7 +28,7 @@
 
 TEST_CASE("The least late work is that of requests that cannot be in time") {
   TimePoint now{std::chrono::hours(1)};
-  WaitingRoom room([&now] { return now; });
+  WaitQueue room([&now] { return now; });
   room.Add({now + Millis(1000), FractionalMillis(50), FractionalMillis(500)});
   CHECK_FALSE(room.LeastLateWork().has_value());
   room.Add({now + Millis(100), FractionalMillis(200), FractionalMillis(3000)});
@@ -39,7 +39,7 @@
 }
 
 TEST_CASE("An empty waiting room has nothing urgent") {
-  const WaitingRoom room([] { return TimePoint{}; });
+  const WaitQueue room([] { return TimePoint{}; });
   CHECK_FALSE(room.MostUrgent().has_value());
 }
 
@@ -48,7 +48,7 @@
   TimePoint now{std::chrono::hours(1)};
   const FractionalMillis quick(50);
   const auto order_of = [&now, quick](WaitingOrder order) {
-    WaitingRoom room([&now] { return now; }, order);
+    WaitQueue room([&now] { return now; }, order);
     const Waiter old_small{now + Millis(100), quick, FractionalMillis(900)};
     const Waiter new_large{now + Millis(900), quick, FractionalMillis(4000)};
     const Waiter late{now - Millis(1), quick, FractionalMillis(10)};
@@ -66,7 +66,7 @@
 
 TEST_CASE("Of prompts of the same work the one with less to spare goes first") {
   TimePoint now{std::chrono::hours(1)};
-  WaitingRoom room([&now] { return now; }, LeastWorkFirst{});
+  WaitQueue room([&now] { return now; }, LeastWorkFirst{});
   const FractionalMillis quick(50);
   room.Add({now + Millis(900), quick, kWork});
   const WaiterId pressed = room.Add({now + Millis(300), quick, kWork});
@@ -79,7 +79,7 @@
   TimePoint now{std::chrono::hours(1)};
   const FractionalMillis quick(50);
   const auto order_of = [&now, quick](bool shares) {
-    WaitingRoom room([&now] { return now; }, LeastSpareFirst{}, shares);
+    WaitQueue room([&now] { return now; }, LeastSpareFirst{}, shares);
     const auto claim = [](const char* account) {
       return ShareClaim{AccountId{account}, kWork, 0};
     };
@@ -105,7 +105,7 @@
 }
 
 TEST_CASE("With shares, one that leaves the room no longer counts") {
-  WaitingRoom room([] { return TimePoint{}; }, LeastSpareFirst{}, true);
+  WaitQueue room([] { return TimePoint{}; }, LeastSpareFirst{}, true);
   const ShareClaim large{AccountId{"large"}, kWork, 0};
   const ShareClaim small{AccountId{"small"}, kWork, 0};
   room.OnGiven(large);
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -56,7 +56,7 @@
   void Pump();
   void Schedule(Millis pause);
 
-  WaitingRoom room_;
+  WaitQueue room_;
   std::size_t tried_;
   std::map<WaiterId, Start> starts_;
   Timer timer_;
