--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -118,7 +118,7 @@
     TimePoint ends_at{};
     TimePoint asked_at{};
     TimePoint placed_at{};
-    std::optional<WaiterId> waiter;
+    std::optional<WaitingRequestId> waiter;
     bool is_short = false;
     // Whether room is foreseen for it.
     bool is_foreseen = false;
@@ -195,8 +195,8 @@
   // Of long prompts and of short ones.
   WaitQueue room_;
   WaitQueue short_room_;
-  std::map<WaiterId, AskKey> waiting_;
-  std::map<WaiterId, AskKey> short_waiting_;
+  std::map<WaitingRequestId, AskKey> waiting_;
+  std::map<WaitingRequestId, AskKey> short_waiting_;
   struct Demand {
     TimePoint at;
     FractionalMillis prefill_time{0};
--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -21,7 +21,7 @@
 using Urgency = FractionalMillis;
 
 // Names one request that waits.
-using WaiterId = StrongNumber<struct WaiterTag, std::uint64_t>;
+using WaitingRequestId = StrongNumber<struct WaiterTag, std::uint64_t>;
 
 // What the order depends on.
 struct Waiter {
@@ -69,8 +69,8 @@
   explicit WaitQueue(MonotonicClock clock, WaitingOrder order = {},
                      bool shares_by_account = false);
 
-  WaiterId Add(const Waiter& waiter);
-  void Remove(WaiterId id);
+  WaitingRequestId Add(const Waiter& waiter);
+  void Remove(WaitingRequestId id);
 
   // Engines have been given to a request, whether it waited or not.
   void OnGiven(const ShareClaim& claim);
@@ -87,10 +87,10 @@
   void ForgetGiven();
 
   // Returns at most `most` of those that wait, first to last.
-  std::vector<WaiterId> InOrder(std::size_t most) const;
+  std::vector<WaitingRequestId> InOrder(std::size_t most) const;
 
   // `id` must wait.
-  const Waiter& Find(WaiterId id) const { return waiters_.at(id); }
+  const Waiter& Find(WaitingRequestId id) const { return waiters_.at(id); }
 
   // Returns the work of all that can still be in time, and of all others.
   FractionalMillis WorkInTime() const;
@@ -114,7 +114,7 @@
   // Absent: accounts are not told apart.
   std::optional<AccountShares> shares_;
   std::uint64_t next_id_ = 1;
-  std::map<WaiterId, Waiter> waiters_;
+  std::map<WaitingRequestId, Waiter> waiters_;
 };
 
 }  // namespace harecrank
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -172,7 +172,7 @@
                       !room->IsEmpty());
   std::size_t failed = 0;
   WorkAhead ahead;
-  for (const WaiterId id : room->InOrder(room->Count())) {
+  for (const WaitingRequestId id : room->InOrder(room->Count())) {
     const AskKey key = (is_short ? short_waiting_ : waiting_).at(id);
     Host& host = hosts_.at(key.host);
     Entry& entry = host.asks.at(key.id);
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -68,8 +68,8 @@
   }
 }
 
-WaiterId WaitQueue::Add(const Waiter& waiter) {
-  const WaiterId id{next_id_++};
+WaitingRequestId WaitQueue::Add(const Waiter& waiter) {
+  const WaitingRequestId id{next_id_++};
   waiters_.emplace(id, waiter);
   if (shares_.has_value()) {
     shares_->OnWaits(waiter.claim);
@@ -77,7 +77,7 @@
   return id;
 }
 
-void WaitQueue::Remove(WaiterId id) {
+void WaitQueue::Remove(WaitingRequestId id) {
   const auto found = waiters_.find(id);
   if (found == waiters_.end()) {
     return;
@@ -112,8 +112,8 @@
   }
 }
 
-std::vector<WaiterId> WaitQueue::InOrder(std::size_t most) const {
-  using Key = std::tuple<Rank, SortKey, WaiterId>;
+std::vector<WaitingRequestId> WaitQueue::InOrder(std::size_t most) const {
+  using Key = std::tuple<Rank, SortKey, WaitingRequestId>;
   const TimePoint now = clock_();
   const std::set<AccountId> sated =
       shares_.has_value() ? shares_->Sated() : std::set<AccountId>();
@@ -134,10 +134,10 @@
   }
   std::sort(keys.begin(), keys.end());
   keys.resize(std::min(most, keys.size()));
-  std::vector<WaiterId> order;
+  std::vector<WaitingRequestId> order;
   order.reserve(keys.size());
   for (const Key& key : keys) {
-    order.push_back(std::get<WaiterId>(key));
+    order.push_back(std::get<WaitingRequestId>(key));
   }
   return order;
 }
@@ -169,7 +169,7 @@
 }
 
 std::optional<Urgency> WaitQueue::MostUrgent() const {
-  const std::vector<WaiterId> first = InOrder(1);
+  const std::vector<WaitingRequestId> first = InOrder(1);
   if (first.empty()) {
     return std::nullopt;
   }
--- a/src/core/waiting_room_test.cc
+++ b/src/core/waiting_room_test.cc
@@ -14,16 +14,16 @@
   WaitQueue room([&now] { return now; });
   const FractionalMillis quick(50);
   const FractionalMillis slow(500);
-  const WaiterId late_slow = room.Add({now - Millis(1), slow, kWork});
-  const WaiterId late_quick = room.Add({now - Millis(9), quick, kWork});
-  const WaiterId relaxed = room.Add({now + Millis(3000), slow, kWork});
-  const WaiterId pressed = room.Add({now + Millis(700), slow, kWork});
-  const std::vector<WaiterId> order = room.InOrder(9);
+  const WaitingRequestId late_slow = room.Add({now - Millis(1), slow, kWork});
+  const WaitingRequestId late_quick = room.Add({now - Millis(9), quick, kWork});
+  const WaitingRequestId relaxed = room.Add({now + Millis(3000), slow, kWork});
+  const WaitingRequestId pressed = room.Add({now + Millis(700), slow, kWork});
+  const std::vector<WaitingRequestId> order = room.InOrder(9);
   CHECK(order ==
-        std::vector<WaiterId>{pressed, relaxed, late_quick, late_slow});
+        std::vector<WaitingRequestId>{pressed, relaxed, late_quick, late_slow});
   CHECK(room.MostUrgent() == Urgency(200));
   room.Remove(pressed);
-  CHECK(room.InOrder(1) == std::vector<WaiterId>{relaxed});
+  CHECK(room.InOrder(1) == std::vector<WaitingRequestId>{relaxed});
 }
 
 TEST_CASE("The least late work is that of requests that cannot be in time") {
@@ -52,10 +52,10 @@
     const Waiter old_small{now + Millis(100), quick, FractionalMillis(900)};
     const Waiter new_large{now + Millis(900), quick, FractionalMillis(4000)};
     const Waiter late{now - Millis(1), quick, FractionalMillis(10)};
-    const WaiterId large = room.Add(new_large);
+    const WaitingRequestId large = room.Add(new_large);
     room.Add(late);
-    const WaiterId small = room.Add(old_small);
-    const std::vector<WaiterId> ids = room.InOrder(3);
+    const WaitingRequestId small = room.Add(old_small);
+    const std::vector<WaitingRequestId> ids = room.InOrder(3);
     return std::make_pair(ids[0] == small && ids[1] == large,
                           ids[0] == large && ids[1] == small);
   };
@@ -69,8 +69,8 @@
   WaitQueue room([&now] { return now; }, LeastWorkFirst{});
   const FractionalMillis quick(50);
   room.Add({now + Millis(900), quick, kWork});
-  const WaiterId pressed = room.Add({now + Millis(300), quick, kWork});
-  CHECK(room.InOrder(1) == std::vector<WaiterId>{pressed});
+  const WaitingRequestId pressed = room.Add({now + Millis(300), quick, kWork});
+  CHECK(room.InOrder(1) == std::vector<WaitingRequestId>{pressed});
 }
 
 TEST_CASE(
@@ -86,19 +86,23 @@
     room.OnGiven(claim("large"));
     room.OnGiven(claim("large"));
     const TimePoint soon = now + Millis(100);
-    const WaiterId sated =
+    const WaitingRequestId sated =
         room.Add({soon, quick, kWork, false, TimePoint::max(), claim("large")});
-    const WaiterId next = room.Add({soon + Millis(50), quick, kWork, false,
-                                    TimePoint::max(), claim("large")});
-    const WaiterId owed = room.Add({now + Millis(900), quick, kWork, false,
-                                    TimePoint::max(), claim("small")});
-    const WaiterId late = room.Add({now - Millis(1), quick, kWork, false,
-                                    TimePoint::max(), claim("small")});
-    const std::vector<WaiterId> order = room.InOrder(4);
-    if (order == std::vector<WaiterId>{owed, sated, next, late}) {
+    const WaitingRequestId next =
+        room.Add({soon + Millis(50), quick, kWork, false, TimePoint::max(),
+                  claim("large")});
+    const WaitingRequestId owed =
+        room.Add({now + Millis(900), quick, kWork, false, TimePoint::max(),
+                  claim("small")});
+    const WaitingRequestId late =
+        room.Add({now - Millis(1), quick, kWork, false, TimePoint::max(),
+                  claim("small")});
+    const std::vector<WaitingRequestId> order = room.InOrder(4);
+    if (order == std::vector<WaitingRequestId>{owed, sated, next, late}) {
       return 1;
     }
-    return order == std::vector<WaiterId>{sated, next, owed, late} ? 0 : -1;
+    return order == std::vector<WaitingRequestId>{sated, next, owed, late} ? 0
+                                                                           : -1;
   };
   CHECK(order_of(true) == 1);
   CHECK(order_of(false) == 0);
@@ -109,7 +113,7 @@
   const ShareClaim large{AccountId{"large"}, kWork, 0};
   const ShareClaim small{AccountId{"small"}, kWork, 0};
   room.OnGiven(large);
-  const WaiterId id =
+  const WaitingRequestId id =
       room.Add({TimePoint{}, kWork, kWork, false, TimePoint::max(), small});
   CHECK(room.TurnOf(large) == ShareTurn::kAfter);
   room.Remove(id);
--- a/src/gateway/dispatch_queue.cc
+++ b/src/gateway/dispatch_queue.cc
@@ -11,14 +11,14 @@
       timer_(*io),
       clock_(std::move(clock)) {}
 
-WaiterId DispatchQueue::Add(const Waiter& waiter, Start start) {
-  const WaiterId id = room_.Add(waiter);
+WaitingRequestId DispatchQueue::Add(const Waiter& waiter, Start start) {
+  const WaitingRequestId id = room_.Add(waiter);
   starts_.emplace(id, std::move(start));
   PumpSoon();
   return id;
 }
 
-void DispatchQueue::Remove(WaiterId id) {
+void DispatchQueue::Remove(WaitingRequestId id) {
   room_.Remove(id);
   starts_.erase(id);
 }
@@ -30,7 +30,7 @@
 }
 
 void DispatchQueue::Pump() {
-  for (const WaiterId id : room_.InOrder(tried_)) {
+  for (const WaitingRequestId id : room_.InOrder(tried_)) {
     const auto found = starts_.find(id);
     if (found == starts_.end()) {
       continue;
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -30,8 +30,8 @@
 
   // `start` may be called until the waiter has been removed, also from within
   // Pump. A waiter whose `start` returns true is removed.
-  WaiterId Add(const Waiter& waiter, Start start);
-  void Remove(WaiterId id);
+  WaitingRequestId Add(const Waiter& waiter, Start start);
+  void Remove(WaitingRequestId id);
 
   // Tries those that wait, soon. Called when an engine may have opened.
   void PumpSoon();
@@ -58,7 +58,7 @@
 
   WaitQueue room_;
   std::size_t tried_;
-  std::map<WaiterId, Start> starts_;
+  std::map<WaitingRequestId, Start> starts_;
   Timer timer_;
   // When the next try is due; the clock's end while none is.
   TimePoint due_ = TimePoint::max();
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -183,7 +183,7 @@
   // The place that was asked for, while it is waited for or used.
   std::optional<QueryId> ask_;
   bool waits_at_planner_ = false;
-  std::optional<WaiterId> waiter_;
+  std::optional<WaitingRequestId> waiter_;
   TimePoint waits_since_{};
   int placements_ = 0;
   int unusable_places_ = 0;
