--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -21,7 +21,7 @@
 using Urgency = FractionalMillis;
 
 // Names one request that waits.
-using WaitingRequestId = StrongNumber<struct WaiterTag, std::uint64_t>;
+using WaitingRequestId = StrongNumber<struct WaitingRequestTag, std::uint64_t>;
 
 // What the order depends on.
 struct Waiter {
