--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -81,7 +81,7 @@
   // Returns whether one that can no longer be in time may start. It leaves room
   // for those that can, which wait or are about to come, unless it was told to
   // return. Short ones leave it on each engine (PlacementPolicy).
-  bool MayStart(const Waiter& waiter, PromptKind kind, TimePoint now,
+  bool MayStart(const WaitingRequest& waiter, PromptKind kind, TimePoint now,
                 const WorkAhead& ahead) const;
 
   // Returns from when on one that was promised room goes before all others: a
--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -24,7 +24,7 @@
 using WaitingRequestId = StrongNumber<struct WaitingRequestTag, std::uint64_t>;
 
 // What the order depends on.
-struct Waiter {
+struct WaitingRequest {
   // Its first event is in time until then.
   TimePoint in_time_until{};
   // How long its prompt takes to read, with the helpers that it wants.
@@ -40,10 +40,10 @@
 };
 
 // Returns whether `waiter` can still be in time at `now`.
-bool CanStillBeInTime(const Waiter& waiter, TimePoint now);
+bool CanStillBeInTime(const WaitingRequest& waiter, TimePoint now);
 
 // Returns how urgent `waiter` is at `now`.
-Urgency UrgencyOf(const Waiter& waiter, TimePoint now);
+Urgency UrgencyOf(const WaitingRequest& waiter, TimePoint now);
 
 // In which order those that can still be in time are tried.
 //
@@ -69,7 +69,7 @@
   explicit WaitQueue(MonotonicClock clock, WaitingOrder order = {},
                      bool shares_by_account = false);
 
-  WaitingRequestId Add(const Waiter& waiter);
+  WaitingRequestId Add(const WaitingRequest& waiter);
   void Remove(WaitingRequestId id);
 
   // Engines have been given to a request, whether it waited or not.
@@ -90,7 +90,9 @@
   std::vector<WaitingRequestId> InOrder(std::size_t most) const;
 
   // `id` must wait.
-  const Waiter& Find(WaitingRequestId id) const { return waiters_.at(id); }
+  const WaitingRequest& Find(WaitingRequestId id) const {
+    return waiters_.at(id);
+  }
 
   // Returns the work of all that can still be in time, and of all others.
   FractionalMillis WorkInTime() const;
@@ -114,7 +116,7 @@
   // Absent: accounts are not told apart.
   std::optional<AccountShares> shares_;
   std::uint64_t next_id_ = 1;
-  std::map<WaitingRequestId, Waiter> waiters_;
+  std::map<WaitingRequestId, WaitingRequest> waiters_;
 };
 
 }  // namespace harecrank
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -123,14 +123,14 @@
                           : TimePoint::max();
   const ShareClaim claim = ShareClaimOf(request);
   if (entry->is_short) {
-    entry->waiter = short_room_.Add(Waiter{
+    entry->waiter = short_room_.Add(WaitingRequest{
         entry->late_at, work, work, entry->was_promised, first_from, claim});
     short_waiting_[*entry->waiter] = key;
     return;
   }
-  entry->waiter = room_.Add(
-      Waiter{entry->late_at, work / static_cast<double>(kMaxHelpers + 1), work,
-             entry->was_promised, first_from, claim});
+  entry->waiter = room_.Add(WaitingRequest{
+      entry->late_at, work / static_cast<double>(kMaxHelpers + 1), work,
+      entry->was_promised, first_from, claim});
   waiting_[*entry->waiter] = key;
 }
 
@@ -186,7 +186,7 @@
       decision = EndOfWait(entry, ahead);
     }
     if (!decision.has_value()) {
-      const Waiter& waiter = room->Find(id);
+      const WaitingRequest& waiter = room->Find(id);
       (CanStillBeInTime(waiter, clock_()) ? ahead.in_time : ahead.late) +=
           waiter.work;
       ++failed;
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -60,7 +60,7 @@
   promises_.Drop(seeker.request->origin.request);
 }
 
-bool RoomDecision::MayStart(const Waiter& waiter, PromptKind kind,
+bool RoomDecision::MayStart(const WaitingRequest& waiter, PromptKind kind,
                             TimePoint now, const WorkAhead& ahead) const {
   if (!policy_.foresees_room || kind == PromptKind::kShort ||
       waiter.was_promised || CanStillBeInTime(waiter, now)) {
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-Urgency SpareOf(const Waiter& waiter, TimePoint now) {
+Urgency SpareOf(const WaitingRequest& waiter, TimePoint now) {
   return Urgency(waiter.in_time_until - now) - waiter.service;
 }
 
@@ -24,7 +24,7 @@
 constexpr SortKey kBeforeAll{-1e9, -1e9};
 
 struct KeyOf {
-  const Waiter& waiter;
+  const WaitingRequest& waiter;
   TimePoint now;
 
   SortKey operator()(LeastSpareFirst /*order*/) const {
@@ -44,11 +44,11 @@
 
 }  // namespace
 
-bool CanStillBeInTime(const Waiter& waiter, TimePoint now) {
+bool CanStillBeInTime(const WaitingRequest& waiter, TimePoint now) {
   return SpareOf(waiter, now) >= Urgency(0);
 }
 
-Urgency UrgencyOf(const Waiter& waiter, TimePoint now) {
+Urgency UrgencyOf(const WaitingRequest& waiter, TimePoint now) {
   // More than any request has to spare, so that those which cannot be in time
   // follow, the quickest first.
   constexpr Urgency kLate{1e7};
@@ -68,7 +68,7 @@
   }
 }
 
-WaitingRequestId WaitQueue::Add(const Waiter& waiter) {
+WaitingRequestId WaitQueue::Add(const WaitingRequest& waiter) {
   const WaitingRequestId id{next_id_++};
   waiters_.emplace(id, waiter);
   if (shares_.has_value()) {
--- a/src/core/waiting_room_test.cc
+++ b/src/core/waiting_room_test.cc
@@ -49,9 +49,11 @@
   const FractionalMillis quick(50);
   const auto order_of = [&now, quick](WaitingOrder order) {
     WaitQueue room([&now] { return now; }, order);
-    const Waiter old_small{now + Millis(100), quick, FractionalMillis(900)};
-    const Waiter new_large{now + Millis(900), quick, FractionalMillis(4000)};
-    const Waiter late{now - Millis(1), quick, FractionalMillis(10)};
+    const WaitingRequest old_small{now + Millis(100), quick,
+                                   FractionalMillis(900)};
+    const WaitingRequest new_large{now + Millis(900), quick,
+                                   FractionalMillis(4000)};
+    const WaitingRequest late{now - Millis(1), quick, FractionalMillis(10)};
     const WaitingRequestId large = room.Add(new_large);
     room.Add(late);
     const WaitingRequestId small = room.Add(old_small);
--- a/src/gateway/dispatch_queue.cc
+++ b/src/gateway/dispatch_queue.cc
@@ -11,7 +11,7 @@
       timer_(*io),
       clock_(std::move(clock)) {}
 
-WaitingRequestId DispatchQueue::Add(const Waiter& waiter, Start start) {
+WaitingRequestId DispatchQueue::Add(const WaitingRequest& waiter, Start start) {
   const WaitingRequestId id = room_.Add(waiter);
   starts_.emplace(id, std::move(start));
   PumpSoon();
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -30,7 +30,7 @@
 
   // `start` may be called until the waiter has been removed, also from within
   // Pump. A waiter whose `start` returns true is removed.
-  WaitingRequestId Add(const Waiter& waiter, Start start);
+  WaitingRequestId Add(const WaitingRequest& waiter, Start start);
   void Remove(WaitingRequestId id);
 
   // Tries those that wait, soon. Called when an engine may have opened.
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -341,10 +341,10 @@
   return std::chrono::duration_cast<Millis>(services_->clock() - waits_since_);
 }
 
-Waiter PlaceSeeker::AsWaiter() const {
+WaitingRequest PlaceSeeker::AsWaiter() const {
   const FractionalMillis work =
       PrefillTime(*sought_.request.service->engine, sought_.request.prompt);
-  Waiter waiter;
+  WaitingRequest waiter;
   waiter.in_time_until = sought_.late_at;
   waiter.service = work / static_cast<double>(kMaxHelpers + 1);
   waiter.work = work;
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -161,7 +161,7 @@
   std::optional<ShareClaim> Claim() const;
   // Returns after which time a caller who is turned away may come again.
   Millis PauseForReturn() const;
-  Waiter AsWaiter() const;
+  WaitingRequest AsWaiter() const;
   // Sets memory aside first if the placement needs that.
   void Prepare(const Placement& placement);
   void OnMemory(const Placement& placement, bool held);
