--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -56,7 +56,7 @@
 // engine time grow with the square of its size, so that in a flood more of the
 // smaller ones are served, and fewer of the largest.
 struct LeastWorkFirst {};
-using WaitingOrder =
+using QueueOrder =
     std::variant<LeastSpareFirst, MostSpareFirst, LeastWorkFirst>;
 
 // After those that can wait no longer, requests that can still be in time go
@@ -66,7 +66,7 @@
 // last. Not thread-safe.
 class WaitQueue {
  public:
-  explicit WaitQueue(MonotonicClock clock, WaitingOrder order = {},
+  explicit WaitQueue(MonotonicClock clock, QueueOrder order = {},
                      bool shares_by_account = false);
 
   WaitingRequestId Add(const WaitingRequest& waiter);
@@ -112,7 +112,7 @@
   FractionalMillis WorkOf(bool in_time) const;
 
   MonotonicClock clock_;
-  WaitingOrder order_;
+  QueueOrder order_;
   // Absent: accounts are not told apart.
   std::optional<AccountShares> shares_;
   std::uint64_t next_id_ = 1;
--- a/src/adapters/settings.cc
+++ b/src/adapters/settings.cc
@@ -241,12 +241,12 @@
   }
 };
 
-void ReadOrder(SettingsReader* reader, const char* key, WaitingOrder* order) {
-  const std::vector<WaitingOrder> orders = {LeastSpareFirst{}, MostSpareFirst{},
-                                            LeastWorkFirst{}};
+void ReadOrder(SettingsReader* reader, const char* key, QueueOrder* order) {
+  const std::vector<QueueOrder> orders = {LeastSpareFirst{}, MostSpareFirst{},
+                                          LeastWorkFirst{}};
   std::vector<std::string> names;
   names.reserve(orders.size());
-  for (const WaitingOrder& one : orders) {
+  for (const QueueOrder& one : orders) {
     names.push_back(std::visit(OrderName{}, one));
   }
   std::string name = std::visit(OrderName{}, *order);
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -60,7 +60,7 @@
   return (waiter.was_promised ? kLate : kLateStranger) + waiter.service;
 }
 
-WaitQueue::WaitQueue(MonotonicClock clock, WaitingOrder order,
+WaitQueue::WaitQueue(MonotonicClock clock, QueueOrder order,
                      bool shares_by_account)
     : clock_(std::move(clock)), order_(order) {
   if (shares_by_account) {
--- a/src/core/waiting_room_test.cc
+++ b/src/core/waiting_room_test.cc
@@ -47,7 +47,7 @@
 TEST_CASE("In a flood the order decides who is served in time") {
   TimePoint now{std::chrono::hours(1)};
   const FractionalMillis quick(50);
-  const auto order_of = [&now, quick](WaitingOrder order) {
+  const auto order_of = [&now, quick](QueueOrder order) {
     WaitQueue room([&now] { return now; }, order);
     const WaitingRequest old_small{now + Millis(100), quick,
                                    FractionalMillis(900)};
