--- a/include/harecrank/core/placement_policy.h
+++ b/include/harecrank/core/placement_policy.h
@@ -60,8 +60,8 @@
   // were, on a recorded day.
   bool short_waits = true;
   // In which order short and long prompts that wait are tried.
-  QueueOrder short_order = LeastSpareFirst{};
-  QueueOrder long_order = LeastSpareFirst{};
+  QueueOrder short_order = LeastSlackFirst{};
+  QueueOrder long_order = LeastSlackFirst{};
   // A short prompt that cannot be in time any more waits until it is late by
   // this share of its target, and is refused then.
   double late_wait_share = 1;
--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -48,7 +48,7 @@
 // In which order those that can still be in time are tried.
 //
 // The one with the least time to spare: right while all can be served in time.
-struct LeastSpareFirst {};
+struct LeastSlackFirst {};
 // The one with the most, which is the newest of its like: in a flood whoever
 // has the least to spare is late at the smallest error of a prediction.
 struct MostSpareFirst {};
@@ -57,7 +57,7 @@
 // smaller ones are served, and fewer of the largest.
 struct LeastWorkFirst {};
 using QueueOrder =
-    std::variant<LeastSpareFirst, MostSpareFirst, LeastWorkFirst>;
+    std::variant<LeastSlackFirst, MostSpareFirst, LeastWorkFirst>;
 
 // After those that can wait no longer, requests that can still be in time go
 // first, in the order given; those that cannot follow, who was told to return
--- a/src/adapters/settings.cc
+++ b/src/adapters/settings.cc
@@ -230,7 +230,7 @@
 }
 
 struct OrderName {
-  std::string operator()(LeastSpareFirst /*order*/) const {
+  std::string operator()(LeastSlackFirst /*order*/) const {
     return "least_spare";
   }
   std::string operator()(MostSpareFirst /*order*/) const {
@@ -242,7 +242,7 @@
 };
 
 void ReadOrder(SettingsReader* reader, const char* key, QueueOrder* order) {
-  const std::vector<QueueOrder> orders = {LeastSpareFirst{}, MostSpareFirst{},
+  const std::vector<QueueOrder> orders = {LeastSlackFirst{}, MostSpareFirst{},
                                           LeastWorkFirst{}};
   std::vector<std::string> names;
   names.reserve(orders.size());
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -27,7 +27,7 @@
   const WaitingRequest& waiter;
   TimePoint now;
 
-  SortKey operator()(LeastSpareFirst /*order*/) const {
+  SortKey operator()(LeastSlackFirst /*order*/) const {
     return {UrgencyOf(waiter, now), Urgency(0)};
   }
   SortKey operator()(MostSpareFirst /*order*/) const {
--- a/src/core/waiting_room_test.cc
+++ b/src/core/waiting_room_test.cc
@@ -61,7 +61,7 @@
     return std::make_pair(ids[0] == small && ids[1] == large,
                           ids[0] == large && ids[1] == small);
   };
-  CHECK(order_of(LeastSpareFirst{}).first);
+  CHECK(order_of(LeastSlackFirst{}).first);
   CHECK(order_of(MostSpareFirst{}).second);
   CHECK(order_of(LeastWorkFirst{}).first);
 }
@@ -81,7 +81,7 @@
   TimePoint now{std::chrono::hours(1)};
   const FractionalMillis quick(50);
   const auto order_of = [&now, quick](bool shares) {
-    WaitQueue room([&now] { return now; }, LeastSpareFirst{}, shares);
+    WaitQueue room([&now] { return now; }, LeastSlackFirst{}, shares);
     const auto claim = [](const char* account) {
       return ShareClaim{AccountId{account}, kWork, 0};
     };
@@ -111,7 +111,7 @@
 }
 
 TEST_CASE("With shares, one that leaves the room no longer counts") {
-  WaitQueue room([] { return TimePoint{}; }, LeastSpareFirst{}, true);
+  WaitQueue room([] { return TimePoint{}; }, LeastSlackFirst{}, true);
   const ShareClaim large{AccountId{"large"}, kWork, 0};
   const ShareClaim small{AccountId{"small"}, kWork, 0};
   room.OnGiven(large);
