--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -51,13 +51,13 @@
 struct LeastSlackFirst {};
 // The one with the most, which is the newest of its like: in a flood whoever
 // has the least to spare is late at the smallest error of a prediction.
-struct MostSpareFirst {};
+struct MostSlackFirst {};
 // The one that takes the least engine time. The pairs of a long prompt make its
 // engine time grow with the square of its size, so that in a flood more of the
 // smaller ones are served, and fewer of the largest.
 struct LeastWorkFirst {};
 using QueueOrder =
-    std::variant<LeastSlackFirst, MostSpareFirst, LeastWorkFirst>;
+    std::variant<LeastSlackFirst, MostSlackFirst, LeastWorkFirst>;
 
 // After those that can wait no longer, requests that can still be in time go
 // first, in the order given; those that cannot follow, who was told to return
--- a/src/adapters/settings.cc
+++ b/src/adapters/settings.cc
@@ -233,7 +233,7 @@
   std::string operator()(LeastSlackFirst /*order*/) const {
     return "least_spare";
   }
-  std::string operator()(MostSpareFirst /*order*/) const {
+  std::string operator()(MostSlackFirst /*order*/) const {
     return "most_spare";
   }
   std::string operator()(LeastWorkFirst /*order*/) const {
@@ -242,7 +242,7 @@
 };
 
 void ReadOrder(SettingsReader* reader, const char* key, QueueOrder* order) {
-  const std::vector<QueueOrder> orders = {LeastSlackFirst{}, MostSpareFirst{},
+  const std::vector<QueueOrder> orders = {LeastSlackFirst{}, MostSlackFirst{},
                                           LeastWorkFirst{}};
   std::vector<std::string> names;
   names.reserve(orders.size());
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -30,7 +30,7 @@
   SortKey operator()(LeastSlackFirst /*order*/) const {
     return {UrgencyOf(waiter, now), Urgency(0)};
   }
-  SortKey operator()(MostSpareFirst /*order*/) const {
+  SortKey operator()(MostSlackFirst /*order*/) const {
     const Urgency spare = SpareOf(waiter, now);
     const bool late = spare < Urgency(0);
     return {late ? UrgencyOf(waiter, now) : -spare, Urgency(0)};
--- a/src/core/waiting_room_test.cc
+++ b/src/core/waiting_room_test.cc
@@ -62,7 +62,7 @@
                           ids[0] == large && ids[1] == small);
   };
   CHECK(order_of(LeastSlackFirst{}).first);
-  CHECK(order_of(MostSpareFirst{}).second);
+  CHECK(order_of(MostSlackFirst{}).second);
   CHECK(order_of(LeastWorkFirst{}).first);
 }
 
