--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -40,7 +40,7 @@
 };
 
 // Returns whether `waiter` can still be in time at `now`.
-bool CanStillBeInTime(const WaitingRequest& waiter, TimePoint now);
+bool CanMeetTarget(const WaitingRequest& waiter, TimePoint now);
 
 // Returns how urgent `waiter` is at `now`.
 Urgency UrgencyOf(const WaitingRequest& waiter, TimePoint now);
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -187,7 +187,7 @@
     }
     if (!decision.has_value()) {
       const WaitingRequest& waiter = room->Find(id);
-      (CanStillBeInTime(waiter, clock_()) ? ahead.in_time : ahead.late) +=
+      (CanMeetTarget(waiter, clock_()) ? ahead.in_time : ahead.late) +=
           waiter.work;
       ++failed;
       continue;
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -63,7 +63,7 @@
 bool RoomDecision::MayStart(const WaitingRequest& waiter, PromptKind kind,
                             TimePoint now, const WorkAhead& ahead) const {
   if (!policy_.foresees_room || kind == PromptKind::kShort ||
-      waiter.was_promised || CanStillBeInTime(waiter, now)) {
+      waiter.was_promised || CanMeetTarget(waiter, now)) {
     return true;
   }
   return ahead.in_time == FractionalMillis(0) && long_.LeavesRoom();
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-bool CanStillBeInTime(const WaitingRequest& waiter, TimePoint now) {
+bool CanMeetTarget(const WaitingRequest& waiter, TimePoint now) {
   return SpareOf(waiter, now) >= Urgency(0);
 }
 
@@ -146,7 +146,7 @@
   const TimePoint now = clock_();
   FractionalMillis sum(0);
   for (const auto& [id, waiter] : waiters_) {
-    if (CanStillBeInTime(waiter, now) == in_time) {
+    if (CanMeetTarget(waiter, now) == in_time) {
       sum += waiter.work;
     }
   }
