--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -26,7 +26,7 @@
 // What the order depends on.
 struct WaitingRequest {
   // Its first event is in time until then.
-  TimePoint in_time_until{};
+  TimePoint first_event_due{};
   // How long its prompt takes to read, with the helpers that it wants.
   FractionalMillis service{0};
   // How long one engine alone reads it.
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -10,7 +10,7 @@
 namespace {
 
 Urgency SpareOf(const WaitingRequest& waiter, TimePoint now) {
-  return Urgency(waiter.in_time_until - now) - waiter.service;
+  return Urgency(waiter.first_event_due - now) - waiter.service;
 }
 
 // What a waiter is sorted by, the least first: the order's own figure, and the
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -345,7 +345,7 @@
   const FractionalMillis work =
       PrefillTime(*sought_.request.service->engine, sought_.request.prompt);
   WaitingRequest waiter;
-  waiter.in_time_until = sought_.late_at;
+  waiter.first_event_due = sought_.late_at;
   waiter.service = work / static_cast<double>(kMaxHelpers + 1);
   waiter.work = work;
   waiter.claim = Claim().value_or(ShareClaim{});
