--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -123,7 +123,7 @@
     // Whether room is foreseen for it.
     bool is_foreseen = false;
     // It was turned away before and came when it was told to.
-    bool was_promised = false;
+    bool has_reservation = false;
     std::optional<PlannedPlacement> placed;
     std::vector<WorkId> work;
     EndpointId endpoint;
--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -36,7 +36,7 @@
   // It waits already: it is turned away only where that is beyond doubt.
   bool waits = false;
   // It was turned away before and came at the time that it was told.
-  bool was_promised = false;
+  bool has_reservation = false;
   // Engines that may be used.
   std::size_t engines = 0;
 };
--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -32,7 +32,7 @@
   // How long one engine alone reads it.
   FractionalMillis work{0};
   // It was turned away before and told to come now: it goes before its like.
-  bool was_promised = false;
+  bool has_reservation = false;
   // From then on it goes before all: it cannot be served at all much later.
   TimePoint first_from = TimePoint::max();
   // What it takes of its account's share.
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -76,7 +76,7 @@
     const RoomSeeker seeker = SeekerOf(entry, *request);
     entry.is_foreseen = decision_.Knows(seeker);
     if (const auto late_at = decision_.OnAsked(seeker)) {
-      entry.was_promised = true;
+      entry.has_reservation = true;
       entry.late_at = std::min(entry.late_at, *late_at);
       request = RequestOf(entry);
     }
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -38,7 +38,7 @@
   seeker.kind = entry.is_short ? PromptKind::kShort : PromptKind::kLong;
   seeker.age = clock_() - entry.came_at;
   seeker.waits = entry.waiter.has_value();
-  seeker.was_promised = entry.was_promised;
+  seeker.has_reservation = entry.has_reservation;
   seeker.engines = directory_->UsableOf(request.service->name).size();
   return seeker;
 }
@@ -119,18 +119,18 @@
       PrefillTime(*request.service->engine, entry->ask.prompt);
   const AskKey key{entry->ask.host, entry->ask.id};
   const TimePoint first_from =
-      entry->was_promised ? decision_.FirstFrom(SeekerOf(*entry, request))
-                          : TimePoint::max();
+      entry->has_reservation ? decision_.FirstFrom(SeekerOf(*entry, request))
+                             : TimePoint::max();
   const ShareClaim claim = ShareClaimOf(request);
   if (entry->is_short) {
     entry->waiter = short_room_.Add(WaitingRequest{
-        entry->late_at, work, work, entry->was_promised, first_from, claim});
+        entry->late_at, work, work, entry->has_reservation, first_from, claim});
     short_waiting_[*entry->waiter] = key;
     return;
   }
   entry->waiter = room_.Add(WaitingRequest{
       entry->late_at, work / static_cast<double>(kMaxHelpers + 1), work,
-      entry->was_promised, first_from, claim});
+      entry->has_reservation, first_from, claim});
   waiting_[*entry->waiter] = key;
 }
 
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -56,14 +56,14 @@
 
 void RoomDecision::OnStarted(const RoomSeeker& seeker) {
   ForecastOf(seeker.kind).OnStarted(seeker.work, seeker.engines);
-  counts_.kept += seeker.was_promised ? 1 : 0;
+  counts_.kept += seeker.has_reservation ? 1 : 0;
   promises_.Drop(seeker.request->origin.request);
 }
 
 bool RoomDecision::MayStart(const WaitingRequest& waiter, PromptKind kind,
                             TimePoint now, const WorkAhead& ahead) const {
   if (!policy_.foresees_room || kind == PromptKind::kShort ||
-      waiter.was_promised || CanMeetTarget(waiter, now)) {
+      waiter.has_reservation || CanMeetTarget(waiter, now)) {
     return true;
   }
   return ahead.in_time == FractionalMillis(0) && long_.LeavesRoom();
@@ -87,7 +87,7 @@
   if (too_late) {
     return Refuse(seeker, ahead);
   }
-  if (seeker.was_promised) {
+  if (seeker.has_reservation) {
     return std::nullopt;
   }
   const double doubt = seeker.waits ? kDoubt : 1 / kSureShare;
@@ -130,7 +130,7 @@
                                    const WorkAhead& ahead) {
   const PlacementRequest& request = *seeker.request;
   ++counts_.made;
-  counts_.broken += seeker.was_promised ? 1 : 0;
+  counts_.broken += seeker.has_reservation ? 1 : 0;
   const FractionalMillis before =
       ahead.in_time + ahead.late + promises_.PromisedWork();
   const FractionalMillis foreseen =
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -57,7 +57,7 @@
   if (spare >= Urgency(0)) {
     return spare;
   }
-  return (waiter.was_promised ? kLate : kLateStranger) + waiter.service;
+  return (waiter.has_reservation ? kLate : kLateStranger) + waiter.service;
 }
 
 WaitQueue::WaitQueue(MonotonicClock clock, QueueOrder order,
