--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -34,7 +34,7 @@
   // It was turned away before and told to come now: it goes before its like.
   bool has_reservation = false;
   // From then on it goes before all: it cannot be served at all much later.
-  TimePoint first_from = TimePoint::max();
+  TimePoint urgent_from = TimePoint::max();
   // What it takes of its account's share.
   ShareClaim claim{};
 };
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -118,19 +118,20 @@
   const FractionalMillis work =
       PrefillTime(*request.service->engine, entry->ask.prompt);
   const AskKey key{entry->ask.host, entry->ask.id};
-  const TimePoint first_from =
+  const TimePoint urgent_from =
       entry->has_reservation ? decision_.FirstFrom(SeekerOf(*entry, request))
                              : TimePoint::max();
   const ShareClaim claim = ShareClaimOf(request);
   if (entry->is_short) {
-    entry->waiter = short_room_.Add(WaitingRequest{
-        entry->late_at, work, work, entry->has_reservation, first_from, claim});
+    entry->waiter = short_room_.Add(WaitingRequest{entry->late_at, work, work,
+                                                   entry->has_reservation,
+                                                   urgent_from, claim});
     short_waiting_[*entry->waiter] = key;
     return;
   }
   entry->waiter = room_.Add(WaitingRequest{
       entry->late_at, work / static_cast<double>(kMaxHelpers + 1), work,
-      entry->has_reservation, first_from, claim});
+      entry->has_reservation, urgent_from, claim});
   waiting_[*entry->waiter] = key;
 }
 
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -126,7 +126,7 @@
               sated.count(waiter.claim.account) > 0};
     }
     SortKey key = std::visit(KeyOf{waiter, now}, order_);
-    if (now >= waiter.first_from) {
+    if (now >= waiter.urgent_from) {
       rank = Rank{};
       key = kBeforeAll;
     }
