--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -86,7 +86,7 @@
 
   // Returns from when on one that was promised room goes before all others: a
   // target before it could not be served any more.
-  TimePoint FirstFrom(const RoomSeeker& seeker) const;
+  TimePoint UrgentFrom(const RoomSeeker& seeker) const;
 
   // Returns nothing if `seeker` should wait, or else its refusal, with the
   // promise made. Knows(seeker) must hold.
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -119,7 +119,7 @@
       PrefillTime(*request.service->engine, entry->ask.prompt);
   const AskKey key{entry->ask.host, entry->ask.id};
   const TimePoint urgent_from =
-      entry->has_reservation ? decision_.FirstFrom(SeekerOf(*entry, request))
+      entry->has_reservation ? decision_.UrgentFrom(SeekerOf(*entry, request))
                              : TimePoint::max();
   const ShareClaim claim = ShareClaimOf(request);
   if (entry->is_short) {
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -69,7 +69,7 @@
   return ahead.in_time == FractionalMillis(0) && long_.LeavesRoom();
 }
 
-TimePoint RoomDecision::FirstFrom(const RoomSeeker& seeker) const {
+TimePoint RoomDecision::UrgentFrom(const RoomSeeker& seeker) const {
   const PromptTime time = TimeOf(seeker);
   const FractionalMillis left =
       time.until_end - time.read - time.answer -
