--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -28,7 +28,7 @@
 };
 
 // How a claim stands towards those that wait.
-enum class ShareTurn {
+enum class ShareRank {
   // Nobody waits, or all have had as much of their share.
   kEven,
   // Its account has had less than its share, and one that waits has had more.
@@ -58,7 +58,7 @@
   std::set<AccountId> Sated() const;
 
   // Returns how `claim`, which does not wait yet, would stand if it did.
-  ShareTurn TurnOf(const ShareClaim& claim) const;
+  ShareRank TurnOf(const ShareClaim& claim) const;
 
   // Forgets what was given; who waits still waits.
   void ForgetGiven();
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -148,7 +148,7 @@
                                     const ServiceProfile& service) const;
   bool IsShort(const PlacementRequest& request) const;
   ShareClaim ShareClaimOf(const PlacementRequest& request) const;
-  ShareTurn TurnOf(const Entry& entry,
+  ShareRank TurnOf(const Entry& entry,
                    const std::optional<PlacementRequest>& request);
   WaitQueue& RoomOf(const Entry& entry) {
     return entry.is_short ? short_room_ : room_;
@@ -165,7 +165,7 @@
   // not wait.
   std::optional<QueryRejected> RefusalOnArrival(const Entry& entry,
                                                 const PlacementRequest& request,
-                                                ShareTurn turn);
+                                                ShareRank turn);
   // Whether one that waits in `room` after `ahead` may take a place now.
   bool MayStart(const Entry& entry, const WaitQueue& room,
                 const WorkAhead& ahead) const;
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -129,7 +129,7 @@
   return SatedOf(Standings());
 }
 
-ShareTurn AccountShares::TurnOf(const ShareClaim& claim) const {
+ShareRank AccountShares::TurnOf(const ShareClaim& claim) const {
   std::vector<Standing> standings = Standings();
   const auto own = std::find_if(standings.begin(), standings.end(),
                                 [&claim](const Standing& standing) {
@@ -146,10 +146,10 @@
   }
   const std::set<AccountId> sated = SatedOf(standings);
   if (sated.empty() || sated.size() == standings.size()) {
-    return ShareTurn::kEven;
+    return ShareRank::kEven;
   }
-  return sated.count(claim.account) > 0 ? ShareTurn::kAfter
-                                        : ShareTurn::kBefore;
+  return sated.count(claim.account) > 0 ? ShareRank::kAfter
+                                        : ShareRank::kBefore;
 }
 
 }  // namespace harecrank
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -85,9 +85,9 @@
     Wait(&entry, *request);
     return QueryQueued{};
   }
-  const ShareTurn turn = TurnOf(entry, request);
+  const ShareRank turn = TurnOf(entry, request);
   // It does not take what others wait for that have had less.
-  const bool yields = turn == ShareTurn::kAfter && !ask.may_have_run;
+  const bool yields = turn == ShareRank::kAfter && !ask.may_have_run;
   if (auto decision = yields ? std::nullopt : TryPlace(&entry)) {
     if (!entry.placed.has_value()) {
       host->asks.erase(ask.id);
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -22,12 +22,12 @@
   return ClaimOf(request, table != nullptr && table->HasSeveralAccounts());
 }
 
-ShareTurn Planner::TurnOf(const Entry& entry,
+ShareRank Planner::TurnOf(const Entry& entry,
                           const std::optional<PlacementRequest>& request) {
   const bool shares =
       request.has_value() && request->service->engine.has_value();
   return shares ? RoomOf(entry).TurnOf(ShareClaimOf(*request))
-                : ShareTurn::kEven;
+                : ShareRank::kEven;
 }
 
 RoomSeeker Planner::SeekerOf(const Entry& entry,
@@ -44,7 +44,7 @@
 }
 
 std::optional<QueryRejected> Planner::RefusalOnArrival(
-    const Entry& entry, const PlacementRequest& request, ShareTurn turn) {
+    const Entry& entry, const PlacementRequest& request, ShareRank turn) {
   if (entry.is_foreseen) {
     const RoomSeeker seeker = SeekerOf(entry, request);
     const WaitQueue& room = entry.is_short ? short_room_ : room_;
@@ -54,7 +54,7 @@
   }
   // Late prompts of an account that goes after it are no precedent.
   const bool in_vain = policy_.refuses_by_precedent && !entry.is_short &&
-                       turn != ShareTurn::kBefore &&
+                       turn != ShareRank::kBefore &&
                        WaitsInVain(entry.ask, request);
   return in_vain ? std::make_optional(QueryRejected{}) : std::nullopt;
 }
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -94,8 +94,8 @@
   }
 }
 
-ShareTurn WaitQueue::TurnOf(const ShareClaim& claim) const {
-  return shares_.has_value() ? shares_->TurnOf(claim) : ShareTurn::kEven;
+ShareRank WaitQueue::TurnOf(const ShareClaim& claim) const {
+  return shares_.has_value() ? shares_->TurnOf(claim) : ShareRank::kEven;
 }
 
 std::size_t WaitQueue::WaitingAccounts() const {
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -43,7 +43,7 @@
 
   // Shares of what this host itself gives; it knows of no other's.
   void OnGiven(const ShareClaim& claim) { room_.OnGiven(claim); }
-  ShareTurn TurnOf(const ShareClaim& claim) const {
+  ShareRank TurnOf(const ShareClaim& claim) const {
     return room_.TurnOf(claim);
   }
 
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -178,10 +178,10 @@
 
 void PlaceSeeker::PlaceAlone() {
   const auto claim = Claim();
-  const ShareTurn turn =
-      claim.has_value() ? services_->queue->TurnOf(*claim) : ShareTurn::kEven;
+  const ShareRank turn =
+      claim.has_value() ? services_->queue->TurnOf(*claim) : ShareRank::kEven;
   // It does not take what others wait for that have had less.
-  const bool yields = turn == ShareTurn::kAfter && !WasSent();
+  const bool yields = turn == ShareRank::kAfter && !WasSent();
   if (!yields && TryPlace()) {
     return;
   }
@@ -189,7 +189,7 @@
     WaitForStart();
     return;
   }
-  if (services_->policy->refuses_by_precedent && turn != ShareTurn::kBefore &&
+  if (services_->policy->refuses_by_precedent && turn != ShareRank::kBefore &&
       WaitsInVain()) {
     observer_->OnTurnedAway(TurnAwayReason::kWaitsInVain, PauseForReturn());
     return;
