--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -58,7 +58,7 @@
   std::set<AccountId> Sated() const;
 
   // Returns how `claim`, which does not wait yet, would stand if it did.
-  ShareRank TurnOf(const ShareClaim& claim) const;
+  ShareRank ShareRankOf(const ShareClaim& claim) const;
 
   // Forgets what was given; who waits still waits.
   void ForgetGiven();
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -148,8 +148,8 @@
                                     const ServiceProfile& service) const;
   bool IsShort(const PlacementRequest& request) const;
   ShareClaim ShareClaimOf(const PlacementRequest& request) const;
-  ShareRank TurnOf(const Entry& entry,
-                   const std::optional<PlacementRequest>& request);
+  ShareRank ShareRankOf(const Entry& entry,
+                        const std::optional<PlacementRequest>& request);
   WaitQueue& RoomOf(const Entry& entry) {
     return entry.is_short ? short_room_ : room_;
   }
--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -76,7 +76,7 @@
   void OnGiven(const ShareClaim& claim);
 
   // Returns how one that does not wait yet stands towards those that do.
-  ShareRank TurnOf(const ShareClaim& claim) const;
+  ShareRank ShareRankOf(const ShareClaim& claim) const;
 
   // How many accounts wait, and how many of them have had their share; zero
   // without shares.
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -129,7 +129,7 @@
   return SatedOf(Standings());
 }
 
-ShareRank AccountShares::TurnOf(const ShareClaim& claim) const {
+ShareRank AccountShares::ShareRankOf(const ShareClaim& claim) const {
   std::vector<Standing> standings = Standings();
   const auto own = std::find_if(standings.begin(), standings.end(),
                                 [&claim](const Standing& standing) {
--- a/src/core/account_shares_test.cc
+++ b/src/core/account_shares_test.cc
@@ -25,10 +25,10 @@
   for (int i = 0; i < 10; ++i) {
     shares_.OnWaits(ClaimFor(kLarge, 1000));
   }
-  CHECK(shares_.TurnOf(ClaimFor(kSmall, 1000)) == ShareRank::kBefore);
+  CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 1000)) == ShareRank::kBefore);
   shares_.OnWaits(ClaimFor(kSmall, 1000));
   CHECK(shares_.Sated() == std::set<AccountId>{kLarge});
-  CHECK(shares_.TurnOf(ClaimFor(kLarge, 1000)) == ShareRank::kAfter);
+  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 1000)) == ShareRank::kAfter);
 }
 
 TEST_CASE_METHOD(SharesFixture,
@@ -36,7 +36,7 @@
   shares_.OnGiven(ClaimFor(kLarge, 90000));
   shares_.OnWaits(ClaimFor(kLarge, 9000));
   CHECK(shares_.Sated().empty());
-  CHECK(shares_.TurnOf(ClaimFor(kLarge, 9000)) == ShareRank::kEven);
+  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kEven);
 }
 
 TEST_CASE_METHOD(SharesFixture, "Asking for more gains an account nothing") {
@@ -55,7 +55,7 @@
   shares_.OnGiven(ClaimFor(kSmall, 9000));
   shares_.OnWaits(ClaimFor(kLarge, 9000));
   shares_.OnWaits(ClaimFor(kSmall, 9000));
-  CHECK(shares_.TurnOf(ClaimFor(kLarge, 9000)) == ShareRank::kEven);
+  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kEven);
 }
 
 TEST_CASE_METHOD(SharesFixture,
@@ -63,8 +63,8 @@
                  "held back") {
   shares_.OnGiven(ClaimFor(kLarge, 10000));
   shares_.OnWaits(ClaimFor(kSmall, 500));
-  CHECK(shares_.TurnOf(ClaimFor(kLarge, 500)) == ShareRank::kEven);
-  CHECK(shares_.TurnOf(ClaimFor(kLarge, 5000)) == ShareRank::kAfter);
+  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 500)) == ShareRank::kEven);
+  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 5000)) == ShareRank::kAfter);
 }
 
 TEST_CASE_METHOD(SharesFixture,
@@ -73,7 +73,7 @@
   shares_.OnGiven(ClaimFor(kSmall, 5000, 1));
   shares_.OnWaits(ClaimFor(kLarge, 90000, 0));
   shares_.OnWaits(ClaimFor(kSmall, 90000, 1));
-  CHECK(shares_.TurnOf(ClaimFor(kSmall, 100, 1)) == ShareRank::kEven);
+  CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 100, 1)) == ShareRank::kEven);
   shares_.OnGiven(ClaimFor(kSmall, 5000, 1));
   CHECK(shares_.Sated() == std::set<AccountId>{kSmall});
 }
@@ -96,7 +96,7 @@
     shares_.OnGiven(ClaimFor(AccountId{std::to_string(i)}, 10));
   }
   CHECK(shares_.Count() == AccountShares::kMostAccounts);
-  CHECK(shares_.TurnOf(ClaimFor(kLarge, 9000)) == ShareRank::kAfter);
+  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kAfter);
   CHECK(shares_.WaitingAccounts() == 1);
 }
 
@@ -106,7 +106,7 @@
   shares_.OnWaits(ClaimFor(kSmall, 9000));
   CHECK(shares_.Sated().size() == 1);
   shares_.ForgetGiven();
-  CHECK(shares_.TurnOf(ClaimFor(kSmall, 10)) == ShareRank::kEven);
+  CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 10)) == ShareRank::kEven);
 }
 
 }  // namespace
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -85,7 +85,7 @@
     Wait(&entry, *request);
     return QueryQueued{};
   }
-  const ShareRank turn = TurnOf(entry, request);
+  const ShareRank turn = ShareRankOf(entry, request);
   // It does not take what others wait for that have had less.
   const bool yields = turn == ShareRank::kAfter && !ask.may_have_run;
   if (auto decision = yields ? std::nullopt : TryPlace(&entry)) {
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -22,11 +22,11 @@
   return ClaimOf(request, table != nullptr && table->HasSeveralAccounts());
 }
 
-ShareRank Planner::TurnOf(const Entry& entry,
-                          const std::optional<PlacementRequest>& request) {
+ShareRank Planner::ShareRankOf(const Entry& entry,
+                               const std::optional<PlacementRequest>& request) {
   const bool shares =
       request.has_value() && request->service->engine.has_value();
-  return shares ? RoomOf(entry).TurnOf(ShareClaimOf(*request))
+  return shares ? RoomOf(entry).ShareRankOf(ShareClaimOf(*request))
                 : ShareRank::kEven;
 }
 
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -94,8 +94,8 @@
   }
 }
 
-ShareRank WaitQueue::TurnOf(const ShareClaim& claim) const {
-  return shares_.has_value() ? shares_->TurnOf(claim) : ShareRank::kEven;
+ShareRank WaitQueue::ShareRankOf(const ShareClaim& claim) const {
+  return shares_.has_value() ? shares_->ShareRankOf(claim) : ShareRank::kEven;
 }
 
 std::size_t WaitQueue::WaitingAccounts() const {
--- a/src/core/waiting_room_test.cc
+++ b/src/core/waiting_room_test.cc
@@ -117,11 +117,11 @@
   room.OnGiven(large);
   const WaitingRequestId id =
       room.Add({TimePoint{}, kWork, kWork, false, TimePoint::max(), small});
-  CHECK(room.TurnOf(large) == ShareRank::kAfter);
+  CHECK(room.ShareRankOf(large) == ShareRank::kAfter);
   room.Remove(id);
   room.Remove(id);
   CHECK(room.WaitingAccounts() == 0);
-  CHECK(room.TurnOf(large) == ShareRank::kEven);
+  CHECK(room.ShareRankOf(large) == ShareRank::kEven);
 }
 
 }  // namespace
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -43,8 +43,8 @@
 
   // Shares of what this host itself gives; it knows of no other's.
   void OnGiven(const ShareClaim& claim) { room_.OnGiven(claim); }
-  ShareRank TurnOf(const ShareClaim& claim) const {
-    return room_.TurnOf(claim);
+  ShareRank ShareRankOf(const ShareClaim& claim) const {
+    return room_.ShareRankOf(claim);
   }
 
   std::size_t Count() const { return room_.Count(); }
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -178,8 +178,9 @@
 
 void PlaceSeeker::PlaceAlone() {
   const auto claim = Claim();
-  const ShareRank turn =
-      claim.has_value() ? services_->queue->TurnOf(*claim) : ShareRank::kEven;
+  const ShareRank turn = claim.has_value()
+                             ? services_->queue->ShareRankOf(*claim)
+                             : ShareRank::kEven;
   // It does not take what others wait for that have had less.
   const bool yields = turn == ShareRank::kAfter && !WasSent();
   if (!yields && TryPlace()) {
