--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -30,7 +30,7 @@
 // How a claim stands towards those that wait.
 enum class ShareRank {
   // Nobody waits, or all have had as much of their share.
-  kEven,
+  kEqual,
   // Its account has had less than its share, and one that waits has had more.
   kBefore,
   // Its account has had more than its share, and one that waits has had less.
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -146,7 +146,7 @@
   }
   const std::set<AccountId> sated = SatedOf(standings);
   if (sated.empty() || sated.size() == standings.size()) {
-    return ShareRank::kEven;
+    return ShareRank::kEqual;
   }
   return sated.count(claim.account) > 0 ? ShareRank::kAfter
                                         : ShareRank::kBefore;
--- a/src/core/account_shares_test.cc
+++ b/src/core/account_shares_test.cc
@@ -36,7 +36,7 @@
   shares_.OnGiven(ClaimFor(kLarge, 90000));
   shares_.OnWaits(ClaimFor(kLarge, 9000));
   CHECK(shares_.Sated().empty());
-  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kEven);
+  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kEqual);
 }
 
 TEST_CASE_METHOD(SharesFixture, "Asking for more gains an account nothing") {
@@ -55,7 +55,7 @@
   shares_.OnGiven(ClaimFor(kSmall, 9000));
   shares_.OnWaits(ClaimFor(kLarge, 9000));
   shares_.OnWaits(ClaimFor(kSmall, 9000));
-  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kEven);
+  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kEqual);
 }
 
 TEST_CASE_METHOD(SharesFixture,
@@ -63,7 +63,7 @@
                  "held back") {
   shares_.OnGiven(ClaimFor(kLarge, 10000));
   shares_.OnWaits(ClaimFor(kSmall, 500));
-  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 500)) == ShareRank::kEven);
+  CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 500)) == ShareRank::kEqual);
   CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 5000)) == ShareRank::kAfter);
 }
 
@@ -73,7 +73,7 @@
   shares_.OnGiven(ClaimFor(kSmall, 5000, 1));
   shares_.OnWaits(ClaimFor(kLarge, 90000, 0));
   shares_.OnWaits(ClaimFor(kSmall, 90000, 1));
-  CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 100, 1)) == ShareRank::kEven);
+  CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 100, 1)) == ShareRank::kEqual);
   shares_.OnGiven(ClaimFor(kSmall, 5000, 1));
   CHECK(shares_.Sated() == std::set<AccountId>{kSmall});
 }
@@ -106,7 +106,7 @@
   shares_.OnWaits(ClaimFor(kSmall, 9000));
   CHECK(shares_.Sated().size() == 1);
   shares_.ForgetGiven();
-  CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 10)) == ShareRank::kEven);
+  CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 10)) == ShareRank::kEqual);
 }
 
 }  // namespace
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -27,7 +27,7 @@
   const bool shares =
       request.has_value() && request->service->engine.has_value();
   return shares ? RoomOf(entry).ShareRankOf(ShareClaimOf(*request))
-                : ShareRank::kEven;
+                : ShareRank::kEqual;
 }
 
 RoomSeeker Planner::SeekerOf(const Entry& entry,
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -95,7 +95,7 @@
 }
 
 ShareRank WaitQueue::ShareRankOf(const ShareClaim& claim) const {
-  return shares_.has_value() ? shares_->ShareRankOf(claim) : ShareRank::kEven;
+  return shares_.has_value() ? shares_->ShareRankOf(claim) : ShareRank::kEqual;
 }
 
 std::size_t WaitQueue::WaitingAccounts() const {
--- a/src/core/waiting_room_test.cc
+++ b/src/core/waiting_room_test.cc
@@ -121,7 +121,7 @@
   room.Remove(id);
   room.Remove(id);
   CHECK(room.WaitingAccounts() == 0);
-  CHECK(room.ShareRankOf(large) == ShareRank::kEven);
+  CHECK(room.ShareRankOf(large) == ShareRank::kEqual);
 }
 
 }  // namespace
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -180,7 +180,7 @@
   const auto claim = Claim();
   const ShareRank turn = claim.has_value()
                              ? services_->queue->ShareRankOf(*claim)
-                             : ShareRank::kEven;
+                             : ShareRank::kEqual;
   // It does not take what others wait for that have had less.
   const bool yields = turn == ShareRank::kAfter && !WasSent();
   if (!yields && TryPlace()) {
