--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -48,7 +48,7 @@
  public:
   explicit AccountShares(MonotonicClock clock) : clock_(std::move(clock)) {}
 
-  void OnGiven(const ShareClaim& claim);
+  void OnGranted(const ShareClaim& claim);
   // Each claim that waits must be taken back by OnLeft when it waits no more.
   void OnWaits(const ShareClaim& claim);
   void OnLeft(const ShareClaim& claim);
--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -73,7 +73,7 @@
   void Remove(WaitingRequestId id);
 
   // Engines have been given to a request, whether it waited or not.
-  void OnGiven(const ShareClaim& claim);
+  void OnGranted(const ShareClaim& claim);
 
   // Returns how one that does not wait yet stands towards those that do.
   ShareRank ShareRankOf(const ShareClaim& claim) const;
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -43,7 +43,7 @@
   }
 }
 
-void AccountShares::OnGiven(const ShareClaim& claim) {
+void AccountShares::OnGranted(const ShareClaim& claim) {
   Account* account = Find(claim.account);
   account->given = GivenOf(*account) + Weighted(claim);
   account->given_at = clock_();
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -160,7 +160,7 @@
   entry->placed = Planned(*placement);
   entry->placed_at = clock_();
   if (request->service->engine.has_value()) {
-    RoomOf(*entry).OnGiven(ShareClaimOf(*request));
+    RoomOf(*entry).OnGranted(ShareClaimOf(*request));
     decision_.OnStarted(SeekerOf(*entry, *request));
   }
   return *entry->placed;
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -88,9 +88,9 @@
   waiters_.erase(found);
 }
 
-void WaitQueue::OnGiven(const ShareClaim& claim) {
+void WaitQueue::OnGranted(const ShareClaim& claim) {
   if (shares_.has_value()) {
-    shares_->OnGiven(claim);
+    shares_->OnGranted(claim);
   }
 }
 
--- a/src/core/waiting_room_test.cc
+++ b/src/core/waiting_room_test.cc
@@ -85,8 +85,8 @@
     const auto claim = [](const char* account) {
       return ShareClaim{AccountId{account}, kWork, 0};
     };
-    room.OnGiven(claim("large"));
-    room.OnGiven(claim("large"));
+    room.OnGranted(claim("large"));
+    room.OnGranted(claim("large"));
     const TimePoint soon = now + Millis(100);
     const WaitingRequestId sated =
         room.Add({soon, quick, kWork, false, TimePoint::max(), claim("large")});
@@ -114,7 +114,7 @@
   WaitQueue room([] { return TimePoint{}; }, LeastSlackFirst{}, true);
   const ShareClaim large{AccountId{"large"}, kWork, 0};
   const ShareClaim small{AccountId{"small"}, kWork, 0};
-  room.OnGiven(large);
+  room.OnGranted(large);
   const WaitingRequestId id =
       room.Add({TimePoint{}, kWork, kWork, false, TimePoint::max(), small});
   CHECK(room.ShareRankOf(large) == ShareRank::kAfter);
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -42,7 +42,7 @@
   }
 
   // Shares of what this host itself gives; it knows of no other's.
-  void OnGiven(const ShareClaim& claim) { room_.OnGiven(claim); }
+  void OnGranted(const ShareClaim& claim) { room_.OnGranted(claim); }
   ShareRank ShareRankOf(const ShareClaim& claim) const {
     return room_.ShareRankOf(claim);
   }
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -304,7 +304,7 @@
   }
   if (const auto* placement = std::get_if<Placement>(&result)) {
     if (const auto claim = Claim()) {
-      services_->queue->OnGiven(*claim);
+      services_->queue->OnGranted(*claim);
     }
     Prepare(*placement);
   } else {
