--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -61,7 +61,7 @@
   ShareRank ShareRankOf(const ShareClaim& claim) const;
 
   // Forgets what was given; who waits still waits.
-  void ForgetGiven();
+  void ForgetGrants();
 
   std::size_t WaitingAccounts() const;
   std::size_t Count() const { return accounts_.size(); }
--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/waiting_room.h
@@ -84,7 +84,7 @@
   std::size_t OverShareAccounts() const;
 
   // Another host has given places: what was given here tells nothing more.
-  void ForgetGiven();
+  void ForgetGrants();
 
   // Returns at most `most` of those that wait, first to last.
   std::vector<WaitingRequestId> InOrder(std::size_t most) const;
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -66,7 +66,7 @@
   }
 }
 
-void AccountShares::ForgetGiven() {
+void AccountShares::ForgetGrants() {
   for (auto& [id, account] : accounts_) {
     account.given = FractionalMillis(0);
   }
--- a/src/core/account_shares_test.cc
+++ b/src/core/account_shares_test.cc
@@ -105,7 +105,7 @@
   shares_.OnWaits(ClaimFor(kLarge, 9000));
   shares_.OnWaits(ClaimFor(kSmall, 9000));
   CHECK(shares_.Sated().size() == 1);
-  shares_.ForgetGiven();
+  shares_.ForgetGrants();
   CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 10)) == ShareRank::kEqual);
 }
 
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -262,8 +262,8 @@
     DropAsks(&host);
   }
   hosts_.clear();
-  room_.ForgetGiven();
-  short_room_.ForgetGiven();
+  room_.ForgetGrants();
+  short_room_.ForgetGrants();
   decision_.Clear();
   untold_.clear();
   learns_until_ = TimePoint{};
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -106,9 +106,9 @@
   return shares_.has_value() ? shares_->Sated().size() : 0;
 }
 
-void WaitQueue::ForgetGiven() {
+void WaitQueue::ForgetGrants() {
   if (shares_.has_value()) {
-    shares_->ForgetGiven();
+    shares_->ForgetGrants();
   }
 }
 
