--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -50,7 +50,7 @@
 
   void OnGranted(const ShareClaim& claim);
   // Each claim that waits must be taken back by OnLeft when it waits no more.
-  void OnWaits(const ShareClaim& claim);
+  void OnQueued(const ShareClaim& claim);
   void OnLeft(const ShareClaim& claim);
 
   // Returns the accounts that wait and go after the others, because they have
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -49,7 +49,7 @@
   account->given_at = clock_();
 }
 
-void AccountShares::OnWaits(const ShareClaim& claim) {
+void AccountShares::OnQueued(const ShareClaim& claim) {
   Account* account = Find(claim.account);
   account->waiting += Weighted(claim);
   ++account->waiters;
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -72,7 +72,7 @@
   const WaitingRequestId id{next_id_++};
   waiters_.emplace(id, waiter);
   if (shares_.has_value()) {
-    shares_->OnWaits(waiter.claim);
+    shares_->OnQueued(waiter.claim);
   }
   return id;
 }
