--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -49,9 +49,10 @@
   explicit AccountShares(MonotonicClock clock) : clock_(std::move(clock)) {}
 
   void OnGranted(const ShareClaim& claim);
-  // Each claim that waits must be taken back by OnLeft when it waits no more.
+  // Each claim that waits must be taken back by OnDequeued when it waits no
+  // more.
   void OnQueued(const ShareClaim& claim);
-  void OnLeft(const ShareClaim& claim);
+  void OnDequeued(const ShareClaim& claim);
 
   // Returns the accounts that wait and go after the others, because they have
   // had their share.
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -55,7 +55,7 @@
   ++account->waiters;
 }
 
-void AccountShares::OnLeft(const ShareClaim& claim) {
+void AccountShares::OnDequeued(const ShareClaim& claim) {
   Account* account = Find(claim.account);
   account->waiting -= Weighted(claim);
   --account->waiters;
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -83,7 +83,7 @@
     return;
   }
   if (shares_.has_value()) {
-    shares_->OnLeft(found->second.claim);
+    shares_->OnDequeued(found->second.claim);
   }
   waiters_.erase(found);
 }
