--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -98,7 +98,8 @@
 
   static FractionalMillis Weighted(const ShareClaim& claim);
   static FractionalMillis LevelOf(const std::vector<Standing>& standings);
-  static std::set<AccountId> SatedOf(const std::vector<Standing>& standings);
+  static std::set<AccountId> OverShareOf(
+      const std::vector<Standing>& standings);
   FractionalMillis GivenOf(const Account& account) const;
   std::vector<Standing> Standings() const;
   Account* Find(const AccountId& id);
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -109,7 +109,7 @@
   return sharers > 0 ? left / sharers : FractionalMillis::max();
 }
 
-std::set<AccountId> AccountShares::SatedOf(
+std::set<AccountId> AccountShares::OverShareOf(
     const std::vector<Standing>& standings) {
   std::set<AccountId> sated;
   if (standings.size() < 2) {
@@ -126,7 +126,7 @@
 }
 
 std::set<AccountId> AccountShares::Sated() const {
-  return SatedOf(Standings());
+  return OverShareOf(Standings());
 }
 
 ShareRank AccountShares::ShareRankOf(const ShareClaim& claim) const {
@@ -144,7 +144,7 @@
     standings.push_back(
         Standing{claim.account, given, given + Weighted(claim)});
   }
-  const std::set<AccountId> sated = SatedOf(standings);
+  const std::set<AccountId> sated = OverShareOf(standings);
   if (sated.empty() || sated.size() == standings.size()) {
     return ShareRank::kEqual;
   }
