--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -56,7 +56,7 @@
 
   // Returns the accounts that wait and go after the others, because they have
   // had their share.
-  std::set<AccountId> Sated() const;
+  std::set<AccountId> AccountsOverShare() const;
 
   // Returns how `claim`, which does not wait yet, would stand if it did.
   ShareRank ShareRankOf(const ShareClaim& claim) const;
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -125,7 +125,7 @@
   return sated;
 }
 
-std::set<AccountId> AccountShares::Sated() const {
+std::set<AccountId> AccountShares::AccountsOverShare() const {
   return OverShareOf(Standings());
 }
 
--- a/src/core/account_shares_test.cc
+++ b/src/core/account_shares_test.cc
@@ -27,7 +27,7 @@
   }
   CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 1000)) == ShareRank::kBefore);
   shares_.OnQueued(ClaimFor(kSmall, 1000));
-  CHECK(shares_.Sated() == std::set<AccountId>{kLarge});
+  CHECK(shares_.AccountsOverShare() == std::set<AccountId>{kLarge});
   CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 1000)) == ShareRank::kAfter);
 }
 
@@ -35,7 +35,7 @@
                  "An account that waits alone goes after nobody") {
   shares_.OnGranted(ClaimFor(kLarge, 90000));
   shares_.OnQueued(ClaimFor(kLarge, 9000));
-  CHECK(shares_.Sated().empty());
+  CHECK(shares_.AccountsOverShare().empty());
   CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kEqual);
 }
 
@@ -45,7 +45,7 @@
   shares_.OnQueued(ClaimFor(kSmall, 90000));
   for (int repeats = 0; repeats < 100; ++repeats) {
     shares_.OnQueued(ClaimFor(kLarge, 5000));
-    CHECK(shares_.Sated() == std::set<AccountId>{kLarge});
+    CHECK(shares_.AccountsOverShare() == std::set<AccountId>{kLarge});
   }
 }
 
@@ -75,7 +75,7 @@
   shares_.OnQueued(ClaimFor(kSmall, 90000, 1));
   CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 100, 1)) == ShareRank::kEqual);
   shares_.OnGranted(ClaimFor(kSmall, 5000, 1));
-  CHECK(shares_.Sated() == std::set<AccountId>{kSmall});
+  CHECK(shares_.AccountsOverShare() == std::set<AccountId>{kSmall});
 }
 
 TEST_CASE_METHOD(SharesFixture, "What was given long ago is forgotten") {
@@ -84,7 +84,7 @@
   shares_.OnGranted(ClaimFor(kSmall, 1000));
   shares_.OnQueued(ClaimFor(kLarge, 9000));
   shares_.OnQueued(ClaimFor(kSmall, 9000));
-  CHECK(shares_.Sated() == std::set<AccountId>{kSmall});
+  CHECK(shares_.AccountsOverShare() == std::set<AccountId>{kSmall});
 }
 
 TEST_CASE_METHOD(SharesFixture,
@@ -104,7 +104,7 @@
   shares_.OnGranted(ClaimFor(kLarge, 50000));
   shares_.OnQueued(ClaimFor(kLarge, 9000));
   shares_.OnQueued(ClaimFor(kSmall, 9000));
-  CHECK(shares_.Sated().size() == 1);
+  CHECK(shares_.AccountsOverShare().size() == 1);
   shares_.ForgetGrants();
   CHECK(shares_.ShareRankOf(ClaimFor(kSmall, 10)) == ShareRank::kEqual);
 }
--- a/src/core/waiting_room.cc
+++ b/src/core/waiting_room.cc
@@ -103,7 +103,7 @@
 }
 
 std::size_t WaitQueue::OverShareAccounts() const {
-  return shares_.has_value() ? shares_->Sated().size() : 0;
+  return shares_.has_value() ? shares_->AccountsOverShare().size() : 0;
 }
 
 void WaitQueue::ForgetGrants() {
@@ -115,8 +115,9 @@
 std::vector<WaitingRequestId> WaitQueue::InOrder(std::size_t most) const {
   using Key = std::tuple<Rank, SortKey, WaitingRequestId>;
   const TimePoint now = clock_();
-  const std::set<AccountId> sated =
-      shares_.has_value() ? shares_->Sated() : std::set<AccountId>();
+  const std::set<AccountId> sated = shares_.has_value()
+                                        ? shares_->AccountsOverShare()
+                                        : std::set<AccountId>();
   std::vector<Key> keys;
   keys.reserve(waiters_.size());
   for (const auto& [id, waiter] : waiters_) {
