--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -75,7 +75,7 @@
   static constexpr std::size_t kMostAccounts = 512;
   // An account has had its share from this part of the level on. Those that are
   // about even do not change places at each prompt that starts.
-  static constexpr double kSatedFrom = 0.8;
+  static constexpr double kOverShareFrom = 0.8;
   // And only if it wants more than so many levels, of what it was given and
   // what waits: a queue that is shorter soon passes, and holding a prompt back
   // in it costs more than it helps others.
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -118,7 +118,7 @@
   const FractionalMillis level = LevelOf(standings);
   for (const Standing& standing : standings) {
     if (standing.wanted > kWantsBeyond * level &&
-        standing.given >= kSatedFrom * level) {
+        standing.given >= kOverShareFrom * level) {
       sated.insert(standing.account);
     }
   }
