--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -79,7 +79,7 @@
   // And only if it wants more than so many levels, of what it was given and
   // what waits: a queue that is shorter soon passes, and holding a prompt back
   // in it costs more than it helps others.
-  static constexpr double kWantsBeyond = 1.2;
+  static constexpr double kMinDemand = 1.2;
 
  private:
   // Weighted engine time.
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -117,7 +117,7 @@
   }
   const FractionalMillis level = LevelOf(standings);
   for (const Standing& standing : standings) {
-    if (standing.wanted > kWantsBeyond * level &&
+    if (standing.wanted > kMinDemand * level &&
         standing.given >= kOverShareFrom * level) {
       sated.insert(standing.account);
     }
