--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -72,7 +72,7 @@
   // not held to a flood of the minute before.
   static constexpr Millis kWindow{10000};
   // Beyond that those that do not wait and were given the least are forgotten.
-  static constexpr std::size_t kMostAccounts = 512;
+  static constexpr std::size_t kMaxAccounts = 512;
   // An account has had its share from this part of the level on. Those that are
   // about even do not change places at each prompt that starts.
   static constexpr double kOverShareFrom = 0.8;
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -23,7 +23,7 @@
   if (found != accounts_.end()) {
     return &found->second;
   }
-  if (accounts_.size() >= kMostAccounts) {
+  if (accounts_.size() >= kMaxAccounts) {
     ForgetLeast();
   }
   return &accounts_[id];
--- a/src/core/account_shares_test.cc
+++ b/src/core/account_shares_test.cc
@@ -95,7 +95,7 @@
   for (int i = 0; i < 3000; ++i) {
     shares_.OnGranted(ClaimFor(AccountId{std::to_string(i)}, 10));
   }
-  CHECK(shares_.Count() == AccountShares::kMostAccounts);
+  CHECK(shares_.Count() == AccountShares::kMaxAccounts);
   CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kAfter);
   CHECK(shares_.WaitingAccounts() == 1);
 }
