--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -191,7 +191,7 @@
   // What this planner has given to each host.
   StartCounts given_;
   Placer placer_;
-  RoomDecision decision_;
+  AdmissionControl decision_;
   // Of long prompts and of short ones.
   WaitQueue room_;
   WaitQueue short_room_;
--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -63,9 +63,9 @@
                             const PlacementPolicy& policy);
 
 // Not thread-safe.
-class RoomDecision {
+class AdmissionControl {
  public:
-  RoomDecision(const PlacementPolicy& policy, const MonotonicClock& clock);
+  AdmissionControl(const PlacementPolicy& policy, const MonotonicClock& clock);
 
   // Returns whether `seeker` tells enough to decide by.
   bool Knows(const RoomSeeker& seeker) const;
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -27,15 +27,15 @@
        policy.patience_gaps * FractionalMillis(request.target_gap)});
 }
 
-RoomDecision::RoomDecision(const PlacementPolicy& policy,
-                           const MonotonicClock& clock)
+AdmissionControl::AdmissionControl(const PlacementPolicy& policy,
+                                   const MonotonicClock& clock)
     : policy_(policy),
       clock_(clock),
       short_(clock, kShortRoom),
       long_(clock, kLongRoom),
       promises_(clock) {}
 
-bool RoomDecision::Knows(const RoomSeeker& seeker) const {
+bool AdmissionControl::Knows(const RoomSeeker& seeker) const {
   const PlacementRequest& request = *seeker.request;
   // Zero where its host tells no deadline.
   return policy_.foresees_room &&
@@ -43,7 +43,7 @@
          HasFingerprint(request);
 }
 
-std::optional<TimePoint> RoomDecision::OnAsked(const RoomSeeker& seeker) {
+std::optional<TimePoint> AdmissionControl::OnAsked(const RoomSeeker& seeker) {
   std::optional<TimePoint> late_at;
   if (Knows(seeker)) {
     late_at = promises_.Take(seeker.request->origin.request);
@@ -54,14 +54,14 @@
   return late_at;
 }
 
-void RoomDecision::OnStarted(const RoomSeeker& seeker) {
+void AdmissionControl::OnStarted(const RoomSeeker& seeker) {
   ForecastOf(seeker.kind).OnStarted(seeker.work, seeker.engines);
   counts_.kept += seeker.has_reservation ? 1 : 0;
   promises_.Drop(seeker.request->origin.request);
 }
 
-bool RoomDecision::MayStart(const WaitingRequest& waiter, PromptKind kind,
-                            TimePoint now, const WorkAhead& ahead) const {
+bool AdmissionControl::MayStart(const WaitingRequest& waiter, PromptKind kind,
+                                TimePoint now, const WorkAhead& ahead) const {
   if (!policy_.foresees_room || kind == PromptKind::kShort ||
       waiter.has_reservation || CanMeetTarget(waiter, now)) {
     return true;
@@ -69,7 +69,7 @@
   return ahead.in_time == FractionalMillis(0) && long_.LeavesRoom();
 }
 
-TimePoint RoomDecision::UrgentFrom(const RoomSeeker& seeker) const {
+TimePoint AdmissionControl::UrgentFrom(const RoomSeeker& seeker) const {
   const PromptTime time = TimeOf(seeker);
   const FractionalMillis left =
       time.until_end - time.read - time.answer -
@@ -77,8 +77,8 @@
   return clock_() + std::chrono::duration_cast<TimePoint::duration>(left);
 }
 
-std::optional<QueryRejected> RoomDecision::RefusalOf(const RoomSeeker& seeker,
-                                                     const WorkAhead& ahead) {
+std::optional<QueryRejected> AdmissionControl::RefusalOf(
+    const RoomSeeker& seeker, const WorkAhead& ahead) {
   if (seeker.request->may_have_run) {
     return std::nullopt;
   }
@@ -109,7 +109,7 @@
   return std::nullopt;
 }
 
-PromptTime RoomDecision::TimeOf(const RoomSeeker& seeker) const {
+PromptTime AdmissionControl::TimeOf(const RoomSeeker& seeker) const {
   const PlacementRequest& request = *seeker.request;
   PromptTime time;
   time.until_late = request.until_late;
@@ -126,8 +126,8 @@
   return time;
 }
 
-QueryRejected RoomDecision::Refuse(const RoomSeeker& seeker,
-                                   const WorkAhead& ahead) {
+QueryRejected AdmissionControl::Refuse(const RoomSeeker& seeker,
+                                       const WorkAhead& ahead) {
   const PlacementRequest& request = *seeker.request;
   ++counts_.made;
   counts_.broken += seeker.has_reservation ? 1 : 0;
