--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -159,8 +159,8 @@
   void LeaveRoom(Entry* entry);
   void NoteDemand(const PlacementRequest& request);
   ShortDemand DemandWithin(Millis time) const;
-  RoomSeeker SeekerOf(const Entry& entry,
-                      const PlacementRequest& request) const;
+  AdmissionCandidate SeekerOf(const Entry& entry,
+                              const PlacementRequest& request) const;
   // Returns the refusal of one that just came and found no place, if it should
   // not wait.
   std::optional<QueryRejected> RefusalOnArrival(const Entry& entry,
--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -26,7 +26,7 @@
 enum class PromptKind { kShort, kLong };
 
 // One that has no place.
-struct RoomSeeker {
+struct AdmissionCandidate {
   const PlacementRequest* request = nullptr;
   // How long one engine alone reads its prompt.
   FractionalMillis work{0};
@@ -68,13 +68,13 @@
   AdmissionControl(const PlacementPolicy& policy, const MonotonicClock& clock);
 
   // Returns whether `seeker` tells enough to decide by.
-  bool Knows(const RoomSeeker& seeker) const;
+  bool Knows(const AdmissionCandidate& seeker) const;
 
   // Notes one that came. If it was promised room, returns until when it is in
   // time, counted from its first coming.
-  std::optional<TimePoint> OnAsked(const RoomSeeker& seeker);
+  std::optional<TimePoint> OnAsked(const AdmissionCandidate& seeker);
   // Notes one that was given a place.
-  void OnStarted(const RoomSeeker& seeker);
+  void OnStarted(const AdmissionCandidate& seeker);
   // Notes whether any of `kind` waits.
   void OnWaiting(PromptKind kind, bool any) { ForecastOf(kind).OnWaiting(any); }
 
@@ -86,11 +86,11 @@
 
   // Returns from when on one that was promised room goes before all others: a
   // target before it could not be served any more.
-  TimePoint UrgentFrom(const RoomSeeker& seeker) const;
+  TimePoint UrgentFrom(const AdmissionCandidate& seeker) const;
 
   // Returns nothing if `seeker` should wait, or else its refusal, with the
   // promise made. Knows(seeker) must hold.
-  std::optional<QueryRejected> RefusalOf(const RoomSeeker& seeker,
+  std::optional<QueryRejected> RefusalOf(const AdmissionCandidate& seeker,
                                          const WorkAhead& ahead);
 
   // Forgets what it promised.
@@ -105,8 +105,9 @@
   RoomForecast& ForecastOf(PromptKind kind) {
     return kind == PromptKind::kShort ? short_ : long_;
   }
-  PromptTime TimeOf(const RoomSeeker& seeker) const;
-  QueryRejected Refuse(const RoomSeeker& seeker, const WorkAhead& ahead);
+  PromptTime TimeOf(const AdmissionCandidate& seeker) const;
+  QueryRejected Refuse(const AdmissionCandidate& seeker,
+                       const WorkAhead& ahead);
 
   PlacementPolicy policy_;
   MonotonicClock clock_;
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -73,7 +73,7 @@
     NoteDemand(*request);
   }
   if (request.has_value() && request->service->engine.has_value()) {
-    const RoomSeeker seeker = SeekerOf(entry, *request);
+    const AdmissionCandidate seeker = SeekerOf(entry, *request);
     entry.is_foreseen = decision_.Knows(seeker);
     if (const auto late_at = decision_.OnAsked(seeker)) {
       entry.has_reservation = true;
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -30,9 +30,9 @@
                 : ShareRank::kEqual;
 }
 
-RoomSeeker Planner::SeekerOf(const Entry& entry,
-                             const PlacementRequest& request) const {
-  RoomSeeker seeker;
+AdmissionCandidate Planner::SeekerOf(const Entry& entry,
+                                     const PlacementRequest& request) const {
+  AdmissionCandidate seeker;
   seeker.request = &request;
   seeker.work = PrefillTime(*request.service->engine, request.prompt);
   seeker.kind = entry.is_short ? PromptKind::kShort : PromptKind::kLong;
@@ -46,7 +46,7 @@
 std::optional<QueryRejected> Planner::RefusalOnArrival(
     const Entry& entry, const PlacementRequest& request, ShareRank turn) {
   if (entry.is_foreseen) {
-    const RoomSeeker seeker = SeekerOf(entry, request);
+    const AdmissionCandidate seeker = SeekerOf(entry, request);
     const WaitQueue& room = entry.is_short ? short_room_ : room_;
     return decision_.RefusalOf(
         seeker,
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -35,7 +35,7 @@
       long_(clock, kLongRoom),
       promises_(clock) {}
 
-bool AdmissionControl::Knows(const RoomSeeker& seeker) const {
+bool AdmissionControl::Knows(const AdmissionCandidate& seeker) const {
   const PlacementRequest& request = *seeker.request;
   // Zero where its host tells no deadline.
   return policy_.foresees_room &&
@@ -43,7 +43,8 @@
          HasFingerprint(request);
 }
 
-std::optional<TimePoint> AdmissionControl::OnAsked(const RoomSeeker& seeker) {
+std::optional<TimePoint> AdmissionControl::OnAsked(
+    const AdmissionCandidate& seeker) {
   std::optional<TimePoint> late_at;
   if (Knows(seeker)) {
     late_at = promises_.Take(seeker.request->origin.request);
@@ -54,7 +55,7 @@
   return late_at;
 }
 
-void AdmissionControl::OnStarted(const RoomSeeker& seeker) {
+void AdmissionControl::OnStarted(const AdmissionCandidate& seeker) {
   ForecastOf(seeker.kind).OnStarted(seeker.work, seeker.engines);
   counts_.kept += seeker.has_reservation ? 1 : 0;
   promises_.Drop(seeker.request->origin.request);
@@ -69,7 +70,7 @@
   return ahead.in_time == FractionalMillis(0) && long_.LeavesRoom();
 }
 
-TimePoint AdmissionControl::UrgentFrom(const RoomSeeker& seeker) const {
+TimePoint AdmissionControl::UrgentFrom(const AdmissionCandidate& seeker) const {
   const PromptTime time = TimeOf(seeker);
   const FractionalMillis left =
       time.until_end - time.read - time.answer -
@@ -78,7 +79,7 @@
 }
 
 std::optional<QueryRejected> AdmissionControl::RefusalOf(
-    const RoomSeeker& seeker, const WorkAhead& ahead) {
+    const AdmissionCandidate& seeker, const WorkAhead& ahead) {
   if (seeker.request->may_have_run) {
     return std::nullopt;
   }
@@ -109,7 +110,7 @@
   return std::nullopt;
 }
 
-PromptTime AdmissionControl::TimeOf(const RoomSeeker& seeker) const {
+PromptTime AdmissionControl::TimeOf(const AdmissionCandidate& seeker) const {
   const PlacementRequest& request = *seeker.request;
   PromptTime time;
   time.until_late = request.until_late;
@@ -126,7 +127,7 @@
   return time;
 }
 
-QueryRejected AdmissionControl::Refuse(const RoomSeeker& seeker,
+QueryRejected AdmissionControl::Refuse(const AdmissionCandidate& seeker,
                                        const WorkAhead& ahead) {
   const PlacementRequest& request = *seeker.request;
   ++counts_.made;
