--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/room_forecast.h
@@ -19,7 +19,7 @@
 namespace harecrank {
 
 // How a kind of prompt is foreseen.
-struct RoomForecastTraits {
+struct CapacityForecastOptions {
   // Over how long starts are counted.
   Millis window{0};
   // The share of its time that an engine gives to this kind of prompt, as long
@@ -33,14 +33,14 @@
 // Long prompts start one at a time on many engines, so that a few seconds are
 // needed to tell a rate. Short ones start by the dozen; a wave of them is over
 // within a second where engines suffice, and nobody is turned away meanwhile.
-constexpr RoomForecastTraits kLongRoom{Millis(3000), 0.5, 0};
-constexpr RoomForecastTraits kShortRoom{Millis(1000), 1, 0.1};
+constexpr CapacityForecastOptions kLongRoom{Millis(3000), 0.5, 0};
+constexpr CapacityForecastOptions kShortRoom{Millis(1000), 1, 0.1};
 
 // Foresees for one kind of prompt. Work is engine time: how long one engine
 // alone reads a prompt. Not thread-safe.
 class RoomForecast {
  public:
-  RoomForecast(MonotonicClock clock, const RoomForecastTraits& traits);
+  RoomForecast(MonotonicClock clock, const CapacityForecastOptions& traits);
 
   // Notes a prompt that came, and one that was given its place, while so many
   // engines could be used.
@@ -78,7 +78,7 @@
   double Share() const;
 
   MonotonicClock clock_;
-  RoomForecastTraits traits_;
+  CapacityForecastOptions traits_;
   Notes asked_;
   Notes started_;
   std::optional<TimePoint> waits_since_;
--- a/src/core/room_forecast.cc
+++ b/src/core/room_forecast.cc
@@ -13,7 +13,7 @@
 }  // namespace
 
 RoomForecast::RoomForecast(MonotonicClock clock,
-                           const RoomForecastTraits& traits)
+                           const CapacityForecastOptions& traits)
     : clock_(std::move(clock)), traits_(traits) {}
 
 void RoomForecast::OnAsked(FractionalMillis work, std::size_t engines) {
