--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -102,7 +102,7 @@
   static constexpr Millis kLeastReturn{100};
 
  private:
-  RoomForecast& ForecastOf(PromptKind kind) {
+  CapacityForecast& ForecastOf(PromptKind kind) {
     return kind == PromptKind::kShort ? short_ : long_;
   }
   PromptTime TimeOf(const AdmissionCandidate& seeker) const;
@@ -111,8 +111,8 @@
 
   PlacementPolicy policy_;
   MonotonicClock clock_;
-  RoomForecast short_;
-  RoomForecast long_;
+  CapacityForecast short_;
+  CapacityForecast long_;
   ReturnPromises promises_;
   PromiseCounts counts_;
 };
--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/room_forecast.h
@@ -38,9 +38,9 @@
 
 // Foresees for one kind of prompt. Work is engine time: how long one engine
 // alone reads a prompt. Not thread-safe.
-class RoomForecast {
+class CapacityForecast {
  public:
-  RoomForecast(MonotonicClock clock, const CapacityForecastOptions& traits);
+  CapacityForecast(MonotonicClock clock, const CapacityForecastOptions& traits);
 
   // Notes a prompt that came, and one that was given its place, while so many
   // engines could be used.
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -92,7 +92,7 @@
     return std::nullopt;
   }
   const double doubt = seeker.waits ? kDoubt : 1 / kSureShare;
-  const RoomForecast& forecast = ForecastOf(seeker.kind);
+  const CapacityForecast& forecast = ForecastOf(seeker.kind);
   const bool has_precedent =
       !seeker.waits && seeker.kind == PromptKind::kLong &&
       ahead.least_late.has_value() && *ahead.least_late <= seeker.work;
--- a/src/core/room_forecast.cc
+++ b/src/core/room_forecast.cc
@@ -12,19 +12,19 @@
 
 }  // namespace
 
-RoomForecast::RoomForecast(MonotonicClock clock,
-                           const CapacityForecastOptions& traits)
+CapacityForecast::CapacityForecast(MonotonicClock clock,
+                                   const CapacityForecastOptions& traits)
     : clock_(std::move(clock)), traits_(traits) {}
 
-void RoomForecast::OnAsked(FractionalMillis work, std::size_t engines) {
+void CapacityForecast::OnAsked(FractionalMillis work, std::size_t engines) {
   Note(work, engines, &asked_);
 }
 
-void RoomForecast::OnStarted(FractionalMillis work, std::size_t engines) {
+void CapacityForecast::OnStarted(FractionalMillis work, std::size_t engines) {
   Note(work, engines, &started_);
 }
 
-void RoomForecast::OnWaiting(bool any) {
+void CapacityForecast::OnWaiting(bool any) {
   if (!any) {
     waits_since_.reset();
   } else if (!waits_since_.has_value()) {
@@ -32,16 +32,16 @@
   }
 }
 
-FractionalMillis RoomForecast::UntilStart(FractionalMillis ahead,
-                                          std::size_t engines) const {
+FractionalMillis CapacityForecast::UntilStart(FractionalMillis ahead,
+                                              std::size_t engines) const {
   const double rate =
       Share() * static_cast<double>(std::max<std::size_t>(engines, 1));
   return ahead / rate;
 }
 
-FractionalMillis RoomForecast::UntilLeftOver(FractionalMillis ahead,
-                                             FractionalMillis work,
-                                             std::size_t engines) const {
+FractionalMillis CapacityForecast::UntilLeftOver(FractionalMillis ahead,
+                                                 FractionalMillis work,
+                                                 std::size_t engines) const {
   const double share = Share();
   const double left =
       std::max(share - ShareOf(asked_), traits_.least_left_over * share);
@@ -53,10 +53,10 @@
   return (ahead + work) / rate;
 }
 
-bool RoomForecast::LeavesRoom() const { return ShareOf(asked_) < Share(); }
+bool CapacityForecast::LeavesRoom() const { return ShareOf(asked_) < Share(); }
 
-void RoomForecast::Note(FractionalMillis work, std::size_t engines,
-                        Notes* notes) {
+void CapacityForecast::Note(FractionalMillis work, std::size_t engines,
+                            Notes* notes) {
   const TimePoint now = clock_();
   const auto among = static_cast<double>(std::max<std::size_t>(engines, 1));
   notes->push_back(Noted{now, work / among});
@@ -65,7 +65,7 @@
   }
 }
 
-double RoomForecast::ShareOf(const Notes& notes) const {
+double CapacityForecast::ShareOf(const Notes& notes) const {
   const TimePoint now = clock_();
   FractionalMillis sum(0);
   for (const Noted& one : notes) {
@@ -76,7 +76,7 @@
   return sum / FractionalMillis(traits_.window);
 }
 
-double RoomForecast::Share() const {
+double CapacityForecast::Share() const {
   const double started = ShareOf(started_);
   const bool is_known =
       waits_since_.has_value() && clock_() - *waits_since_ >= traits_.window;
--- a/src/core/room_forecast_test.cc
+++ b/src/core/room_forecast_test.cc
@@ -19,7 +19,7 @@
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  RoomForecast forecast_{[this] { return now_; }, kLongRoom};
+  CapacityForecast forecast_{[this] { return now_; }, kLongRoom};
 };
 
 TEST_CASE_METHOD(ForecastFixture,
