--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -32,7 +32,7 @@
     : policy_(policy),
       clock_(clock),
       short_(clock, kShortRoom),
-      long_(clock, kLongRoom),
+      long_(clock, kLongPromptForecast),
       promises_(clock) {}
 
 bool AdmissionControl::Knows(const AdmissionCandidate& seeker) const {
--- a/src/core/room_forecast_test.cc
+++ b/src/core/room_forecast_test.cc
@@ -12,14 +12,15 @@
   // Starts `rate` of engine time for each time, for as long as a window.
   void StartFor(double rate) {
     constexpr Millis kStep{100};
-    for (Millis passed(0); passed < kLongRoom.window; passed += kStep) {
+    for (Millis passed(0); passed < kLongPromptForecast.window;
+         passed += kStep) {
       now_ += kStep;
       forecast_.OnStarted(rate * FractionalMillis(kStep), kEngines);
     }
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  CapacityForecast forecast_{[this] { return now_; }, kLongRoom};
+  CapacityForecast forecast_{[this] { return now_; }, kLongPromptForecast};
 };
 
 TEST_CASE_METHOD(ForecastFixture,
