--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/room_forecast.h
@@ -34,7 +34,7 @@
 // needed to tell a rate. Short ones start by the dozen; a wave of them is over
 // within a second where engines suffice, and nobody is turned away meanwhile.
 constexpr CapacityForecastOptions kLongPromptForecast{Millis(3000), 0.5, 0};
-constexpr CapacityForecastOptions kShortRoom{Millis(1000), 1, 0.1};
+constexpr CapacityForecastOptions kShortPromptForecast{Millis(1000), 1, 0.1};
 
 // Foresees for one kind of prompt. Work is engine time: how long one engine
 // alone reads a prompt. Not thread-safe.
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -31,7 +31,7 @@
                                    const MonotonicClock& clock)
     : policy_(policy),
       clock_(clock),
-      short_(clock, kShortRoom),
+      short_(clock, kShortPromptForecast),
       long_(clock, kLongPromptForecast),
       promises_(clock) {}
 
