--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -90,7 +90,9 @@
   std::size_t OverShareAccounts() const { return room_.OverShareAccounts(); }
   // How many were told to return and have not come back yet.
   std::size_t ReservationCount() const { return decision_.ReservationCount(); }
-  const PromiseCounts& ReservationTotals() const { return decision_.Counts(); }
+  const ReservationCounts& ReservationTotals() const {
+    return decision_.Counts();
+  }
 
   // Over how long the demand of short prompts is taken.
   static constexpr Millis kDemandWindow{500};
--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -51,7 +51,7 @@
 };
 
 // What became of promises since the start.
-struct PromiseCounts {
+struct ReservationCounts {
   std::uint64_t made = 0;
   // Who returned got a place, or was turned away again.
   std::uint64_t kept = 0;
@@ -96,7 +96,7 @@
   // Forgets what it promised.
   void Clear() { promises_.Clear(); }
   std::size_t ReservationCount() const { return promises_.Count(); }
-  const PromiseCounts& Counts() const { return counts_; }
+  const ReservationCounts& Counts() const { return counts_; }
 
   // No caller is told to return sooner.
   static constexpr Millis kLeastReturn{100};
@@ -114,7 +114,7 @@
   CapacityForecast short_;
   CapacityForecast long_;
   ReturnPromises promises_;
-  PromiseCounts counts_;
+  ReservationCounts counts_;
 };
 
 }  // namespace harecrank
