--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -59,8 +59,8 @@
 };
 
 // Returns how long a caller of `request` waits for a first event.
-FractionalMillis PatienceOf(const PlacementRequest& request,
-                            const PlacementPolicy& policy);
+FractionalMillis FirstEventTimeout(const PlacementRequest& request,
+                                   const PlacementPolicy& policy);
 
 // Not thread-safe.
 class AdmissionControl {
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-FractionalMillis PatienceOf(const PlacementRequest& request,
-                            const PlacementPolicy& policy) {
+FractionalMillis FirstEventTimeout(const PlacementRequest& request,
+                                   const PlacementPolicy& policy) {
   return std::max(
       {FractionalMillis(policy.patience_ms),
        policy.patience_targets * FractionalMillis(request.target_latency),
@@ -123,7 +123,7 @@
   // heard all its deadline.
   time.until_end =
       std::min(request.until_deadline,
-               PatienceOf(request, policy_) - seeker.age + time.answer);
+               FirstEventTimeout(request, policy_) - seeker.age + time.answer);
   return time;
 }
 
