--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -72,7 +72,7 @@
 
   // Notes one that came. If it was promised room, returns until when it is in
   // time, counted from its first coming.
-  std::optional<TimePoint> OnAsked(const AdmissionCandidate& seeker);
+  std::optional<TimePoint> OnArrival(const AdmissionCandidate& seeker);
   // Notes one that was given a place.
   void OnStarted(const AdmissionCandidate& seeker);
   // Notes whether any of `kind` waits.
--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/room_forecast.h
@@ -44,7 +44,7 @@
 
   // Notes a prompt that came, and one that was given its place, while so many
   // engines could be used.
-  void OnAsked(FractionalMillis work, std::size_t engines);
+  void OnArrival(FractionalMillis work, std::size_t engines);
   void OnStarted(FractionalMillis work, std::size_t engines);
 
   // Notes whether any prompt waits.
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -43,14 +43,14 @@
          HasFingerprint(request);
 }
 
-std::optional<TimePoint> AdmissionControl::OnAsked(
+std::optional<TimePoint> AdmissionControl::OnArrival(
     const AdmissionCandidate& seeker) {
   std::optional<TimePoint> late_at;
   if (Knows(seeker)) {
     late_at = promises_.Take(seeker.request->origin.request);
   }
   if (!late_at.has_value()) {
-    ForecastOf(seeker.kind).OnAsked(seeker.work, seeker.engines);
+    ForecastOf(seeker.kind).OnArrival(seeker.work, seeker.engines);
   }
   return late_at;
 }
--- a/src/core/room_forecast.cc
+++ b/src/core/room_forecast.cc
@@ -16,7 +16,7 @@
                                    const CapacityForecastOptions& traits)
     : clock_(std::move(clock)), traits_(traits) {}
 
-void CapacityForecast::OnAsked(FractionalMillis work, std::size_t engines) {
+void CapacityForecast::OnArrival(FractionalMillis work, std::size_t engines) {
   Note(work, engines, &asked_);
 }
 
--- a/src/core/room_forecast_test.cc
+++ b/src/core/room_forecast_test.cc
@@ -49,7 +49,7 @@
 TEST_CASE_METHOD(ForecastFixture,
                  "Who goes after all others gets what those that come leave") {
   forecast_.OnWaiting(true);
-  forecast_.OnAsked(FractionalMillis(24000), kEngines);
+  forecast_.OnArrival(FractionalMillis(24000), kEngines);
   StartFor(10);
   CHECK(forecast_
             .UntilLeftOver(FractionalMillis(3000), FractionalMillis(1000),
