--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -68,7 +68,7 @@
   AdmissionControl(const PlacementPolicy& policy, const MonotonicClock& clock);
 
   // Returns whether `seeker` tells enough to decide by.
-  bool Knows(const AdmissionCandidate& seeker) const;
+  bool CanDecide(const AdmissionCandidate& seeker) const;
 
   // Notes one that came. If it was promised room, returns until when it is in
   // time, counted from its first coming.
@@ -89,7 +89,7 @@
   TimePoint UrgentFrom(const AdmissionCandidate& seeker) const;
 
   // Returns nothing if `seeker` should wait, or else its refusal, with the
-  // promise made. Knows(seeker) must hold.
+  // promise made. CanDecide(seeker) must hold.
   std::optional<QueryRejected> RefusalOf(const AdmissionCandidate& seeker,
                                          const WorkAhead& ahead);
 
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -74,7 +74,7 @@
   }
   if (request.has_value() && request->service->engine.has_value()) {
     const AdmissionCandidate seeker = SeekerOf(entry, *request);
-    entry.is_foreseen = decision_.Knows(seeker);
+    entry.is_foreseen = decision_.CanDecide(seeker);
     if (const auto late_at = decision_.OnArrival(seeker)) {
       entry.has_reservation = true;
       entry.late_at = std::min(entry.late_at, *late_at);
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -35,7 +35,7 @@
       long_(clock, kLongPromptForecast),
       promises_(clock) {}
 
-bool AdmissionControl::Knows(const AdmissionCandidate& seeker) const {
+bool AdmissionControl::CanDecide(const AdmissionCandidate& seeker) const {
   const PlacementRequest& request = *seeker.request;
   // Zero where its host tells no deadline.
   return policy_.foresees_room &&
@@ -46,7 +46,7 @@
 std::optional<TimePoint> AdmissionControl::OnArrival(
     const AdmissionCandidate& seeker) {
   std::optional<TimePoint> late_at;
-  if (Knows(seeker)) {
+  if (CanDecide(seeker)) {
     late_at = promises_.Take(seeker.request->origin.request);
   }
   if (!late_at.has_value()) {
