--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -90,8 +90,8 @@
 
   // Returns nothing if `seeker` should wait, or else its refusal, with the
   // promise made. CanDecide(seeker) must hold.
-  std::optional<QueryRejected> RefusalOf(const AdmissionCandidate& seeker,
-                                         const WorkAhead& ahead);
+  std::optional<QueryRejected> RejectionOf(const AdmissionCandidate& seeker,
+                                           const WorkAhead& ahead);
 
   // Forgets what it promised.
   void Clear() { promises_.Clear(); }
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -48,7 +48,7 @@
   if (entry.is_foreseen) {
     const AdmissionCandidate seeker = SeekerOf(entry, request);
     const WaitQueue& room = entry.is_short ? short_room_ : room_;
-    return decision_.RefusalOf(
+    return decision_.RejectionOf(
         seeker,
         WorkAhead{room.WorkInTime(), room.LateWork(), room.LeastLateWork()});
   }
@@ -68,7 +68,7 @@
   if (!request.has_value()) {
     return NoEndpoint{};
   }
-  return AsDecision(decision_.RefusalOf(SeekerOf(entry, *request), ahead));
+  return AsDecision(decision_.RejectionOf(SeekerOf(entry, *request), ahead));
 }
 
 bool Planner::MayStart(const Entry& entry, const WaitQueue& room,
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -78,7 +78,7 @@
   return clock_() + std::chrono::duration_cast<TimePoint::duration>(left);
 }
 
-std::optional<QueryRejected> AdmissionControl::RefusalOf(
+std::optional<QueryRejected> AdmissionControl::RejectionOf(
     const AdmissionCandidate& seeker, const WorkAhead& ahead) {
   if (seeker.request->may_have_run) {
     return std::nullopt;
