--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/room_forecast.h
@@ -56,7 +56,7 @@
 
   // Returns whether less comes than can be given away, so that one that is late
   // already may start without making others late.
-  bool LeavesRoom() const;
+  bool HasSpareCapacity() const;
 
   // Returns until a prompt of `work` starts on what is left over by others
   // that will come and go before it, as many as came lately.
--- a/src/core/attempt_policy.cc
+++ b/src/core/attempt_policy.cc
@@ -63,7 +63,7 @@
 };
 
 // Returns whether the way an attempt ended allows another at all.
-struct LeavesRoom {
+struct HasSpareCapacity {
   bool operator()(const AttemptRefused& end) const {
     return !IsFinalRefusal(end.code);
   }
@@ -98,7 +98,7 @@
   const Outcome outcome = evidence.Conclude();
   overall_ = Weaker(overall_, outcome);
   last_refusal_ = std::visit(ToRefusal{overall_}, end);
-  if (std::visit(LeavesRoom{}, end) && MayTryAgain(outcome) &&
+  if (std::visit(HasSpareCapacity{}, end) && MayTryAgain(outcome) &&
       budget_->TryRetry()) {
     ++attempts_;
     return TryElsewhere{};
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -67,7 +67,7 @@
       waiter.has_reservation || CanMeetTarget(waiter, now)) {
     return true;
   }
-  return ahead.in_time == FractionalMillis(0) && long_.LeavesRoom();
+  return ahead.in_time == FractionalMillis(0) && long_.HasSpareCapacity();
 }
 
 TimePoint AdmissionControl::UrgentFrom(const AdmissionCandidate& seeker) const {
--- a/src/core/room_forecast.cc
+++ b/src/core/room_forecast.cc
@@ -53,7 +53,9 @@
   return (ahead + work) / rate;
 }
 
-bool CapacityForecast::LeavesRoom() const { return ShareOf(asked_) < Share(); }
+bool CapacityForecast::HasSpareCapacity() const {
+  return ShareOf(asked_) < Share();
+}
 
 void CapacityForecast::Note(FractionalMillis work, std::size_t engines,
                             Notes* notes) {
