--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/room_forecast.h
@@ -51,8 +51,8 @@
   void OnWaiting(bool any);
 
   // Returns until a prompt starts that `ahead` goes before.
-  FractionalMillis UntilStart(FractionalMillis ahead,
-                              std::size_t engines) const;
+  FractionalMillis TimeUntilStart(FractionalMillis ahead,
+                                  std::size_t engines) const;
 
   // Returns whether less comes than can be given away, so that one that is late
   // already may start without making others late.
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -99,7 +99,7 @@
   const FractionalMillis until_start =
       has_precedent
           ? FractionalMillis::max()
-          : doubt * forecast.UntilStart(ahead.in_time, seeker.engines);
+          : doubt * forecast.TimeUntilStart(ahead.in_time, seeker.engines);
   const FractionalMillis until_left_over =
       std::min(doubt, 1.0) * forecast.UntilLeftOver(ahead.in_time + ahead.late,
                                                     seeker.work,
@@ -135,7 +135,7 @@
   const FractionalMillis before =
       ahead.in_time + ahead.late + promises_.PromisedWork();
   const FractionalMillis foreseen =
-      ForecastOf(seeker.kind).UntilStart(before, seeker.engines);
+      ForecastOf(seeker.kind).TimeUntilStart(before, seeker.engines);
   const FractionalMillis latest = policy_.return_share * request.until_deadline;
   const FractionalMillis after =
       std::max(std::min(foreseen, latest), FractionalMillis(kLeastReturn));
--- a/src/core/room_forecast.cc
+++ b/src/core/room_forecast.cc
@@ -32,8 +32,8 @@
   }
 }
 
-FractionalMillis CapacityForecast::UntilStart(FractionalMillis ahead,
-                                              std::size_t engines) const {
+FractionalMillis CapacityForecast::TimeUntilStart(FractionalMillis ahead,
+                                                  std::size_t engines) const {
   const double rate =
       Share() * static_cast<double>(std::max<std::size_t>(engines, 1));
   return ahead / rate;
--- a/src/core/room_forecast_test.cc
+++ b/src/core/room_forecast_test.cc
@@ -27,7 +27,7 @@
                  "While some wait the rate is that of starts") {
   forecast_.OnWaiting(true);
   StartFor(10);
-  CHECK(forecast_.UntilStart(FractionalMillis(20000), kEngines).count() ==
+  CHECK(forecast_.TimeUntilStart(FractionalMillis(20000), kEngines).count() ==
         Approx(2000).epsilon(0.05));
 }
 
@@ -35,14 +35,15 @@
                  "A lost half of the engines halves the rate") {
   forecast_.OnWaiting(true);
   StartFor(10);
-  CHECK(forecast_.UntilStart(FractionalMillis(20000), kEngines / 2).count() ==
-        Approx(4000).epsilon(0.05));
+  CHECK(
+      forecast_.TimeUntilStart(FractionalMillis(20000), kEngines / 2).count() ==
+      Approx(4000).epsilon(0.05));
 }
 
 TEST_CASE_METHOD(ForecastFixture,
                  "Few starts mean nothing while nobody waits") {
   StartFor(1);
-  CHECK(forecast_.UntilStart(FractionalMillis(25000), kEngines).count() ==
+  CHECK(forecast_.TimeUntilStart(FractionalMillis(25000), kEngines).count() ==
         Approx(1000).epsilon(0.05));
 }
 
