--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/room_forecast.h
@@ -60,8 +60,9 @@
 
   // Returns until a prompt of `work` starts on what is left over by others
   // that will come and go before it, as many as came lately.
-  FractionalMillis UntilLeftOver(FractionalMillis ahead, FractionalMillis work,
-                                 std::size_t engines) const;
+  FractionalMillis TimeUntilSpareCapacity(FractionalMillis ahead,
+                                          FractionalMillis work,
+                                          std::size_t engines) const;
 
  private:
   // Work divided by the engines that there were.
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -101,9 +101,9 @@
           ? FractionalMillis::max()
           : doubt * forecast.TimeUntilStart(ahead.in_time, seeker.engines);
   const FractionalMillis until_left_over =
-      std::min(doubt, 1.0) * forecast.UntilLeftOver(ahead.in_time + ahead.late,
-                                                    seeker.work,
-                                                    seeker.engines);
+      std::min(doubt, 1.0) *
+      forecast.TimeUntilSpareCapacity(ahead.in_time + ahead.late, seeker.work,
+                                      seeker.engines);
   if (ProspectOf(time, until_start, until_left_over) == Prospect::kNone) {
     return Refuse(seeker, ahead);
   }
--- a/src/core/room_forecast.cc
+++ b/src/core/room_forecast.cc
@@ -39,9 +39,8 @@
   return ahead / rate;
 }
 
-FractionalMillis CapacityForecast::UntilLeftOver(FractionalMillis ahead,
-                                                 FractionalMillis work,
-                                                 std::size_t engines) const {
+FractionalMillis CapacityForecast::TimeUntilSpareCapacity(
+    FractionalMillis ahead, FractionalMillis work, std::size_t engines) const {
   const double share = Share();
   const double left =
       std::max(share - ShareOf(asked_), traits_.least_left_over * share);
--- a/src/core/room_forecast_test.cc
+++ b/src/core/room_forecast_test.cc
@@ -53,8 +53,8 @@
   forecast_.OnArrival(FractionalMillis(24000), kEngines);
   StartFor(10);
   CHECK(forecast_
-            .UntilLeftOver(FractionalMillis(3000), FractionalMillis(1000),
-                           kEngines)
+            .TimeUntilSpareCapacity(FractionalMillis(3000),
+                                    FractionalMillis(1000), kEngines)
             .count() == Approx(2000).epsilon(0.05));
 }
 
