--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -105,7 +105,7 @@
   CapacityForecast& ForecastOf(PromptKind kind) {
     return kind == PromptKind::kShort ? short_ : long_;
   }
-  PromptTime TimeOf(const AdmissionCandidate& seeker) const;
+  PromptTiming TimeOf(const AdmissionCandidate& seeker) const;
   QueryRejected Refuse(const AdmissionCandidate& seeker,
                        const WorkAhead& ahead);
 
--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/room_forecast.h
@@ -86,7 +86,7 @@
 };
 
 // What is left to a prompt that has no place yet.
-struct PromptTime {
+struct PromptTiming {
   // Until its first event is late; negative if it is.
   FractionalMillis until_late{0};
   // Until its caller gives it up.
@@ -100,7 +100,7 @@
 
 // Returns what becomes of a prompt that starts after `until_start` if it goes
 // by its turn, and after `until_left_over` once it is late.
-Prospect ProspectOf(const PromptTime& time, FractionalMillis until_start,
+Prospect ProspectOf(const PromptTiming& time, FractionalMillis until_start,
                     FractionalMillis until_left_over);
 
 }  // namespace harecrank
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -71,7 +71,7 @@
 }
 
 TimePoint AdmissionControl::UrgentFrom(const AdmissionCandidate& seeker) const {
-  const PromptTime time = TimeOf(seeker);
+  const PromptTiming time = TimeOf(seeker);
   const FractionalMillis left =
       time.until_end - time.read - time.answer -
       FractionalMillis(seeker.request->target_latency);
@@ -83,7 +83,7 @@
   if (seeker.request->may_have_run) {
     return std::nullopt;
   }
-  const PromptTime time = TimeOf(seeker);
+  const PromptTiming time = TimeOf(seeker);
   const bool too_late = time.read + time.answer > time.until_end;
   if (too_late) {
     return Refuse(seeker, ahead);
@@ -110,9 +110,9 @@
   return std::nullopt;
 }
 
-PromptTime AdmissionControl::TimeOf(const AdmissionCandidate& seeker) const {
+PromptTiming AdmissionControl::TimeOf(const AdmissionCandidate& seeker) const {
   const PlacementRequest& request = *seeker.request;
-  PromptTime time;
+  PromptTiming time;
   time.until_late = request.until_late;
   time.read = seeker.kind == PromptKind::kShort
                   ? seeker.work
--- a/src/core/room_forecast.cc
+++ b/src/core/room_forecast.cc
@@ -85,7 +85,7 @@
                   : std::max(started, traits_.usual_share);
 }
 
-Prospect ProspectOf(const PromptTime& time, FractionalMillis until_start,
+Prospect ProspectOf(const PromptTiming& time, FractionalMillis until_start,
                     FractionalMillis until_left_over) {
   if (until_start <= time.until_late - time.read) {
     return Prospect::kInTime;
--- a/src/core/room_forecast_test.cc
+++ b/src/core/room_forecast_test.cc
@@ -59,7 +59,7 @@
 }
 
 TEST_CASE("Prompts are in time, late but of use, or neither") {
-  PromptTime time;
+  PromptTiming time;
   time.until_late = FractionalMillis(1000);
   time.until_end = FractionalMillis(5000);
   time.read = FractionalMillis(300);
