--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/room_forecast.h
@@ -100,8 +100,8 @@
 
 // Returns what becomes of a prompt that starts after `until_start` if it goes
 // by its turn, and after `until_left_over` once it is late.
-Prospect ProspectOf(const PromptTiming& time, FractionalMillis until_start,
-                    FractionalMillis until_left_over);
+Prospect PredictOutcome(const PromptTiming& time, FractionalMillis until_start,
+                        FractionalMillis until_left_over);
 
 }  // namespace harecrank
 
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -104,7 +104,7 @@
       std::min(doubt, 1.0) *
       forecast.TimeUntilSpareCapacity(ahead.in_time + ahead.late, seeker.work,
                                       seeker.engines);
-  if (ProspectOf(time, until_start, until_left_over) == Prospect::kNone) {
+  if (PredictOutcome(time, until_start, until_left_over) == Prospect::kNone) {
     return Refuse(seeker, ahead);
   }
   return std::nullopt;
--- a/src/core/room_forecast.cc
+++ b/src/core/room_forecast.cc
@@ -85,8 +85,8 @@
                   : std::max(started, traits_.usual_share);
 }
 
-Prospect ProspectOf(const PromptTiming& time, FractionalMillis until_start,
-                    FractionalMillis until_left_over) {
+Prospect PredictOutcome(const PromptTiming& time, FractionalMillis until_start,
+                        FractionalMillis until_left_over) {
   if (until_start <= time.until_late - time.read) {
     return Prospect::kInTime;
   }
