--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/room_forecast.h
@@ -96,12 +96,13 @@
   FractionalMillis answer{0};
 };
 
-enum class Prospect { kInTime, kLate, kNone };
+enum class PredictedOutcome { kInTime, kLate, kNone };
 
 // Returns what becomes of a prompt that starts after `until_start` if it goes
 // by its turn, and after `until_left_over` once it is late.
-Prospect PredictOutcome(const PromptTiming& time, FractionalMillis until_start,
-                        FractionalMillis until_left_over);
+PredictedOutcome PredictOutcome(const PromptTiming& time,
+                                FractionalMillis until_start,
+                                FractionalMillis until_left_over);
 
 }  // namespace harecrank
 
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -104,7 +104,8 @@
       std::min(doubt, 1.0) *
       forecast.TimeUntilSpareCapacity(ahead.in_time + ahead.late, seeker.work,
                                       seeker.engines);
-  if (PredictOutcome(time, until_start, until_left_over) == Prospect::kNone) {
+  if (PredictOutcome(time, until_start, until_left_over) ==
+      PredictedOutcome::kNone) {
     return Refuse(seeker, ahead);
   }
   return std::nullopt;
--- a/src/core/room_forecast.cc
+++ b/src/core/room_forecast.cc
@@ -85,17 +85,18 @@
                   : std::max(started, traits_.usual_share);
 }
 
-Prospect PredictOutcome(const PromptTiming& time, FractionalMillis until_start,
-                        FractionalMillis until_left_over) {
+PredictedOutcome PredictOutcome(const PromptTiming& time,
+                                FractionalMillis until_start,
+                                FractionalMillis until_left_over) {
   if (until_start <= time.until_late - time.read) {
-    return Prospect::kInTime;
+    return PredictedOutcome::kInTime;
   }
   const FractionalMillis taken = time.read + time.answer;
   // One that is not late yet goes by its turn until it is.
   const FractionalMillis until_turn =
       until_start <= time.until_late ? until_start : until_left_over;
-  return until_turn <= time.until_end - taken ? Prospect::kLate
-                                              : Prospect::kNone;
+  return until_turn <= time.until_end - taken ? PredictedOutcome::kLate
+                                              : PredictedOutcome::kNone;
 }
 
 }  // namespace harecrank
--- a/src/core/room_forecast_test.cc
+++ b/src/core/room_forecast_test.cc
@@ -68,10 +68,10 @@
   const FractionalMillis later(900);
   const FractionalMillis last(4000);
   const FractionalMillis never(4001);
-  CHECK(PredictOutcome(time, soon, never) == Prospect::kInTime);
-  CHECK(PredictOutcome(time, later, never) == Prospect::kLate);
-  CHECK(PredictOutcome(time, last, last) == Prospect::kLate);
-  CHECK(PredictOutcome(time, last, never) == Prospect::kNone);
+  CHECK(PredictOutcome(time, soon, never) == PredictedOutcome::kInTime);
+  CHECK(PredictOutcome(time, later, never) == PredictedOutcome::kLate);
+  CHECK(PredictOutcome(time, last, last) == PredictedOutcome::kLate);
+  CHECK(PredictOutcome(time, last, never) == PredictedOutcome::kNone);
 }
 
 }  // namespace
