--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -99,7 +99,7 @@
   const ReservationCounts& Counts() const { return counts_; }
 
   // No caller is told to return sooner.
-  static constexpr Millis kLeastReturn{100};
+  static constexpr Millis kMinRetryAfter{100};
 
  private:
   CapacityForecast& ForecastOf(PromptKind kind) {
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -139,7 +139,7 @@
       ForecastOf(seeker.kind).TimeUntilStart(before, seeker.engines);
   const FractionalMillis latest = policy_.return_share * request.until_deadline;
   const FractionalMillis after =
-      std::max(std::min(foreseen, latest), FractionalMillis(kLeastReturn));
+      std::max(std::min(foreseen, latest), FractionalMillis(kMinRetryAfter));
   return QueryRejected{promises_.Promise(
       request.origin.request, seeker.work,
       clock_() +
