--- a/include/harecrank/core/return_promises.h
+++ b/include/harecrank/core/return_promises.h
@@ -24,9 +24,9 @@
 namespace harecrank {
 
 // Not thread-safe.
-class ReturnPromises {
+class RetryReservations {
  public:
-  explicit ReturnPromises(MonotonicClock clock);
+  explicit RetryReservations(MonotonicClock clock);
 
   // Promises room for a prompt of `work`, late at `late_at`, from `after` on,
   // for kKept. Returns when its caller should come: who has a promise already
--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -113,7 +113,7 @@
   MonotonicClock clock_;
   CapacityForecast short_;
   CapacityForecast long_;
-  ReturnPromises promises_;
+  RetryReservations promises_;
   ReservationCounts counts_;
 };
 
--- a/src/core/return_promises.cc
+++ b/src/core/return_promises.cc
@@ -4,12 +4,12 @@
 
 namespace harecrank {
 
-ReturnPromises::ReturnPromises(MonotonicClock clock)
+RetryReservations::RetryReservations(MonotonicClock clock)
     : clock_(std::move(clock)) {}
 
-Millis ReturnPromises::Promise(const RequestFingerprint& request,
-                               FractionalMillis work, TimePoint late_at,
-                               Millis after) {
+Millis RetryReservations::Promise(const RequestFingerprint& request,
+                                  FractionalMillis work, TimePoint late_at,
+                                  Millis after) {
   DropEnded();
   const TimePoint now = clock_();
   const auto found = promises_.find(request);
@@ -31,7 +31,7 @@
   return after;
 }
 
-std::optional<TimePoint> ReturnPromises::Take(
+std::optional<TimePoint> RetryReservations::Take(
     const RequestFingerprint& request) {
   DropEnded();
   const auto found = promises_.find(request);
@@ -43,32 +43,33 @@
   return late_at;
 }
 
-void ReturnPromises::Drop(const RequestFingerprint& request) {
+void RetryReservations::Drop(const RequestFingerprint& request) {
   const auto found = promises_.find(request);
   if (found != promises_.end()) {
     Erase(found);
   }
 }
 
-FractionalMillis ReturnPromises::PromisedWork() {
+FractionalMillis RetryReservations::PromisedWork() {
   DropEnded();
   return promises_.empty() ? FractionalMillis(0) : work_;
 }
 
-void ReturnPromises::Clear() {
+void RetryReservations::Clear() {
   promises_.clear();
   by_due_.clear();
   work_ = FractionalMillis(0);
 }
 
-void ReturnPromises::DropEnded() {
+void RetryReservations::DropEnded() {
   const TimePoint now = clock_();
   while (!by_due_.empty() && now - by_due_.begin()->first > kKept) {
     Erase(promises_.find(by_due_.begin()->second));
   }
 }
 
-void ReturnPromises::Erase(std::map<RequestFingerprint, Held>::iterator found) {
+void RetryReservations::Erase(
+    std::map<RequestFingerprint, Held>::iterator found) {
   by_due_.erase({found->second.due, found->first});
   work_ -= found->second.work;
   promises_.erase(found);
--- a/src/core/return_promises_test.cc
+++ b/src/core/return_promises_test.cc
@@ -12,7 +12,7 @@
 class PromisesFixture {
  protected:
   TimePoint now_{std::chrono::hours(1)};
-  ReturnPromises promises_{[this] { return now_; }};
+  RetryReservations promises_{[this] { return now_; }};
 };
 
 TEST_CASE_METHOD(PromisesFixture,
@@ -41,18 +41,18 @@
 
 TEST_CASE_METHOD(PromisesFixture, "Room is kept for a while only") {
   promises_.Promise(RequestOf(1), FractionalMillis(900), now_, Millis(500));
-  now_ += Millis(500) + ReturnPromises::kKept + Millis(1);
+  now_ += Millis(500) + RetryReservations::kKept + Millis(1);
   CHECK(promises_.PromisedWork() == FractionalMillis(0));
   CHECK_FALSE(promises_.Take(RequestOf(1)).has_value());
 }
 
 TEST_CASE_METHOD(PromisesFixture,
                  "Beyond its bound the promise that is due first goes") {
-  for (std::uint64_t i = 0; i <= ReturnPromises::kMost; ++i) {
+  for (std::uint64_t i = 0; i <= RetryReservations::kMost; ++i) {
     promises_.Promise(RequestOf(i), FractionalMillis(1), now_,
                       Millis(500 + static_cast<int>(i % 2)));
   }
-  CHECK(promises_.Count() == ReturnPromises::kMost);
+  CHECK(promises_.Count() == RetryReservations::kMost);
   now_ += Millis(501);
   CHECK_FALSE(promises_.Take(RequestOf(0)).has_value());
   CHECK(promises_.Take(RequestOf(1)).has_value());
