--- a/include/harecrank/core/return_promises.h
+++ b/include/harecrank/core/return_promises.h
@@ -31,7 +31,7 @@
   // Promises room for a prompt of `work`, late at `late_at`, from `after` on,
   // for kKept. Returns when its caller should come: who has a promise already
   // is told the same time again, so that repeating at once gains nothing.
-  Millis Promise(const RequestFingerprint& request, FractionalMillis work,
+  Millis Reserve(const RequestFingerprint& request, FractionalMillis work,
                  TimePoint late_at, Millis after);
 
   // Takes the promise that `request` has come back for, if it holds now.
--- a/src/core/return_promises.cc
+++ b/src/core/return_promises.cc
@@ -7,7 +7,7 @@
 RetryReservations::RetryReservations(MonotonicClock clock)
     : clock_(std::move(clock)) {}
 
-Millis RetryReservations::Promise(const RequestFingerprint& request,
+Millis RetryReservations::Reserve(const RequestFingerprint& request,
                                   FractionalMillis work, TimePoint late_at,
                                   Millis after) {
   DropEnded();
--- a/src/core/return_promises_test.cc
+++ b/src/core/return_promises_test.cc
@@ -17,7 +17,7 @@
 
 TEST_CASE_METHOD(PromisesFixture,
                  "A promise holds from the told time on, once") {
-  CHECK(promises_.Promise(RequestOf(1), FractionalMillis(900), now_,
+  CHECK(promises_.Reserve(RequestOf(1), FractionalMillis(900), now_,
                           Millis(500)) == Millis(500));
   CHECK(promises_.PromisedWork() == FractionalMillis(900));
   CHECK_FALSE(promises_.Take(RequestOf(1)).has_value());
@@ -31,16 +31,16 @@
 TEST_CASE_METHOD(PromisesFixture,
                  "Who repeats at once is told the same time and gains "
                  "nothing") {
-  promises_.Promise(RequestOf(1), FractionalMillis(900), now_, Millis(500));
+  promises_.Reserve(RequestOf(1), FractionalMillis(900), now_, Millis(500));
   now_ += Millis(200);
-  CHECK(promises_.Promise(RequestOf(1), FractionalMillis(900), now_,
+  CHECK(promises_.Reserve(RequestOf(1), FractionalMillis(900), now_,
                           Millis(2000)) == Millis(300));
   CHECK(promises_.Count() == 1);
   CHECK(promises_.PromisedWork() == FractionalMillis(900));
 }
 
 TEST_CASE_METHOD(PromisesFixture, "Room is kept for a while only") {
-  promises_.Promise(RequestOf(1), FractionalMillis(900), now_, Millis(500));
+  promises_.Reserve(RequestOf(1), FractionalMillis(900), now_, Millis(500));
   now_ += Millis(500) + RetryReservations::kKept + Millis(1);
   CHECK(promises_.PromisedWork() == FractionalMillis(0));
   CHECK_FALSE(promises_.Take(RequestOf(1)).has_value());
@@ -49,7 +49,7 @@
 TEST_CASE_METHOD(PromisesFixture,
                  "Beyond its bound the promise that is due first goes") {
   for (std::uint64_t i = 0; i <= RetryReservations::kMost; ++i) {
-    promises_.Promise(RequestOf(i), FractionalMillis(1), now_,
+    promises_.Reserve(RequestOf(i), FractionalMillis(1), now_,
                       Millis(500 + static_cast<int>(i % 2)));
   }
   CHECK(promises_.Count() == RetryReservations::kMost);
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -140,7 +140,7 @@
   const FractionalMillis latest = policy_.return_share * request.until_deadline;
   const FractionalMillis after =
       std::max(std::min(foreseen, latest), FractionalMillis(kMinRetryAfter));
-  return QueryRejected{promises_.Promise(
+  return QueryRejected{promises_.Reserve(
       request.origin.request, seeker.work,
       clock_() +
           std::chrono::duration_cast<TimePoint::duration>(request.until_late),
