--- a/include/harecrank/core/return_promises.h
+++ b/include/harecrank/core/return_promises.h
@@ -36,7 +36,7 @@
 
   // Takes the promise that `request` has come back for, if it holds now.
   // Returns until when it is in time: its caller counts from its first coming.
-  std::optional<TimePoint> Take(const RequestFingerprint& request);
+  std::optional<TimePoint> Redeem(const RequestFingerprint& request);
 
   // Drops the promise to a request that was served before it came due.
   void Drop(const RequestFingerprint& request);
--- a/src/core/return_promises.cc
+++ b/src/core/return_promises.cc
@@ -31,7 +31,7 @@
   return after;
 }
 
-std::optional<TimePoint> RetryReservations::Take(
+std::optional<TimePoint> RetryReservations::Redeem(
     const RequestFingerprint& request) {
   DropEnded();
   const auto found = promises_.find(request);
--- a/src/core/return_promises_test.cc
+++ b/src/core/return_promises_test.cc
@@ -20,11 +20,11 @@
   CHECK(promises_.Reserve(RequestOf(1), FractionalMillis(900), now_,
                           Millis(500)) == Millis(500));
   CHECK(promises_.PromisedWork() == FractionalMillis(900));
-  CHECK_FALSE(promises_.Take(RequestOf(1)).has_value());
+  CHECK_FALSE(promises_.Redeem(RequestOf(1)).has_value());
   now_ += Millis(500);
-  CHECK_FALSE(promises_.Take(RequestOf(2)).has_value());
-  CHECK(promises_.Take(RequestOf(1)) == now_ - Millis(500));
-  CHECK_FALSE(promises_.Take(RequestOf(1)).has_value());
+  CHECK_FALSE(promises_.Redeem(RequestOf(2)).has_value());
+  CHECK(promises_.Redeem(RequestOf(1)) == now_ - Millis(500));
+  CHECK_FALSE(promises_.Redeem(RequestOf(1)).has_value());
   CHECK(promises_.PromisedWork() == FractionalMillis(0));
 }
 
@@ -43,7 +43,7 @@
   promises_.Reserve(RequestOf(1), FractionalMillis(900), now_, Millis(500));
   now_ += Millis(500) + RetryReservations::kKept + Millis(1);
   CHECK(promises_.PromisedWork() == FractionalMillis(0));
-  CHECK_FALSE(promises_.Take(RequestOf(1)).has_value());
+  CHECK_FALSE(promises_.Redeem(RequestOf(1)).has_value());
 }
 
 TEST_CASE_METHOD(PromisesFixture,
@@ -54,8 +54,8 @@
   }
   CHECK(promises_.Count() == RetryReservations::kMost);
   now_ += Millis(501);
-  CHECK_FALSE(promises_.Take(RequestOf(0)).has_value());
-  CHECK(promises_.Take(RequestOf(1)).has_value());
+  CHECK_FALSE(promises_.Redeem(RequestOf(0)).has_value());
+  CHECK(promises_.Redeem(RequestOf(1)).has_value());
 }
 
 }  // namespace
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -47,7 +47,7 @@
     const AdmissionCandidate& seeker) {
   std::optional<TimePoint> late_at;
   if (CanDecide(seeker)) {
-    late_at = promises_.Take(seeker.request->origin.request);
+    late_at = promises_.Redeem(seeker.request->origin.request);
   }
   if (!late_at.has_value()) {
     ForecastOf(seeker.kind).OnArrival(seeker.work, seeker.engines);
