--- a/include/harecrank/core/return_promises.h
+++ b/include/harecrank/core/return_promises.h
@@ -39,7 +39,7 @@
   std::optional<TimePoint> Redeem(const RequestFingerprint& request);
 
   // Drops the promise to a request that was served before it came due.
-  void Drop(const RequestFingerprint& request);
+  void Cancel(const RequestFingerprint& request);
 
   // Returns the work of all that have not come back yet.
   FractionalMillis PromisedWork();
--- a/src/core/return_promises.cc
+++ b/src/core/return_promises.cc
@@ -43,7 +43,7 @@
   return late_at;
 }
 
-void RetryReservations::Drop(const RequestFingerprint& request) {
+void RetryReservations::Cancel(const RequestFingerprint& request) {
   const auto found = promises_.find(request);
   if (found != promises_.end()) {
     Erase(found);
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -58,7 +58,7 @@
 void AdmissionControl::OnStarted(const AdmissionCandidate& seeker) {
   ForecastOf(seeker.kind).OnStarted(seeker.work, seeker.engines);
   counts_.kept += seeker.has_reservation ? 1 : 0;
-  promises_.Drop(seeker.request->origin.request);
+  promises_.Cancel(seeker.request->origin.request);
 }
 
 bool AdmissionControl::MayStart(const WaitingRequest& waiter, PromptKind kind,
