--- a/include/harecrank/core/return_promises.h
+++ b/include/harecrank/core/return_promises.h
@@ -42,7 +42,7 @@
   void Cancel(const RequestFingerprint& request);
 
   // Returns the work of all that have not come back yet.
-  FractionalMillis PromisedWork();
+  FractionalMillis ReservedWork();
 
   void Clear();
   std::size_t Count() const { return promises_.size(); }
--- a/src/core/return_promises.cc
+++ b/src/core/return_promises.cc
@@ -50,7 +50,7 @@
   }
 }
 
-FractionalMillis RetryReservations::PromisedWork() {
+FractionalMillis RetryReservations::ReservedWork() {
   DropEnded();
   return promises_.empty() ? FractionalMillis(0) : work_;
 }
--- a/src/core/return_promises_test.cc
+++ b/src/core/return_promises_test.cc
@@ -19,13 +19,13 @@
                  "A promise holds from the told time on, once") {
   CHECK(promises_.Reserve(RequestOf(1), FractionalMillis(900), now_,
                           Millis(500)) == Millis(500));
-  CHECK(promises_.PromisedWork() == FractionalMillis(900));
+  CHECK(promises_.ReservedWork() == FractionalMillis(900));
   CHECK_FALSE(promises_.Redeem(RequestOf(1)).has_value());
   now_ += Millis(500);
   CHECK_FALSE(promises_.Redeem(RequestOf(2)).has_value());
   CHECK(promises_.Redeem(RequestOf(1)) == now_ - Millis(500));
   CHECK_FALSE(promises_.Redeem(RequestOf(1)).has_value());
-  CHECK(promises_.PromisedWork() == FractionalMillis(0));
+  CHECK(promises_.ReservedWork() == FractionalMillis(0));
 }
 
 TEST_CASE_METHOD(PromisesFixture,
@@ -36,13 +36,13 @@
   CHECK(promises_.Reserve(RequestOf(1), FractionalMillis(900), now_,
                           Millis(2000)) == Millis(300));
   CHECK(promises_.Count() == 1);
-  CHECK(promises_.PromisedWork() == FractionalMillis(900));
+  CHECK(promises_.ReservedWork() == FractionalMillis(900));
 }
 
 TEST_CASE_METHOD(PromisesFixture, "Room is kept for a while only") {
   promises_.Reserve(RequestOf(1), FractionalMillis(900), now_, Millis(500));
   now_ += Millis(500) + RetryReservations::kKept + Millis(1);
-  CHECK(promises_.PromisedWork() == FractionalMillis(0));
+  CHECK(promises_.ReservedWork() == FractionalMillis(0));
   CHECK_FALSE(promises_.Redeem(RequestOf(1)).has_value());
 }
 
--- a/src/core/room_decision.cc
+++ b/src/core/room_decision.cc
@@ -134,7 +134,7 @@
   ++counts_.made;
   counts_.broken += seeker.has_reservation ? 1 : 0;
   const FractionalMillis before =
-      ahead.in_time + ahead.late + promises_.PromisedWork();
+      ahead.in_time + ahead.late + promises_.ReservedWork();
   const FractionalMillis foreseen =
       ForecastOf(seeker.kind).TimeUntilStart(before, seeker.engines);
   const FractionalMillis latest = policy_.return_share * request.until_deadline;
