--- a/include/harecrank/core/return_promises.h
+++ b/include/harecrank/core/return_promises.h
@@ -29,8 +29,9 @@
   explicit RetryReservations(MonotonicClock clock);
 
   // Promises room for a prompt of `work`, late at `late_at`, from `after` on,
-  // for kKept. Returns when its caller should come: who has a promise already
-  // is told the same time again, so that repeating at once gains nothing.
+  // for kGracePeriod. Returns when its caller should come: who has a promise
+  // already is told the same time again, so that repeating at once gains
+  // nothing.
   Millis Reserve(const RequestFingerprint& request, FractionalMillis work,
                  TimePoint late_at, Millis after);
 
@@ -49,7 +50,7 @@
 
   // How long room is kept for who was told to return: callers are on their way
   // for some milliseconds, and busy ones take longer to come.
-  static constexpr Millis kKept{1500};
+  static constexpr Millis kGracePeriod{1500};
   // Callers round the time that they are told.
   static constexpr Millis kEarly{20};
   // What is remembered at once; the promise that ends first goes beyond it.
--- a/src/core/return_promises.cc
+++ b/src/core/return_promises.cc
@@ -63,7 +63,7 @@
 
 void RetryReservations::DropEnded() {
   const TimePoint now = clock_();
-  while (!by_due_.empty() && now - by_due_.begin()->first > kKept) {
+  while (!by_due_.empty() && now - by_due_.begin()->first > kGracePeriod) {
     Erase(promises_.find(by_due_.begin()->second));
   }
 }
--- a/src/core/return_promises_test.cc
+++ b/src/core/return_promises_test.cc
@@ -41,7 +41,7 @@
 
 TEST_CASE_METHOD(PromisesFixture, "Room is kept for a while only") {
   promises_.Reserve(RequestOf(1), FractionalMillis(900), now_, Millis(500));
-  now_ += Millis(500) + RetryReservations::kKept + Millis(1);
+  now_ += Millis(500) + RetryReservations::kGracePeriod + Millis(1);
   CHECK(promises_.ReservedWork() == FractionalMillis(0));
   CHECK_FALSE(promises_.Redeem(RequestOf(1)).has_value());
 }
