--- a/include/harecrank/core/return_promises.h
+++ b/include/harecrank/core/return_promises.h
@@ -52,7 +52,7 @@
   // for some milliseconds, and busy ones take longer to come.
   static constexpr Millis kGracePeriod{1500};
   // Callers round the time that they are told.
-  static constexpr Millis kEarly{20};
+  static constexpr Millis kEarlyTolerance{20};
   // What is remembered at once; the promise that ends first goes beyond it.
   static constexpr std::size_t kMost = 4096;
 
--- a/src/core/return_promises.cc
+++ b/src/core/return_promises.cc
@@ -16,7 +16,7 @@
   if (found != promises_.end()) {
     const Millis left =
         std::chrono::duration_cast<Millis>(found->second.due - now);
-    if (left > kEarly) {
+    if (left > kEarlyTolerance) {
       return left;
     }
     late_at = found->second.late_at;
@@ -35,7 +35,8 @@
     const RequestFingerprint& request) {
   DropEnded();
   const auto found = promises_.find(request);
-  if (found == promises_.end() || clock_() + kEarly < found->second.due) {
+  if (found == promises_.end() ||
+      clock_() + kEarlyTolerance < found->second.due) {
     return std::nullopt;
   }
   const TimePoint late_at = found->second.late_at;
