--- a/include/harecrank/core/return_promises.h
+++ b/include/harecrank/core/return_promises.h
@@ -54,7 +54,7 @@
   // Callers round the time that they are told.
   static constexpr Millis kEarlyTolerance{20};
   // What is remembered at once; the promise that ends first goes beyond it.
-  static constexpr std::size_t kMost = 4096;
+  static constexpr std::size_t kMaxReservations = 4096;
 
  private:
   struct Held {
--- a/src/core/return_promises.cc
+++ b/src/core/return_promises.cc
@@ -22,7 +22,7 @@
     late_at = found->second.late_at;
     Erase(found);
   }
-  if (promises_.size() >= kMost) {
+  if (promises_.size() >= kMaxReservations) {
     Erase(promises_.find(by_due_.begin()->second));
   }
   promises_.emplace(request, Held{now + after, work, late_at});
--- a/src/core/return_promises_test.cc
+++ b/src/core/return_promises_test.cc
@@ -48,11 +48,11 @@
 
 TEST_CASE_METHOD(PromisesFixture,
                  "Beyond its bound the promise that is due first goes") {
-  for (std::uint64_t i = 0; i <= RetryReservations::kMost; ++i) {
+  for (std::uint64_t i = 0; i <= RetryReservations::kMaxReservations; ++i) {
     promises_.Reserve(RequestOf(i), FractionalMillis(1), now_,
                       Millis(500 + static_cast<int>(i % 2)));
   }
-  CHECK(promises_.Count() == RetryReservations::kMost);
+  CHECK(promises_.Count() == RetryReservations::kMaxReservations);
   now_ += Millis(501);
   CHECK_FALSE(promises_.Redeem(RequestOf(0)).has_value());
   CHECK(promises_.Redeem(RequestOf(1)).has_value());
