--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -51,7 +51,7 @@
  public:
   // All of them must outlive this.
   Planner(const EndpointDirectory* directory, EndpointHealth* health,
-          const StartShares* start_shares, DataCentreId self,
+          const StartQuotas* start_shares, DataCentreId self,
           RoutingTableProvider routing, const PlacementPolicy& policy,
           MonotonicClock clock, RandomSource random);
 
@@ -185,7 +185,7 @@
 
   const EndpointDirectory* directory_;
   EndpointHealth* health_;
-  const StartShares* start_shares_;
+  const StartQuotas* start_shares_;
   RoutingTableProvider routing_;
   PlacementPolicy policy_;
   MonotonicClock clock_;
--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -96,12 +96,12 @@
 };
 
 // The parts of the bounds. Not thread-safe.
-class StartShares {
+class StartQuotas {
  public:
   // `cold_endpoints`, `limits` and the rests of `own_rests`, if there are any,
   // must outlive this. `hosts` returns how many hosts the fleet may have, or
   // nothing while that is not known.
-  StartShares(ColdBound cold_bound, const ColdEndpoints* cold_endpoints,
+  StartQuotas(ColdBound cold_bound, const ColdEndpoints* cold_endpoints,
               const EndpointLimits* limits, RestsOfHost own_rests,
               std::function<std::optional<int>()> hosts, MonotonicClock clock);
 
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -120,7 +120,7 @@
     EndpointRests rests;
     ColdEndpoints cold;
     EndpointLimits limits;
-    StartShares shares;
+    StartQuotas shares;
     StartCounts starts;
   };
 
@@ -157,7 +157,7 @@
   const HostAddress other{"other"};
   ColdEndpoints cold(clock_);
   EndpointLimits limits(clock_);
-  const StartShares shares(
+  const StartQuotas shares(
       ColdBound{}, &cold, &limits, RestsOfHost{asked, &rests_},
       [] { return 2; }, clock_);
   const StartCounts starts(clock_);
@@ -171,7 +171,7 @@
   const HostAddress host{"h"};
   ColdEndpoints cold(clock_);
   EndpointLimits limits(clock_);
-  const StartShares shares(
+  const StartQuotas shares(
       ColdBound{}, &cold, &limits, RestsOfHost{host, &rests_}, [] { return 1; },
       clock_);
   const StartCounts starts(clock_);
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -114,7 +114,7 @@
     HostAddress address;
     EndpointLimits limits;
     ColdEndpoints cold;
-    StartShares shares;
+    StartQuotas shares;
     StartCounts starts;
     std::optional<TimePoint> told;
   };
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -22,7 +22,7 @@
 }  // namespace
 
 Planner::Planner(const EndpointDirectory* directory, EndpointHealth* health,
-                 const StartShares* start_shares, DataCentreId self,
+                 const StartQuotas* start_shares, DataCentreId self,
                  RoutingTableProvider routing, const PlacementPolicy& policy,
                  MonotonicClock clock, RandomSource random)
     : directory_(directory),
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -91,7 +91,7 @@
   }
 }
 
-StartShares::StartShares(ColdBound cold_bound,
+StartQuotas::StartQuotas(ColdBound cold_bound,
                          const ColdEndpoints* cold_endpoints,
                          const EndpointLimits* limits, RestsOfHost own_rests,
                          std::function<std::optional<int>()> hosts,
@@ -103,11 +103,11 @@
       hosts_(std::move(hosts)),
       clock_(std::move(clock)) {}
 
-bool StartShares::IsColdBounded(const ServiceProfile& service) const {
+bool StartQuotas::IsColdBounded(const ServiceProfile& service) const {
   return cold_bound_.overage > 0 && service.cold_requests_per_s > 0;
 }
 
-std::optional<StartBound> StartShares::ColdBoundOf(
+std::optional<StartBound> StartQuotas::ColdBoundOf(
     const EndpointId& endpoint, const ServiceProfile& service) const {
   const auto raise = cold_endpoints_->Factor(endpoint);
   if (!raise.has_value() || !IsColdBounded(service)) {
@@ -122,13 +122,13 @@
   return bound;
 }
 
-std::optional<StartBound> StartShares::RestBoundOf(
+std::optional<StartBound> StartQuotas::RestBoundOf(
     const HostAddress& host, const EndpointId& endpoint) const {
   const bool is_own = own_rests_.rests != nullptr && own_rests_.host == host;
   return is_own ? own_rests_.rests->BoundOf(endpoint) : std::nullopt;
 }
 
-std::vector<StartBound> StartShares::BoundsOf(const HostAddress& host,
+std::vector<StartBound> StartQuotas::BoundsOf(const HostAddress& host,
                                               const EndpointId& endpoint,
                                               const ServiceProfile& service,
                                               StartKind kind) const {
@@ -148,7 +148,7 @@
   return bounds;
 }
 
-StartShares::Part StartShares::PartOf(const StartBound& bound,
+StartQuotas::Part StartQuotas::PartOf(const StartBound& bound,
                                       const HostAddress& host,
                                       const EndpointId& endpoint) const {
   const auto hosts = hosts_();
@@ -181,7 +181,7 @@
   return part;
 }
 
-std::optional<double> StartShares::ShareOf(
+std::optional<double> StartQuotas::ShareOf(
     const HostAddress& host, const EndpointId& endpoint,
     const ServiceProfile& service) const {
   std::optional<double> least;
@@ -193,7 +193,7 @@
   return least;
 }
 
-TimePoint StartShares::NextStartBy(const StartBound& bound,
+TimePoint StartQuotas::NextStartBy(const StartBound& bound,
                                    const StartCounts& starts,
                                    const HostAddress& host,
                                    const EndpointId& endpoint) const {
@@ -215,7 +215,7 @@
   return next;
 }
 
-TimePoint StartShares::NextStart(const StartCounts& starts,
+TimePoint StartQuotas::NextStart(const StartCounts& starts,
                                  const HostAddress& host,
                                  const EndpointId& endpoint,
                                  const ServiceProfile& service,
@@ -227,14 +227,14 @@
   return next;
 }
 
-bool StartShares::MayStart(const StartCounts& starts, const HostAddress& host,
+bool StartQuotas::MayStart(const StartCounts& starts, const HostAddress& host,
                            const EndpointId& endpoint,
                            const ServiceProfile& service,
                            StartKind kind) const {
   return NextStart(starts, host, endpoint, service, kind) <= clock_();
 }
 
-bool StartShares::MayStart(const StartCounts& starts, const HostAddress& host,
+bool StartQuotas::MayStart(const StartCounts& starts, const HostAddress& host,
                            const Placement& placement,
                            const ServiceProfile& service) const {
   return MayStart(starts, host, placement.endpoint.id, service) &&
@@ -245,7 +245,7 @@
                      });
 }
 
-bool StartShares::Counts(const HostAddress& host, const EndpointId& endpoint,
+bool StartQuotas::Counts(const HostAddress& host, const EndpointId& endpoint,
                          const ServiceProfile& service, StartKind kind) const {
   // Endpoints turn cold unheard: what has begun there by then counts, too.
   const bool may_turn_cold =
@@ -254,7 +254,7 @@
          RestBoundOf(host, endpoint).has_value();
 }
 
-void StartShares::Add(const Placement& placement, const ServiceProfile& service,
+void StartQuotas::Add(const Placement& placement, const ServiceProfile& service,
                       const HostAddress& host, StartCounts* starts) const {
   if (Counts(host, placement.endpoint.id, service, StartKind::kRequest)) {
     starts->Add(host, placement.endpoint.id);
@@ -266,7 +266,7 @@
   }
 }
 
-std::set<EndpointId> StartShares::Withheld(
+std::set<EndpointId> StartQuotas::Withheld(
     const StartCounts& starts, const HostAddress& host,
     const ServiceProfile& service) const {
   std::set<EndpointId> withheld;
@@ -287,7 +287,7 @@
   return withheld;
 }
 
-double StartShares::PerSecond(const std::vector<StartBound>& bounds,
+double StartQuotas::PerSecond(const std::vector<StartBound>& bounds,
                               const HostAddress& host,
                               const EndpointId& endpoint) const {
   FractionalMillis longest{0};
@@ -301,7 +301,7 @@
   return kMillisPerSecond / longest.count();
 }
 
-std::optional<StartOutlook> StartShares::OutlookOf(
+std::optional<StartOutlook> StartQuotas::OutlookOf(
     const StartCounts& starts, const HostAddress& host,
     const std::vector<const EndpointRecord*>& endpoints,
     const std::set<EndpointId>& tried, const ServiceProfile& service) const {
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -51,7 +51,7 @@
 TEST_CASE_METHOD(SharesFixture,
                  "Parts that an endpoint reads for another count for a limit "
                  "that it names, and not while it is only cold") {
-  const StartShares shares(
+  const StartQuotas shares(
       kBound, &endpoints_, &limits_, RestsOfHost{}, [] { return 1; }, clock_);
   StartCounts starts(clock_);
   Placement placement;
@@ -88,7 +88,7 @@
   endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
   const ServiceProfile service = Service();
   for (const int hosts : {1, 3, 24, 53, 54, 100, 300, 810}) {
-    const StartShares shares(
+    const StartQuotas shares(
         kBound, &endpoints_, &limits_, RestsOfHost{}, [hosts] { return hosts; },
         clock_);
     // The hash names others for other endpoints.
@@ -109,7 +109,7 @@
 TEST_CASE_METHOD(SharesFixture,
                  "A host that does not know the fleet begins nothing there") {
   endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
-  const StartShares shares(
+  const StartQuotas shares(
       kBound, &endpoints_, &limits_, RestsOfHost{}, [] { return std::nullopt; },
       clock_);
   CHECK(shares.ShareOf(Host(0), kEndpoint, Service()) == 0.0);
@@ -120,11 +120,11 @@
   const StartCounts starts(clock_);
   ServiceProfile unbounded = Service();
   unbounded.cold_requests_per_s = 0;
-  const StartShares none(
+  const StartQuotas none(
       ColdBound{}, &endpoints_, &limits_, RestsOfHost{},
       [] { return std::nullopt; }, clock_);
   CHECK(none.Withheld(starts, Host(0), Service()).empty());
-  const StartShares bound(
+  const StartQuotas bound(
       kBound, &endpoints_, &limits_, RestsOfHost{}, [] { return std::nullopt; },
       clock_);
   CHECK(bound.Withheld(starts, Host(0), unbounded).empty());
@@ -283,7 +283,7 @@
   EndpointHealth health_{clock_};
   ColdEndpoints endpoints_{clock_};
   EndpointLimits limits_{clock_};
-  StartShares shares_;
+  StartQuotas shares_;
   std::shared_ptr<const RoutingTable> table_;
   std::vector<std::unique_ptr<Planner>> planners_;
   // What each host has begun.
@@ -328,7 +328,7 @@
     cold.OnRecord(record, Millis(0));
     record.cold_for = Millis(0);
   }
-  const StartShares shares(
+  const StartQuotas shares(
       bound, &cold, &limits, RestsOfHost{}, [hosts] { return hosts; }, clock);
   EndpointLoads loads(clock);
   const Placer placer(
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -85,7 +85,7 @@
   Millis TurnAway(const ServiceName& service, const StartOutlook& outlook);
 
   // The parts of all hosts, for the planner.
-  const StartShares* Shares() const { return &shares_; }
+  const StartQuotas* Shares() const { return &shares_; }
 
   std::size_t ColdCount() const { return cold_endpoints_.Count(); }
   std::size_t LimitedCount() const { return limits_.Count(); }
@@ -117,7 +117,7 @@
   ColdEndpoints cold_endpoints_;
   EndpointLimits limits_;
   EndpointRests rests_;
-  StartShares shares_;
+  StartQuotas shares_;
   StartCounts starts_;
   // When the last caller whom a service's bounds left out may come again.
   std::map<ServiceName, TimePoint> returns_;
