--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -191,7 +191,7 @@
   MonotonicClock clock_;
   EndpointLoads loads_;
   // What this planner has given to each host.
-  StartCounts given_;
+  StartHistory given_;
   Placer placer_;
   AdmissionControl decision_;
   // Of long prompts and of short ones.
--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -44,9 +44,9 @@
 namespace harecrank {
 
 // Remembers what hosts have begun at endpoints lately. Not thread-safe.
-class StartCounts {
+class StartHistory {
  public:
-  explicit StartCounts(MonotonicClock clock);
+  explicit StartHistory(MonotonicClock clock);
 
   void Add(const HostAddress& host, const EndpointId& endpoint);
 
@@ -116,26 +116,26 @@
   // begun evenly, and each host begins at a time of its own: a window's part
   // taken at once, by all hosts together, is a wave and then a pause. Where it
   // may not begin any, the time at which to look again.
-  TimePoint NextStart(const StartCounts& starts, const HostAddress& host,
+  TimePoint NextStart(const StartHistory& starts, const HostAddress& host,
                       const EndpointId& endpoint, const ServiceProfile& service,
                       StartKind kind = StartKind::kRequest) const;
 
   // Returns whether `host` may begin one more now.
-  bool MayStart(const StartCounts& starts, const HostAddress& host,
+  bool MayStart(const StartHistory& starts, const HostAddress& host,
                 const EndpointId& endpoint, const ServiceProfile& service,
                 StartKind kind = StartKind::kRequest) const;
 
   // Likewise for all that `placement` begins, at its helpers too.
-  bool MayStart(const StartCounts& starts, const HostAddress& host,
+  bool MayStart(const StartHistory& starts, const HostAddress& host,
                 const Placement& placement,
                 const ServiceProfile& service) const;
 
   // Adds all that `placement` begins to `starts` that counts for a bound.
   void Add(const Placement& placement, const ServiceProfile& service,
-           const HostAddress& host, StartCounts* starts) const;
+           const HostAddress& host, StartHistory* starts) const;
 
   // Returns the endpoints at which `host` may begin nothing now.
-  std::set<EndpointId> Withheld(const StartCounts& starts,
+  std::set<EndpointId> Withheld(const StartHistory& starts,
                                 const HostAddress& host,
                                 const ServiceProfile& service) const;
 
@@ -143,7 +143,7 @@
   // among `tried`, and how many a second; nothing if one of them has no bound,
   // or if none is left.
   std::optional<StartOutlook> OutlookOf(
-      const StartCounts& starts, const HostAddress& host,
+      const StartHistory& starts, const HostAddress& host,
       const std::vector<const EndpointRecord*>& endpoints,
       const std::set<EndpointId>& tried, const ServiceProfile& service) const;
 
@@ -172,7 +172,7 @@
   // Returns how many `host` may begin a second at `endpoint` under `bounds`.
   double PerSecond(const std::vector<StartBound>& bounds,
                    const HostAddress& host, const EndpointId& endpoint) const;
-  TimePoint NextStartBy(const StartBound& bound, const StartCounts& starts,
+  TimePoint NextStartBy(const StartBound& bound, const StartHistory& starts,
                         const HostAddress& host,
                         const EndpointId& endpoint) const;
   // Whether endpoints of `service` have a bound while they are cold.
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -121,7 +121,7 @@
     ColdEndpoints cold;
     EndpointLimits limits;
     StartQuotas shares;
-    StartCounts starts;
+    StartHistory starts;
   };
 
   std::vector<std::unique_ptr<Host>> hosts_;
@@ -160,7 +160,7 @@
   const StartQuotas shares(
       ColdBound{}, &cold, &limits, RestsOfHost{asked, &rests_},
       [] { return 2; }, clock_);
-  const StartCounts starts(clock_);
+  const StartHistory starts(clock_);
   Ask(Millis(3000));
   CHECK(shares.Withheld(starts, asked, ServiceProfile{}).count(kEndpoint) == 1);
   CHECK(shares.Withheld(starts, other, ServiceProfile{}).empty());
@@ -174,7 +174,7 @@
   const StartQuotas shares(
       ColdBound{}, &cold, &limits, RestsOfHost{host, &rests_}, [] { return 1; },
       clock_);
-  const StartCounts starts(clock_);
+  const StartHistory starts(clock_);
   Placement placement;
   placement.endpoint.id = EndpointId{"writer"};
   PrefillHelper helper;
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -115,7 +115,7 @@
     EndpointLimits limits;
     ColdEndpoints cold;
     StartQuotas shares;
-    StartCounts starts;
+    StartHistory starts;
     std::optional<TimePoint> told;
   };
 
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -17,7 +17,7 @@
 // elsewhere.
 constexpr FractionalMillis kLump{100};
 // No pause is longer: the last start must still be remembered.
-constexpr FractionalMillis kLongestPause{StartCounts::kLastRemembered};
+constexpr FractionalMillis kLongestPause{StartHistory::kLastRemembered};
 constexpr double kMillisPerSecond = 1000;
 
 // Returns how many hosts may be named on average, so that `bound` holds for the
@@ -47,18 +47,18 @@
 
 }  // namespace
 
-StartCounts::StartCounts(MonotonicClock clock)
+StartHistory::StartHistory(MonotonicClock clock)
     : clock_(std::move(clock)), swept_(clock_()) {}
 
-void StartCounts::Add(const HostAddress& host, const EndpointId& endpoint) {
+void StartHistory::Add(const HostAddress& host, const EndpointId& endpoint) {
   if (clock_() - swept_ > kWindow) {
     Sweep();
   }
   starts_[Key(host, endpoint)].push_back(clock_());
 }
 
-std::size_t StartCounts::Of(const HostAddress& host, const EndpointId& endpoint,
-                            Millis window) const {
+std::size_t StartHistory::Of(const HostAddress& host,
+                             const EndpointId& endpoint, Millis window) const {
   const auto found = starts_.find(Key(host, endpoint));
   if (found == starts_.end()) {
     return 0;
@@ -69,9 +69,9 @@
                     [from](TimePoint at) { return at > from; }));
 }
 
-std::optional<TimePoint> StartCounts::Before(const HostAddress& host,
-                                             const EndpointId& endpoint,
-                                             std::size_t others) const {
+std::optional<TimePoint> StartHistory::Before(const HostAddress& host,
+                                              const EndpointId& endpoint,
+                                              std::size_t others) const {
   const auto found = starts_.find(Key(host, endpoint));
   if (found == starts_.end() || found->second.size() <= others) {
     return std::nullopt;
@@ -79,7 +79,7 @@
   return found->second[found->second.size() - 1 - others];
 }
 
-void StartCounts::Sweep() {
+void StartHistory::Sweep() {
   swept_ = clock_();
   for (auto it = starts_.begin(); it != starts_.end();) {
     std::deque<TimePoint>& times = it->second;
@@ -194,7 +194,7 @@
 }
 
 TimePoint StartQuotas::NextStartBy(const StartBound& bound,
-                                   const StartCounts& starts,
+                                   const StartHistory& starts,
                                    const HostAddress& host,
                                    const EndpointId& endpoint) const {
   const Part part = PartOf(bound, host, endpoint);
@@ -215,7 +215,7 @@
   return next;
 }
 
-TimePoint StartQuotas::NextStart(const StartCounts& starts,
+TimePoint StartQuotas::NextStart(const StartHistory& starts,
                                  const HostAddress& host,
                                  const EndpointId& endpoint,
                                  const ServiceProfile& service,
@@ -227,14 +227,14 @@
   return next;
 }
 
-bool StartQuotas::MayStart(const StartCounts& starts, const HostAddress& host,
+bool StartQuotas::MayStart(const StartHistory& starts, const HostAddress& host,
                            const EndpointId& endpoint,
                            const ServiceProfile& service,
                            StartKind kind) const {
   return NextStart(starts, host, endpoint, service, kind) <= clock_();
 }
 
-bool StartQuotas::MayStart(const StartCounts& starts, const HostAddress& host,
+bool StartQuotas::MayStart(const StartHistory& starts, const HostAddress& host,
                            const Placement& placement,
                            const ServiceProfile& service) const {
   return MayStart(starts, host, placement.endpoint.id, service) &&
@@ -255,7 +255,7 @@
 }
 
 void StartQuotas::Add(const Placement& placement, const ServiceProfile& service,
-                      const HostAddress& host, StartCounts* starts) const {
+                      const HostAddress& host, StartHistory* starts) const {
   if (Counts(host, placement.endpoint.id, service, StartKind::kRequest)) {
     starts->Add(host, placement.endpoint.id);
   }
@@ -267,7 +267,7 @@
 }
 
 std::set<EndpointId> StartQuotas::Withheld(
-    const StartCounts& starts, const HostAddress& host,
+    const StartHistory& starts, const HostAddress& host,
     const ServiceProfile& service) const {
   std::set<EndpointId> withheld;
   const auto withhold = [&](const std::vector<EndpointId>& bounded) {
@@ -302,7 +302,7 @@
 }
 
 std::optional<StartOutlook> StartQuotas::OutlookOf(
-    const StartCounts& starts, const HostAddress& host,
+    const StartHistory& starts, const HostAddress& host,
     const std::vector<const EndpointRecord*>& endpoints,
     const std::set<EndpointId>& tried, const ServiceProfile& service) const {
   std::optional<StartOutlook> outlook;
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -53,7 +53,7 @@
                  "that it names, and not while it is only cold") {
   const StartQuotas shares(
       kBound, &endpoints_, &limits_, RestsOfHost{}, [] { return 1; }, clock_);
-  StartCounts starts(clock_);
+  StartHistory starts(clock_);
   Placement placement;
   placement.endpoint.id = EndpointId{"writer"};
   PrefillHelper helper;
@@ -74,7 +74,7 @@
 }
 
 TEST_CASE_METHOD(SharesFixture, "Two bursts never share a second") {
-  StartCounts starts(clock_);
+  StartHistory starts(clock_);
   starts.Add(Host(0), kEndpoint);
   starts.Add(Host(0), kEndpoint);
   Pass(ColdEndpoints::kWindow - Millis(1));
@@ -117,7 +117,7 @@
 
 TEST_CASE_METHOD(SharesFixture, "Without a bound nothing is withheld") {
   endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
-  const StartCounts starts(clock_);
+  const StartHistory starts(clock_);
   ServiceProfile unbounded = Service();
   unbounded.cold_requests_per_s = 0;
   const StartQuotas none(
@@ -287,7 +287,7 @@
   std::shared_ptr<const RoutingTable> table_;
   std::vector<std::unique_ptr<Planner>> planners_;
   // What each host has begun.
-  std::vector<StartCounts> begun_;
+  std::vector<StartHistory> begun_;
   std::vector<TimePoint> arrived_;
 };
 
@@ -334,7 +334,7 @@
   const Placer placer(
       &directory, &loads, &health, DataCentreId{}, LoadScope::kThisHost,
       [hosts] { return hosts; }, PlacementPolicy{}, [&] { return random(); });
-  StartCounts starts(clock);
+  StartHistory starts(clock);
   struct Running {
     TimePoint ends;
     WorkId work;
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -118,7 +118,7 @@
   EndpointLimits limits_;
   EndpointRests rests_;
   StartQuotas shares_;
-  StartCounts starts_;
+  StartHistory starts_;
   // When the last caller whom a service's bounds left out may come again.
   std::map<ServiceName, TimePoint> returns_;
   // Endpoints that were there when this host came are no new lives.
