--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -69,7 +69,7 @@
   LimitChange OnTold(const LimitReport& report);
 
   // Returns the bound on what begins at `id`, or nothing if there is none.
-  std::optional<StartBound> BoundOf(const EndpointId& id) const;
+  std::optional<StartLimit> BoundOf(const EndpointId& id) const;
 
   // Returns the limit that `id` names, as far as that is known.
   std::optional<RequestRate> NamedBy(const EndpointId& id) const;
--- a/include/harecrank/core/start_bound.h
+++ b/include/harecrank/core/start_bound.h
@@ -18,7 +18,7 @@
   kPart
 };
 
-struct StartBound {
+struct StartLimit {
   // Starts within `window`.
   double most = 0;
   // Two that are decided on this far apart do not count together.
--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -158,21 +158,21 @@
     TimePoint first{};
   };
 
-  std::optional<StartBound> ColdBoundOf(const EndpointId& endpoint,
+  std::optional<StartLimit> ColdBoundOf(const EndpointId& endpoint,
                                         const ServiceProfile& service) const;
-  std::optional<StartBound> RestBoundOf(const HostAddress& host,
+  std::optional<StartLimit> RestBoundOf(const HostAddress& host,
                                         const EndpointId& endpoint) const;
   // Returns the bounds that hold for what `host` begins.
-  std::vector<StartBound> BoundsOf(const HostAddress& host,
+  std::vector<StartLimit> BoundsOf(const HostAddress& host,
                                    const EndpointId& endpoint,
                                    const ServiceProfile& service,
                                    StartKind kind) const;
-  Part PartOf(const StartBound& bound, const HostAddress& host,
+  Part PartOf(const StartLimit& bound, const HostAddress& host,
               const EndpointId& endpoint) const;
   // Returns how many `host` may begin a second at `endpoint` under `bounds`.
-  double PerSecond(const std::vector<StartBound>& bounds,
+  double PerSecond(const std::vector<StartLimit>& bounds,
                    const HostAddress& host, const EndpointId& endpoint) const;
-  TimePoint NextStartBy(const StartBound& bound, const StartHistory& starts,
+  TimePoint NextStartBy(const StartLimit& bound, const StartHistory& starts,
                         const HostAddress& host,
                         const EndpointId& endpoint) const;
   // Whether endpoints of `service` have a bound while they are cold.
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -134,7 +134,7 @@
   return LimitChange::kEnded;
 }
 
-std::optional<StartBound> EndpointLimits::BoundOf(const EndpointId& id) const {
+std::optional<StartLimit> EndpointLimits::BoundOf(const EndpointId& id) const {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
     return std::nullopt;
@@ -146,7 +146,7 @@
     return std::nullopt;
   }
   const double span = std::chrono::duration<double>(kSpan).count();
-  StartBound bound;
+  StartLimit bound;
   bound.most = kOverage * entry.rate.value * span + kSlack;
   bound.window = kWindow;
   bound.per_second = IsFresh(entry, now)
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -47,7 +47,7 @@
   }
   bool IsBounded() const { return limits_.BoundOf(kEndpoint).has_value(); }
   double PerSecond() const {
-    const StartBound bound = *limits_.BoundOf(kEndpoint);
+    const StartLimit bound = *limits_.BoundOf(kEndpoint);
     return *bound.per_second * bound.raise;
   }
 
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -52,14 +52,14 @@
   }
 }
 
-std::optional<StartBound> EndpointRests::BoundOf(const EndpointId& id) const {
+std::optional<StartLimit> EndpointRests::BoundOf(const EndpointId& id) const {
   const auto found = entries_.find(id);
   const TimePoint now = clock_();
   if (found == entries_.end() || HasReturned(found->second, now)) {
     return std::nullopt;
   }
   const TimePoint until = found->second.until;
-  StartBound bound;
+  StartLimit bound;
   bound.most = kMostAtReturn;
   bound.window = kReturnWindow;
   bound.raise =
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -107,13 +107,13 @@
   return cold_bound_.overage > 0 && service.cold_requests_per_s > 0;
 }
 
-std::optional<StartBound> StartQuotas::ColdBoundOf(
+std::optional<StartLimit> StartQuotas::ColdBoundOf(
     const EndpointId& endpoint, const ServiceProfile& service) const {
   const auto raise = cold_endpoints_->Factor(endpoint);
   if (!raise.has_value() || !IsColdBounded(service)) {
     return std::nullopt;
   }
-  StartBound bound;
+  StartLimit bound;
   bound.most =
       service.cold_requests_per_s * cold_bound_.overage + cold_bound_.slack;
   bound.window = ColdEndpoints::kWindow;
@@ -122,17 +122,17 @@
   return bound;
 }
 
-std::optional<StartBound> StartQuotas::RestBoundOf(
+std::optional<StartLimit> StartQuotas::RestBoundOf(
     const HostAddress& host, const EndpointId& endpoint) const {
   const bool is_own = own_rests_.rests != nullptr && own_rests_.host == host;
   return is_own ? own_rests_.rests->BoundOf(endpoint) : std::nullopt;
 }
 
-std::vector<StartBound> StartQuotas::BoundsOf(const HostAddress& host,
+std::vector<StartLimit> StartQuotas::BoundsOf(const HostAddress& host,
                                               const EndpointId& endpoint,
                                               const ServiceProfile& service,
                                               StartKind kind) const {
-  std::vector<StartBound> bounds;
+  std::vector<StartLimit> bounds;
   // A cold endpoint's bound does not count the parts that it reads.
   if (kind == StartKind::kRequest) {
     if (const auto cold = ColdBoundOf(endpoint, service)) {
@@ -148,7 +148,7 @@
   return bounds;
 }
 
-StartQuotas::Part StartQuotas::PartOf(const StartBound& bound,
+StartQuotas::Part StartQuotas::PartOf(const StartLimit& bound,
                                       const HostAddress& host,
                                       const EndpointId& endpoint) const {
   const auto hosts = hosts_();
@@ -185,7 +185,7 @@
     const HostAddress& host, const EndpointId& endpoint,
     const ServiceProfile& service) const {
   std::optional<double> least;
-  for (const StartBound& bound :
+  for (const StartLimit& bound :
        BoundsOf(host, endpoint, service, StartKind::kRequest)) {
     const double most = PartOf(bound, host, endpoint).most;
     least = std::min(least.value_or(most), most);
@@ -193,7 +193,7 @@
   return least;
 }
 
-TimePoint StartQuotas::NextStartBy(const StartBound& bound,
+TimePoint StartQuotas::NextStartBy(const StartLimit& bound,
                                    const StartHistory& starts,
                                    const HostAddress& host,
                                    const EndpointId& endpoint) const {
@@ -221,7 +221,7 @@
                                  const ServiceProfile& service,
                                  StartKind kind) const {
   TimePoint next{};
-  for (const StartBound& bound : BoundsOf(host, endpoint, service, kind)) {
+  for (const StartLimit& bound : BoundsOf(host, endpoint, service, kind)) {
     next = std::max(next, NextStartBy(bound, starts, host, endpoint));
   }
   return next;
@@ -287,11 +287,11 @@
   return withheld;
 }
 
-double StartQuotas::PerSecond(const std::vector<StartBound>& bounds,
+double StartQuotas::PerSecond(const std::vector<StartLimit>& bounds,
                               const HostAddress& host,
                               const EndpointId& endpoint) const {
   FractionalMillis longest{0};
-  for (const StartBound& bound : bounds) {
+  for (const StartLimit& bound : bounds) {
     const Part part = PartOf(bound, host, endpoint);
     if (part.most < 1) {
       return 0;
@@ -310,14 +310,14 @@
     if (tried.count(record->id) != 0) {
       continue;
     }
-    const std::vector<StartBound> bounds =
+    const std::vector<StartLimit> bounds =
         BoundsOf(host, record->id, service, StartKind::kRequest);
     if (bounds.empty()) {
       return std::nullopt;
     }
     const TimePoint next = NextStart(starts, host, record->id, service);
     TimePoint rests_until{};
-    for (const StartBound& bound : bounds) {
+    for (const StartLimit& bound : bounds) {
       rests_until = std::max(rests_until, bound.opens);
     }
     if (!outlook.has_value()) {
