--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -172,9 +172,9 @@
   // Returns how many `host` may begin a second at `endpoint` under `bounds`.
   double PerSecond(const std::vector<StartLimit>& bounds,
                    const HostAddress& host, const EndpointId& endpoint) const;
-  TimePoint NextStartBy(const StartLimit& bound, const StartHistory& starts,
-                        const HostAddress& host,
-                        const EndpointId& endpoint) const;
+  TimePoint NextStartUnder(const StartLimit& bound, const StartHistory& starts,
+                           const HostAddress& host,
+                           const EndpointId& endpoint) const;
   // Whether endpoints of `service` have a bound while they are cold.
   bool IsColdBounded(const ServiceProfile& service) const;
   // Whether what begins at `endpoint` counts for a bound, of now or of later.
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -193,10 +193,10 @@
   return least;
 }
 
-TimePoint StartQuotas::NextStartBy(const StartLimit& bound,
-                                   const StartHistory& starts,
-                                   const HostAddress& host,
-                                   const EndpointId& endpoint) const {
+TimePoint StartQuotas::NextStartUnder(const StartLimit& bound,
+                                      const StartHistory& starts,
+                                      const HostAddress& host,
+                                      const EndpointId& endpoint) const {
   const Part part = PartOf(bound, host, endpoint);
   if (part.most < 1) {
     return std::max(bound.opens, clock_() + bound.window);
@@ -222,7 +222,7 @@
                                  StartKind kind) const {
   TimePoint next{};
   for (const StartLimit& bound : BoundsOf(host, endpoint, service, kind)) {
-    next = std::max(next, NextStartBy(bound, starts, host, endpoint));
+    next = std::max(next, NextStartUnder(bound, starts, host, endpoint));
   }
   return next;
 }
