--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -158,7 +158,7 @@
     TimePoint first{};
   };
 
-  std::optional<StartLimit> ColdBoundOf(const EndpointId& endpoint,
+  std::optional<StartLimit> ColdLimitOf(const EndpointId& endpoint,
                                         const ServiceProfile& service) const;
   std::optional<StartLimit> RestBoundOf(const HostAddress& host,
                                         const EndpointId& endpoint) const;
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -107,7 +107,7 @@
   return cold_bound_.overage > 0 && service.cold_requests_per_s > 0;
 }
 
-std::optional<StartLimit> StartQuotas::ColdBoundOf(
+std::optional<StartLimit> StartQuotas::ColdLimitOf(
     const EndpointId& endpoint, const ServiceProfile& service) const {
   const auto raise = cold_endpoints_->Factor(endpoint);
   if (!raise.has_value() || !IsColdBounded(service)) {
@@ -135,7 +135,7 @@
   std::vector<StartLimit> bounds;
   // A cold endpoint's bound does not count the parts that it reads.
   if (kind == StartKind::kRequest) {
-    if (const auto cold = ColdBoundOf(endpoint, service)) {
+    if (const auto cold = ColdLimitOf(endpoint, service)) {
       bounds.push_back(*cold);
     }
   }
