--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -160,8 +160,8 @@
 
   std::optional<StartLimit> ColdLimitOf(const EndpointId& endpoint,
                                         const ServiceProfile& service) const;
-  std::optional<StartLimit> RestBoundOf(const HostAddress& host,
-                                        const EndpointId& endpoint) const;
+  std::optional<StartLimit> BackoffLimitOf(const HostAddress& host,
+                                           const EndpointId& endpoint) const;
   // Returns the bounds that hold for what `host` begins.
   std::vector<StartLimit> BoundsOf(const HostAddress& host,
                                    const EndpointId& endpoint,
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -122,7 +122,7 @@
   return bound;
 }
 
-std::optional<StartLimit> StartQuotas::RestBoundOf(
+std::optional<StartLimit> StartQuotas::BackoffLimitOf(
     const HostAddress& host, const EndpointId& endpoint) const {
   const bool is_own = own_rests_.rests != nullptr && own_rests_.host == host;
   return is_own ? own_rests_.rests->BoundOf(endpoint) : std::nullopt;
@@ -142,7 +142,7 @@
   if (const auto limit = limits_->BoundOf(endpoint)) {
     bounds.push_back(*limit);
   }
-  if (const auto rest = RestBoundOf(host, endpoint)) {
+  if (const auto rest = BackoffLimitOf(host, endpoint)) {
     bounds.push_back(*rest);
   }
   return bounds;
@@ -251,7 +251,7 @@
   const bool may_turn_cold =
       kind == StartKind::kRequest && IsColdBounded(service);
   return may_turn_cold || limits_->BoundOf(endpoint).has_value() ||
-         RestBoundOf(host, endpoint).has_value();
+         BackoffLimitOf(host, endpoint).has_value();
 }
 
 void StartQuotas::Add(const Placement& placement, const ServiceProfile& service,
