--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -163,7 +163,7 @@
   std::optional<StartLimit> BackoffLimitOf(const HostAddress& host,
                                            const EndpointId& endpoint) const;
   // Returns the bounds that hold for what `host` begins.
-  std::vector<StartLimit> BoundsOf(const HostAddress& host,
+  std::vector<StartLimit> LimitsOf(const HostAddress& host,
                                    const EndpointId& endpoint,
                                    const ServiceProfile& service,
                                    StartKind kind) const;
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -128,7 +128,7 @@
   return is_own ? own_rests_.rests->BoundOf(endpoint) : std::nullopt;
 }
 
-std::vector<StartLimit> StartQuotas::BoundsOf(const HostAddress& host,
+std::vector<StartLimit> StartQuotas::LimitsOf(const HostAddress& host,
                                               const EndpointId& endpoint,
                                               const ServiceProfile& service,
                                               StartKind kind) const {
@@ -186,7 +186,7 @@
     const ServiceProfile& service) const {
   std::optional<double> least;
   for (const StartLimit& bound :
-       BoundsOf(host, endpoint, service, StartKind::kRequest)) {
+       LimitsOf(host, endpoint, service, StartKind::kRequest)) {
     const double most = PartOf(bound, host, endpoint).most;
     least = std::min(least.value_or(most), most);
   }
@@ -221,7 +221,7 @@
                                  const ServiceProfile& service,
                                  StartKind kind) const {
   TimePoint next{};
-  for (const StartLimit& bound : BoundsOf(host, endpoint, service, kind)) {
+  for (const StartLimit& bound : LimitsOf(host, endpoint, service, kind)) {
     next = std::max(next, NextStartUnder(bound, starts, host, endpoint));
   }
   return next;
@@ -311,7 +311,7 @@
       continue;
     }
     const std::vector<StartLimit> bounds =
-        BoundsOf(host, record->id, service, StartKind::kRequest);
+        LimitsOf(host, record->id, service, StartKind::kRequest);
     if (bounds.empty()) {
       return std::nullopt;
     }
