--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -176,7 +176,7 @@
                            const HostAddress& host,
                            const EndpointId& endpoint) const;
   // Whether endpoints of `service` have a bound while they are cold.
-  bool IsColdBounded(const ServiceProfile& service) const;
+  bool LimitsColdStarts(const ServiceProfile& service) const;
   // Whether what begins at `endpoint` counts for a bound, of now or of later.
   bool Counts(const HostAddress& host, const EndpointId& endpoint,
               const ServiceProfile& service, StartKind kind) const;
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -103,14 +103,14 @@
       hosts_(std::move(hosts)),
       clock_(std::move(clock)) {}
 
-bool StartQuotas::IsColdBounded(const ServiceProfile& service) const {
+bool StartQuotas::LimitsColdStarts(const ServiceProfile& service) const {
   return cold_bound_.overage > 0 && service.cold_requests_per_s > 0;
 }
 
 std::optional<StartLimit> StartQuotas::ColdLimitOf(
     const EndpointId& endpoint, const ServiceProfile& service) const {
   const auto raise = cold_endpoints_->Factor(endpoint);
-  if (!raise.has_value() || !IsColdBounded(service)) {
+  if (!raise.has_value() || !LimitsColdStarts(service)) {
     return std::nullopt;
   }
   StartLimit bound;
@@ -249,7 +249,7 @@
                          const ServiceProfile& service, StartKind kind) const {
   // Endpoints turn cold unheard: what has begun there by then counts, too.
   const bool may_turn_cold =
-      kind == StartKind::kRequest && IsColdBounded(service);
+      kind == StartKind::kRequest && LimitsColdStarts(service);
   return may_turn_cold || limits_->BoundOf(endpoint).has_value() ||
          BackoffLimitOf(host, endpoint).has_value();
 }
@@ -277,7 +277,7 @@
       }
     }
   };
-  if (IsColdBounded(service)) {
+  if (LimitsColdStarts(service)) {
     withhold(cold_endpoints_->Bounded());
   }
   withhold(limits_->Bounded());
