--- a/include/harecrank/core/cold_bound.h
+++ b/include/harecrank/core/cold_bound.h
@@ -6,7 +6,7 @@
 namespace harecrank {
 
 // What all hosts together may send to a cold endpoint in any second.
-struct ColdBound {
+struct ColdLimit {
   // In multiples of what its service says that a cold endpoint takes. Zero: no
   // bound.
   double overage = 0;
--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -101,7 +101,7 @@
   // `cold_endpoints`, `limits` and the rests of `own_rests`, if there are any,
   // must outlive this. `hosts` returns how many hosts the fleet may have, or
   // nothing while that is not known.
-  StartQuotas(ColdBound cold_bound, const ColdEndpoints* cold_endpoints,
+  StartQuotas(ColdLimit cold_bound, const ColdEndpoints* cold_endpoints,
               const EndpointLimits* limits, RestsOfHost own_rests,
               std::function<std::optional<int>()> hosts, MonotonicClock clock);
 
@@ -181,7 +181,7 @@
   bool Counts(const HostAddress& host, const EndpointId& endpoint,
               const ServiceProfile& service, StartKind kind) const;
 
-  ColdBound cold_bound_;
+  ColdLimit cold_bound_;
   const ColdEndpoints* cold_endpoints_;
   const EndpointLimits* limits_;
   RestsOfHost own_rests_;
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -112,7 +112,7 @@
           cold(clock),
           limits(clock),
           shares(
-              ColdBound{}, &cold, &limits, RestsOfHost{address, &rests},
+              ColdLimit{}, &cold, &limits, RestsOfHost{address, &rests},
               [hosts] { return hosts; }, clock),
           starts(clock) {}
 
@@ -158,7 +158,7 @@
   ColdEndpoints cold(clock_);
   EndpointLimits limits(clock_);
   const StartQuotas shares(
-      ColdBound{}, &cold, &limits, RestsOfHost{asked, &rests_},
+      ColdLimit{}, &cold, &limits, RestsOfHost{asked, &rests_},
       [] { return 2; }, clock_);
   const StartHistory starts(clock_);
   Ask(Millis(3000));
@@ -172,7 +172,7 @@
   ColdEndpoints cold(clock_);
   EndpointLimits limits(clock_);
   const StartQuotas shares(
-      ColdBound{}, &cold, &limits, RestsOfHost{host, &rests_}, [] { return 1; },
+      ColdLimit{}, &cold, &limits, RestsOfHost{host, &rests_}, [] { return 1; },
       clock_);
   const StartHistory starts(clock_);
   Placement placement;
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -107,7 +107,7 @@
           limits(clock),
           cold(clock),
           shares(
-              ColdBound{}, &cold, &limits, RestsOfHost{},
+              ColdLimit{}, &cold, &limits, RestsOfHost{},
               [fleet] { return fleet; }, clock),
           starts(clock) {}
 
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -179,7 +179,7 @@
   EndpointHealth health_{[this] { return now_; }};
   ColdEndpoints cold_{[this] { return now_; }};
   EndpointLimits limits_{[this] { return now_; }};
-  StartQuotas start_shares_{ColdBound{},      &cold_,
+  StartQuotas start_shares_{ColdLimit{},      &cold_,
                             &limits_,         RestsOfHost{},
                             [] { return 1; }, [this] { return now_; }};
   std::shared_ptr<const RoutingTable> table_;
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -91,7 +91,7 @@
   }
 }
 
-StartQuotas::StartQuotas(ColdBound cold_bound,
+StartQuotas::StartQuotas(ColdLimit cold_bound,
                          const ColdEndpoints* cold_endpoints,
                          const EndpointLimits* limits, RestsOfHost own_rests,
                          std::function<std::optional<int>()> hosts,
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -14,7 +14,7 @@
 const ServiceName kService{"svc"};
 const EndpointId kEndpoint{"e0"};
 // 32 requests a second, times 1.5, and 5.
-constexpr ColdBound kBound{1.5, 5};
+constexpr ColdLimit kBound{1.5, 5};
 constexpr double kColdStartsPerS = 32;
 constexpr std::size_t kMostInASecond = 53;
 
@@ -121,7 +121,7 @@
   ServiceProfile unbounded = Service();
   unbounded.cold_requests_per_s = 0;
   const StartQuotas none(
-      ColdBound{}, &endpoints_, &limits_, RestsOfHost{},
+      ColdLimit{}, &endpoints_, &limits_, RestsOfHost{},
       [] { return std::nullopt; }, clock_);
   CHECK(none.Withheld(starts, Host(0), Service()).empty());
   const StartQuotas bound(
@@ -152,7 +152,7 @@
 // nothing of what it gave.
 class CutFleet {
  public:
-  CutFleet(ColdBound bound, std::uint64_t seed)
+  CutFleet(ColdLimit bound, std::uint64_t seed)
       : random_(seed),
         shares_(
             bound, &endpoints_, &limits_, RestsOfHost{}, [] { return kHosts; },
@@ -302,13 +302,13 @@
 }
 
 TEST_CASE("A fleet that is cut in three presses on a cold endpoint") {
-  CutFleet unbounded(ColdBound{}, 1);
+  CutFleet unbounded(ColdLimit{}, 1);
   CHECK(MostInASecond(unbounded.Play()) > 2 * kMostInASecond);
 }
 
 // Three warm plain endpoints and a cold one, to which nobody has sent for a
 // while: as it is idle, all hosts choose it as soon as they may.
-std::vector<int> PlayRise(ColdBound bound, int hosts) {
+std::vector<int> PlayRise(ColdLimit bound, int hosts) {
   constexpr Millis kStep{1};
   constexpr Millis kHalf{500};
   constexpr Millis kCold{3000};
@@ -387,7 +387,7 @@
 }
 
 TEST_CASE("Without a bound a cold endpoint gets all its work at once") {
-  CHECK(PlayRise(ColdBound{}, 24).front() >
+  CHECK(PlayRise(ColdLimit{}, 24).front() >
         2 * static_cast<int>(kMostInASecond));
 }
 
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -52,7 +52,7 @@
   EndpointConnections connections_{&io_, clock_};
   EndpointNews news_{&directory_, &health_, &connections_, &log_, &metrics_};
   StartGate gate_{HostAddress{"h"},
-                  ColdBound{},
+                  ColdLimit{},
                   [] { return 1; },
                   [] { return nullptr; },
                   &log_,
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -5,7 +5,7 @@
 
 namespace harecrank {
 
-StartGate::StartGate(HostAddress self, ColdBound cold_bound,
+StartGate::StartGate(HostAddress self, ColdLimit cold_bound,
                      std::function<std::optional<int>()> hosts,
                      RoutingTableProvider routing, EventLog* log,
                      Metrics* metrics, MonotonicClock clock)
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -43,7 +43,7 @@
     return record;
   }();
   StartGate gate_{HostAddress{"h"},
-                  ColdBound{},
+                  ColdLimit{},
                   [] { return 1; },
                   [] { return nullptr; },
                   &log_,
