--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -101,7 +101,7 @@
   // `cold_endpoints`, `limits` and the rests of `own_rests`, if there are any,
   // must outlive this. `hosts` returns how many hosts the fleet may have, or
   // nothing while that is not known.
-  StartQuotas(ColdLimit cold_bound, const ColdEndpoints* cold_endpoints,
+  StartQuotas(ColdLimit cold_limit, const ColdEndpoints* cold_endpoints,
               const EndpointLimits* limits, RestsOfHost own_rests,
               std::function<std::optional<int>()> hosts, MonotonicClock clock);
 
--- a/src/adapters/settings.cc
+++ b/src/adapters/settings.cc
@@ -396,9 +396,9 @@
   reader.Count("descriptors", 1, kMostDescriptors, &settings.descriptors);
   reader.Fraction("power", 0, kMostPower, &settings.power);
   reader.Fraction("cold_overage", 0, kMostColdOverage,
-                  &settings.cold_bound.overage);
-  reader.Fraction("cold_slack", 0, kMostColdSlack, &settings.cold_bound.slack);
-  if (settings.cold_bound.slack > 0 && settings.cold_bound.overage == 0) {
+                  &settings.cold_limit.overage);
+  reader.Fraction("cold_slack", 0, kMostColdSlack, &settings.cold_limit.slack);
+  if (settings.cold_limit.slack > 0 && settings.cold_limit.overage == 0) {
     reader.Refuse("cold_slack", "0, or cold_overage above 0");
   }
   reader.Section("placement", [&settings](SettingsReader* section) {
--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -90,7 +90,7 @@
   // The share of a core that this host has: the strongest plans for the fleet.
   double power = 1;
   // What all hosts together may send to a cold endpoint.
-  ColdLimit cold_bound;
+  ColdLimit cold_limit;
   PlacementPolicy placement;
 };
 
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -91,12 +91,12 @@
   }
 }
 
-StartQuotas::StartQuotas(ColdLimit cold_bound,
+StartQuotas::StartQuotas(ColdLimit cold_limit,
                          const ColdEndpoints* cold_endpoints,
                          const EndpointLimits* limits, RestsOfHost own_rests,
                          std::function<std::optional<int>()> hosts,
                          MonotonicClock clock)
-    : cold_bound_(cold_bound),
+    : cold_bound_(cold_limit),
       cold_endpoints_(cold_endpoints),
       limits_(limits),
       own_rests_(std::move(own_rests)),
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -70,7 +70,7 @@
       orders_(platform.make_orders(&io_)),
       hosts_(Self(settings_), Addresses(settings_.seed_peers), clock_, random_),
       start_gate_(
-          Self(settings_).address, settings_.cold_bound,
+          Self(settings_).address, settings_.cold_limit,
           [this] { return hosts_.Size().MaxHosts(); },
           [this] { return routing_.InForce(); }, &log_, &metrics_, clock_),
       planner_(
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -5,7 +5,7 @@
 
 namespace harecrank {
 
-StartGate::StartGate(HostAddress self, ColdLimit cold_bound,
+StartGate::StartGate(HostAddress self, ColdLimit cold_limit,
                      std::function<std::optional<int>()> hosts,
                      RoutingTableProvider routing, EventLog* log,
                      Metrics* metrics, MonotonicClock clock)
@@ -17,7 +17,7 @@
       cold_endpoints_(clock),
       limits_(clock),
       rests_(clock),
-      shares_(cold_bound, &cold_endpoints_, &limits_,
+      shares_(cold_limit, &cold_endpoints_, &limits_,
               RestsOfHost{self_, &rests_}, std::move(hosts), clock),
       starts_(std::move(clock)) {}
 
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -26,7 +26,7 @@
  public:
   // All pointers must outlive this. `hosts` returns how many hosts the fleet
   // may have, or nothing while that is not known.
-  StartGate(HostAddress self, ColdLimit cold_bound,
+  StartGate(HostAddress self, ColdLimit cold_limit,
             std::function<std::optional<int>()> hosts,
             RoutingTableProvider routing, EventLog* log, Metrics* metrics,
             MonotonicClock clock);
