--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -79,7 +79,7 @@
 };
 
 // What a host may begin of a service's requests.
-struct StartOutlook {
+struct StartAvailability {
   // When it may begin one, at the earliest of the endpoints that were looked
   // at; now or earlier if it may at once.
   TimePoint next{};
@@ -142,7 +142,7 @@
   // Returns when `host` may begin a request at one of `endpoints` that is not
   // among `tried`, and how many a second; nothing if one of them has no bound,
   // or if none is left.
-  std::optional<StartOutlook> OutlookOf(
+  std::optional<StartAvailability> OutlookOf(
       const StartHistory& starts, const HostAddress& host,
       const std::vector<const EndpointRecord*>& endpoints,
       const std::set<EndpointId>& tried, const ServiceProfile& service) const;
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -301,11 +301,11 @@
   return kMillisPerSecond / longest.count();
 }
 
-std::optional<StartOutlook> StartQuotas::OutlookOf(
+std::optional<StartAvailability> StartQuotas::OutlookOf(
     const StartHistory& starts, const HostAddress& host,
     const std::vector<const EndpointRecord*>& endpoints,
     const std::set<EndpointId>& tried, const ServiceProfile& service) const {
-  std::optional<StartOutlook> outlook;
+  std::optional<StartAvailability> outlook;
   for (const EndpointRecord* record : endpoints) {
     if (tried.count(record->id) != 0) {
       continue;
@@ -321,7 +321,7 @@
       rests_until = std::max(rests_until, bound.opens);
     }
     if (!outlook.has_value()) {
-      outlook = StartOutlook{next, 0, rests_until};
+      outlook = StartAvailability{next, 0, rests_until};
     }
     outlook->next = std::min(outlook->next, next);
     outlook->rests_until = std::min(outlook->rests_until, rests_until);
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -198,7 +198,7 @@
   Wait();
 }
 
-std::optional<StartOutlook> PlaceSeeker::Outlook(
+std::optional<StartAvailability> PlaceSeeker::Outlook(
     const std::set<EndpointId>& tried) const {
   const ServiceProfile& service = *sought_.request.service;
   return services_->start_gate->OutlookOf(
@@ -232,7 +232,7 @@
   return true;
 }
 
-void PlaceSeeker::TurnAwayByBounds(const StartOutlook& outlook) {
+void PlaceSeeker::TurnAwayByBounds(const StartAvailability& outlook) {
   observer_->OnTurnedAway(
       TurnAwayReason::kStartsUsedUp,
       services_->start_gate->TurnAway(sought_.request.service->name, outlook));
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -147,10 +147,11 @@
   bool EndByBounds();
   // Returns when this host may begin a request at an endpoint that is not among
   // `tried`; nothing if no bound stands against one of them.
-  std::optional<StartOutlook> Outlook(const std::set<EndpointId>& tried) const;
+  std::optional<StartAvailability> Outlook(
+      const std::set<EndpointId>& tried) const;
   // Returns until when waiting for an endpoint is of use.
   TimePoint WaitsOfUseUntil(SendingHistory history) const;
-  void TurnAwayByBounds(const StartOutlook& outlook);
+  void TurnAwayByBounds(const StartAvailability& outlook);
   // Whether it was sent before.
   bool WasSent() const { return history_ != SendingHistory::kNew; }
   void NoteWaiting();
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -139,7 +139,7 @@
 }
 
 Millis StartGate::TurnAway(const ServiceName& service,
-                           const StartOutlook& outlook) {
+                           const StartAvailability& outlook) {
   metrics_->GetCounter("harecrank_gateway_turned_away_by_bounds_total")->Add();
   constexpr double kMillisPerSecond = 1000;
   const TimePoint now = clock_();
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -72,7 +72,7 @@
   // Returns when this host may begin a request at one of `endpoints` that is
   // not among `tried`; nothing if no bound stands against one of them, or if
   // none is left.
-  std::optional<StartOutlook> OutlookOf(
+  std::optional<StartAvailability> OutlookOf(
       const std::vector<const EndpointRecord*>& endpoints,
       const std::set<EndpointId>& tried, const ServiceProfile& service) const {
     return shares_.OutlookOf(starts_, self_, endpoints, tried, service);
@@ -82,7 +82,7 @@
   // endpoints of `service` leave out, at most kLongestReturn unless all rest
   // for longer. Each is told a later time than the one before, as far apart as
   // requests may be begun.
-  Millis TurnAway(const ServiceName& service, const StartOutlook& outlook);
+  Millis TurnAway(const ServiceName& service, const StartAvailability& outlook);
 
   // The parts of all hosts, for the planner.
   const StartQuotas* Shares() const { return &shares_; }
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -13,7 +13,7 @@
  protected:
   void Pass(Millis time) { now_ += time; }
 
-  std::optional<StartOutlook> Outlook() {
+  std::optional<StartAvailability> Outlook() {
     return gate_.OutlookOf({&record_}, {}, service_);
   }
   void Begin() {
