--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -142,7 +142,7 @@
   // Returns when `host` may begin a request at one of `endpoints` that is not
   // among `tried`, and how many a second; nothing if one of them has no bound,
   // or if none is left.
-  std::optional<StartAvailability> OutlookOf(
+  std::optional<StartAvailability> StartAvailabilityOf(
       const StartHistory& starts, const HostAddress& host,
       const std::vector<const EndpointRecord*>& endpoints,
       const std::set<EndpointId>& tried, const ServiceProfile& service) const;
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -301,7 +301,7 @@
   return kMillisPerSecond / longest.count();
 }
 
-std::optional<StartAvailability> StartQuotas::OutlookOf(
+std::optional<StartAvailability> StartQuotas::StartAvailabilityOf(
     const StartHistory& starts, const HostAddress& host,
     const std::vector<const EndpointRecord*>& endpoints,
     const std::set<EndpointId>& tried, const ServiceProfile& service) const {
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -201,7 +201,7 @@
 std::optional<StartAvailability> PlaceSeeker::Outlook(
     const std::set<EndpointId>& tried) const {
   const ServiceProfile& service = *sought_.request.service;
-  return services_->start_gate->OutlookOf(
+  return services_->start_gate->StartAvailabilityOf(
       services_->directory->UsableOf(service.name), tried, service);
 }
 
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -72,10 +72,11 @@
   // Returns when this host may begin a request at one of `endpoints` that is
   // not among `tried`; nothing if no bound stands against one of them, or if
   // none is left.
-  std::optional<StartAvailability> OutlookOf(
+  std::optional<StartAvailability> StartAvailabilityOf(
       const std::vector<const EndpointRecord*>& endpoints,
       const std::set<EndpointId>& tried, const ServiceProfile& service) const {
-    return shares_.OutlookOf(starts_, self_, endpoints, tried, service);
+    return shares_.StartAvailabilityOf(starts_, self_, endpoints, tried,
+                                       service);
   }
 
   // Returns after which time a caller may come again whom the bounds of all
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -14,7 +14,7 @@
   void Pass(Millis time) { now_ += time; }
 
   std::optional<StartAvailability> Outlook() {
-    return gate_.OutlookOf({&record_}, {}, service_);
+    return gate_.StartAvailabilityOf({&record_}, {}, service_);
   }
   void Begin() {
     Placement placement;
