--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -86,7 +86,7 @@
   // Requests a second at all of them together.
   double per_second = 0;
   // Until when all of them rest; in the past if one does not.
-  TimePoint rests_until{};
+  TimePoint backoff_until{};
 };
 
 // The rests that endpoints have asked of one host.
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -316,15 +316,15 @@
       return std::nullopt;
     }
     const TimePoint next = NextStart(starts, host, record->id, service);
-    TimePoint rests_until{};
+    TimePoint backoff_until{};
     for (const StartLimit& bound : bounds) {
-      rests_until = std::max(rests_until, bound.opens);
+      backoff_until = std::max(backoff_until, bound.opens);
     }
     if (!outlook.has_value()) {
-      outlook = StartAvailability{next, 0, rests_until};
+      outlook = StartAvailability{next, 0, backoff_until};
     }
     outlook->next = std::min(outlook->next, next);
-    outlook->rests_until = std::min(outlook->rests_until, rests_until);
+    outlook->backoff_until = std::min(outlook->backoff_until, backoff_until);
     outlook->per_second += PerSecond(bounds, host, record->id);
   }
   return outlook;
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -241,7 +241,7 @@
 bool PlaceSeeker::TurnAwayAtRest() {
   const auto outlook = Outlook(sought_.request.tried);
   const bool all_rest =
-      outlook.has_value() && outlook->rests_until > services_->clock();
+      outlook.has_value() && outlook->backoff_until > services_->clock();
   const bool may_be_told = history_ != SendingHistory::kMayHaveRun;
   if (!all_rest || !may_be_told || outlook->next <= WaitsOfUseUntil(history_)) {
     return false;
@@ -252,7 +252,7 @@
 
 std::optional<Millis> PlaceSeeker::PauseOfRests() const {
   const auto outlook = Outlook({});
-  if (!outlook.has_value() || outlook->rests_until <= services_->clock()) {
+  if (!outlook.has_value() || outlook->backoff_until <= services_->clock()) {
     return std::nullopt;
   }
   return services_->start_gate->TurnAway(sought_.request.service->name,
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -150,7 +150,7 @@
     next = std::max(
         next, last + std::chrono::duration_cast<TimePoint::duration>(pause));
   }
-  last = std::min(next, std::max(now + kLongestReturn, outlook.rests_until));
+  last = std::min(next, std::max(now + kLongestReturn, outlook.backoff_until));
   return std::chrono::ceil<Millis>(last - now);
 }
 
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -133,7 +133,7 @@
   gate_.OnRest(record_, Millis(3000));
   CHECK_FALSE(MayBegin());
   CHECK(gate_.RestingCount() == 1);
-  CHECK(Outlook()->rests_until == now_ + Millis(3000));
+  CHECK(Outlook()->backoff_until == now_ + Millis(3000));
   CHECK(Outlook()->next >= now_ + Millis(3000));
   CHECK(gate_.Withheld(service_).count(kEndpoint) == 1);
   Pass(Millis(3000) + EndpointRests::kMostDoublings * EndpointRests::kDoubles);
