--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -90,7 +90,7 @@
 };
 
 // The rests that endpoints have asked of one host.
-struct RestsOfHost {
+struct HostBackoffs {
   HostAddress host;
   const EndpointRests* rests = nullptr;
 };
@@ -102,7 +102,7 @@
   // must outlive this. `hosts` returns how many hosts the fleet may have, or
   // nothing while that is not known.
   StartQuotas(ColdLimit cold_limit, const ColdEndpoints* cold_endpoints,
-              const EndpointLimits* limits, RestsOfHost own_rests,
+              const EndpointLimits* limits, HostBackoffs own_rests,
               std::function<std::optional<int>()> hosts, MonotonicClock clock);
 
   // Returns how many requests `host` may begin at `endpoint` within the window
@@ -184,7 +184,7 @@
   ColdLimit cold_bound_;
   const ColdEndpoints* cold_endpoints_;
   const EndpointLimits* limits_;
-  RestsOfHost own_rests_;
+  HostBackoffs own_rests_;
   std::function<std::optional<int>()> hosts_;
   MonotonicClock clock_;
 };
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -112,7 +112,7 @@
           cold(clock),
           limits(clock),
           shares(
-              ColdLimit{}, &cold, &limits, RestsOfHost{address, &rests},
+              ColdLimit{}, &cold, &limits, HostBackoffs{address, &rests},
               [hosts] { return hosts; }, clock),
           starts(clock) {}
 
@@ -158,7 +158,7 @@
   ColdEndpoints cold(clock_);
   EndpointLimits limits(clock_);
   const StartQuotas shares(
-      ColdLimit{}, &cold, &limits, RestsOfHost{asked, &rests_},
+      ColdLimit{}, &cold, &limits, HostBackoffs{asked, &rests_},
       [] { return 2; }, clock_);
   const StartHistory starts(clock_);
   Ask(Millis(3000));
@@ -172,8 +172,8 @@
   ColdEndpoints cold(clock_);
   EndpointLimits limits(clock_);
   const StartQuotas shares(
-      ColdLimit{}, &cold, &limits, RestsOfHost{host, &rests_}, [] { return 1; },
-      clock_);
+      ColdLimit{}, &cold, &limits, HostBackoffs{host, &rests_},
+      [] { return 1; }, clock_);
   const StartHistory starts(clock_);
   Placement placement;
   placement.endpoint.id = EndpointId{"writer"};
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -107,7 +107,7 @@
           limits(clock),
           cold(clock),
           shares(
-              ColdLimit{}, &cold, &limits, RestsOfHost{},
+              ColdLimit{}, &cold, &limits, HostBackoffs{},
               [fleet] { return fleet; }, clock),
           starts(clock) {}
 
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -180,7 +180,7 @@
   ColdEndpoints cold_{[this] { return now_; }};
   EndpointLimits limits_{[this] { return now_; }};
   StartQuotas start_shares_{ColdLimit{},      &cold_,
-                            &limits_,         RestsOfHost{},
+                            &limits_,         HostBackoffs{},
                             [] { return 1; }, [this] { return now_; }};
   std::shared_ptr<const RoutingTable> table_;
   std::unique_ptr<Planner> planner_;
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -106,7 +106,7 @@
   ColdEndpoints cold_{[this] { return now_; }};
   EndpointLimits limits_{[this] { return now_; }};
   StartQuotas start_shares_{ColdLimit{},      &cold_,
-                            &limits_,         RestsOfHost{},
+                            &limits_,         HostBackoffs{},
                             [] { return 1; }, [this] { return now_; }};
   std::shared_ptr<const RoutingTable> table_;
   std::unique_ptr<Planner> planner_;
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -93,7 +93,7 @@
 
 StartQuotas::StartQuotas(ColdLimit cold_limit,
                          const ColdEndpoints* cold_endpoints,
-                         const EndpointLimits* limits, RestsOfHost own_rests,
+                         const EndpointLimits* limits, HostBackoffs own_rests,
                          std::function<std::optional<int>()> hosts,
                          MonotonicClock clock)
     : cold_bound_(cold_limit),
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -52,7 +52,7 @@
                  "Parts that an endpoint reads for another count for a limit "
                  "that it names, and not while it is only cold") {
   const StartQuotas shares(
-      kBound, &endpoints_, &limits_, RestsOfHost{}, [] { return 1; }, clock_);
+      kBound, &endpoints_, &limits_, HostBackoffs{}, [] { return 1; }, clock_);
   StartHistory starts(clock_);
   Placement placement;
   placement.endpoint.id = EndpointId{"writer"};
@@ -89,8 +89,8 @@
   const ServiceProfile service = Service();
   for (const int hosts : {1, 3, 24, 53, 54, 100, 300, 810}) {
     const StartQuotas shares(
-        kBound, &endpoints_, &limits_, RestsOfHost{}, [hosts] { return hosts; },
-        clock_);
+        kBound, &endpoints_, &limits_, HostBackoffs{},
+        [hosts] { return hosts; }, clock_);
     // The hash names others for other endpoints.
     for (int endpoint = 0; endpoint < 200; ++endpoint) {
       EndpointRecord record = ColdRecord(Millis(3000));
@@ -110,8 +110,8 @@
                  "A host that does not know the fleet begins nothing there") {
   endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
   const StartQuotas shares(
-      kBound, &endpoints_, &limits_, RestsOfHost{}, [] { return std::nullopt; },
-      clock_);
+      kBound, &endpoints_, &limits_, HostBackoffs{},
+      [] { return std::nullopt; }, clock_);
   CHECK(shares.ShareOf(Host(0), kEndpoint, Service()) == 0.0);
 }
 
@@ -121,12 +121,12 @@
   ServiceProfile unbounded = Service();
   unbounded.cold_requests_per_s = 0;
   const StartQuotas none(
-      ColdLimit{}, &endpoints_, &limits_, RestsOfHost{},
+      ColdLimit{}, &endpoints_, &limits_, HostBackoffs{},
       [] { return std::nullopt; }, clock_);
   CHECK(none.Withheld(starts, Host(0), Service()).empty());
   const StartQuotas bound(
-      kBound, &endpoints_, &limits_, RestsOfHost{}, [] { return std::nullopt; },
-      clock_);
+      kBound, &endpoints_, &limits_, HostBackoffs{},
+      [] { return std::nullopt; }, clock_);
   CHECK(bound.Withheld(starts, Host(0), unbounded).empty());
   CHECK(bound.Withheld(starts, Host(0), Service()).size() == 1);
 }
@@ -155,7 +155,7 @@
   CutFleet(ColdLimit bound, std::uint64_t seed)
       : random_(seed),
         shares_(
-            bound, &endpoints_, &limits_, RestsOfHost{}, [] { return kHosts; },
+            bound, &endpoints_, &limits_, HostBackoffs{}, [] { return kHosts; },
             clock_) {
     EndpointRecord record = ColdRecord(kPlayed + Millis(1000));
     record.address = "e0:1";
@@ -329,7 +329,7 @@
     record.cold_for = Millis(0);
   }
   const StartQuotas shares(
-      bound, &cold, &limits, RestsOfHost{}, [hosts] { return hosts; }, clock);
+      bound, &cold, &limits, HostBackoffs{}, [hosts] { return hosts; }, clock);
   EndpointLoads loads(clock);
   const Placer placer(
       &directory, &loads, &health, DataCentreId{}, LoadScope::kThisHost,
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -18,7 +18,7 @@
       limits_(clock),
       rests_(clock),
       shares_(cold_limit, &cold_endpoints_, &limits_,
-              RestsOfHost{self_, &rests_}, std::move(hosts), clock),
+              HostBackoffs{self_, &rests_}, std::move(hosts), clock),
       starts_(std::move(clock)) {}
 
 void StartGate::OnListing(const std::vector<EndpointRecord>& records) {
