--- a/include/harecrank/core/start_bound.h
+++ b/include/harecrank/core/start_bound.h
@@ -15,7 +15,7 @@
   // The endpoint answers it.
   kRequest,
   // The endpoint reads a part of its prompt for another one.
-  kPart
+  kPrefillPart
 };
 
 struct StartLimit {
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -241,7 +241,7 @@
          std::all_of(placement.helpers.begin(), placement.helpers.end(),
                      [&](const PrefillHelper& helper) {
                        return MayStart(starts, host, helper.record.id, service,
-                                       StartKind::kPart);
+                                       StartKind::kPrefillPart);
                      });
 }
 
@@ -260,7 +260,7 @@
     starts->Add(host, placement.endpoint.id);
   }
   for (const PrefillHelper& helper : placement.helpers) {
-    if (Counts(host, helper.record.id, service, StartKind::kPart)) {
+    if (Counts(host, helper.record.id, service, StartKind::kPrefillPart)) {
       starts->Add(host, helper.record.id);
     }
   }
