--- a/include/harecrank/core/start_bound.h
+++ b/include/harecrank/core/start_bound.h
@@ -20,10 +20,11 @@
 
 struct StartLimit {
   // Starts within `window`.
-  double most = 0;
+  double max_starts = 0;
   // Two that are decided on this far apart do not count together.
   Millis window{0};
-  // Starts a second in the long run; unset where `most` alone bounds them.
+  // Starts a second in the long run; unset where `max_starts` alone bounds
+  // them.
   std::optional<double> per_second;
   // How many times as many are allowed by now: 1, and more once the cause of
   // the bound is over.
--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -6,7 +6,7 @@
 // send: links are cut, two planners each take themselves for the only one, a
 // new one does not know what its predecessor gave. So each host keeps to a part
 // of the bound that is its own, whoever chose the endpoint, and the parts add
-// up to the bound at most:
+// up to the bound at max_starts:
 //
 //   bound 53 requests a second, 24 hosts: 2 from each, 48 in all
 //   bound 53, 300 hosts: 1 from each of about 27 hosts, whom a hash of host and
@@ -50,8 +50,8 @@
 
   void Add(const HostAddress& host, const EndpointId& endpoint);
 
-  // Returns how many `host` has begun at `endpoint` within `window`, at most
-  // kWindow.
+  // Returns how many `host` has begun at `endpoint` within `window`, at
+  // max_starts kWindow.
   std::size_t Of(const HostAddress& host, const EndpointId& endpoint,
                  Millis window) const;
 
@@ -151,7 +151,7 @@
   // What one host may begin by one bound.
   struct Part {
     // Within the bound's window.
-    double most = 0;
+    double max_starts = 0;
     // From one to the next, on average.
     FractionalMillis pause{0};
     // The first one.
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -147,7 +147,7 @@
   }
   const double span = std::chrono::duration<double>(kSpan).count();
   StartLimit bound;
-  bound.most = kOverage * entry.rate.value * span + kSlack;
+  bound.max_starts = kOverage * entry.rate.value * span + kSlack;
   bound.window = kWindow;
   bound.per_second = IsFresh(entry, now)
                          ? entry.rate.value
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -62,7 +62,7 @@
   CHECK(Names(kRate) == LimitChange::kNamed);
   CHECK(Names(kRate) == LimitChange::kNone);
   CHECK(PerSecond() == kRate.value);
-  CHECK(limits_.BoundOf(kEndpoint)->most == Approx(14.6));
+  CHECK(limits_.BoundOf(kEndpoint)->max_starts == Approx(14.6));
   CHECK(limits_.NamedBy(kEndpoint) == kRate);
   CHECK(limits_.Count() == 1);
 }
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -60,7 +60,7 @@
   }
   const TimePoint until = found->second.until;
   StartLimit bound;
-  bound.most = kMostAtReturn;
+  bound.max_starts = kMostAtReturn;
   bound.window = kReturnWindow;
   bound.raise =
       std::exp2(std::max(0.0, FractionalMillis(now - until) / kDoubles));
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -114,7 +114,7 @@
     return std::nullopt;
   }
   StartLimit bound;
-  bound.most =
+  bound.max_starts =
       service.cold_requests_per_s * cold_bound_.overage + cold_bound_.slack;
   bound.window = ColdEndpoints::kWindow;
   bound.raise = *raise;
@@ -158,20 +158,20 @@
   }
   // How many hosts share the bound.
   double sharers = *hosts;
-  const double even = bound.most / *hosts;
+  const double even = bound.max_starts / *hosts;
   if (even >= 1) {
-    part.most = bound.raise * std::floor(even);
+    part.max_starts = bound.raise * std::floor(even);
   } else {
-    const double named = bound.raise * NamedOnAverage(bound.most);
+    const double named = bound.raise * NamedOnAverage(bound.max_starts);
     const bool is_named = Lot(host, endpoint) * *hosts < named;
-    part.most = is_named ? std::max(1.0, named / *hosts) : 0;
+    part.max_starts = is_named ? std::max(1.0, named / *hosts) : 0;
     sharers = std::min(sharers, named);
   }
-  if (part.most < 1 || bound.per_second == 0.0) {
-    part.most = 0;
+  if (part.max_starts < 1 || bound.per_second == 0.0) {
+    part.max_starts = 0;
     return part;
   }
-  part.pause = FractionalMillis(bound.window) / part.most;
+  part.pause = FractionalMillis(bound.window) / part.max_starts;
   if (bound.per_second.has_value()) {
     const double own = bound.raise * *bound.per_second / sharers;
     part.pause = std::max(part.pause, FractionalMillis(kMillisPerSecond / own));
@@ -187,8 +187,8 @@
   std::optional<double> least;
   for (const StartLimit& bound :
        LimitsOf(host, endpoint, service, StartKind::kRequest)) {
-    const double most = PartOf(bound, host, endpoint).most;
-    least = std::min(least.value_or(most), most);
+    const double max_starts = PartOf(bound, host, endpoint).max_starts;
+    least = std::min(least.value_or(max_starts), max_starts);
   }
   return least;
 }
@@ -198,12 +198,12 @@
                                       const HostAddress& host,
                                       const EndpointId& endpoint) const {
   const Part part = PartOf(bound, host, endpoint);
-  if (part.most < 1) {
+  if (part.max_starts < 1) {
     return std::max(bound.opens, clock_() + bound.window);
   }
   TimePoint next = part.first;
-  const auto most = static_cast<std::size_t>(std::ceil(part.most));
-  if (const auto full = starts.Before(host, endpoint, most - 1)) {
+  const auto max_starts = static_cast<std::size_t>(std::ceil(part.max_starts));
+  if (const auto full = starts.Before(host, endpoint, max_starts - 1)) {
     next = std::max(next, *full + bound.window);
   }
   const auto together =
@@ -293,7 +293,7 @@
   FractionalMillis longest{0};
   for (const StartLimit& bound : bounds) {
     const Part part = PartOf(bound, host, endpoint);
-    if (part.most < 1) {
+    if (part.max_starts < 1) {
       return 0;
     }
     longest = std::max(longest, part.pause);
