--- a/include/harecrank/core/start_bound.h
+++ b/include/harecrank/core/start_bound.h
@@ -28,7 +28,7 @@
   std::optional<double> per_second;
   // How many times as many are allowed by now: 1, and more once the cause of
   // the bound is over.
-  double raise = 1;
+  double multiplier = 1;
   // Since when there has been a bound.
   TimePoint since{};
   // Nothing begins before; unset where the bound lets some through at once.
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -141,8 +141,8 @@
   }
   const Entry& entry = found->second;
   const TimePoint now = clock_();
-  const auto raise = Raise(entry, now);
-  if (!raise.has_value()) {
+  const auto multiplier = Raise(entry, now);
+  if (!multiplier.has_value()) {
     return std::nullopt;
   }
   const double span = std::chrono::duration<double>(kSpan).count();
@@ -152,7 +152,7 @@
   bound.per_second = IsFresh(entry, now)
                          ? entry.rate.value
                          : std::max(entry.rate.value, kTriedPerSecond);
-  bound.raise = *raise;
+  bound.multiplier = *multiplier;
   bound.since = entry.since;
   return bound;
 }
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -48,7 +48,7 @@
   bool IsBounded() const { return limits_.BoundOf(kEndpoint).has_value(); }
   double PerSecond() const {
     const StartLimit bound = *limits_.BoundOf(kEndpoint);
-    return *bound.per_second * bound.raise;
+    return *bound.per_second * bound.multiplier;
   }
 
   TimePoint now_{std::chrono::hours(1)};
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -62,7 +62,7 @@
   StartLimit bound;
   bound.max_starts = kMostAtReturn;
   bound.window = kReturnWindow;
-  bound.raise =
+  bound.multiplier =
       std::exp2(std::max(0.0, FractionalMillis(now - until) / kDoubles));
   bound.since = until;
   bound.opens = until;
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -109,15 +109,15 @@
 
 std::optional<StartLimit> StartQuotas::ColdLimitOf(
     const EndpointId& endpoint, const ServiceProfile& service) const {
-  const auto raise = cold_endpoints_->Factor(endpoint);
-  if (!raise.has_value() || !LimitsColdStarts(service)) {
+  const auto multiplier = cold_endpoints_->Factor(endpoint);
+  if (!multiplier.has_value() || !LimitsColdStarts(service)) {
     return std::nullopt;
   }
   StartLimit bound;
   bound.max_starts =
       service.cold_requests_per_s * cold_bound_.overage + cold_bound_.slack;
   bound.window = ColdEndpoints::kWindow;
-  bound.raise = *raise;
+  bound.multiplier = *multiplier;
   bound.since = cold_endpoints_->BoundSince(endpoint);
   return bound;
 }
@@ -160,9 +160,9 @@
   double sharers = *hosts;
   const double even = bound.max_starts / *hosts;
   if (even >= 1) {
-    part.max_starts = bound.raise * std::floor(even);
+    part.max_starts = bound.multiplier * std::floor(even);
   } else {
-    const double named = bound.raise * NamedOnAverage(bound.max_starts);
+    const double named = bound.multiplier * NamedOnAverage(bound.max_starts);
     const bool is_named = Lot(host, endpoint) * *hosts < named;
     part.max_starts = is_named ? std::max(1.0, named / *hosts) : 0;
     sharers = std::min(sharers, named);
@@ -173,7 +173,7 @@
   }
   part.pause = FractionalMillis(bound.window) / part.max_starts;
   if (bound.per_second.has_value()) {
-    const double own = bound.raise * *bound.per_second / sharers;
+    const double own = bound.multiplier * *bound.per_second / sharers;
     part.pause = std::max(part.pause, FractionalMillis(kMillisPerSecond / own));
   }
   part.pause = std::min(part.pause, kLongestPause);
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -178,7 +178,7 @@
   const StartLimit bound = rests_.BoundOf(id).value_or(StartLimit{});
   return {{"endpoint", id.value},
           {"rest_ms", rests_.RestOf(id).value_or(Millis(0)).count()},
-          {"raise", bound.raise}};
+          {"raise", bound.multiplier}};
 }
 
 nlohmann::json StartGate::DescribeLimit(const EndpointId& id) const {
@@ -191,8 +191,8 @@
   return {{"endpoint", id.value},
           {"named_per_second",
            named.has_value() ? nlohmann::json(named->value) : nlohmann::json()},
-          {"per_second", bound.per_second.value_or(0) * bound.raise},
-          {"raise", bound.raise},
+          {"per_second", bound.per_second.value_or(0) * bound.multiplier},
+          {"raise", bound.multiplier},
           {"own_share", shares_.ShareOf(self_, id, unbounded).value_or(0)},
           {"window_ms", bound.window.count()},
           {"begun", starts_.Of(self_, id, bound.window)},
