--- a/include/harecrank/core/start_bound.h
+++ b/include/harecrank/core/start_bound.h
@@ -32,7 +32,7 @@
   // Since when there has been a bound.
   TimePoint since{};
   // Nothing begins before; unset where the bound lets some through at once.
-  TimePoint opens{};
+  TimePoint not_before{};
 };
 
 }  // namespace harecrank
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -65,7 +65,7 @@
   bound.multiplier =
       std::exp2(std::max(0.0, FractionalMillis(now - until) / kDoubles));
   bound.since = until;
-  bound.opens = until;
+  bound.not_before = until;
   return bound;
 }
 
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -36,7 +36,7 @@
                                Millis(std::chrono::hours(24)));
   CHECK(Ask(rest));
   CHECK(rests_.RestOf(kEndpoint) == rest);
-  CHECK(rests_.BoundOf(kEndpoint)->opens == now_ + rest);
+  CHECK(rests_.BoundOf(kEndpoint)->not_before == now_ + rest);
   Pass(rest - Millis(1));
   CHECK(rests_.Count() == 1);
   Pass(Millis(1));
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -199,7 +199,7 @@
                                       const EndpointId& endpoint) const {
   const Part part = PartOf(bound, host, endpoint);
   if (part.max_starts < 1) {
-    return std::max(bound.opens, clock_() + bound.window);
+    return std::max(bound.not_before, clock_() + bound.window);
   }
   TimePoint next = part.first;
   const auto max_starts = static_cast<std::size_t>(std::ceil(part.max_starts));
@@ -318,7 +318,7 @@
     const TimePoint next = NextStart(starts, host, record->id, service);
     TimePoint backoff_until{};
     for (const StartLimit& bound : bounds) {
-      backoff_until = std::max(backoff_until, bound.opens);
+      backoff_until = std::max(backoff_until, bound.not_before);
     }
     if (!outlook.has_value()) {
       outlook = StartAvailability{next, 0, backoff_until};
