--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -52,8 +52,8 @@
 
   // Returns how many `host` has begun at `endpoint` within `window`, at
   // max_starts kWindow.
-  std::size_t Of(const HostAddress& host, const EndpointId& endpoint,
-                 Millis window) const;
+  std::size_t CountWithin(const HostAddress& host, const EndpointId& endpoint,
+                          Millis window) const;
 
   // Returns when `host` began the one there that `others` more have followed;
   // nothing if so many are not remembered.
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -57,8 +57,9 @@
   starts_[Key(host, endpoint)].push_back(clock_());
 }
 
-std::size_t StartHistory::Of(const HostAddress& host,
-                             const EndpointId& endpoint, Millis window) const {
+std::size_t StartHistory::CountWithin(const HostAddress& host,
+                                      const EndpointId& endpoint,
+                                      Millis window) const {
   const auto found = starts_.find(Key(host, endpoint));
   if (found == starts_.end()) {
     return 0;
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -78,10 +78,10 @@
   starts.Add(Host(0), kEndpoint);
   starts.Add(Host(0), kEndpoint);
   Pass(ColdEndpoints::kWindow - Millis(1));
-  CHECK(starts.Of(Host(0), kEndpoint, ColdEndpoints::kWindow) == 2);
-  CHECK(starts.Of(Host(1), kEndpoint, ColdEndpoints::kWindow) == 0);
+  CHECK(starts.CountWithin(Host(0), kEndpoint, ColdEndpoints::kWindow) == 2);
+  CHECK(starts.CountWithin(Host(1), kEndpoint, ColdEndpoints::kWindow) == 0);
   Pass(Millis(1));
-  CHECK(starts.Of(Host(0), kEndpoint, ColdEndpoints::kWindow) == 0);
+  CHECK(starts.CountWithin(Host(0), kEndpoint, ColdEndpoints::kWindow) == 0);
 }
 
 TEST_CASE_METHOD(SharesFixture, "The parts of all hosts add up to the bound") {
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -195,7 +195,7 @@
           {"raise", bound.multiplier},
           {"own_share", shares_.ShareOf(self_, id, unbounded).value_or(0)},
           {"window_ms", bound.window.count()},
-          {"begun", starts_.Of(self_, id, bound.window)},
+          {"begun", starts_.CountWithin(self_, id, bound.window)},
           {"next_start_ms", std::max(Millis(0), wait).count()}};
 }
 
