--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -57,9 +57,9 @@
 
   // Returns when `host` began the one there that `others` more have followed;
   // nothing if so many are not remembered.
-  std::optional<TimePoint> Before(const HostAddress& host,
-                                  const EndpointId& endpoint,
-                                  std::size_t others) const;
+  std::optional<TimePoint> NthLatest(const HostAddress& host,
+                                     const EndpointId& endpoint,
+                                     std::size_t others) const;
 
   // All of this time are remembered: the longest window of any bound.
   static constexpr Millis kWindow = EndpointLimits::kWindow;
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -70,9 +70,9 @@
                     [from](TimePoint at) { return at > from; }));
 }
 
-std::optional<TimePoint> StartHistory::Before(const HostAddress& host,
-                                              const EndpointId& endpoint,
-                                              std::size_t others) const {
+std::optional<TimePoint> StartHistory::NthLatest(const HostAddress& host,
+                                                 const EndpointId& endpoint,
+                                                 std::size_t others) const {
   const auto found = starts_.find(Key(host, endpoint));
   if (found == starts_.end() || found->second.size() <= others) {
     return std::nullopt;
@@ -204,12 +204,12 @@
   }
   TimePoint next = part.first;
   const auto max_starts = static_cast<std::size_t>(std::ceil(part.max_starts));
-  if (const auto full = starts.Before(host, endpoint, max_starts - 1)) {
+  if (const auto full = starts.NthLatest(host, endpoint, max_starts - 1)) {
     next = std::max(next, *full + bound.window);
   }
   const auto together =
       std::max(std::size_t{1}, static_cast<std::size_t>(kLump / part.pause));
-  if (const auto last = starts.Before(host, endpoint, together - 1)) {
+  if (const auto last = starts.NthLatest(host, endpoint, together - 1)) {
     next = std::max(next,
                     After(*last, static_cast<double>(together) * part.pause));
   }
