--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_shares.h
@@ -108,7 +108,7 @@
   // Returns how many requests `host` may begin at `endpoint` within the window
   // of the bound that leaves it the fewest, a whole number until the bound's
   // cause is over; nothing where there is no bound now.
-  std::optional<double> ShareOf(const HostAddress& host,
+  std::optional<double> QuotaOf(const HostAddress& host,
                                 const EndpointId& endpoint,
                                 const ServiceProfile& service) const;
 
--- a/src/core/start_shares.cc
+++ b/src/core/start_shares.cc
@@ -182,7 +182,7 @@
   return part;
 }
 
-std::optional<double> StartQuotas::ShareOf(
+std::optional<double> StartQuotas::QuotaOf(
     const HostAddress& host, const EndpointId& endpoint,
     const ServiceProfile& service) const {
   std::optional<double> least;
--- a/src/core/start_shares_test.cc
+++ b/src/core/start_shares_test.cc
@@ -98,7 +98,7 @@
       endpoints_.OnRecord(record, Millis(0));
       double sum = 0;
       for (int host = 0; host < hosts; ++host) {
-        sum += *shares.ShareOf(Host(host), record.id, service);
+        sum += *shares.QuotaOf(Host(host), record.id, service);
       }
       CHECK(sum <= kMostInASecond);
       CHECK(sum >= 1);
@@ -112,7 +112,7 @@
   const StartQuotas shares(
       kBound, &endpoints_, &limits_, HostBackoffs{},
       [] { return std::nullopt; }, clock_);
-  CHECK(shares.ShareOf(Host(0), kEndpoint, Service()) == 0.0);
+  CHECK(shares.QuotaOf(Host(0), kEndpoint, Service()) == 0.0);
 }
 
 TEST_CASE_METHOD(SharesFixture, "Without a bound nothing is withheld") {
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -193,7 +193,7 @@
            named.has_value() ? nlohmann::json(named->value) : nlohmann::json()},
           {"per_second", bound.per_second.value_or(0) * bound.multiplier},
           {"raise", bound.multiplier},
-          {"own_share", shares_.ShareOf(self_, id, unbounded).value_or(0)},
+          {"own_share", shares_.QuotaOf(self_, id, unbounded).value_or(0)},
           {"window_ms", bound.window.count()},
           {"begun", starts_.CountWithin(self_, id, bound.window)},
           {"next_start_ms", std::max(Millis(0), wait).count()}};
