--- a/include/harecrank/core/fair_queue.h
+++ b/include/harecrank/core/fair_queue.h
@@ -57,7 +57,7 @@
 
   // Removes and returns the next request that `fits`, or nothing.
   //
-  // A request that does not fit may be passed kMostPassed times; then nothing
+  // A request that does not fit may be passed kMaxBypasses times; then nothing
   // behind it starts before it does, so that a stream of small requests cannot
   // starve a large one.
   std::optional<QueuedRequest> PopFirst(
@@ -73,7 +73,7 @@
   // Returns the work that waits in one class.
   Tokens Backlog(LengthClass length) const;
 
-  static constexpr int kMostPassed = 16;
+  static constexpr int kMaxBypasses = 16;
 
  private:
   struct Waiting {
--- a/src/core/fair_queue.cc
+++ b/src/core/fair_queue.cc
@@ -56,7 +56,7 @@
       ForgetIdleFlows();
       return request;
     }
-    if (place->passed >= kMostPassed) {
+    if (place->passed >= kMaxBypasses) {
       return std::nullopt;
     }
   }
--- a/src/core/fair_queue_test.cc
+++ b/src/core/fair_queue_test.cc
@@ -71,7 +71,7 @@
   while (queue.PopFirst(fits)) {
     ++passed;
   }
-  CHECK(passed == FairQueue::kMostPassed);
+  CHECK(passed == FairQueue::kMaxBypasses);
 }
 
 TEST_CASE_METHOD(Fixture, "A full queue takes nothing more") {
