--- a/include/harecrank/core/endpoint_scheduler.h
+++ b/include/harecrank/core/endpoint_scheduler.h
@@ -84,7 +84,7 @@
   std::vector<QueuedRequest> DropOverdue();
 
   // Returns the keys whose lease has ended. Their work must be cancelled.
-  std::vector<std::uint64_t> DropEndedLeases();
+  std::vector<std::uint64_t> DropExpiredLeases();
 
   // From now on nothing new is taken; what was taken goes on.
   void Drain() { draining_ = true; }
--- a/src/core/endpoint_scheduler.cc
+++ b/src/core/endpoint_scheduler.cc
@@ -159,7 +159,7 @@
   return queue_.DropOverdue(clock_());
 }
 
-std::vector<std::uint64_t> EndpointScheduler::DropEndedLeases() {
+std::vector<std::uint64_t> EndpointScheduler::DropExpiredLeases() {
   std::vector<std::uint64_t> ended;
   leases_.DropEnded();
   for (auto run = running_.begin(); run != running_.end();) {
--- a/src/core/endpoint_scheduler_test.cc
+++ b/src/core/endpoint_scheduler_test.cc
@@ -155,7 +155,7 @@
   REQUIRE(scheduler.Reserve(7, Tokens{500}, Millis(100)));
   CHECK(scheduler.Report().free_memory.value == 500);
   now += Millis(100);
-  CHECK(scheduler.DropEndedLeases() == std::vector<std::uint64_t>{7});
+  CHECK(scheduler.DropExpiredLeases() == std::vector<std::uint64_t>{7});
   CHECK(scheduler.Report().free_memory.value == 1000);
   CHECK_FALSE(scheduler.Renew(7, Millis(100)));
 }
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -510,7 +510,7 @@
 }
 
 void SidecarNode::EndLeases() {
-  for (const std::uint64_t key : scheduler_.DropEndedLeases()) {
+  for (const std::uint64_t key : scheduler_.DropExpiredLeases()) {
     CancelLater(runner_.HoldingOf(key));
     const auto stream = by_key_.find(key);
     if (stream != by_key_.end()) {
