--- a/include/harecrank/core/lease_table.h
+++ b/include/harecrank/core/lease_table.h
@@ -52,10 +52,10 @@
   void Release(LeaseId id);
 
   // Drops the leases that have ended and returns their ids.
-  std::vector<LeaseId> DropEnded();
+  std::vector<LeaseId> DropExpired();
 
-  // Returns whether a lease is still in the table. DropEnded comes first where
-  // it matters that its end has not passed.
+  // Returns whether a lease is still in the table. DropExpired comes first
+  // where it matters that its end has not passed.
   bool Holds(LeaseId id) const { return leases_.count(id) > 0; }
 
   // Changes the capacity. Live leases keep what they hold.
--- a/include/harecrank/core/return_promises.h
+++ b/include/harecrank/core/return_promises.h
@@ -64,7 +64,7 @@
   };
   using Ending = std::pair<TimePoint, RequestFingerprint>;
 
-  void DropEnded();
+  void DropExpired();
   void Erase(std::map<RequestFingerprint, Held>::iterator found);
 
   MonotonicClock clock_;
--- a/src/core/endpoint_scheduler.cc
+++ b/src/core/endpoint_scheduler.cc
@@ -161,7 +161,7 @@
 
 std::vector<std::uint64_t> EndpointScheduler::DropExpiredLeases() {
   std::vector<std::uint64_t> ended;
-  leases_.DropEnded();
+  leases_.DropExpired();
   for (auto run = running_.begin(); run != running_.end();) {
     // A lease that cannot be renewed is gone, whoever dropped it.
     if (leases_.Holds(run->second.lease)) {
--- a/src/core/lease_table.cc
+++ b/src/core/lease_table.cc
@@ -21,7 +21,7 @@
 
 boost::leaf::result<void> LeaseTable::Renew(LeaseId id, Millis duration) {
   // A holder that was paused past its end must learn so here, before it acts.
-  DropEnded();
+  DropExpired();
   const auto found = leases_.find(id);
   if (found == leases_.end()) {
     return boost::leaf::new_error(LeaseError{UnknownLease{id}});
@@ -39,7 +39,7 @@
   leases_.erase(found);
 }
 
-std::vector<LeaseId> LeaseTable::DropEnded() {
+std::vector<LeaseId> LeaseTable::DropExpired() {
   const auto now = clock_();
   std::vector<LeaseId> ended;
   for (auto lease = leases_.begin(); lease != leases_.end();) {
@@ -57,7 +57,7 @@
 void LeaseTable::SetCapacity(Tokens capacity) { capacity_ = capacity; }
 
 Tokens LeaseTable::Available() {
-  DropEnded();
+  DropExpired();
   return capacity_ - held_;
 }
 
--- a/src/core/return_promises.cc
+++ b/src/core/return_promises.cc
@@ -10,7 +10,7 @@
 Millis RetryReservations::Reserve(const RequestFingerprint& request,
                                   FractionalMillis work, TimePoint late_at,
                                   Millis after) {
-  DropEnded();
+  DropExpired();
   const TimePoint now = clock_();
   const auto found = promises_.find(request);
   if (found != promises_.end()) {
@@ -33,7 +33,7 @@
 
 std::optional<TimePoint> RetryReservations::Redeem(
     const RequestFingerprint& request) {
-  DropEnded();
+  DropExpired();
   const auto found = promises_.find(request);
   if (found == promises_.end() ||
       clock_() + kEarlyTolerance < found->second.due) {
@@ -52,7 +52,7 @@
 }
 
 FractionalMillis RetryReservations::ReservedWork() {
-  DropEnded();
+  DropExpired();
   return promises_.empty() ? FractionalMillis(0) : work_;
 }
 
@@ -62,7 +62,7 @@
   work_ = FractionalMillis(0);
 }
 
-void RetryReservations::DropEnded() {
+void RetryReservations::DropExpired() {
   const TimePoint now = clock_();
   while (!by_due_.empty() && now - by_due_.begin()->first > kGracePeriod) {
     Erase(promises_.find(by_due_.begin()->second));
