--- a/include/harecrank/core/ticket_book.h
+++ b/include/harecrank/core/ticket_book.h
@@ -50,11 +50,11 @@
 // The tickets that one incarnation of a sidecar has issued.
 //
 // Not thread-safe; its owner serialises calls.
-class TicketBook {
+class TicketRegistry {
  public:
   // At most `limit` tickets are remembered at once.
-  TicketBook(EndpointId endpoint, Incarnation incarnation, std::size_t limit,
-             MonotonicClock clock, RandomSource random);
+  TicketRegistry(EndpointId endpoint, Incarnation incarnation,
+                 std::size_t limit, MonotonicClock clock, RandomSource random);
 
   // Issues a ticket that `account` may spend within `ttl`. Returns nothing if
   // the book is full.
--- a/src/core/ticket_book.cc
+++ b/src/core/ticket_book.cc
@@ -54,16 +54,17 @@
                 *nonce};
 }
 
-TicketBook::TicketBook(EndpointId endpoint, Incarnation incarnation,
-                       std::size_t limit, MonotonicClock clock,
-                       RandomSource random)
+TicketRegistry::TicketRegistry(EndpointId endpoint, Incarnation incarnation,
+                               std::size_t limit, MonotonicClock clock,
+                               RandomSource random)
     : endpoint_(std::move(endpoint)),
       incarnation_(incarnation),
       limit_(limit),
       clock_(std::move(clock)),
       random_(std::move(random)) {}
 
-std::optional<Ticket> TicketBook::Issue(const AccountId& account, Millis ttl) {
+std::optional<Ticket> TicketRegistry::Issue(const AccountId& account,
+                                            Millis ttl) {
   const TimePoint now = clock_();
   ForgetOld(now);
   if (entries_.size() >= limit_) {
@@ -80,7 +81,8 @@
   return Ticket{endpoint_, incarnation_, nonce};
 }
 
-Redemption TicketBook::Redeem(const Ticket& ticket, const AccountId& account) {
+Redemption TicketRegistry::Redeem(const Ticket& ticket,
+                                  const AccountId& account) {
   Entry* entry = Find(ticket, account);
   if (entry == nullptr) {
     return Redemption::kForeign;
@@ -96,7 +98,8 @@
   return Redemption::kGranted;
 }
 
-Redemption TicketBook::Revoke(const Ticket& ticket, const AccountId& account) {
+Redemption TicketRegistry::Revoke(const Ticket& ticket,
+                                  const AccountId& account) {
   Entry* entry = Find(ticket, account);
   if (entry == nullptr) {
     return Redemption::kForeign;
@@ -108,8 +111,8 @@
   return Redemption::kEndedUnspent;
 }
 
-TicketBook::Entry* TicketBook::Find(const Ticket& ticket,
-                                    const AccountId& account) {
+TicketRegistry::Entry* TicketRegistry::Find(const Ticket& ticket,
+                                            const AccountId& account) {
   if (ticket.endpoint != endpoint_ || ticket.incarnation != incarnation_) {
     return nullptr;
   }
@@ -120,7 +123,7 @@
   return &found->second;
 }
 
-void TicketBook::ForgetOld(TimePoint now) {
+void TicketRegistry::ForgetOld(TimePoint now) {
   if (now < next_sweep_) {
     return;
   }
--- a/src/core/ticket_book_test.cc
+++ b/src/core/ticket_book_test.cc
@@ -15,60 +15,60 @@
   TimePoint now{};
   std::uint64_t drawn = 0;
 
-  TicketBook MakeBook(std::uint64_t incarnation, std::size_t limit = 100) {
-    return TicketBook(
+  TicketRegistry MakeBook(std::uint64_t incarnation, std::size_t limit = 100) {
+    return TicketRegistry(
         EndpointId{"e-1"}, Incarnation{incarnation}, limit,
         [this] { return now; }, [this] { return ++drawn; });
   }
 };
 
 TEST_CASE_METHOD(Fixture, "A ticket is granted once and then known as spent") {
-  TicketBook book = MakeBook(1);
+  TicketRegistry book = MakeBook(1);
   const Ticket ticket = *book.Issue(kTinta, kTtl);
   CHECK(book.Redeem(ticket, kTinta) == Redemption::kGranted);
   CHECK(book.Redeem(ticket, kTinta) == Redemption::kAlreadySpent);
 }
 
 TEST_CASE_METHOD(Fixture, "A new life of the sidecar grants no old ticket") {
-  TicketBook before = MakeBook(1);
+  TicketRegistry before = MakeBook(1);
   const Ticket ticket = *before.Issue(kTinta, kTtl);
   // The new life may draw the same number for a ticket of its own.
   drawn = 0;
-  TicketBook after = MakeBook(2);
+  TicketRegistry after = MakeBook(2);
   after.Issue(kTinta, kTtl);
   CHECK(after.Redeem(ticket, kTinta) == Redemption::kForeign);
 }
 
 TEST_CASE_METHOD(Fixture, "A ticket that ended unspent is never granted") {
-  TicketBook book = MakeBook(1);
+  TicketRegistry book = MakeBook(1);
   const Ticket ticket = *book.Issue(kTinta, kTtl);
   now += kTtl;
   CHECK(book.Redeem(ticket, kTinta) == Redemption::kEndedUnspent);
 }
 
 TEST_CASE_METHOD(Fixture, "A revoked ticket is never granted") {
-  TicketBook book = MakeBook(1);
+  TicketRegistry book = MakeBook(1);
   const Ticket ticket = *book.Issue(kTinta, kTtl);
   CHECK(book.Revoke(ticket, kTinta) == Redemption::kEndedUnspent);
   CHECK(book.Redeem(ticket, kTinta) == Redemption::kEndedUnspent);
 }
 
 TEST_CASE_METHOD(Fixture, "Revoking a spent ticket does not deny its run") {
-  TicketBook book = MakeBook(1);
+  TicketRegistry book = MakeBook(1);
   const Ticket ticket = *book.Issue(kTinta, kTtl);
   book.Redeem(ticket, kTinta);
   CHECK(book.Revoke(ticket, kTinta) == Redemption::kAlreadySpent);
 }
 
 TEST_CASE_METHOD(Fixture, "Another account cannot spend a ticket") {
-  TicketBook book = MakeBook(1);
+  TicketRegistry book = MakeBook(1);
   const Ticket ticket = *book.Issue(kTinta, kTtl);
   CHECK(book.Redeem(ticket, kTan) == Redemption::kForeign);
   CHECK(book.Redeem(ticket, kTinta) == Redemption::kGranted);
 }
 
 TEST_CASE_METHOD(Fixture, "A forgotten ticket is unknown and never not run") {
-  TicketBook book = MakeBook(1);
+  TicketRegistry book = MakeBook(1);
   const Ticket ticket = *book.Issue(kTinta, kTtl);
   book.Redeem(ticket, kTinta);
   now += Millis(10000);
@@ -77,7 +77,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "A full book issues nothing") {
-  TicketBook book = MakeBook(1, 1);
+  TicketRegistry book = MakeBook(1, 1);
   REQUIRE(book.Issue(kTinta, kTtl));
   CHECK_FALSE(book.Issue(kTinta, kTtl));
 }
@@ -101,7 +101,7 @@
 
 // One sidecar's slot, whose process may be replaced, and what it ran.
 struct Slot {
-  std::unique_ptr<TicketBook> book;
+  std::unique_ptr<TicketRegistry> book;
   std::uint64_t incarnation = 0;
   std::uint64_t nonce = 0;
 };
@@ -119,7 +119,7 @@
       // Each life draws the same numbers: only the incarnation tells them
       // apart.
       slots[i].nonce = 0;
-      slots[i].book = std::make_unique<TicketBook>(
+      slots[i].book = std::make_unique<TicketRegistry>(
           EndpointId{"e" + std::to_string(i)},
           Incarnation{slots[i].incarnation}, 1000, [&] { return now; },
           [&slots, i] { return ++slots[i].nonce; });
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -114,7 +114,7 @@
   std::mutex mutex_;
   std::condition_variable wake_;
   EndpointScheduler scheduler_;
-  TicketBook tickets_;
+  TicketRegistry tickets_;
   std::map<StreamName, StreamPtr> streams_;
   std::unordered_map<std::uint64_t, StreamPtr> by_key_;
   // Reservations of groups, by the stream that made them.
