--- a/include/harecrank/core/ticket_book.h
+++ b/include/harecrank/core/ticket_book.h
@@ -44,7 +44,7 @@
   kEndedUnspent,
   // It is of another life or endpoint, or of another account, or was
   // forgotten. Nothing is known here of whether the request ran.
-  kForeign,
+  kUnknownTicket,
 };
 
 // The tickets that one incarnation of a sidecar has issued.
--- a/src/core/ticket_book.cc
+++ b/src/core/ticket_book.cc
@@ -85,7 +85,7 @@
                                   const AccountId& account) {
   Entry* entry = Find(ticket, account);
   if (entry == nullptr) {
-    return Redemption::kForeign;
+    return Redemption::kUnknownTicket;
   }
   if (entry->state == State::kSpent) {
     return Redemption::kAlreadySpent;
@@ -102,7 +102,7 @@
                                   const AccountId& account) {
   Entry* entry = Find(ticket, account);
   if (entry == nullptr) {
-    return Redemption::kForeign;
+    return Redemption::kUnknownTicket;
   }
   if (entry->state == State::kSpent) {
     return Redemption::kAlreadySpent;
--- a/src/core/ticket_book_test.cc
+++ b/src/core/ticket_book_test.cc
@@ -36,7 +36,7 @@
   drawn = 0;
   TicketRegistry after = MakeBook(2);
   after.Issue(kTinta, kTtl);
-  CHECK(after.Redeem(ticket, kTinta) == Redemption::kForeign);
+  CHECK(after.Redeem(ticket, kTinta) == Redemption::kUnknownTicket);
 }
 
 TEST_CASE_METHOD(Fixture, "A ticket that ended unspent is never granted") {
@@ -63,7 +63,7 @@
 TEST_CASE_METHOD(Fixture, "Another account cannot spend a ticket") {
   TicketRegistry book = MakeBook(1);
   const Ticket ticket = *book.Issue(kTinta, kTtl);
-  CHECK(book.Redeem(ticket, kTan) == Redemption::kForeign);
+  CHECK(book.Redeem(ticket, kTan) == Redemption::kUnknownTicket);
   CHECK(book.Redeem(ticket, kTinta) == Redemption::kGranted);
 }
 
@@ -73,7 +73,7 @@
   book.Redeem(ticket, kTinta);
   now += Millis(10000);
   book.Issue(kTinta, kTtl);
-  CHECK(book.Redeem(ticket, kTinta) == Redemption::kForeign);
+  CHECK(book.Redeem(ticket, kTinta) == Redemption::kUnknownTicket);
 }
 
 TEST_CASE_METHOD(Fixture, "A full book issues nothing") {
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -301,7 +301,7 @@
                      const wire::TicketRevoke& revoke) {
   wire::TicketAnswer answer;
   answer.call = revoke.call;
-  Redemption redemption = Redemption::kForeign;
+  Redemption redemption = Redemption::kUnknownTicket;
   const auto ticket = ParseTicket(revoke.ticket);
   if (ticket) {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -421,8 +421,9 @@
     return true;
   }
   const auto ticket = ParseTicket(submit.ticket);
-  const Redemption redemption =
-      ticket ? tickets_.Redeem(*ticket, submit.account) : Redemption::kForeign;
+  const Redemption redemption = ticket
+                                    ? tickets_.Redeem(*ticket, submit.account)
+                                    : Redemption::kUnknownTicket;
   if (redemption == Redemption::kGranted) {
     stream->log = std::make_shared<AnswerLog>();
     logs_.emplace(ticket->nonce, stream->log);
