--- a/include/harecrank/core/repeat_budget.h
+++ b/include/harecrank/core/repeat_budget.h
@@ -15,7 +15,7 @@
 namespace harecrank {
 
 // The bound on repeats, for all hosts together.
-struct RepeatBound {
+struct RepeatLimit {
   // Repeats for each request of a window.
   double ratio = 0.2;
   // Repeats in a window beyond those.
@@ -26,7 +26,7 @@
 // One host's part of one service's bound. Not thread-safe.
 class RepeatBudget {
  public:
-  RepeatBudget(RepeatBound bound, MonotonicClock clock);
+  RepeatBudget(RepeatLimit bound, MonotonicClock clock);
 
   // Notes the first sending of a request.
   void OnFirst();
@@ -48,7 +48,7 @@
 
   Slice* Current();
 
-  RepeatBound bound_;
+  RepeatLimit bound_;
   MonotonicClock clock_;
   std::deque<Slice> slices_;
 };
--- a/src/core/repeat_budget.cc
+++ b/src/core/repeat_budget.cc
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-RepeatBudget::RepeatBudget(RepeatBound bound, MonotonicClock clock)
+RepeatBudget::RepeatBudget(RepeatLimit bound, MonotonicClock clock)
     : bound_(bound), clock_(std::move(clock)) {}
 
 void RepeatBudget::OnFirst() { ++Current()->firsts; }
--- a/src/core/repeat_budget_test.cc
+++ b/src/core/repeat_budget_test.cc
@@ -7,7 +7,7 @@
 
 TEST_CASE("Hosts that each use their whole part stay within the bound") {
   TimePoint now{};
-  const RepeatBound bound{0.2, 100, Millis(10000)};
+  const RepeatLimit bound{0.2, 100, Millis(10000)};
   constexpr int kHosts = 3;
   constexpr int kFirsts = 400;
   int repeats = 0;
--- a/src/gateway/gateway_services.cc
+++ b/src/gateway/gateway_services.cc
@@ -12,7 +12,7 @@
   return true;
 }
 
-RepeatBudgets::RepeatBudgets(RepeatBound bound, std::function<int()> hosts,
+RepeatBudgets::RepeatBudgets(RepeatLimit bound, std::function<int()> hosts,
                              MonotonicClock clock)
     : bound_(bound), hosts_(std::move(hosts)), clock_(std::move(clock)) {}
 
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -45,7 +45,7 @@
 // The budgets of all services.
 class RepeatBudgets {
  public:
-  RepeatBudgets(RepeatBound bound, std::function<int()> hosts,
+  RepeatBudgets(RepeatLimit bound, std::function<int()> hosts,
                 MonotonicClock clock);
 
   void OnFirst(const ServiceName& service);
@@ -54,7 +54,7 @@
  private:
   RepeatBudget* Of(const ServiceName& service);
 
-  RepeatBound bound_;
+  RepeatLimit bound_;
   std::function<int()> hosts_;
   MonotonicClock clock_;
   std::map<ServiceName, RepeatBudget> budgets_;
