--- a/src/adapters/settings.cc
+++ b/src/adapters/settings.cc
@@ -387,10 +387,10 @@
   reader.Address("directory_service", Need::kRequired,
                  &settings.directory_service);
   reader.Texts("seed_peers", &settings.seed_peers);
-  reader.Fraction("repeat_ratio", 0, 1, &settings.repeat_bound.ratio);
+  reader.Fraction("repeat_ratio", 0, 1, &settings.repeat_limit.ratio);
   reader.Fraction("repeat_allowance", 0, kMostRepeats,
-                  &settings.repeat_bound.allowance);
-  reader.Seconds("repeat_window_s", &settings.repeat_bound.window);
+                  &settings.repeat_limit.allowance);
+  reader.Seconds("repeat_window_s", &settings.repeat_limit.window);
   reader.Seconds("stop_limit_s", &settings.stop_limit);
   reader.Duration("leave_limit_ms", &settings.leave_limit);
   reader.Count("descriptors", 1, kMostDescriptors, &settings.descriptors);
--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -80,7 +80,7 @@
   // Operations addresses of some other hosts, which may be stale.
   std::vector<std::string> seed_peers;
   // Requests that may be sent once more, for all hosts together.
-  RepeatLimit repeat_bound;
+  RepeatLimit repeat_limit;
   // How long the platform waits after a stop signal before it kills.
   Millis stop_limit{8000};
   // How long after an endpoint has left a request may still reach it.
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -60,7 +60,7 @@
           LoadScope::kThisHost, [this] { return KnownHosts(); },
           settings_.placement, random_),
       budgets_(
-          settings_.repeat_bound,
+          settings_.repeat_limit,
           [this] {
             return std::max(KnownHosts(), hosts_.HostsSharingLimits());
           },
