--- a/include/harecrank/core/repeat_budget.h
+++ b/include/harecrank/core/repeat_budget.h
@@ -29,7 +29,7 @@
   RepeatBudget(RepeatLimit bound, MonotonicClock clock);
 
   // Notes the first sending of a request.
-  void OnFirst();
+  void OnFirstAttempt();
 
   // Takes one repeat, where `hosts` hosts (at least 1) share the allowance.
   // Returns false, and takes nothing, if that would exceed this host's part.
--- a/src/core/repeat_budget.cc
+++ b/src/core/repeat_budget.cc
@@ -13,7 +13,7 @@
 RepeatBudget::RepeatBudget(RepeatLimit bound, MonotonicClock clock)
     : bound_(bound), clock_(std::move(clock)) {}
 
-void RepeatBudget::OnFirst() { ++Current()->firsts; }
+void RepeatBudget::OnFirstAttempt() { ++Current()->firsts; }
 
 bool RepeatBudget::TryRepeat(int hosts) {
   Slice* current = Current();
--- a/src/core/repeat_budget_test.cc
+++ b/src/core/repeat_budget_test.cc
@@ -14,7 +14,7 @@
   for (int host = 0; host < kHosts; ++host) {
     RepeatBudget budget(bound, [&now] { return now; });
     for (int i = 0; i < kFirsts; ++i) {
-      budget.OnFirst();
+      budget.OnFirstAttempt();
     }
     while (budget.TryRepeat(kHosts)) {
       ++repeats;
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -53,7 +53,7 @@
                                          [this] { return log_.Fields(); });
   sender_.emplace(services_, route_, this);
   watching_ = services_->crashes->Watch(this);
-  services_->budgets->OnFirst(service_->name);
+  services_->budgets->OnFirstAttempt(service_->name);
   TryNext();
 }
 
--- a/src/gateway/gateway_services.cc
+++ b/src/gateway/gateway_services.cc
@@ -16,8 +16,8 @@
                              MonotonicClock clock)
     : bound_(bound), hosts_(std::move(hosts)), clock_(std::move(clock)) {}
 
-void RepeatBudgets::OnFirst(const ServiceName& service) {
-  Of(service)->OnFirst();
+void RepeatBudgets::OnFirstAttempt(const ServiceName& service) {
+  Of(service)->OnFirstAttempt();
 }
 
 bool RepeatBudgets::TryRepeat(const ServiceName& service) {
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -48,7 +48,7 @@
   RepeatBudgets(RepeatLimit bound, std::function<int()> hosts,
                 MonotonicClock clock);
 
-  void OnFirst(const ServiceName& service);
+  void OnFirstAttempt(const ServiceName& service);
   bool TryRepeat(const ServiceName& service);
 
  private:
