--- a/include/harecrank/core/placement_policy.h
+++ b/include/harecrank/core/placement_policy.h
@@ -8,7 +8,7 @@
 
 #include <cstddef>
 
-#include "harecrank/core/waiting_room.h"
+#include "harecrank/core/wait_queue.h"
 
 namespace harecrank {
 
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -30,7 +30,7 @@
 #include "harecrank/core/room_decision.h"
 #include "harecrank/core/routing_table.h"
 #include "harecrank/core/start_shares.h"
-#include "harecrank/core/waiting_room.h"
+#include "harecrank/core/wait_queue.h"
 
 namespace harecrank {
 
--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/room_decision.h
@@ -18,7 +18,7 @@
 #include "harecrank/core/placement_policy.h"
 #include "harecrank/core/return_promises.h"
 #include "harecrank/core/room_forecast.h"
-#include "harecrank/core/waiting_room.h"
+#include "harecrank/core/wait_queue.h"
 
 namespace harecrank {
 
--- a/include/harecrank/core/waiting_room.h
+++ b/include/harecrank/core/wait_queue.h
@@ -1,7 +1,7 @@
 // The order in which long prompts that wait for engines are tried.
 
-#ifndef HARECRANK_CORE_WAITING_ROOM_H_
-#define HARECRANK_CORE_WAITING_ROOM_H_
+#ifndef HARECRANK_CORE_WAIT_QUEUE_H_
+#define HARECRANK_CORE_WAIT_QUEUE_H_
 
 #include <cstdint>
 #include <map>
@@ -121,4 +121,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_WAITING_ROOM_H_
+#endif  // HARECRANK_CORE_WAIT_QUEUE_H_
--- a/src/core/waiting_room.cc
+++ b/src/core/wait_queue.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/waiting_room.h"
+#include "harecrank/core/wait_queue.h"
 
 #include <algorithm>
 #include <set>
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -12,7 +12,7 @@
 #include <map>
 #include <optional>
 
-#include "harecrank/core/waiting_room.h"
+#include "harecrank/core/wait_queue.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
