--- a/include/harecrank/core/room_decision.h
+++ b/include/harecrank/core/admission_control.h
@@ -5,8 +5,8 @@
 // what the others leave over; the rest are told at once, truly not run, when
 // room is foreseen, and find it when they return.
 
-#ifndef HARECRANK_CORE_ROOM_DECISION_H_
-#define HARECRANK_CORE_ROOM_DECISION_H_
+#ifndef HARECRANK_CORE_ADMISSION_CONTROL_H_
+#define HARECRANK_CORE_ADMISSION_CONTROL_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -119,4 +119,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_ROOM_DECISION_H_
+#endif  // HARECRANK_CORE_ADMISSION_CONTROL_H_
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -21,13 +21,13 @@
 #include <unordered_map>
 #include <vector>
 
+#include "harecrank/core/admission_control.h"
 #include "harecrank/core/clock.h"
 #include "harecrank/core/endpoint_directory.h"
 #include "harecrank/core/endpoint_health.h"
 #include "harecrank/core/endpoint_loads.h"
 #include "harecrank/core/fleet_messages.h"
 #include "harecrank/core/placement.h"
-#include "harecrank/core/room_decision.h"
 #include "harecrank/core/routing_table.h"
 #include "harecrank/core/start_shares.h"
 #include "harecrank/core/wait_queue.h"
--- a/src/core/room_decision.cc
+++ b/src/core/admission_control.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/room_decision.h"
+#include "harecrank/core/admission_control.h"
 
 #include <algorithm>
 
