--- a/include/harecrank/core/admission_control.h
+++ b/include/harecrank/core/admission_control.h
@@ -12,12 +12,12 @@
 #include <cstdint>
 #include <optional>
 
+#include "harecrank/core/capacity_forecast.h"
 #include "harecrank/core/clock.h"
 #include "harecrank/core/fleet_messages.h"
 #include "harecrank/core/placement.h"
 #include "harecrank/core/placement_policy.h"
 #include "harecrank/core/return_promises.h"
-#include "harecrank/core/room_forecast.h"
 #include "harecrank/core/wait_queue.h"
 
 namespace harecrank {
--- a/include/harecrank/core/room_forecast.h
+++ b/include/harecrank/core/capacity_forecast.h
@@ -6,8 +6,8 @@
 // all follows from what waits before it and from how fast engine time has
 // lately become free.
 
-#ifndef HARECRANK_CORE_ROOM_FORECAST_H_
-#define HARECRANK_CORE_ROOM_FORECAST_H_
+#ifndef HARECRANK_CORE_CAPACITY_FORECAST_H_
+#define HARECRANK_CORE_CAPACITY_FORECAST_H_
 
 #include <cstddef>
 #include <deque>
@@ -106,4 +106,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_ROOM_FORECAST_H_
+#endif  // HARECRANK_CORE_CAPACITY_FORECAST_H_
--- a/include/harecrank/core/placement_policy.h
+++ b/include/harecrank/core/placement_policy.h
@@ -87,7 +87,7 @@
   // their share of engine time go after the others (account_shares.h).
   bool shares_by_account = false;
   // Who finds no engine waits, is refused or is told when to return by when
-  // room is foreseen (room_forecast.h), in place of precedent and of fixed
+  // room is foreseen (capacity_forecast.h), in place of precedent and of fixed
   // shares of a target.
   bool foresees_room = false;
   // Callers of streams that hear nothing for the longest of these leave: so
--- a/src/core/room_forecast.cc
+++ b/src/core/capacity_forecast.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/room_forecast.h"
+#include "harecrank/core/capacity_forecast.h"
 
 #include <algorithm>
 #include <utility>
