--- a/include/harecrank/core/admission_control.h
+++ b/include/harecrank/core/admission_control.h
@@ -17,7 +17,7 @@
 #include "harecrank/core/fleet_messages.h"
 #include "harecrank/core/placement.h"
 #include "harecrank/core/placement_policy.h"
-#include "harecrank/core/return_promises.h"
+#include "harecrank/core/retry_reservations.h"
 #include "harecrank/core/wait_queue.h"
 
 namespace harecrank {
--- a/include/harecrank/core/return_promises.h
+++ b/include/harecrank/core/retry_reservations.h
@@ -7,8 +7,8 @@
 // All of it is soft: a planner that dies takes its promises along, and whoever
 // returns to the next one is a stranger there.
 
-#ifndef HARECRANK_CORE_RETURN_PROMISES_H_
-#define HARECRANK_CORE_RETURN_PROMISES_H_
+#ifndef HARECRANK_CORE_RETRY_RESERVATIONS_H_
+#define HARECRANK_CORE_RETRY_RESERVATIONS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -76,4 +76,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_RETURN_PROMISES_H_
+#endif  // HARECRANK_CORE_RETRY_RESERVATIONS_H_
--- a/src/core/return_promises_test.cc
+++ b/src/core/retry_reservations_test.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/return_promises.h"
+#include "harecrank/core/retry_reservations.h"
 
 #include <catch2/catch.hpp>
 
