--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -29,7 +29,7 @@
 #include "harecrank/core/fleet_messages.h"
 #include "harecrank/core/placement.h"
 #include "harecrank/core/routing_table.h"
-#include "harecrank/core/start_shares.h"
+#include "harecrank/core/start_quotas.h"
 #include "harecrank/core/wait_queue.h"
 
 namespace harecrank {
--- a/include/harecrank/core/start_shares.h
+++ b/include/harecrank/core/start_quotas.h
@@ -18,8 +18,8 @@
 // An endpoint that has asked one host for rest binds that host alone, and then
 // bounds its return in the same way.
 
-#ifndef HARECRANK_CORE_START_SHARES_H_
-#define HARECRANK_CORE_START_SHARES_H_
+#ifndef HARECRANK_CORE_START_QUOTAS_H_
+#define HARECRANK_CORE_START_QUOTAS_H_
 
 #include <cstddef>
 #include <deque>
@@ -191,4 +191,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_START_SHARES_H_
+#endif  // HARECRANK_CORE_START_QUOTAS_H_
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -4,7 +4,7 @@
 #include <memory>
 #include <string>
 
-#include "harecrank/core/start_shares.h"
+#include "harecrank/core/start_quotas.h"
 
 namespace harecrank {
 namespace {
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "harecrank/core/endpoint_limits.h"
-#include "harecrank/core/start_shares.h"
+#include "harecrank/core/start_quotas.h"
 
 namespace harecrank {
 namespace {
--- a/src/core/start_shares.cc
+++ b/src/core/start_quotas.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/start_shares.h"
+#include "harecrank/core/start_quotas.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "harecrank/core/planner.h"
-#include "harecrank/core/start_shares.h"
+#include "harecrank/core/start_quotas.h"
 #include "src/adapters/event_log.h"
 #include "src/adapters/metrics.h"
 
