--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -19,7 +19,7 @@
 
 #include "harecrank/core/clock.h"
 #include "harecrank/core/endpoint_directory.h"
-#include "harecrank/core/start_bound.h"
+#include "harecrank/core/start_limit.h"
 #include "harecrank/core/strong_types.h"
 
 namespace harecrank {
--- a/include/harecrank/core/start_bound.h
+++ b/include/harecrank/core/start_limit.h
@@ -1,7 +1,7 @@
 // A bound on what all hosts together begin at one endpoint.
 
-#ifndef HARECRANK_CORE_START_BOUND_H_
-#define HARECRANK_CORE_START_BOUND_H_
+#ifndef HARECRANK_CORE_START_LIMIT_H_
+#define HARECRANK_CORE_START_LIMIT_H_
 
 #include <optional>
 
@@ -37,4 +37,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_START_BOUND_H_
+#endif  // HARECRANK_CORE_START_LIMIT_H_
--- a/include/harecrank/core/start_quotas.h
+++ b/include/harecrank/core/start_quotas.h
@@ -38,7 +38,7 @@
 #include "harecrank/core/fleet_messages.h"
 #include "harecrank/core/placement.h"
 #include "harecrank/core/routing_table.h"
-#include "harecrank/core/start_bound.h"
+#include "harecrank/core/start_limit.h"
 #include "harecrank/core/strong_types.h"
 
 namespace harecrank {
