--- a/include/harecrank/core/cold_bound.h
+++ b/include/harecrank/core/cold_limit.h
@@ -1,7 +1,7 @@
 // The bound on requests at cold endpoints, as settings give it.
 
-#ifndef HARECRANK_CORE_COLD_BOUND_H_
-#define HARECRANK_CORE_COLD_BOUND_H_
+#ifndef HARECRANK_CORE_COLD_LIMIT_H_
+#define HARECRANK_CORE_COLD_LIMIT_H_
 
 namespace harecrank {
 
@@ -16,4 +16,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_COLD_BOUND_H_
+#endif  // HARECRANK_CORE_COLD_LIMIT_H_
--- a/include/harecrank/core/start_quotas.h
+++ b/include/harecrank/core/start_quotas.h
@@ -31,8 +31,8 @@
 #include <vector>
 
 #include "harecrank/core/clock.h"
-#include "harecrank/core/cold_bound.h"
 #include "harecrank/core/cold_endpoints.h"
+#include "harecrank/core/cold_limit.h"
 #include "harecrank/core/endpoint_limits.h"
 #include "harecrank/core/endpoint_rests.h"
 #include "harecrank/core/fleet_messages.h"
--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "harecrank/core/cold_bound.h"
+#include "harecrank/core/cold_limit.h"
 #include "harecrank/core/document_validator.h"
 #include "harecrank/core/endpoint_directory.h"
 #include "harecrank/core/placement_policy.h"
