--- a/include/harecrank/core/ticket_book.h
+++ b/include/harecrank/core/ticket_registry.h
@@ -6,8 +6,8 @@
 // ticket of the life before it. docs/DESIGN.md weighs this against the other
 // ways.
 
-#ifndef HARECRANK_CORE_TICKET_BOOK_H_
-#define HARECRANK_CORE_TICKET_BOOK_H_
+#ifndef HARECRANK_CORE_TICKET_REGISTRY_H_
+#define HARECRANK_CORE_TICKET_REGISTRY_H_
 
 #include <cstdint>
 #include <optional>
@@ -93,4 +93,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_TICKET_BOOK_H_
+#endif  // HARECRANK_CORE_TICKET_REGISTRY_H_
--- a/src/core/ticket_book.cc
+++ b/src/core/ticket_registry.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/ticket_book.h"
+#include "harecrank/core/ticket_registry.h"
 
 #include <charconv>
 #include <cstdio>
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -6,7 +6,7 @@
 
 #include "harecrank/core/http_status.h"
 #include "harecrank/core/rendezvous.h"
-#include "harecrank/core/ticket_book.h"
+#include "harecrank/core/ticket_registry.h"
 #include "src/entry/group_runner.h"
 
 namespace harecrank {
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "harecrank/core/endpoint_scheduler.h"
-#include "harecrank/core/ticket_book.h"
+#include "harecrank/core/ticket_registry.h"
 #include "src/adapters/link_server.h"
 #include "src/adapters/settings.h"
 #include "src/node/node.h"
--- a/src/sidecar/sidecar_stream.h
+++ b/src/sidecar/sidecar_stream.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "harecrank/core/ticket_book.h"
+#include "harecrank/core/ticket_registry.h"
 #include "src/adapters/link_server.h"
 #include "src/adapters/wire.h"
 
