--- a/include/harecrank/core/cold_endpoints.h
+++ b/include/harecrank/core/cold_endpoints.h
@@ -68,7 +68,7 @@
   struct Entry {
     bool IsCold(TimePoint now) const;
 
-    std::optional<EndpointLife> life;
+    std::optional<EndpointIncarnation> life;
     StoreRevision revision;
     // Since when it has had a bound, if it has one.
     TimePoint bound_since{};
--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -25,13 +25,13 @@
 
 // When an endpoint's process started, in Unix ms by its own clock. Tells lives
 // of one id apart; clocks step, so it does not tell which came first.
-using EndpointLife = StrongNumber<struct EndpointLifeTag, std::int64_t>;
+using EndpointIncarnation = StrongNumber<struct EndpointLifeTag, std::int64_t>;
 
 // One life of an endpoint, as published.
 struct EndpointRecord {
   EndpointId id;
   // Unset where the platform does not tell it: then each id has one life.
-  std::optional<EndpointLife> life;
+  std::optional<EndpointIncarnation> life;
   ServiceName service;
   // IP number and port.
   std::string address;
@@ -86,11 +86,11 @@
   // whether that is news. Its entry may go on to say that it is ready, or the
   // source say nothing: only a new life takes work again.
   bool NoteLeaving(const EndpointId& id,
-                   const std::optional<EndpointLife>& life);
+                   const std::optional<EndpointIncarnation>& life);
 
   // Whether `life` of the endpoint has said that it leaves.
   bool HasSaidItLeaves(const EndpointId& id,
-                       const std::optional<EndpointLife>& life) const;
+                       const std::optional<EndpointIncarnation>& life) const;
 
   // Returns those that are held and leave.
   std::vector<EndpointId> Leaving() const;
@@ -197,14 +197,14 @@
   };
 
   struct LeavingLife {
-    std::optional<EndpointLife> life;
+    std::optional<EndpointIncarnation> life;
     // When it said so, or its entry was last held.
     TimePoint noted;
   };
 
   // Returns whether that is news.
   bool RememberLeaving(const EndpointId& id,
-                       const std::optional<EndpointLife>& life);
+                       const std::optional<EndpointIncarnation>& life);
   // Forgets lives that have said that they leave and are long gone.
   void SweepLeaving(TimePoint now);
   // Returns whether an entry that is missing now may have lapsed.
--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -29,11 +29,13 @@
 
   // Takes what an answer of `life` says. An earlier and longer rest holds on.
   // Returns whether a rest has begun, or become longer.
-  bool OnAnswer(const EndpointId& id, const std::optional<EndpointLife>& life,
+  bool OnAnswer(const EndpointId& id,
+                const std::optional<EndpointIncarnation>& life,
                 const RestWord& word);
 
   // The endpoint runs in `life`: a rest of another one is over.
-  void OnLife(const EndpointId& id, const std::optional<EndpointLife>& life);
+  void OnLife(const EndpointId& id,
+              const std::optional<EndpointIncarnation>& life);
 
   // Returns the bound on what this host begins at `id`, or nothing if there is
   // none. The bound of the return is one on all hosts together.
@@ -64,7 +66,7 @@
 
  private:
   struct Entry {
-    std::optional<EndpointLife> life;
+    std::optional<EndpointIncarnation> life;
     TimePoint until{};
   };
 
--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -41,7 +41,7 @@
 struct EndpointCrash {
   EndpointId endpoint;
   // Zero where the platform does not tell lives apart.
-  EndpointLife life;
+  EndpointIncarnation life;
 
   friend bool operator==(const EndpointCrash& a, const EndpointCrash& b) {
     return std::tie(a.endpoint, a.life.value) ==
--- a/src/core/cold_endpoints_test.cc
+++ b/src/core/cold_endpoints_test.cc
@@ -12,7 +12,7 @@
                         std::int64_t life = 1) {
   EndpointRecord record;
   record.id = kEndpoint;
-  record.life = EndpointLife{life};
+  record.life = EndpointIncarnation{life};
   record.service = kService;
   record.revision = StoreRevision{revision};
   record.cold_for = cold_for;
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -46,13 +46,14 @@
 }
 
 bool EndpointDirectory::HasSaidItLeaves(
-    const EndpointId& id, const std::optional<EndpointLife>& life) const {
+    const EndpointId& id,
+    const std::optional<EndpointIncarnation>& life) const {
   const auto found = leaving_.find(id);
   return found != leaving_.end() && found->second.life == life;
 }
 
 bool EndpointDirectory::RememberLeaving(
-    const EndpointId& id, const std::optional<EndpointLife>& life) {
+    const EndpointId& id, const std::optional<EndpointIncarnation>& life) {
   if (HasSaidItLeaves(id, life)) {
     return false;
   }
@@ -60,8 +61,8 @@
   return true;
 }
 
-bool EndpointDirectory::NoteLeaving(const EndpointId& id,
-                                    const std::optional<EndpointLife>& life) {
+bool EndpointDirectory::NoteLeaving(
+    const EndpointId& id, const std::optional<EndpointIncarnation>& life) {
   if (!RememberLeaving(id, life)) {
     return false;
   }
--- a/src/core/endpoint_directory_test.cc
+++ b/src/core/endpoint_directory_test.cc
@@ -105,19 +105,19 @@
                  "An endpoint that starts again under its id is a new one") {
   Settle();
   EndpointRecord first = Record("a", 2);
-  first.life = EndpointLife{1000};
+  first.life = EndpointIncarnation{1000};
   first.draining = true;
   directory_.Upsert(first);
   CHECK(Usable() == 2);
   EndpointRecord second = Record("a", 3);
-  second.life = EndpointLife{900};
+  second.life = EndpointIncarnation{900};
   CHECK(directory_.Upsert(second));
   CHECK(Usable() == 3);
   // The same life once more changes nothing.
   second.revision = StoreRevision{4};
   CHECK_FALSE(directory_.Upsert(second));
   // Another life in its place is a change even if all else is alike.
-  second.life = EndpointLife{1001};
+  second.life = EndpointIncarnation{1001};
   second.revision = StoreRevision{5};
   CHECK(directory_.Upsert(second));
 }
@@ -127,7 +127,7 @@
     "A life that has said that it leaves does not stay after all") {
   Settle();
   EndpointRecord record = Record("a", 2);
-  record.life = EndpointLife{1000};
+  record.life = EndpointIncarnation{1000};
   record.draining = true;
   directory_.Upsert(record);
   record.draining = false;
@@ -215,7 +215,7 @@
                  "its entry says, until it starts anew") {
   Settle();
   EndpointRecord record = Record("a", 2);
-  record.life = EndpointLife{1000};
+  record.life = EndpointIncarnation{1000};
   directory_.Upsert(record);
   CHECK(directory_.NoteLeaving(record.id, record.life));
   CHECK_FALSE(directory_.NoteLeaving(record.id, record.life));
@@ -245,7 +245,7 @@
     directory_.Upsert(record);
   }
   CHECK(Usable() == 2);
-  record.life = EndpointLife{2000};
+  record.life = EndpointIncarnation{2000};
   record.revision = StoreRevision{5};
   directory_.Upsert(record);
   CHECK(Usable() == 3);
@@ -266,9 +266,9 @@
                  "What an earlier life said of leaving binds no later one") {
   Settle();
   EndpointRecord record = Record("a", 2);
-  record.life = EndpointLife{2000};
+  record.life = EndpointIncarnation{2000};
   directory_.Upsert(record);
-  directory_.NoteLeaving(record.id, EndpointLife{1000});
+  directory_.NoteLeaving(record.id, EndpointIncarnation{1000});
   CHECK(Usable() == 3);
 }
 
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -25,7 +25,7 @@
 }
 
 bool EndpointRests::OnAnswer(const EndpointId& id,
-                             const std::optional<EndpointLife>& life,
+                             const std::optional<EndpointIncarnation>& life,
                              const RestWord& word) {
   const Millis rest = std::visit(AskedRest{}, word);
   if (rest <= Millis(0)) {
@@ -45,7 +45,7 @@
 }
 
 void EndpointRests::OnLife(const EndpointId& id,
-                           const std::optional<EndpointLife>& life) {
+                           const std::optional<EndpointIncarnation>& life) {
   const auto found = entries_.find(id);
   if (found != entries_.end() && found->second.life != life) {
     entries_.erase(found);
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -10,12 +10,12 @@
 namespace {
 
 const EndpointId kEndpoint{"e0"};
-const EndpointLife kLife{1000};
+const EndpointIncarnation kLife{1000};
 
 class RestsFixture {
  protected:
   void Pass(Millis time) { now_ += time; }
-  bool Ask(const RestWord& word, EndpointLife life = kLife) {
+  bool Ask(const RestWord& word, EndpointIncarnation life = kLife) {
     return rests_.OnAnswer(kEndpoint, life, word);
   }
 
@@ -65,10 +65,10 @@
   Ask(Millis(3000));
   rests_.OnLife(kEndpoint, kLife);
   CHECK(rests_.Count() == 1);
-  rests_.OnLife(kEndpoint, EndpointLife{2000});
+  rests_.OnLife(kEndpoint, EndpointIncarnation{2000});
   CHECK(rests_.Count() == 0);
-  Ask(Millis(3000), EndpointLife{2000});
-  CHECK(Ask(Millis(100), EndpointLife{3000}));
+  Ask(Millis(3000), EndpointIncarnation{2000});
+  CHECK(Ask(Millis(100), EndpointIncarnation{3000}));
   CHECK(rests_.RestOf(kEndpoint) == Millis(100));
 }
 
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -133,7 +133,7 @@
   reader->EachOf([&crashes](ArrayReader* entry) {
     EndpointCrash crash;
     crash.endpoint = entry->TakeString<EndpointId>();
-    crash.life = entry->TakeNumber<EndpointLife>();
+    crash.life = entry->TakeNumber<EndpointIncarnation>();
     crashes.insert(std::move(crash));
   });
   return crashes;
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -42,9 +42,9 @@
   CrashReport report;
   report.request = RequestFingerprint{AccountId{"acme"}, ~std::uint64_t{0}, 7};
   report.crashes = {
-      EndpointCrash{EndpointId{"e1"}, EndpointLife{1781218352519}},
-      EndpointCrash{EndpointId{"e2"}, EndpointLife{0}}};
-  report.cleared = {EndpointCrash{EndpointId{"e3"}, EndpointLife{5}}};
+      EndpointCrash{EndpointId{"e1"}, EndpointIncarnation{1781218352519}},
+      EndpointCrash{EndpointId{"e2"}, EndpointIncarnation{0}}};
+  report.cleared = {EndpointCrash{EndpointId{"e3"}, EndpointIncarnation{5}}};
   report.trials = 2;
   report.failed_trials = 1;
   report.age = Millis(1500);
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -12,7 +12,7 @@
 
 EndpointCrash Crash(int endpoint, std::int64_t life = 1) {
   return EndpointCrash{EndpointId{"e" + std::to_string(endpoint)},
-                       EndpointLife{life}};
+                       EndpointIncarnation{life}};
 }
 
 struct Host {
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -78,7 +78,7 @@
 void CrashGuard::OnCrash(const RequestFingerprint& request,
                          const EndpointRecord& endpoint) {
   const EndpointCrash crash{endpoint.id,
-                            endpoint.life.value_or(EndpointLife{})};
+                            endpoint.life.value_or(EndpointIncarnation{})};
   if (!quarantine_->OnCrash(request, crash)) {
     return;
   }
--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -105,14 +105,14 @@
     "against no request") {
   Host host;
   EndpointRecord endpoint = EndedEndpoint();
-  endpoint.life = EndpointLife{1};
+  endpoint.life = EndpointIncarnation{1};
   host.rests = true;
   CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
   host.rests = false;
   host.directory.NoteLeaving(endpoint.id, endpoint.life);
   CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
   CHECK(host.quarantine.Count() == 0);
-  endpoint.life = EndpointLife{2};
+  endpoint.life = EndpointIncarnation{2};
   CHECK(Judged(&host, endpoint) == ProbeResult::kRefused);
   CHECK(host.quarantine.Count() == 1);
 }
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -14,7 +14,7 @@
   static EndpointRecord Record(std::int64_t life, std::uint64_t revision) {
     EndpointRecord record;
     record.id = kEndpoint;
-    record.life = EndpointLife{life};
+    record.life = EndpointIncarnation{life};
     record.service = kService;
     record.address = "127.0.0.1:1";
     record.revision = StoreRevision{revision};
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -49,12 +49,13 @@
     told_->changed.push_back(record.id);
     return;
   }
-  log_->Write("endpoint", {{"endpoint", record.id.value},
-                           {"service", record.service.value},
-                           {"address", record.address},
-                           {"draining", record.draining},
-                           {"life", record.life.value_or(EndpointLife{}).value},
-                           {"revision", record.revision.value}});
+  log_->Write("endpoint",
+              {{"endpoint", record.id.value},
+               {"service", record.service.value},
+               {"address", record.address},
+               {"draining", record.draining},
+               {"life", record.life.value_or(EndpointIncarnation{}).value},
+               {"revision", record.revision.value}});
 }
 
 void EndpointNews::OnGone(const EndpointId& id, StoreRevision revision) {
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -45,7 +45,8 @@
   void OnRest(const EndpointRecord& endpoint, const RestWord& word);
 
   // The endpoint runs in `life`: it owes nothing of an earlier one.
-  void OnLife(const EndpointId& id, const std::optional<EndpointLife>& life) {
+  void OnLife(const EndpointId& id,
+              const std::optional<EndpointIncarnation>& life) {
     rests_.OnLife(id, life);
   }
 
