--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -25,7 +25,8 @@
 
 // When an endpoint's process started, in Unix ms by its own clock. Tells lives
 // of one id apart; clocks step, so it does not tell which came first.
-using EndpointIncarnation = StrongNumber<struct EndpointLifeTag, std::int64_t>;
+using EndpointIncarnation =
+    StrongNumber<struct EndpointIncarnationTag, std::int64_t>;
 
 // One life of an endpoint, as published.
 struct EndpointRecord {
