--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -34,8 +34,8 @@
                 const RestWord& word);
 
   // The endpoint runs in `life`: a rest of another one is over.
-  void OnLife(const EndpointId& id,
-              const std::optional<EndpointIncarnation>& life);
+  void OnIncarnation(const EndpointId& id,
+                     const std::optional<EndpointIncarnation>& life);
 
   // Returns the bound on what this host begins at `id`, or nothing if there is
   // none. The bound of the return is one on all hosts together.
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -44,8 +44,8 @@
   return is_longer;
 }
 
-void EndpointRests::OnLife(const EndpointId& id,
-                           const std::optional<EndpointIncarnation>& life) {
+void EndpointRests::OnIncarnation(
+    const EndpointId& id, const std::optional<EndpointIncarnation>& life) {
   const auto found = entries_.find(id);
   if (found != entries_.end() && found->second.life != life) {
     entries_.erase(found);
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -63,9 +63,9 @@
 
 TEST_CASE_METHOD(RestsFixture, "A new life owes no rest, the same one does") {
   Ask(Millis(3000));
-  rests_.OnLife(kEndpoint, kLife);
+  rests_.OnIncarnation(kEndpoint, kLife);
   CHECK(rests_.Count() == 1);
-  rests_.OnLife(kEndpoint, EndpointIncarnation{2000});
+  rests_.OnIncarnation(kEndpoint, EndpointIncarnation{2000});
   CHECK(rests_.Count() == 0);
   Ask(Millis(3000), EndpointIncarnation{2000});
   CHECK(Ask(Millis(100), EndpointIncarnation{3000}));
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -45,9 +45,9 @@
   void OnRest(const EndpointRecord& endpoint, const RestWord& word);
 
   // The endpoint runs in `life`: it owes nothing of an earlier one.
-  void OnLife(const EndpointId& id,
-              const std::optional<EndpointIncarnation>& life) {
-    rests_.OnLife(id, life);
+  void OnIncarnation(const EndpointId& id,
+                     const std::optional<EndpointIncarnation>& life) {
+    rests_.OnIncarnation(id, life);
   }
 
   // Takes what another host tells of limits.
