--- a/include/harecrank/core/cold_endpoints.h
+++ b/include/harecrank/core/cold_endpoints.h
@@ -27,8 +27,8 @@
   // Takes an entry. What it tells of cold counts from now, since it cannot have
   // been written later: an endpoint that was heard of late counts as cold for
   // a little too long and never for too short. An entry that was taken before,
-  // or an older one, changes nothing. Where the entry does not tell, a new life
-  // counts as cold for `after_start`.
+  // or an older one, changes nothing. Where the entry does not tell, a new
+  // incarnation counts as cold for `after_start`.
   ColdChange OnRecord(const EndpointRecord& record, Millis after_start);
 
   // The entry has vanished. The endpoint may be used for a little longer, and
@@ -68,7 +68,7 @@
   struct Entry {
     bool IsCold(TimePoint now) const;
 
-    std::optional<EndpointIncarnation> life;
+    std::optional<EndpointIncarnation> incarnation;
     StoreRevision revision;
     // Since when it has had a bound, if it has one.
     TimePoint bound_since{};
--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -28,11 +28,12 @@
 using EndpointIncarnation =
     StrongNumber<struct EndpointIncarnationTag, std::int64_t>;
 
-// One life of an endpoint, as published.
+// One incarnation of an endpoint, as published.
 struct EndpointRecord {
   EndpointId id;
-  // Unset where the platform does not tell it: then each id has one life.
-  std::optional<EndpointIncarnation> life;
+  // Unset where the platform does not tell it: then each id has one
+  // incarnation.
+  std::optional<EndpointIncarnation> incarnation;
   ServiceName service;
   // IP number and port.
   std::string address;
@@ -78,20 +79,21 @@
                              Millis leave_limit = kLeaveLimit);
 
   // Takes over one record. Older revisions than the one held change nothing. A
-  // life that has said that it leaves does not stay, whatever a word of it that
-  // comes late may say. Returns whether anything that matters for routing
-  // changed.
+  // incarnation that has said that it leaves does not stay, whatever a word of
+  // it that comes late may say. Returns whether anything that matters for
+  // routing changed.
   bool Upsert(const EndpointRecord& record);
 
-  // Notes that `life` of the endpoint has said itself that it leaves. Returns
-  // whether that is news. Its entry may go on to say that it is ready, or the
-  // source say nothing: only a new life takes work again.
+  // Notes that `incarnation` of the endpoint has said itself that it leaves.
+  // Returns whether that is news. Its entry may go on to say that it is ready,
+  // or the source say nothing: only a new incarnation takes work again.
   bool NoteLeaving(const EndpointId& id,
-                   const std::optional<EndpointIncarnation>& life);
+                   const std::optional<EndpointIncarnation>& incarnation);
 
-  // Whether `life` of the endpoint has said that it leaves.
-  bool HasSaidItLeaves(const EndpointId& id,
-                       const std::optional<EndpointIncarnation>& life) const;
+  // Whether `incarnation` of the endpoint has said that it leaves.
+  bool HasSaidItLeaves(
+      const EndpointId& id,
+      const std::optional<EndpointIncarnation>& incarnation) const;
 
   // Returns those that are held and leave.
   std::vector<EndpointId> Leaving() const;
@@ -182,8 +184,9 @@
   // How long after the return of the source a vanished entry may have lapsed
   // while it was away: three heartbeats.
   static constexpr Millis kCalmAfter{3600};
-  // How long a life that has said that it leaves is remembered once its entry
-  // is not held any more: longer than a late word of it may be on its way.
+  // How long a incarnation that has said that it leaves is remembered once its
+  // entry is not held any more: longer than a late word of it may be on its
+  // way.
   static constexpr Millis kLeavingRemembered{60000};
 
  private:
@@ -198,14 +201,14 @@
   };
 
   struct LeavingLife {
-    std::optional<EndpointIncarnation> life;
+    std::optional<EndpointIncarnation> incarnation;
     // When it said so, or its entry was last held.
     TimePoint noted;
   };
 
   // Returns whether that is news.
   bool RememberLeaving(const EndpointId& id,
-                       const std::optional<EndpointIncarnation>& life);
+                       const std::optional<EndpointIncarnation>& incarnation);
   // Forgets lives that have said that they leave and are long gone.
   void SweepLeaving(TimePoint now);
   // Returns whether an entry that is missing now may have lapsed.
--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -27,15 +27,15 @@
  public:
   explicit EndpointRests(MonotonicClock clock);
 
-  // Takes what an answer of `life` says. An earlier and longer rest holds on.
-  // Returns whether a rest has begun, or become longer.
+  // Takes what an answer of `incarnation` says. An earlier and longer rest
+  // holds on. Returns whether a rest has begun, or become longer.
   bool OnAnswer(const EndpointId& id,
-                const std::optional<EndpointIncarnation>& life,
+                const std::optional<EndpointIncarnation>& incarnation,
                 const RestWord& word);
 
-  // The endpoint runs in `life`: a rest of another one is over.
+  // The endpoint runs in `incarnation`: a rest of another one is over.
   void OnIncarnation(const EndpointId& id,
-                     const std::optional<EndpointIncarnation>& life);
+                     const std::optional<EndpointIncarnation>& incarnation);
 
   // Returns the bound on what this host begins at `id`, or nothing if there is
   // none. The bound of the return is one on all hosts together.
@@ -66,7 +66,7 @@
 
  private:
   struct Entry {
-    std::optional<EndpointIncarnation> life;
+    std::optional<EndpointIncarnation> incarnation;
     TimePoint until{};
   };
 
--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -28,7 +28,8 @@
 // Names a host: IP number and port where it answers operators and other hosts.
 using HostAddress = StrongString<struct HostAddressTag>;
 
-// Names one place that a host asked for. Never used twice in one life of it.
+// Names one place that a host asked for. Never used twice in one incarnation of
+// it.
 using QueryId = StrongNumber<struct AskTag, std::uint64_t>;
 
 // The processor share of a host's machine. Strong hosts plan for weak ones.
@@ -63,7 +64,7 @@
 struct Heartbeat {
   NodeId node;
   HostAddress address;
-  Incarnation life;
+  Incarnation incarnation;
   CpuShare cpu_share;
   RoutingVersion routing;
   StoreRevision known_up_to;
@@ -102,7 +103,7 @@
 // Asks the planner for a place.
 struct PlacementQuery {
   HostAddress host;
-  Incarnation life;
+  Incarnation incarnation;
   QueryId id;
   ServiceName service;
   Millis target_latency{0};
@@ -158,7 +159,7 @@
 // The planner's answer.
 struct PlacementReply {
   HostAddress from;
-  Incarnation life;
+  Incarnation incarnation;
   QueryId id;
   PlacementDecision decision;
 };
@@ -179,7 +180,7 @@
 // Tells the planner what became of places that it gave.
 struct ProgressReport {
   HostAddress host;
-  Incarnation life;
+  Incarnation incarnation;
   std::vector<PrefillDone> read;
   std::vector<RequestDone> ended;
 };
--- a/include/harecrank/core/membership.h
+++ b/include/harecrank/core/membership.h
@@ -180,7 +180,7 @@
   bool leaving_ = false;
   // This host plans, or would if no better one said that it does.
   bool claims_ = false;
-  // Others take this host for the planner: it planned in a former life.
+  // Others take this host for the planner: it planned in a former incarnation.
   bool expected_ = false;
   // When any host was last heard.
   TimePoint heard_any_{};
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -37,7 +37,7 @@
 // A place for an ask that waited.
 struct DeferredReply {
   HostAddress host;
-  Incarnation life;
+  Incarnation incarnation;
   QueryId id;
   PlacementDecision decision;
 };
@@ -131,7 +131,7 @@
     EndpointId endpoint;
   };
   struct Host {
-    Incarnation life;
+    Incarnation incarnation;
     TimePoint heard{};
     std::unordered_map<QueryId, Entry> asks;
   };
@@ -141,7 +141,7 @@
   };
 
   bool IsLearning() const;
-  Host* HostOf(const HostAddress& address, Incarnation life);
+  Host* HostOf(const HostAddress& address, Incarnation incarnation);
   // Returns nothing if all engines that could take it are busy.
   std::optional<PlacementDecision> TryPlace(Entry* entry);
   std::optional<PlacementRequest> RequestOf(const Entry& entry) const;
--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -36,20 +36,20 @@
 
 namespace harecrank {
 
-// The end of one life of an endpoint. However many hosts and requests saw it,
-// it is one.
+// The end of one incarnation of an endpoint. However many hosts and requests
+// saw it, it is one.
 struct EndpointCrash {
   EndpointId endpoint;
   // Zero where the platform does not tell lives apart.
-  EndpointIncarnation life;
+  EndpointIncarnation incarnation;
 
   friend bool operator==(const EndpointCrash& a, const EndpointCrash& b) {
-    return std::tie(a.endpoint, a.life.value) ==
-           std::tie(b.endpoint, b.life.value);
+    return std::tie(a.endpoint, a.incarnation.value) ==
+           std::tie(b.endpoint, b.incarnation.value);
   }
   friend bool operator<(const EndpointCrash& a, const EndpointCrash& b) {
-    return std::tie(a.endpoint, a.life.value) <
-           std::tie(b.endpoint, b.life.value);
+    return std::tie(a.endpoint, a.incarnation.value) <
+           std::tie(b.endpoint, b.incarnation.value);
   }
 };
 
--- a/include/harecrank/core/strong_types.h
+++ b/include/harecrank/core/strong_types.h
@@ -63,7 +63,7 @@
 // An amount of text or of KV memory, in tokens.
 using Tokens = StrongNumber<struct TokensTag, std::int64_t>;
 
-// Names one life of a process. A restart draws a new one at random.
+// Names one incarnation of a process. A restart draws a new one at random.
 using Incarnation = StrongNumber<struct IncarnationTag, std::uint64_t>;
 
 // Orders all changes of the platform's service.
--- a/include/harecrank/core/ticket_registry.h
+++ b/include/harecrank/core/ticket_registry.h
@@ -3,8 +3,8 @@
 // A ticket names one endpoint and one incarnation of its sidecar. It is spent
 // in the memory of that process and nowhere else, so it can be spent once at
 // most: a sidecar that restarted draws a new incarnation and refuses every
-// ticket of the life before it. docs/DESIGN.md weighs this against the other
-// ways.
+// ticket of the incarnation before it. docs/DESIGN.md weighs this against the
+// other ways.
 
 #ifndef HARECRANK_CORE_TICKET_REGISTRY_H_
 #define HARECRANK_CORE_TICKET_REGISTRY_H_
@@ -42,7 +42,7 @@
   kAlreadySpent,
   // It ended or was revoked unspent: the request did not run.
   kEndedUnspent,
-  // It is of another life or endpoint, or of another account, or was
+  // It is of another incarnation or endpoint, or of another account, or was
   // forgotten. Nothing is known here of whether the request ran.
   kUnknownTicket,
 };
--- a/src/core/cold_endpoints.cc
+++ b/src/core/cold_endpoints.cc
@@ -19,9 +19,9 @@
   if (!is_first && !(entry.revision < record.revision)) {
     return ColdChange::kNone;
   }
-  const bool is_new_life = is_first || entry.life != record.life;
+  const bool is_new_life = is_first || entry.incarnation != record.incarnation;
   entry.revision = record.revision;
-  entry.life = record.life;
+  entry.incarnation = record.incarnation;
   entry.gone = false;
   if (!record.cold_for.has_value() && !is_new_life) {
     return ColdChange::kNone;
--- a/src/core/cold_endpoints_test.cc
+++ b/src/core/cold_endpoints_test.cc
@@ -9,10 +9,10 @@
 const EndpointId kEndpoint{"e0"};
 
 EndpointRecord RecordOf(std::uint64_t revision, std::optional<Millis> cold_for,
-                        std::int64_t life = 1) {
+                        std::int64_t incarnation = 1) {
   EndpointRecord record;
   record.id = kEndpoint;
-  record.life = EndpointIncarnation{life};
+  record.incarnation = EndpointIncarnation{incarnation};
   record.service = kService;
   record.revision = StoreRevision{revision};
   record.cold_for = cold_for;
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -29,11 +29,11 @@
     return false;
   }
   if (record.draining) {
-    RememberLeaving(record.id, record.life);
+    RememberLeaving(record.id, record.incarnation);
   }
-  const bool draining = HasSaidItLeaves(record.id, record.life);
+  const bool draining = HasSaidItLeaves(record.id, record.incarnation);
   const bool changed = is_new || entry.missing.has_value() ||
-                       entry.record.life != record.life ||
+                       entry.record.incarnation != record.incarnation ||
                        entry.record.draining != draining ||
                        entry.record.service != record.service ||
                        entry.record.address != record.address ||
@@ -47,27 +47,30 @@
 
 bool EndpointDirectory::HasSaidItLeaves(
     const EndpointId& id,
-    const std::optional<EndpointIncarnation>& life) const {
+    const std::optional<EndpointIncarnation>& incarnation) const {
   const auto found = leaving_.find(id);
-  return found != leaving_.end() && found->second.life == life;
+  return found != leaving_.end() && found->second.incarnation == incarnation;
 }
 
 bool EndpointDirectory::RememberLeaving(
-    const EndpointId& id, const std::optional<EndpointIncarnation>& life) {
-  if (HasSaidItLeaves(id, life)) {
+    const EndpointId& id,
+    const std::optional<EndpointIncarnation>& incarnation) {
+  if (HasSaidItLeaves(id, incarnation)) {
     return false;
   }
-  leaving_[id] = LeavingLife{life, clock_()};
+  leaving_[id] = LeavingLife{incarnation, clock_()};
   return true;
 }
 
 bool EndpointDirectory::NoteLeaving(
-    const EndpointId& id, const std::optional<EndpointIncarnation>& life) {
-  if (!RememberLeaving(id, life)) {
+    const EndpointId& id,
+    const std::optional<EndpointIncarnation>& incarnation) {
+  if (!RememberLeaving(id, incarnation)) {
     return false;
   }
   const auto found = entries_.find(id);
-  if (found != entries_.end() && found->second.record.life == life) {
+  if (found != entries_.end() &&
+      found->second.record.incarnation == incarnation) {
     found->second.record.draining = true;
     stale_index_ = true;
   }
--- a/src/core/endpoint_directory_test.cc
+++ b/src/core/endpoint_directory_test.cc
@@ -105,19 +105,19 @@
                  "An endpoint that starts again under its id is a new one") {
   Settle();
   EndpointRecord first = Record("a", 2);
-  first.life = EndpointIncarnation{1000};
+  first.incarnation = EndpointIncarnation{1000};
   first.draining = true;
   directory_.Upsert(first);
   CHECK(Usable() == 2);
   EndpointRecord second = Record("a", 3);
-  second.life = EndpointIncarnation{900};
+  second.incarnation = EndpointIncarnation{900};
   CHECK(directory_.Upsert(second));
   CHECK(Usable() == 3);
-  // The same life once more changes nothing.
+  // The same incarnation once more changes nothing.
   second.revision = StoreRevision{4};
   CHECK_FALSE(directory_.Upsert(second));
-  // Another life in its place is a change even if all else is alike.
-  second.life = EndpointIncarnation{1001};
+  // Another incarnation in its place is a change even if all else is alike.
+  second.incarnation = EndpointIncarnation{1001};
   second.revision = StoreRevision{5};
   CHECK(directory_.Upsert(second));
 }
@@ -127,7 +127,7 @@
     "A life that has said that it leaves does not stay after all") {
   Settle();
   EndpointRecord record = Record("a", 2);
-  record.life = EndpointIncarnation{1000};
+  record.incarnation = EndpointIncarnation{1000};
   record.draining = true;
   directory_.Upsert(record);
   record.draining = false;
@@ -215,10 +215,10 @@
                  "its entry says, until it starts anew") {
   Settle();
   EndpointRecord record = Record("a", 2);
-  record.life = EndpointIncarnation{1000};
+  record.incarnation = EndpointIncarnation{1000};
   directory_.Upsert(record);
-  CHECK(directory_.NoteLeaving(record.id, record.life));
-  CHECK_FALSE(directory_.NoteLeaving(record.id, record.life));
+  CHECK(directory_.NoteLeaving(record.id, record.incarnation));
+  CHECK_FALSE(directory_.NoteLeaving(record.id, record.incarnation));
   CHECK(Usable() == 2);
   CHECK(directory_.FindUsable(record.id, kService) == nullptr);
   CHECK(directory_.Leaving() == std::vector<EndpointId>{record.id});
@@ -245,7 +245,7 @@
     directory_.Upsert(record);
   }
   CHECK(Usable() == 2);
-  record.life = EndpointIncarnation{2000};
+  record.incarnation = EndpointIncarnation{2000};
   record.revision = StoreRevision{5};
   directory_.Upsert(record);
   CHECK(Usable() == 3);
@@ -259,14 +259,14 @@
   CHECK(directory_.Upsert(record));
   record.revision = StoreRevision{3};
   CHECK_FALSE(directory_.Upsert(record));
-  CHECK_FALSE(directory_.NoteLeaving(record.id, record.life));
+  CHECK_FALSE(directory_.NoteLeaving(record.id, record.incarnation));
 }
 
 TEST_CASE_METHOD(DirectoryFixture,
                  "What an earlier life said of leaving binds no later one") {
   Settle();
   EndpointRecord record = Record("a", 2);
-  record.life = EndpointIncarnation{2000};
+  record.incarnation = EndpointIncarnation{2000};
   directory_.Upsert(record);
   directory_.NoteLeaving(record.id, EndpointIncarnation{1000});
   CHECK(Usable() == 3);
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -24,30 +24,33 @@
   return now >= entry.until + kMostDoublings * kDoubles;
 }
 
-bool EndpointRests::OnAnswer(const EndpointId& id,
-                             const std::optional<EndpointIncarnation>& life,
-                             const RestWord& word) {
+bool EndpointRests::OnAnswer(
+    const EndpointId& id, const std::optional<EndpointIncarnation>& incarnation,
+    const RestWord& word) {
   const Millis rest = std::visit(AskedRest{}, word);
   if (rest <= Millis(0)) {
     return false;
   }
   const TimePoint until = clock_() + rest;
-  const auto [found, is_new] = entries_.try_emplace(id, Entry{life, until});
+  const auto [found, is_new] =
+      entries_.try_emplace(id, Entry{incarnation, until});
   if (is_new) {
     return true;
   }
   Entry& entry = found->second;
-  const bool is_longer = entry.life != life || entry.until < until;
+  const bool is_longer =
+      entry.incarnation != incarnation || entry.until < until;
   if (is_longer) {
-    entry = Entry{life, until};
+    entry = Entry{incarnation, until};
   }
   return is_longer;
 }
 
 void EndpointRests::OnIncarnation(
-    const EndpointId& id, const std::optional<EndpointIncarnation>& life) {
+    const EndpointId& id,
+    const std::optional<EndpointIncarnation>& incarnation) {
   const auto found = entries_.find(id);
-  if (found != entries_.end() && found->second.life != life) {
+  if (found != entries_.end() && found->second.incarnation != incarnation) {
     entries_.erase(found);
   }
 }
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -15,8 +15,8 @@
 class RestsFixture {
  protected:
   void Pass(Millis time) { now_ += time; }
-  bool Ask(const RestWord& word, EndpointIncarnation life = kLife) {
-    return rests_.OnAnswer(kEndpoint, life, word);
+  bool Ask(const RestWord& word, EndpointIncarnation incarnation = kLife) {
+    return rests_.OnAnswer(kEndpoint, incarnation, word);
   }
 
   TimePoint now_{std::chrono::hours(1)};
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -133,7 +133,7 @@
   reader->EachOf([&crashes](ArrayReader* entry) {
     EndpointCrash crash;
     crash.endpoint = entry->TakeString<EndpointId>();
-    crash.life = entry->TakeNumber<EndpointIncarnation>();
+    crash.incarnation = entry->TakeNumber<EndpointIncarnation>();
     crashes.insert(std::move(crash));
   });
   return crashes;
@@ -170,7 +170,7 @@
   Heartbeat word;
   word.node = reader->TakeString<NodeId>();
   word.address = reader->TakeString<HostAddress>();
-  word.life = reader->TakeNumber<Incarnation>();
+  word.incarnation = reader->TakeNumber<Incarnation>();
   word.cpu_share = reader->TakeNumber<CpuShare>();
   word.routing = reader->TakeNumber<RoutingVersion>();
   word.known_up_to = reader->TakeNumber<StoreRevision>();
@@ -229,7 +229,7 @@
   constexpr std::size_t kSizeWithoutWithheld = 17;
   PlacementQuery ask;
   ask.host = reader->TakeString<HostAddress>();
-  ask.life = reader->TakeNumber<Incarnation>();
+  ask.incarnation = reader->TakeNumber<Incarnation>();
   ask.id = reader->TakeNumber<QueryId>();
   ask.service = reader->TakeString<ServiceName>();
   ask.target_latency = reader->TakeMillis();
@@ -253,7 +253,7 @@
 PlacementReply TakeAnswer(ArrayReader* reader) {
   PlacementReply answer;
   answer.from = reader->TakeString<HostAddress>();
-  answer.life = reader->TakeNumber<Incarnation>();
+  answer.incarnation = reader->TakeNumber<Incarnation>();
   answer.id = reader->TakeNumber<QueryId>();
   answer.decision = TakeDecision(reader);
   return answer;
@@ -289,7 +289,7 @@
 ProgressReport TakeNote(ArrayReader* reader) {
   ProgressReport note;
   note.host = reader->TakeString<HostAddress>();
-  note.life = reader->TakeNumber<Incarnation>();
+  note.incarnation = reader->TakeNumber<Incarnation>();
   reader->EachOf([&note](ArrayReader* entry) {
     PrefillDone one;
     one.id = entry->TakeNumber<QueryId>();
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -64,7 +64,7 @@
 json EncodeCrashes(const std::set<EndpointCrash>& crashes) {
   json list = json::array();
   for (const EndpointCrash& crash : crashes) {
-    list.push_back({crash.endpoint.value, crash.life.value});
+    list.push_back({crash.endpoint.value, crash.incarnation.value});
   }
   return list;
 }
@@ -99,7 +99,7 @@
     }
     json array = json::array(
         {static_cast<int>(MessageKind::kHeartbeat), word.node.value,
-         word.address.value, word.life.value, word.cpu_share.value,
+         word.address.value, word.incarnation.value, word.cpu_share.value,
          word.routing.value, word.known_up_to.value, word.store_data_fresh,
          word.planner.value, word.leaving, word.wants_reply, word.alive_hosts,
          std::move(hosts), std::move(avoided), word.store_data_age.count(),
@@ -131,12 +131,13 @@
 
   json operator()(const PlacementQuery& ask) const {
     json array = json::array(
-        {static_cast<int>(MessageKind::kQuery), ask.host.value, ask.life.value,
-         ask.id.value, ask.service.value, ask.target_latency.count(),
-         ask.target_gap.count(), ask.prompt.value, ask.answer.value,
-         ask.until_late.count(), ask.may_have_run, EncodeIds(ask.tried),
-         ask.until_deadline.count(), ask.origin.request.account.value,
-         ask.origin.request.high, ask.origin.request.low, ask.origin.priority});
+        {static_cast<int>(MessageKind::kQuery), ask.host.value,
+         ask.incarnation.value, ask.id.value, ask.service.value,
+         ask.target_latency.count(), ask.target_gap.count(), ask.prompt.value,
+         ask.answer.value, ask.until_late.count(), ask.may_have_run,
+         EncodeIds(ask.tried), ask.until_deadline.count(),
+         ask.origin.request.account.value, ask.origin.request.high,
+         ask.origin.request.low, ask.origin.priority});
     if (!ask.withheld.empty()) {
       array.push_back(EncodeIds(ask.withheld));
     }
@@ -145,8 +146,8 @@
 
   json operator()(const PlacementReply& answer) const {
     return json::array({static_cast<int>(MessageKind::kReply),
-                        answer.from.value, answer.life.value, answer.id.value,
-                        EncodeDecision(answer.decision)});
+                        answer.from.value, answer.incarnation.value,
+                        answer.id.value, EncodeDecision(answer.decision)});
   }
 
   json operator()(const PublishedChanges& published) const {
@@ -178,8 +179,8 @@
       ended.push_back({one.id.value, one.failed});
     }
     return json::array({static_cast<int>(MessageKind::kProgress),
-                        note.host.value, note.life.value, std::move(read),
-                        std::move(ended)});
+                        note.host.value, note.incarnation.value,
+                        std::move(read), std::move(ended)});
   }
 };
 
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -18,7 +18,7 @@
   Heartbeat word;
   word.node = NodeId{"n"};
   word.address = kHost;
-  word.life = Incarnation{77};
+  word.incarnation = Incarnation{77};
   word.cpu_share = CpuShare{0.19};
   word.routing = RoutingVersion{3};
   word.known_up_to = StoreRevision{40};
@@ -107,7 +107,7 @@
   const Heartbeat read = SentAndRead(Word());
   CHECK(read.node == NodeId{"n"});
   CHECK(read.address == kHost);
-  CHECK(read.life == Incarnation{77});
+  CHECK(read.incarnation == Incarnation{77});
   CHECK(read.cpu_share.value == 0.19);
   CHECK(read.routing == RoutingVersion{3});
   CHECK(read.known_up_to == StoreRevision{40});
@@ -151,7 +151,7 @@
 TEST_CASE("An ask comes back as it was sent") {
   PlacementQuery ask;
   ask.host = kHost;
-  ask.life = Incarnation{77};
+  ask.incarnation = Incarnation{77};
   ask.id = QueryId{5};
   ask.service = ServiceName{"writers"};
   ask.target_latency = Millis(3000);
@@ -166,7 +166,7 @@
   ask.origin.priority = 2;
   const PlacementQuery read = SentAndRead(ask);
   CHECK(read.host == ask.host);
-  CHECK(read.life == ask.life);
+  CHECK(read.incarnation == ask.incarnation);
   CHECK(read.id == ask.id);
   CHECK(read.service == ask.service);
   CHECK(read.target_latency == ask.target_latency);
--- a/src/core/overload_admission_test.cc
+++ b/src/core/overload_admission_test.cc
@@ -117,7 +117,7 @@
     const Traffic& traffic = *caller.traffic;
     PlacementQuery ask;
     ask.host = HostAddress{"h"};
-    ask.life = Incarnation{1};
+    ask.incarnation = Incarnation{1};
     ask.id = QueryId{++last_id_};
     ask.service = kWriters;
     ask.target_latency = traffic.target;
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -51,7 +51,7 @@
 }
 
 PlacementDecision Planner::OnQuery(const PlacementQuery& ask) {
-  Host* host = HostOf(ask.host, ask.life);
+  Host* host = HostOf(ask.host, ask.incarnation);
   const auto [found, is_new] = host->asks.try_emplace(ask.id);
   Entry& entry = found->second;
   entry.asked_at = clock_();
@@ -167,7 +167,7 @@
 }
 
 void Planner::OnProgressReport(const ProgressReport& note) {
-  Host* host = HostOf(note.host, note.life);
+  Host* host = HostOf(note.host, note.incarnation);
   for (const PrefillDone& read : note.read) {
     const auto found = host->asks.find(read.id);
     if (found == host->asks.end()) {
@@ -196,7 +196,7 @@
     return;
   }
   untold_.erase(word.address);
-  Host* host = HostOf(word.address, word.life);
+  Host* host = HostOf(word.address, word.incarnation);
   std::unordered_map<QueryId, const QueryWork*> told;
   for (const QueryWork& work : *word.work) {
     told[work.id] = &work;
@@ -236,11 +236,12 @@
   }
 }
 
-Planner::Host* Planner::HostOf(const HostAddress& address, Incarnation life) {
+Planner::Host* Planner::HostOf(const HostAddress& address,
+                               Incarnation incarnation) {
   Host& host = hosts_[address];
-  if (host.life != life) {
+  if (host.incarnation != incarnation) {
     DropAsks(&host);
-    host.life = life;
+    host.incarnation = incarnation;
   }
   host.heard = clock_();
   return &host;
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -76,7 +76,7 @@
   void Arrive(const AccountId& account) {
     Pending one;
     one.ask.host = HostAddress{"h"};
-    one.ask.life = Incarnation{1};
+    one.ask.incarnation = Incarnation{1};
     one.ask.id = QueryId{++last_id_};
     one.ask.service = kReaders;
     one.ask.target_latency = kTarget;
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -58,7 +58,7 @@
   PlacementQuery Ask(int host, std::int64_t prompt, Millis target, Millis gap) {
     PlacementQuery ask;
     ask.host = HostAddress{"h" + std::to_string(host)};
-    ask.life = Incarnation{1};
+    ask.incarnation = Incarnation{1};
     ask.id = QueryId{++last_id_};
     ask.service = kWriters;
     ask.target_latency = target;
@@ -70,8 +70,8 @@
   }
 
   void End(const PlacementQuery& ask) {
-    planner_->OnProgressReport(
-        ProgressReport{ask.host, ask.life, {}, {RequestDone{ask.id, false}}});
+    planner_->OnProgressReport(ProgressReport{
+        ask.host, ask.incarnation, {}, {RequestDone{ask.id, false}}});
   }
 
   // Returns the account of a host that has under way what `asks` were given.
@@ -79,7 +79,7 @@
       const std::vector<std::pair<PlacementQuery, PlannedPlacement>>& asks) {
     Heartbeat word;
     word.address = asks.front().first.host;
-    word.life = asks.front().first.life;
+    word.incarnation = asks.front().first.incarnation;
     word.work.emplace();
     for (const auto& [ask, placed] : asks) {
       QueryWork work;
@@ -151,8 +151,8 @@
   const PlacementQuery second = Long(2);
   REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(second)));
   CHECK(planner_->ProcessWaitQueue().empty());
-  planner_->OnProgressReport(
-      ProgressReport{first.host, first.life, {PrefillDone{first.id, 1}}, {}});
+  planner_->OnProgressReport(ProgressReport{
+      first.host, first.incarnation, {PrefillDone{first.id, 1}}, {}});
   const auto due = planner_->ProcessWaitQueue();
   REQUIRE(due.size() == 1);
   CHECK(due.front().host == second.host);
@@ -171,8 +171,8 @@
   PlacementQuery pressed = Long(3);
   pressed.until_late = FractionalMillis(2000);
   planner_->OnQuery(pressed);
-  planner_->OnProgressReport(
-      ProgressReport{first.host, first.life, {PrefillDone{first.id, 1}}, {}});
+  planner_->OnProgressReport(ProgressReport{
+      first.host, first.incarnation, {PrefillDone{first.id, 1}}, {}});
   const auto due = planner_->ProcessWaitQueue();
   REQUIRE_FALSE(due.empty());
   CHECK(due.front().id == pressed.id);
@@ -242,7 +242,7 @@
   REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(ask)));
   Heartbeat nothing;
   nothing.address = ask.host;
-  nothing.life = ask.life;
+  nothing.incarnation = ask.incarnation;
   nothing.work.emplace();
   planner_->OnHeartbeat(nothing);
   CHECK(planner_->ProcessWaitQueue().size() == 1);
@@ -268,7 +268,7 @@
   PlacementQuery waits = Long(2);
   REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(waits)));
   PlacementQuery reborn = Long(1);
-  reborn.life = Incarnation{2};
+  reborn.incarnation = Incarnation{2};
   CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(reborn)));
   now_ += Planner::kHostTimeout + Millis(1);
   planner_->RemoveSilentHosts();
@@ -283,7 +283,7 @@
   planner_->OnQuery(waits);
   Heartbeat alive;
   alive.address = waits.host;
-  alive.life = waits.life;
+  alive.incarnation = waits.incarnation;
   alive.work.emplace();
   planner_->OnHeartbeat(alive);
   CHECK(planner_->WaitingCount() == 1);
@@ -302,7 +302,7 @@
     PlacementQuery again = Short(1);
     planner_->OnQuery(again);
     planner_->OnProgressReport(ProgressReport{
-        again.host, again.life, {}, {RequestDone{again.id, true}}});
+        again.host, again.incarnation, {}, {RequestDone{again.id, true}}});
   }
   const auto later = std::get<PlannedPlacement>(planner_->OnQuery(Short(2)));
   CHECK(later.endpoint != placed.endpoint);
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -194,8 +194,8 @@
       continue;
     }
     LeaveRoom(&entry);
-    due->push_back(
-        DeferredReply{key.host, host.life, key.id, *std::move(decision)});
+    due->push_back(DeferredReply{key.host, host.incarnation, key.id,
+                                 *std::move(decision)});
     if (!entry.placed.has_value()) {
       host.asks.erase(key.id);
     }
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -23,7 +23,7 @@
   for (const EndpointCrash& crash : crashes) {
     *text += crash.endpoint.value;
     *text += '/';
-    *text += std::to_string(crash.life.value);
+    *text += std::to_string(crash.incarnation.value);
     *text += ' ';
   }
   *text += '\n';
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -10,9 +10,9 @@
   return RequestFingerprint{AccountId{"acme"}, number, number};
 }
 
-EndpointCrash Crash(int endpoint, std::int64_t life = 1) {
+EndpointCrash Crash(int endpoint, std::int64_t incarnation = 1) {
   return EndpointCrash{EndpointId{"e" + std::to_string(endpoint)},
-                       EndpointIncarnation{life}};
+                       EndpointIncarnation{incarnation}};
 }
 
 struct Host {
--- a/src/core/start_quotas_test.cc
+++ b/src/core/start_quotas_test.cc
@@ -237,7 +237,7 @@
     }
     PlacementQuery ask;
     ask.host = Host(host);
-    ask.life = Incarnation{1};
+    ask.incarnation = Incarnation{1};
     ask.id = QueryId{++last_id_};
     ask.service = kService;
     ask.target_latency = Millis(500);
--- a/src/core/ticket_registry_test.cc
+++ b/src/core/ticket_registry_test.cc
@@ -32,7 +32,7 @@
 TEST_CASE_METHOD(Fixture, "A new life of the sidecar grants no old ticket") {
   TicketRegistry before = MakeBook(1);
   const Ticket ticket = *before.Issue(kTinta, kTtl);
-  // The new life may draw the same number for a ticket of its own.
+  // The new incarnation may draw the same number for a ticket of its own.
   drawn = 0;
   TicketRegistry after = MakeBook(2);
   after.Issue(kTinta, kTtl);
@@ -116,8 +116,8 @@
     std::vector<Slot> slots(3);
     const auto restart = [&](std::size_t i) {
       slots[i].incarnation = next_incarnation++;
-      // Each life draws the same numbers: only the incarnation tells them
-      // apart.
+      // Each incarnation draws the same numbers: only the incarnation tells
+      // them apart.
       slots[i].nonce = 0;
       slots[i].book = std::make_unique<TicketRegistry>(
           EndpointId{"e" + std::to_string(i)},
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -54,7 +54,7 @@
   // by itself: that is no request's doing, and nothing more is sent there, not
   // even a probe. One that rests is not disturbed by it either.
   return !directory_->Closed().IsClosed(endpoint.data_centre) &&
-         !directory_->HasSaidItLeaves(endpoint.id, endpoint.life) &&
+         !directory_->HasSaidItLeaves(endpoint.id, endpoint.incarnation) &&
          !is_resting_(endpoint.id);
 }
 
@@ -77,8 +77,8 @@
 
 void CrashGuard::OnCrash(const RequestFingerprint& request,
                          const EndpointRecord& endpoint) {
-  const EndpointCrash crash{endpoint.id,
-                            endpoint.life.value_or(EndpointIncarnation{})};
+  const EndpointCrash crash{
+      endpoint.id, endpoint.incarnation.value_or(EndpointIncarnation{})};
   if (!quarantine_->OnCrash(request, crash)) {
     return;
   }
--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -105,14 +105,14 @@
     "against no request") {
   Host host;
   EndpointRecord endpoint = EndedEndpoint();
-  endpoint.life = EndpointIncarnation{1};
+  endpoint.incarnation = EndpointIncarnation{1};
   host.rests = true;
   CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
   host.rests = false;
-  host.directory.NoteLeaving(endpoint.id, endpoint.life);
+  host.directory.NoteLeaving(endpoint.id, endpoint.incarnation);
   CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
   CHECK(host.quarantine.Count() == 0);
-  endpoint.life = EndpointIncarnation{2};
+  endpoint.incarnation = EndpointIncarnation{2};
   CHECK(Judged(&host, endpoint) == ProbeResult::kRefused);
   CHECK(host.quarantine.Count() == 1);
 }
--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -21,7 +21,7 @@
                                TimePoint sent_at) {
   const EndpointRecord* held = directory_->Find(endpoint.id);
   const bool is_of_earlier_life =
-      held != nullptr && held->life != endpoint.life;
+      held != nullptr && held->incarnation != endpoint.incarnation;
   if (answer.IsOfAnother() || is_of_earlier_life) {
     return;
   }
--- a/src/gateway/endpoint_answers.h
+++ b/src/gateway/endpoint_answers.h
@@ -26,7 +26,7 @@
                   RestWatch* rest_watch, std::function<void()> on_news);
 
   // Takes the answer to what was sent to `endpoint` at `sent_at`. One that
-  // comes from an earlier life of it says nothing of the present one.
+  // comes from an earlier incarnation of it says nothing of the present one.
   void OnAnswer(const EndpointRecord& endpoint, const EndpointAnswer& answer,
                 TimePoint sent_at);
 
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -11,10 +11,11 @@
 
 class AnswersFixture {
  protected:
-  static EndpointRecord Record(std::int64_t life, std::uint64_t revision) {
+  static EndpointRecord Record(std::int64_t incarnation,
+                               std::uint64_t revision) {
     EndpointRecord record;
     record.id = kEndpoint;
-    record.life = EndpointIncarnation{life};
+    record.incarnation = EndpointIncarnation{incarnation};
     record.service = kService;
     record.address = "127.0.0.1:1";
     record.revision = StoreRevision{revision};
--- a/src/gateway/endpoint_connections.cc
+++ b/src/gateway/endpoint_connections.cc
@@ -41,8 +41,8 @@
 
 void EndpointConnections::PutIdle(
     std::unique_ptr<EndpointConnection> connection) {
-  // Kept, a connection that was in use while its endpoint began a new life
-  // elsewhere took every further request to the life before.
+  // Kept, a connection that was in use while its endpoint began a new
+  // incarnation elsewhere took every further request to the incarnation before.
   const auto forgotten = forgotten_.find(connection->endpoint);
   if (forgotten != forgotten_.end() &&
       connection->opened <= forgotten->second) {
--- a/src/gateway/endpoint_connections.h
+++ b/src/gateway/endpoint_connections.h
@@ -53,7 +53,7 @@
   std::size_t IdleCount() const;
 
   // Closes the idle connections to an endpoint that has left, or to an earlier
-  // life of it. Those in use are not kept when they come back.
+  // incarnation of it. Those in use are not kept when they come back.
   void Forget(const EndpointId& endpoint);
 
   // Idle connections kept for one endpoint: as many as answers that end within
--- a/src/gateway/endpoint_connections_test.cc
+++ b/src/gateway/endpoint_connections_test.cc
@@ -33,10 +33,11 @@
   CHECK(connections_.TakeIdle(kId) == nullptr);
 }
 
-// A server began its next life elsewhere while a request was under way at the
-// one before. Its connection came back after the idle ones had been closed, and
-// every further request was placed by the new entry and sent over it: placed on
-// s0, entry_revision 13, for five seconds, all at the address of revision 11.
+// A server began its next incarnation elsewhere while a request was under way
+// at the one before. Its connection came back after the idle ones had been
+// closed, and every further request was placed by the new entry and sent over
+// it: placed on s0, entry_revision 13, for five seconds, all at the address of
+// revision 11.
 TEST_CASE_METHOD(ConnectionsFixture,
                  "A connection that was in use when its endpoint was forgotten "
                  "is not kept") {
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -49,13 +49,14 @@
     told_->changed.push_back(record.id);
     return;
   }
-  log_->Write("endpoint",
-              {{"endpoint", record.id.value},
-               {"service", record.service.value},
-               {"address", record.address},
-               {"draining", record.draining},
-               {"life", record.life.value_or(EndpointIncarnation{}).value},
-               {"revision", record.revision.value}});
+  log_->Write(
+      "endpoint",
+      {{"endpoint", record.id.value},
+       {"service", record.service.value},
+       {"address", record.address},
+       {"draining", record.draining},
+       {"life", record.incarnation.value_or(EndpointIncarnation{}).value},
+       {"revision", record.revision.value}});
 }
 
 void EndpointNews::OnGone(const EndpointId& id, StoreRevision revision) {
@@ -76,7 +77,7 @@
 
 bool EndpointNews::OnSaysItLeaves(const EndpointRecord& endpoint,
                                   bool readable) {
-  if (!directory_->NoteLeaving(endpoint.id, endpoint.life)) {
+  if (!directory_->NoteLeaving(endpoint.id, endpoint.incarnation)) {
     return false;
   }
   connections_->Forget(endpoint.id);
@@ -180,7 +181,8 @@
 
 void EndpointNews::NoteLife(const EndpointRecord& record) {
   const EndpointRecord* held = directory_->Find(record.id);
-  const bool is_new_life = held != nullptr && held->life != record.life &&
+  const bool is_new_life = held != nullptr &&
+                           held->incarnation != record.incarnation &&
                            !(record.revision < held->revision);
   if (!is_new_life) {
     return;
@@ -191,8 +193,8 @@
 }
 
 void EndpointNews::Forget(const EndpointId& id) {
-  // Failures of an earlier life would keep a sound endpoint unused, and a
-  // connection to it cannot answer.
+  // Failures of an earlier incarnation would keep a sound endpoint unused, and
+  // a connection to it cannot answer.
   health_->Forget(id);
   connections_->Forget(id);
 }
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -17,8 +17,8 @@
 namespace harecrank {
 
 // Keeps the directory, and forgets what was seen of endpoints that have left or
-// have begun a new life. Each piece of news leaves a line in the log. Not
-// thread-safe.
+// have begun a new incarnation. Each piece of news leaves a line in the log.
+// Not thread-safe.
 class EndpointNews {
  public:
   // All pointers must outlive this.
@@ -71,8 +71,8 @@
     std::vector<EndpointId> gone;
   };
 
-  // Forgets what was seen of an earlier life of the endpoint, if `record` tells
-  // of a new one.
+  // Forgets what was seen of an earlier incarnation of the endpoint, if
+  // `record` tells of a new one.
   void NoteLife(const EndpointRecord& record);
   void Forget(const EndpointId& id);
   void NoteClosed(const ClosedDataCentre& order);
--- a/src/gateway/endpoint_news_test.cc
+++ b/src/gateway/endpoint_news_test.cc
@@ -10,10 +10,11 @@
 
 class NewsFixture {
  protected:
-  static EndpointRecord Record(std::int64_t life, std::uint64_t revision) {
+  static EndpointRecord Record(std::int64_t incarnation,
+                               std::uint64_t revision) {
     EndpointRecord record;
     record.id = kId;
-    record.life = EndpointIncarnation{life};
+    record.incarnation = EndpointIncarnation{incarnation};
     record.service = ServiceName{"writers"};
     record.address = "127.0.0.1:1";
     record.revision = StoreRevision{revision};
@@ -46,7 +47,7 @@
     news_.OnListing({Record(900, 3)}, StoreRevision{3});
   }
   CHECK_FALSE(health_.IsSuspect(kId));
-  CHECK(directory_.Find(kId)->life == EndpointIncarnation{900});
+  CHECK(directory_.Find(kId)->incarnation == EndpointIncarnation{900});
 }
 
 TEST_CASE_METHOD(
@@ -57,7 +58,7 @@
   CHECK(health_.IsSuspect(kId));
   news_.OnEndpoint(Record(900, 1));
   CHECK(health_.IsSuspect(kId));
-  CHECK(directory_.Find(kId)->life == EndpointIncarnation{1000});
+  CHECK(directory_.Find(kId)->incarnation == EndpointIncarnation{1000});
 }
 
 TEST_CASE_METHOD(NewsFixture, "An unusable entry takes its endpoint away") {
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -46,15 +46,16 @@
 };
 
 FleetMember::FleetMember(boost::asio::io_context* io, NodeId node,
-                         KnownHost self, Incarnation life, Membership* book,
-                         Planner* planner, EndpointHealth* health,
-                         FleetSocket* socket, FleetMemberPorts ports,
-                         EventLog* log, Metrics* metrics, MonotonicClock clock,
+                         KnownHost self, Incarnation incarnation,
+                         Membership* book, Planner* planner,
+                         EndpointHealth* health, FleetSocket* socket,
+                         FleetMemberPorts ports, EventLog* log,
+                         Metrics* metrics, MonotonicClock clock,
                          RandomSource random)
     : io_(io),
       node_(std::move(node)),
       self_(std::move(self)),
-      life_(life),
+      life_(incarnation),
       book_(book),
       planner_(planner),
       health_(health),
@@ -63,7 +64,7 @@
       log_(log),
       clock_(std::move(clock)),
       random_(std::move(random)),
-      places_(io, self_.address, life, MakePlacePorts(), clock_),
+      places_(io, self_.address, incarnation, MakePlacePorts(), clock_),
       desk_(io, self_.address, planner, MakeDeskPorts(), log, metrics, clock_),
       relay_(io, self_.address, book, socket, MakeRelayPorts(), log, clock_,
              random_),
@@ -230,7 +231,7 @@
   Heartbeat word = Described();
   word.node = node_;
   word.address = self_.address;
-  word.life = life_;
+  word.incarnation = life_;
   word.cpu_share = self_.cpu_share;
   word.leaving = book_->IsLeaving();
   word.planner = followed_.value_or(HostAddress{});
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -61,7 +61,7 @@
  public:
   // All pointers must outlive this.
   FleetMember(boost::asio::io_context* io, NodeId node, KnownHost self,
-              Incarnation life, Membership* book, Planner* planner,
+              Incarnation incarnation, Membership* book, Planner* planner,
               EndpointHealth* health, FleetSocket* socket,
               FleetMemberPorts ports, EventLog* log, Metrics* metrics,
               MonotonicClock clock, RandomSource random);
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -327,8 +327,8 @@
                LogWeight::kAlwaysKept);
     return;
   }
-  // Addresses are those of this life of the process; a change of them needs a
-  // restart, and the platform restarts where it moves a process.
+  // Addresses are those of this incarnation of the process; a change of them
+  // needs a restart, and the platform restarts where it moves a process.
   settings_.seed_peers = fresh->seed_peers;
   settings_.stop_limit = fresh->stop_limit;
   hosts_.SetSeeds(Addresses(fresh->seed_peers));
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -29,7 +29,8 @@
 
 namespace harecrank {
 
-// The routing table in force. Never goes back within one life of a process.
+// The routing table in force. Never goes back within one incarnation of a
+// process.
 class RoutingState {
  public:
   // Puts `table` in force if it is newer. Returns whether it is.
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -21,10 +21,10 @@
 }  // namespace
 
 PlaceClient::PlaceClient(boost::asio::io_context* io, HostAddress self,
-                         Incarnation life, PlaceClientPorts ports,
+                         Incarnation incarnation, PlaceClientPorts ports,
                          MonotonicClock clock)
     : self_(std::move(self)),
-      life_(life),
+      life_(incarnation),
       ports_(std::move(ports)),
       clock_(std::move(clock)),
       timer_(*io),
@@ -36,7 +36,7 @@
   Pending& pending = pending_[id];
   PlacementQuery& ask = pending.ask;
   ask.host = self_;
-  ask.life = life_;
+  ask.incarnation = life_;
   ask.id = id;
   ask.service = request.service->name;
   ask.target_latency = request.target_latency;
@@ -87,7 +87,7 @@
 }
 
 void PlaceClient::OnAnswer(const PlacementReply& answer) {
-  if (answer.life != life_) {
+  if (answer.incarnation != life_) {
     return;
   }
   const auto found = pending_.find(answer.id);
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -42,8 +42,9 @@
   // QueryQueued.
   using OnResult = std::function<void(const AskResult& result)>;
 
-  PlaceClient(boost::asio::io_context* io, HostAddress self, Incarnation life,
-              PlaceClientPorts ports, MonotonicClock clock);
+  PlaceClient(boost::asio::io_context* io, HostAddress self,
+              Incarnation incarnation, PlaceClientPorts ports,
+              MonotonicClock clock);
 
   // Asks for a place. Until OnEnd of the id that is returned it counts as under
   // way.
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -17,7 +17,7 @@
       timer_(*io) {}
 
 void PlanningDesk::OnQuery(const PlacementQuery& ask) {
-  PlacementReply answer{self_, ask.life, ask.id, NotPlanner{}};
+  PlacementReply answer{self_, ask.incarnation, ask.id, NotPlanner{}};
   const std::optional<HostAddress> planner = ports_.planner();
   if (planner == self_) {
     metrics_->GetCounter("harecrank_gateway_asks_planned_total")->Add();
@@ -70,7 +70,7 @@
   }
   for (DeferredReply& due : planner_->ProcessWaitQueue()) {
     NoteTurnedAway(due.host, due.id, due.decision);
-    ports_.send(due.host, PlacementReply{self_, due.life, due.id,
+    ports_.send(due.host, PlacementReply{self_, due.incarnation, due.id,
                                          std::move(due.decision)});
   }
 }
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -54,7 +54,7 @@
 void PublishedNews::NoteLife(const EndpointId& id) {
   const EndpointRecord* held = directory_->Find(id);
   if (held != nullptr) {
-    start_gate_->OnIncarnation(id, held->life);
+    start_gate_->OnIncarnation(id, held->incarnation);
   }
 }
 
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -44,7 +44,8 @@
   void OnUnusable(const std::string& what, const std::string& reason) override;
 
  private:
-  // Tells of the life in which an endpoint runs, as far as that is known.
+  // Tells of the incarnation in which an endpoint runs, as far as that is
+  // known.
   void NoteLife(const EndpointId& id);
 
   RoutingState* routing_;
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -68,7 +68,7 @@
   if (is_unreadable) {
     metrics_->GetCounter("harecrank_gateway_rests_unreadable_total")->Add();
   }
-  if (!rests_.OnAnswer(endpoint.id, endpoint.life, word)) {
+  if (!rests_.OnAnswer(endpoint.id, endpoint.incarnation, word)) {
     return;
   }
   metrics_->GetCounter("harecrank_gateway_rests_asked_total")->Add();
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -44,10 +44,10 @@
   // Takes what an answer says of when this host may come again.
   void OnRest(const EndpointRecord& endpoint, const RestWord& word);
 
-  // The endpoint runs in `life`: it owes nothing of an earlier one.
+  // The endpoint runs in `incarnation`: it owes nothing of an earlier one.
   void OnIncarnation(const EndpointId& id,
-                     const std::optional<EndpointIncarnation>& life) {
-    rests_.OnIncarnation(id, life);
+                     const std::optional<EndpointIncarnation>& incarnation) {
+    rests_.OnIncarnation(id, incarnation);
   }
 
   // Takes what another host tells of limits.
