--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -49,7 +49,7 @@
 };
 
 // What is made of an entry that has vanished.
-enum class Absence {
+enum class RemovalResult {
   // Nothing of it is held, or what is held is newer.
   kNotHeld,
   // The endpoint is taken for gone.
@@ -103,7 +103,7 @@
   bool Withdraw(const EndpointId& id, StoreRevision revision);
 
   // Notes that the record has vanished at `revision`.
-  Absence Remove(const EndpointId& id, StoreRevision revision);
+  RemovalResult Remove(const EndpointId& id, StoreRevision revision);
 
   // Takes a complete listing: what is held and not listed has vanished.
   ListingChange ReplaceAll(const std::vector<EndpointRecord>& records,
@@ -214,7 +214,7 @@
   // Returns whether an entry that is missing now may have lapsed.
   bool MayHaveLapsed(TimePoint now) const;
   // Keeps what may have lapsed until `use_until`, and drops the rest.
-  Absence Drop(const EndpointId& id, std::optional<TimePoint> use_until);
+  RemovalResult Drop(const EndpointId& id, std::optional<TimePoint> use_until);
   bool TakesWork(const EndpointRecord& record) const;
   void Rebuild() const;
 
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -92,14 +92,14 @@
   if (found == entries_.end() || revision < found->second.record.revision) {
     return false;
   }
-  return Drop(id, std::nullopt) == Absence::kDeparted;
+  return Drop(id, std::nullopt) == RemovalResult::kDeparted;
 }
 
-Absence EndpointDirectory::Remove(const EndpointId& id,
-                                  StoreRevision revision) {
+RemovalResult EndpointDirectory::Remove(const EndpointId& id,
+                                        StoreRevision revision) {
   const auto found = entries_.find(id);
   if (found == entries_.end() || revision < found->second.record.revision) {
-    return Absence::kNotHeld;
+    return RemovalResult::kNotHeld;
   }
   const TimePoint now = clock_();
   const bool left_after_return =
@@ -133,7 +133,7 @@
   }
   ListingChange change;
   for (const EndpointId& id : missing) {
-    const bool departed = Drop(id, use_until) == Absence::kDeparted;
+    const bool departed = Drop(id, use_until) == RemovalResult::kDeparted;
     ++(departed ? change.departed : change.may_have_lapsed);
   }
   return change;
@@ -277,22 +277,22 @@
   return back_at_.has_value() && now < *back_at_ + kCalmAfter;
 }
 
-Absence EndpointDirectory::Drop(const EndpointId& id,
-                                std::optional<TimePoint> use_until) {
+RemovalResult EndpointDirectory::Drop(const EndpointId& id,
+                                      std::optional<TimePoint> use_until) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
-    return Absence::kNotHeld;
+    return RemovalResult::kNotHeld;
   }
   if (!use_until.has_value()) {
     entries_.erase(found);
     stale_index_ = true;
-    return Absence::kDeparted;
+    return RemovalResult::kDeparted;
   }
   std::optional<Missing>& missing = found->second.missing;
   if (!missing.has_value()) {
     missing = Missing{clock_(), *use_until};
   }
-  return Absence::kMayHaveLapsed;
+  return RemovalResult::kMayHaveLapsed;
 }
 
 bool EndpointDirectory::TakesWork(const EndpointRecord& record) const {
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -60,19 +60,20 @@
 }
 
 void EndpointNews::OnGone(const EndpointId& id, StoreRevision revision) {
-  const Absence absence = directory_->Remove(id, revision);
+  const RemovalResult absence = directory_->Remove(id, revision);
   // Should it still be there, or come back under its id, it is learned anew.
   health_->Forget(id);
-  if (absence == Absence::kDeparted) {
+  if (absence == RemovalResult::kDeparted) {
     connections_->Forget(id);
   }
   if (told_.has_value()) {
     told_->gone.push_back(id);
     return;
   }
-  log_->Write("endpoint_gone", {{"endpoint", id.value},
-                                {"kept", absence == Absence::kMayHaveLapsed},
-                                {"revision", revision.value}});
+  log_->Write("endpoint_gone",
+              {{"endpoint", id.value},
+               {"kept", absence == RemovalResult::kMayHaveLapsed},
+               {"revision", revision.value}});
 }
 
 bool EndpointNews::OnSaysItLeaves(const EndpointRecord& endpoint,
