--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -51,7 +51,7 @@
 // What is made of an entry that has vanished.
 enum class RemovalResult {
   // Nothing of it is held, or what is held is newer.
-  kNotHeld,
+  kIgnored,
   // The endpoint is taken for gone.
   kDeparted,
   // It may have lapsed while the source was away: it is kept for a while.
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -99,7 +99,7 @@
                                         StoreRevision revision) {
   const auto found = entries_.find(id);
   if (found == entries_.end() || revision < found->second.record.revision) {
-    return RemovalResult::kNotHeld;
+    return RemovalResult::kIgnored;
   }
   const TimePoint now = clock_();
   const bool left_after_return =
@@ -281,7 +281,7 @@
                                       std::optional<TimePoint> use_until) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
-    return RemovalResult::kNotHeld;
+    return RemovalResult::kIgnored;
   }
   if (!use_until.has_value()) {
     entries_.erase(found);
