--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -87,7 +87,7 @@
   // Notes that `incarnation` of the endpoint has said itself that it leaves.
   // Returns whether that is news. Its entry may go on to say that it is ready,
   // or the source say nothing: only a new incarnation takes work again.
-  bool NoteLeaving(const EndpointId& id,
+  bool MarkLeaving(const EndpointId& id,
                    const std::optional<EndpointIncarnation>& incarnation);
 
   // Whether `incarnation` of the endpoint has said that it leaves.
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -62,7 +62,7 @@
   return true;
 }
 
-bool EndpointDirectory::NoteLeaving(
+bool EndpointDirectory::MarkLeaving(
     const EndpointId& id,
     const std::optional<EndpointIncarnation>& incarnation) {
   if (!RememberLeaving(id, incarnation)) {
--- a/src/core/endpoint_directory_test.cc
+++ b/src/core/endpoint_directory_test.cc
@@ -217,8 +217,8 @@
   EndpointRecord record = Record("a", 2);
   record.incarnation = EndpointIncarnation{1000};
   directory_.Upsert(record);
-  CHECK(directory_.NoteLeaving(record.id, record.incarnation));
-  CHECK_FALSE(directory_.NoteLeaving(record.id, record.incarnation));
+  CHECK(directory_.MarkLeaving(record.id, record.incarnation));
+  CHECK_FALSE(directory_.MarkLeaving(record.id, record.incarnation));
   CHECK(Usable() == 2);
   CHECK(directory_.FindUsable(record.id, kService) == nullptr);
   CHECK(directory_.Leaving() == std::vector<EndpointId>{record.id});
@@ -259,7 +259,7 @@
   CHECK(directory_.Upsert(record));
   record.revision = StoreRevision{3};
   CHECK_FALSE(directory_.Upsert(record));
-  CHECK_FALSE(directory_.NoteLeaving(record.id, record.incarnation));
+  CHECK_FALSE(directory_.MarkLeaving(record.id, record.incarnation));
 }
 
 TEST_CASE_METHOD(DirectoryFixture,
@@ -268,7 +268,7 @@
   EndpointRecord record = Record("a", 2);
   record.incarnation = EndpointIncarnation{2000};
   directory_.Upsert(record);
-  directory_.NoteLeaving(record.id, EndpointIncarnation{1000});
+  directory_.MarkLeaving(record.id, EndpointIncarnation{1000});
   CHECK(Usable() == 3);
 }
 
--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -109,7 +109,7 @@
   host.rests = true;
   CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
   host.rests = false;
-  host.directory.NoteLeaving(endpoint.id, endpoint.incarnation);
+  host.directory.MarkLeaving(endpoint.id, endpoint.incarnation);
   CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
   CHECK(host.quarantine.Count() == 0);
   endpoint.incarnation = EndpointIncarnation{2};
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -78,7 +78,7 @@
 
 bool EndpointNews::OnSaysItLeaves(const EndpointRecord& endpoint,
                                   bool readable) {
-  if (!directory_->NoteLeaving(endpoint.id, endpoint.incarnation)) {
+  if (!directory_->MarkLeaving(endpoint.id, endpoint.incarnation)) {
     return false;
   }
   connections_->Forget(endpoint.id);
