--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -91,7 +91,7 @@
                    const std::optional<EndpointIncarnation>& incarnation);
 
   // Whether `incarnation` of the endpoint has said that it leaves.
-  bool HasSaidItLeaves(
+  bool HasAnnouncedLeave(
       const EndpointId& id,
       const std::optional<EndpointIncarnation>& incarnation) const;
 
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -31,7 +31,7 @@
   if (record.draining) {
     RememberLeaving(record.id, record.incarnation);
   }
-  const bool draining = HasSaidItLeaves(record.id, record.incarnation);
+  const bool draining = HasAnnouncedLeave(record.id, record.incarnation);
   const bool changed = is_new || entry.missing.has_value() ||
                        entry.record.incarnation != record.incarnation ||
                        entry.record.draining != draining ||
@@ -45,7 +45,7 @@
   return changed;
 }
 
-bool EndpointDirectory::HasSaidItLeaves(
+bool EndpointDirectory::HasAnnouncedLeave(
     const EndpointId& id,
     const std::optional<EndpointIncarnation>& incarnation) const {
   const auto found = leaving_.find(id);
@@ -55,7 +55,7 @@
 bool EndpointDirectory::RememberLeaving(
     const EndpointId& id,
     const std::optional<EndpointIncarnation>& incarnation) {
-  if (HasSaidItLeaves(id, incarnation)) {
+  if (HasAnnouncedLeave(id, incarnation)) {
     return false;
   }
   leaving_[id] = LeavingLife{incarnation, clock_()};
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -54,7 +54,7 @@
   // by itself: that is no request's doing, and nothing more is sent there, not
   // even a probe. One that rests is not disturbed by it either.
   return !directory_->Closed().IsClosed(endpoint.data_centre) &&
-         !directory_->HasSaidItLeaves(endpoint.id, endpoint.incarnation) &&
+         !directory_->HasAnnouncedLeave(endpoint.id, endpoint.incarnation) &&
          !is_resting_(endpoint.id);
 }
 
