--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_answer.h
@@ -20,7 +20,7 @@
 using RestWord = std::variant<NoRest, Millis, UnreadableRest>;
 
 // Whether the endpoint says that it is about to end.
-enum class LeavingWord {
+enum class LeavingHint {
   kNone,
   kLeaves,
   // It says something else in that place: it is taken to leave, since more work
@@ -42,7 +42,7 @@
   // How long it wants nothing from this host. Refusals alone say that.
   RestWord rest;
   // Holds until the endpoint starts anew.
-  LeavingWord leaving = LeavingWord::kNone;
+  LeavingHint leaving = LeavingHint::kNone;
 
   bool IsSuccess() const { return status / 100 == 2; }
   // Another endpoint has answered than the one that was meant: it says nothing
--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -57,12 +57,12 @@
   return std::clamp(rest, Millis(0), kLongestRest);
 }
 
-LeavingWord ReadLeaving(std::string_view text) {
+LeavingHint ReadLeaving(std::string_view text) {
   const auto number = ParseDecimal(text);
   if (number == 0.0) {
-    return LeavingWord::kNone;
+    return LeavingHint::kNone;
   }
-  return number == 1.0 ? LeavingWord::kLeaves : LeavingWord::kUnreadable;
+  return number == 1.0 ? LeavingHint::kLeaves : LeavingHint::kUnreadable;
 }
 
 EndpointAnswer DecodeAnswer(const AnswerHead& head,
--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/answer_decoder.h
@@ -21,7 +21,7 @@
 RestWord ReadRest(std::string_view text, std::string_view answered);
 
 // Reads whether an endpoint says that it is about to end.
-LeavingWord ReadLeaving(std::string_view text);
+LeavingHint ReadLeaving(std::string_view text);
 
 // A longer rest counts as this long.
 constexpr Millis kLongestRest = std::chrono::hours(24);
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -77,7 +77,7 @@
   CHECK(answer.at_fault.empty());
   CHECK(std::holds_alternative<NoLimit>(answer.limit));
   CHECK(std::holds_alternative<NoRest>(answer.rest));
-  CHECK(answer.leaving == LeavingWord::kNone);
+  CHECK(answer.leaving == LeavingHint::kNone);
 }
 
 TEST_CASE("All that an answer says of its endpoint is read") {
@@ -95,16 +95,16 @@
   CHECK(answer.at_fault == "e7");
   CHECK(std::get<RequestRate>(answer.limit) == RequestRate{0.5});
   CHECK(std::get<Millis>(answer.rest) == Millis(2000));
-  CHECK(answer.leaving == LeavingWord::kLeaves);
+  CHECK(answer.leaving == LeavingHint::kLeaves);
 }
 
 TEST_CASE("An endpoint leaves unless it says that it does not") {
-  CHECK(ReadLeaving("1") == LeavingWord::kLeaves);
-  CHECK(ReadLeaving(" 1 ") == LeavingWord::kLeaves);
-  CHECK(ReadLeaving("0") == LeavingWord::kNone);
-  CHECK(ReadLeaving("") == LeavingWord::kUnreadable);
-  CHECK(ReadLeaving("true") == LeavingWord::kUnreadable);
-  CHECK(ReadLeaving("2") == LeavingWord::kUnreadable);
+  CHECK(ReadLeaving("1") == LeavingHint::kLeaves);
+  CHECK(ReadLeaving(" 1 ") == LeavingHint::kLeaves);
+  CHECK(ReadLeaving("0") == LeavingHint::kNone);
+  CHECK(ReadLeaving("") == LeavingHint::kUnreadable);
+  CHECK(ReadLeaving("true") == LeavingHint::kUnreadable);
+  CHECK(ReadLeaving("2") == LeavingHint::kUnreadable);
 }
 
 TEST_CASE("Only an answer that turns a request away asks for rest") {
--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -34,9 +34,9 @@
 }
 
 void EndpointAnswers::TakeLeaving(const EndpointRecord& endpoint,
-                                  LeavingWord word) {
-  const bool is_readable = word == LeavingWord::kLeaves;
-  if (word == LeavingWord::kNone ||
+                                  LeavingHint word) {
+  const bool is_readable = word == LeavingHint::kLeaves;
+  if (word == LeavingHint::kNone ||
       !endpoint_news_->OnSaysItLeaves(endpoint, is_readable)) {
     return;
   }
--- a/src/gateway/endpoint_answers.h
+++ b/src/gateway/endpoint_answers.h
@@ -33,7 +33,7 @@
  private:
   void TakeLimit(const EndpointId& endpoint, const EndpointAnswer& answer,
                  TimePoint sent_at);
-  void TakeLeaving(const EndpointRecord& endpoint, LeavingWord word);
+  void TakeLeaving(const EndpointRecord& endpoint, LeavingHint word);
 
   const EndpointDirectory* directory_;
   EndpointHealth* health_;
