--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_answer.h
@@ -22,7 +22,7 @@
 // Whether the endpoint says that it is about to end.
 enum class LeavingHint {
   kNone,
-  kLeaves,
+  kLeaving,
   // It says something else in that place: it is taken to leave, since more work
   // would be lost there.
   kUnreadable
--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -62,7 +62,7 @@
   if (number == 0.0) {
     return LeavingHint::kNone;
   }
-  return number == 1.0 ? LeavingHint::kLeaves : LeavingHint::kUnreadable;
+  return number == 1.0 ? LeavingHint::kLeaving : LeavingHint::kUnreadable;
 }
 
 EndpointAnswer DecodeAnswer(const AnswerHead& head,
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -95,12 +95,12 @@
   CHECK(answer.at_fault == "e7");
   CHECK(std::get<RequestRate>(answer.limit) == RequestRate{0.5});
   CHECK(std::get<Millis>(answer.rest) == Millis(2000));
-  CHECK(answer.leaving == LeavingHint::kLeaves);
+  CHECK(answer.leaving == LeavingHint::kLeaving);
 }
 
 TEST_CASE("An endpoint leaves unless it says that it does not") {
-  CHECK(ReadLeaving("1") == LeavingHint::kLeaves);
-  CHECK(ReadLeaving(" 1 ") == LeavingHint::kLeaves);
+  CHECK(ReadLeaving("1") == LeavingHint::kLeaving);
+  CHECK(ReadLeaving(" 1 ") == LeavingHint::kLeaving);
   CHECK(ReadLeaving("0") == LeavingHint::kNone);
   CHECK(ReadLeaving("") == LeavingHint::kUnreadable);
   CHECK(ReadLeaving("true") == LeavingHint::kUnreadable);
--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -35,7 +35,7 @@
 
 void EndpointAnswers::TakeLeaving(const EndpointRecord& endpoint,
                                   LeavingHint word) {
-  const bool is_readable = word == LeavingHint::kLeaves;
+  const bool is_readable = word == LeavingHint::kLeaving;
   if (word == LeavingHint::kNone ||
       !endpoint_news_->OnSaysItLeaves(endpoint, is_readable)) {
     return;
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -29,7 +29,7 @@
     answer.not_run = true;
     answer.limit = RequestRate{2};
     answer.rest = Millis(3000);
-    answer.leaving = LeavingHint::kLeaves;
+    answer.leaving = LeavingHint::kLeaving;
     return answer;
   }
 
