--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -112,7 +112,7 @@
   // Notes that the source does not answer this host, which last heard from it,
   // itself or through others, `unheard` ago. That nobody tells this host is no
   // such case: the source may be well.
-  void OnSourceLost(Millis unheard = Millis(0));
+  void OnStoreUnreachable(Millis unheard = Millis(0));
 
   // Notes that what was told is complete as the source knew it `age` ago, when
   // it was at `at`. To be called before the changes up to `at` are told. What
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -139,7 +139,7 @@
   return change;
 }
 
-void EndpointDirectory::OnSourceLost(Millis unheard) {
+void EndpointDirectory::OnStoreUnreachable(Millis unheard) {
   if (!lost_since_.has_value()) {
     lost_since_ = clock_() - unheard;
   }
--- a/src/core/endpoint_directory_test.cc
+++ b/src/core/endpoint_directory_test.cc
@@ -65,7 +65,7 @@
                  "Entries that lapsed during an outage stay until the grace "
                  "after its end is over") {
   Settle();
-  directory_.OnSourceLost();
+  directory_.OnStoreUnreachable();
   Pass(Millis(5000));
   directory_.OnSourceBack(StoreRevision{9});
   directory_.ReplaceAll({Record("a", 1)}, StoreRevision{9});
@@ -83,7 +83,7 @@
                  "What leaves after the source is back is gone at once, "
                  "however short a time that is") {
   Settle();
-  directory_.OnSourceLost();
+  directory_.OnStoreUnreachable();
   Pass(Millis(8000));
   directory_.OnSourceBack(StoreRevision{48});
   Pass(Millis(300));
@@ -144,7 +144,7 @@
 TEST_CASE_METHOD(DirectoryFixture,
                  "What names no endpoint any more is out of use at once") {
   Settle();
-  directory_.OnSourceLost();
+  directory_.OnStoreUnreachable();
   Pass(Millis(5000));
   CHECK(directory_.Withdraw(EndpointId{"a"}, StoreRevision{4}));
   CHECK(Usable() == 2);
@@ -174,21 +174,21 @@
   Settle();
 
   SECTION("The host was not told for a moment") {
-    directory_.OnSourceLost();
+    directory_.OnStoreUnreachable();
     Pass(Millis(308));
     directory_.OnSourceBack(StoreRevision{45});
     directory_.Remove(EndpointId{"a"}, StoreRevision{42});
     CHECK(Usable() == 2);
   }
   SECTION("A listing after such a moment lacks the entry") {
-    directory_.OnSourceLost();
+    directory_.OnStoreUnreachable();
     Pass(Millis(308));
     directory_.OnSourceBack(StoreRevision{45});
     directory_.ReplaceAll({Record("b", 1), Record("c", 1)}, StoreRevision{45});
     CHECK(Usable() == 2);
   }
   SECTION("Another host told it while the source was away") {
-    directory_.OnSourceLost();
+    directory_.OnStoreUnreachable();
     Pass(Millis(5000));
     directory_.Remove(EndpointId{"a"}, StoreRevision{42});
     Pass(kOutOfUse);
@@ -196,12 +196,12 @@
     CHECK(Usable() == 2);
   }
   SECTION("The source comes and goes after the host heard it") {
-    directory_.OnSourceLost();
+    directory_.OnStoreUnreachable();
     Pass(Millis(5000));
     directory_.OnSourceBack(StoreRevision{45});
     directory_.Remove(EndpointId{"a"}, StoreRevision{42});
     for (Millis passed{0}; passed < kOutOfUse; passed += kStep) {
-      directory_.OnSourceLost();
+      directory_.OnStoreUnreachable();
       Pass(kStep);
       directory_.OnSourceBack(StoreRevision{45});
       directory_.DropLapsed();
--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -46,7 +46,7 @@
   // `at`; what it told follows.
   virtual void OnInformed(StoreRevision at) = 0;
   // The platform does not answer, or not as it should.
-  virtual void OnSourceLost(const std::string& reason) = 0;
+  virtual void OnStoreUnreachable(const std::string& reason) = 0;
   // Something published cannot be used. It was passed over.
   virtual void OnUnusable(const std::string& what,
                           const std::string& reason) = 0;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -85,7 +85,7 @@
 
 void PublishedNews::OnInformed(StoreRevision at) { source_->OnTold(at); }
 
-void PublishedNews::OnSourceLost(const std::string& reason) {
+void PublishedNews::OnStoreUnreachable(const std::string& reason) {
   source_->OnPollFailed(reason);
 }
 
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -40,7 +40,7 @@
                           StoreRevision revision) override;
   void OnSourceWell(StoreRevision at) override;
   void OnInformed(StoreRevision at) override;
-  void OnSourceLost(const std::string& reason) override;
+  void OnStoreUnreachable(const std::string& reason) override;
   void OnUnusable(const std::string& what, const std::string& reason) override;
 
  private:
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -24,7 +24,7 @@
 
 void SourceState::OnPollFailed(const std::string& reason) {
   duty_.OnPollFailed();
-  directory_->OnSourceLost(duty_.Age());
+  directory_->OnStoreUnreachable(duty_.Age());
   Update(reason);
   ports_.on_own_reading();
 }
