--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -118,7 +118,7 @@
   // it was at `at`. To be called before the changes up to `at` are told. What
   // vanishes at a later revision has left; what vanished before may have lapsed
   // if the source was away for longer than kLapseAfter.
-  void OnSourceBack(StoreRevision at, Millis age = Millis(0));
+  void OnStoreSynced(StoreRevision at, Millis age = Millis(0));
 
   // Drops entries that have been missing for as long as they may be used, and
   // returns them.
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -145,7 +145,7 @@
   }
 }
 
-void EndpointDirectory::OnSourceBack(StoreRevision at, Millis age) {
+void EndpointDirectory::OnStoreSynced(StoreRevision at, Millis age) {
   const TimePoint now = clock_();
   complete_before_ = complete_at_;
   complete_at_ = std::max(complete_at_, now - age);
--- a/src/core/endpoint_directory_test.cc
+++ b/src/core/endpoint_directory_test.cc
@@ -22,7 +22,7 @@
 
   // Three endpoints, known from a source that has long been well.
   void Settle() {
-    directory_.OnSourceBack(StoreRevision{1});
+    directory_.OnStoreSynced(StoreRevision{1});
     directory_.ReplaceAll({Record("a", 1), Record("b", 1), Record("c", 1)},
                           StoreRevision{1});
     Pass(EndpointDirectory::kCalmAfter);
@@ -67,7 +67,7 @@
   Settle();
   directory_.OnStoreUnreachable();
   Pass(Millis(5000));
-  directory_.OnSourceBack(StoreRevision{9});
+  directory_.OnStoreSynced(StoreRevision{9});
   directory_.ReplaceAll({Record("a", 1)}, StoreRevision{9});
   directory_.DropLapsed();
   CHECK(Usable() == 3);
@@ -85,7 +85,7 @@
   Settle();
   directory_.OnStoreUnreachable();
   Pass(Millis(8000));
-  directory_.OnSourceBack(StoreRevision{48});
+  directory_.OnStoreSynced(StoreRevision{48});
   Pass(Millis(300));
   directory_.Remove(EndpointId{"a"}, StoreRevision{49});
   CHECK(Usable() == 2);
@@ -176,14 +176,14 @@
   SECTION("The host was not told for a moment") {
     directory_.OnStoreUnreachable();
     Pass(Millis(308));
-    directory_.OnSourceBack(StoreRevision{45});
+    directory_.OnStoreSynced(StoreRevision{45});
     directory_.Remove(EndpointId{"a"}, StoreRevision{42});
     CHECK(Usable() == 2);
   }
   SECTION("A listing after such a moment lacks the entry") {
     directory_.OnStoreUnreachable();
     Pass(Millis(308));
-    directory_.OnSourceBack(StoreRevision{45});
+    directory_.OnStoreSynced(StoreRevision{45});
     directory_.ReplaceAll({Record("b", 1), Record("c", 1)}, StoreRevision{45});
     CHECK(Usable() == 2);
   }
@@ -198,12 +198,12 @@
   SECTION("The source comes and goes after the host heard it") {
     directory_.OnStoreUnreachable();
     Pass(Millis(5000));
-    directory_.OnSourceBack(StoreRevision{45});
+    directory_.OnStoreSynced(StoreRevision{45});
     directory_.Remove(EndpointId{"a"}, StoreRevision{42});
     for (Millis passed{0}; passed < kOutOfUse; passed += kStep) {
       directory_.OnStoreUnreachable();
       Pass(kStep);
-      directory_.OnSourceBack(StoreRevision{45});
+      directory_.OnStoreSynced(StoreRevision{45});
       directory_.DropLapsed();
     }
     CHECK(Usable() == 2);
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -57,7 +57,7 @@
 }
 
 void SourceState::NoteKnown(Millis age, bool is_late) {
-  directory_->OnSourceBack(known_up_to_, age);
+  directory_->OnStoreSynced(known_up_to_, age);
   Update("");
   ports_.on_published();
   if (is_late) {
