--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -65,7 +65,7 @@
 };
 
 // An entry that was kept while it was missing, and is not any more.
-struct DroppedEndpoint {
+struct ExpiredEndpoint {
   EndpointId id;
   // Since it was first heard to be missing.
   Millis kept{0};
@@ -122,7 +122,7 @@
 
   // Drops entries that have been missing for as long as they may be used, and
   // returns them.
-  std::vector<DroppedEndpoint> DropLapsed();
+  std::vector<ExpiredEndpoint> DropLapsed();
 
   // Takes an order that a data centre is to take nothing. Returns whether that
   // is news.
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -159,15 +159,15 @@
   lost_since_.reset();
 }
 
-std::vector<DroppedEndpoint> EndpointDirectory::DropLapsed() {
-  std::vector<DroppedEndpoint> dropped;
+std::vector<ExpiredEndpoint> EndpointDirectory::DropLapsed() {
+  std::vector<ExpiredEndpoint> dropped;
   const TimePoint now = clock_();
   for (auto it = entries_.begin(); it != entries_.end();) {
     const auto& missing = it->second.missing;
     // Whatever the source does meanwhile: while it was lost, or came and went,
     // endpoints that had left were used for as long as that lasted.
     if (missing.has_value() && now >= missing->use_until) {
-      dropped.push_back(DroppedEndpoint{
+      dropped.push_back(ExpiredEndpoint{
           it->first, std::chrono::duration_cast<Millis>(now - missing->since)});
       it = entries_.erase(it);
       stale_index_ = true;
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -173,7 +173,7 @@
 }
 
 void EndpointNews::DropLapsed() {
-  for (const DroppedEndpoint& dropped : directory_->DropLapsed()) {
+  for (const ExpiredEndpoint& dropped : directory_->DropLapsed()) {
     connections_->Forget(dropped.id);
     log_->Write("endpoint_dropped", {{"endpoint", dropped.id.value},
                                      {"kept_ms", dropped.kept.count()}});
