--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -122,7 +122,7 @@
 
   // Drops entries that have been missing for as long as they may be used, and
   // returns them.
-  std::vector<ExpiredEndpoint> DropLapsed();
+  std::vector<ExpiredEndpoint> RemoveExpired();
 
   // Takes an order that a data centre is to take nothing. Returns whether that
   // is news.
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -159,7 +159,7 @@
   lost_since_.reset();
 }
 
-std::vector<ExpiredEndpoint> EndpointDirectory::DropLapsed() {
+std::vector<ExpiredEndpoint> EndpointDirectory::RemoveExpired() {
   std::vector<ExpiredEndpoint> dropped;
   const TimePoint now = clock_();
   for (auto it = entries_.begin(); it != entries_.end();) {
--- a/src/core/endpoint_directory_test.cc
+++ b/src/core/endpoint_directory_test.cc
@@ -69,11 +69,11 @@
   Pass(Millis(5000));
   directory_.OnStoreSynced(StoreRevision{9});
   directory_.ReplaceAll({Record("a", 1)}, StoreRevision{9});
-  directory_.DropLapsed();
+  directory_.RemoveExpired();
   CHECK(Usable() == 3);
   directory_.Upsert(Record("b", 10));
   Pass(EndpointDirectory::kLapseGrace);
-  directory_.DropLapsed();
+  directory_.RemoveExpired();
   CHECK(Usable() == 2);
 }
 
@@ -192,7 +192,7 @@
     Pass(Millis(5000));
     directory_.Remove(EndpointId{"a"}, StoreRevision{42});
     Pass(kOutOfUse);
-    directory_.DropLapsed();
+    directory_.RemoveExpired();
     CHECK(Usable() == 2);
   }
   SECTION("The source comes and goes after the host heard it") {
@@ -204,7 +204,7 @@
       directory_.OnStoreUnreachable();
       Pass(kStep);
       directory_.OnStoreSynced(StoreRevision{45});
-      directory_.DropLapsed();
+      directory_.RemoveExpired();
     }
     CHECK(Usable() == 2);
   }
@@ -239,7 +239,7 @@
   SECTION("nothing is said for long") {
     for (int i = 0; i < 100; ++i) {
       Pass(EndpointDirectory::kLeavingRemembered);
-      directory_.DropLapsed();
+      directory_.RemoveExpired();
     }
     record.revision = StoreRevision{3};
     directory_.Upsert(record);
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -172,8 +172,8 @@
                                  {"gone_ids", FirstOf(told.gone)}});
 }
 
-void EndpointNews::DropLapsed() {
-  for (const ExpiredEndpoint& dropped : directory_->DropLapsed()) {
+void EndpointNews::RemoveExpired() {
+  for (const ExpiredEndpoint& dropped : directory_->RemoveExpired()) {
     connections_->Forget(dropped.id);
     log_->Write("endpoint_dropped", {{"endpoint", dropped.id.value},
                                      {"kept_ms", dropped.kept.count()}});
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -56,7 +56,7 @@
   int BusyClosed(const EndpointLoads& loads) const;
 
   // Drops endpoints whose entries have been missing for too long.
-  void DropLapsed();
+  void RemoveExpired();
 
   // What follows, up to EndTold, was told by another host: it leaves one line
   // in the log and not one for each endpoint, or the lines of all hosts would
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -363,7 +363,7 @@
 void GatewayNode::Tick() {
   const TimePoint now = clock_();
   AcceptCallers();
-  endpoint_news_.DropLapsed();
+  endpoint_news_.RemoveExpired();
   hosts_.RecordFleetSize();
   start_gate_.Tick();
   source_.Tick();
