--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -176,7 +176,7 @@
   // How long an entry that may have lapsed is kept, with that limit. Entries of
   // living endpoints were back within 0.7 s of being heard gone in four outages
   // of 3 and 4 s, since each is written anew every 1.2 s.
-  static constexpr Millis kLapseGrace = kLeaveLimit - kSendingTime;
+  static constexpr Millis kLapseGracePeriod = kLeaveLimit - kSendingTime;
   // The shortest absence of the source in which an entry can lapse: it takes
   // three heartbeats of silence, 1.2 s each, and the last one may have been
   // due.
--- a/src/core/endpoint_directory_test.cc
+++ b/src/core/endpoint_directory_test.cc
@@ -72,7 +72,7 @@
   directory_.RemoveExpired();
   CHECK(Usable() == 3);
   directory_.Upsert(Record("b", 10));
-  Pass(EndpointDirectory::kLapseGrace);
+  Pass(EndpointDirectory::kLapseGracePeriod);
   directory_.RemoveExpired();
   CHECK(Usable() == 2);
 }
