--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -117,7 +117,7 @@
   // Notes that what was told is complete as the source knew it `age` ago, when
   // it was at `at`. To be called before the changes up to `at` are told. What
   // vanishes at a later revision has left; what vanished before may have lapsed
-  // if the source was away for longer than kLapseAfter.
+  // if the source was away for longer than kMinOutageForLapse.
   void OnStoreSynced(StoreRevision at, Millis age = Millis(0));
 
   // Drops entries that have been missing for as long as they may be used, and
@@ -180,7 +180,7 @@
   // The shortest absence of the source in which an entry can lapse: it takes
   // three heartbeats of silence, 1.2 s each, and the last one may have been
   // due.
-  static constexpr Millis kLapseAfter{2400};
+  static constexpr Millis kMinOutageForLapse{2400};
   // How long after the return of the source a vanished entry may have lapsed
   // while it was away: three heartbeats.
   static constexpr Millis kCalmAfter{3600};
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -152,7 +152,7 @@
   if (!lost_since_.has_value()) {
     return;
   }
-  if (now - *lost_since_ >= kLapseAfter) {
+  if (now - *lost_since_ >= kMinOutageForLapse) {
     back_at_ = now;
     back_revision_ = at;
   }
@@ -271,7 +271,7 @@
   // A host that nobody told for a moment, and that the source answers at its
   // first call, has missed no lapse. Taken for one, a departure kept its
   // endpoint in use for 3.0 s.
-  if (lost_since_.has_value() && now - *lost_since_ >= kLapseAfter) {
+  if (lost_since_.has_value() && now - *lost_since_ >= kMinOutageForLapse) {
     return true;
   }
   return back_at_.has_value() && now < *back_at_ + kCalmAfter;
