--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -183,7 +183,7 @@
   static constexpr Millis kMinOutageForLapse{2400};
   // How long after the return of the source a vanished entry may have lapsed
   // while it was away: three heartbeats.
-  static constexpr Millis kCalmAfter{3600};
+  static constexpr Millis kPostOutageWindow{3600};
   // How long a incarnation that has said that it leaves is remembered once its
   // entry is not held any more: longer than a late word of it may be on its
   // way.
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -274,7 +274,7 @@
   if (lost_since_.has_value() && now - *lost_since_ >= kMinOutageForLapse) {
     return true;
   }
-  return back_at_.has_value() && now < *back_at_ + kCalmAfter;
+  return back_at_.has_value() && now < *back_at_ + kPostOutageWindow;
 }
 
 RemovalResult EndpointDirectory::Drop(const EndpointId& id,
--- a/src/core/endpoint_directory_test.cc
+++ b/src/core/endpoint_directory_test.cc
@@ -25,7 +25,7 @@
     directory_.OnStoreSynced(StoreRevision{1});
     directory_.ReplaceAll({Record("a", 1), Record("b", 1), Record("c", 1)},
                           StoreRevision{1});
-    Pass(EndpointDirectory::kCalmAfter);
+    Pass(EndpointDirectory::kPostOutageWindow);
   }
 
   std::size_t Usable() const { return directory_.UsableOf(kService).size(); }
