--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -187,7 +187,7 @@
   // How long a incarnation that has said that it leaves is remembered once its
   // entry is not held any more: longer than a late word of it may be on its
   // way.
-  static constexpr Millis kLeavingRemembered{60000};
+  static constexpr Millis kLeavingRetention{60000};
 
  private:
   struct Missing {
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -184,7 +184,7 @@
     if (entries_.count(it->first) != 0) {
       it->second.noted = now;
     }
-    const bool is_old = now - it->second.noted >= kLeavingRemembered;
+    const bool is_old = now - it->second.noted >= kLeavingRetention;
     it = is_old ? leaving_.erase(it) : std::next(it);
   }
 }
--- a/src/core/endpoint_directory_test.cc
+++ b/src/core/endpoint_directory_test.cc
@@ -238,7 +238,7 @@
   }
   SECTION("nothing is said for long") {
     for (int i = 0; i < 100; ++i) {
-      Pass(EndpointDirectory::kLeavingRemembered);
+      Pass(EndpointDirectory::kLeavingRetention);
       directory_.RemoveExpired();
     }
     record.revision = StoreRevision{3};
