--- a/include/harecrank/core/cold_endpoints.h
+++ b/include/harecrank/core/cold_endpoints.h
@@ -57,7 +57,7 @@
   // A second, and what a request may take from here to the endpoint: two that
   // are decided on further apart never arrive in the same second.
   static constexpr Millis kWindow =
-      Millis(1000) + EndpointDirectory::kSendingTime;
+      Millis(1000) + EndpointDirectory::kMaxDispatchTime;
   // After the cold time the bound doubles in each of these, so that what other
   // endpoints have taken meanwhile does not return as one wave.
   static constexpr Millis kDoubles{1000};
--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -169,14 +169,14 @@
   // What a request may take from the choice of its endpoint until it is there:
   // a connection's set-up, at most 250 ms, the look for entries to drop, each
   // 100 ms, and a busy host's event loop.
-  static constexpr Millis kSendingTime{500};
+  static constexpr Millis kMaxDispatchTime{500};
   // How long after an endpoint has left a request may still reach it, unless
   // the platform's settings say otherwise: the platform's usual bound.
   static constexpr Millis kLeaveLimit{2000};
   // How long an entry that may have lapsed is kept, with that limit. Entries of
   // living endpoints were back within 0.7 s of being heard gone in four outages
   // of 3 and 4 s, since each is written anew every 1.2 s.
-  static constexpr Millis kLapseGracePeriod = kLeaveLimit - kSendingTime;
+  static constexpr Millis kLapseGracePeriod = kLeaveLimit - kMaxDispatchTime;
   // The shortest absence of the source in which an entry can lapse: it takes
   // three heartbeats of silence, 1.2 s each, and the last one may have been
   // due.
--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -92,7 +92,7 @@
   static constexpr double kOverage = 1.5;
   static constexpr double kSlack = 5;
   // Two requests that are decided on this far apart never arrive within kSpan.
-  static constexpr Millis kWindow = kSpan + EndpointDirectory::kSendingTime;
+  static constexpr Millis kWindow = kSpan + EndpointDirectory::kMaxDispatchTime;
   // A limit holds as named for as long as so many requests take by it, within
   // these bounds: with one in ten seconds, three seconds of silence say
   // nothing.
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -20,7 +20,7 @@
 EndpointDirectory::EndpointDirectory(MonotonicClock clock, Millis leave_limit)
     : clock_(std::move(clock)),
       closed_(clock_),
-      lapse_grace_(std::max(Millis(0), leave_limit - kSendingTime)) {}
+      lapse_grace_(std::max(Millis(0), leave_limit - kMaxDispatchTime)) {}
 
 bool EndpointDirectory::Upsert(const EndpointRecord& record) {
   Entry& entry = entries_[record.id];
--- a/src/core/start_quotas_test.cc
+++ b/src/core/start_quotas_test.cc
@@ -269,7 +269,7 @@
     // One in four needs a new connection, and the host is busy at times.
     const bool is_slow = random_() % 4 == 0;
     const auto longest =
-        is_slow ? EndpointDirectory::kSendingTime.count() : std::int64_t{5};
+        is_slow ? EndpointDirectory::kMaxDispatchTime.count() : std::int64_t{5};
     const auto delay = static_cast<std::int64_t>(
         random_() % static_cast<std::uint64_t>(longest));
     arrived_.push_back(now_ + Millis(delay));
