--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -76,7 +76,7 @@
  public:
   // A request may reach an endpoint for `leave_limit` after it has left.
   explicit EndpointDirectory(MonotonicClock clock,
-                             Millis leave_limit = kLeaveLimit);
+                             Millis leave_limit = kDefaultLeaveLimit);
 
   // Takes over one record. Older revisions than the one held change nothing. A
   // incarnation that has said that it leaves does not stay, whatever a word of
@@ -172,11 +172,12 @@
   static constexpr Millis kMaxDispatchTime{500};
   // How long after an endpoint has left a request may still reach it, unless
   // the platform's settings say otherwise: the platform's usual bound.
-  static constexpr Millis kLeaveLimit{2000};
+  static constexpr Millis kDefaultLeaveLimit{2000};
   // How long an entry that may have lapsed is kept, with that limit. Entries of
   // living endpoints were back within 0.7 s of being heard gone in four outages
   // of 3 and 4 s, since each is written anew every 1.2 s.
-  static constexpr Millis kLapseGracePeriod = kLeaveLimit - kMaxDispatchTime;
+  static constexpr Millis kLapseGracePeriod =
+      kDefaultLeaveLimit - kMaxDispatchTime;
   // The shortest absence of the source in which an entry can lapse: it takes
   // three heartbeats of silence, 1.2 s each, and the last one may have been
   // due.
--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -84,7 +84,7 @@
   // How long the platform waits after a stop signal before it kills.
   Millis stop_limit{8000};
   // How long after an endpoint has left a request may still reach it.
-  Millis leave_limit = EndpointDirectory::kLeaveLimit;
+  Millis leave_limit = EndpointDirectory::kDefaultLeaveLimit;
   // Descriptors that this process may have open.
   std::size_t descriptors = 1024;
   // The share of a core that this host has: the strongest plans for the fleet.
