--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -29,7 +29,7 @@
   void OnSuccess(const EndpointId& id, double pace);
 
   // Notes that bytes came from it: it is alive, however slow.
-  void OnHeard(const EndpointId& id);
+  void OnBytesReceived(const EndpointId& id);
 
   // Notes that a request waited in vain since `since`. That tells of the
   // endpoint only if nothing else was heard from it either.
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -26,7 +26,7 @@
   Fold(&state.pace, std::min(pace, kMostPace));
 }
 
-void EndpointHealth::OnHeard(const EndpointId& id) {
+void EndpointHealth::OnBytesReceived(const EndpointId& id) {
   states_[id].heard = clock_();
 }
 
--- a/src/core/endpoint_health_test.cc
+++ b/src/core/endpoint_health_test.cc
@@ -34,7 +34,7 @@
                  "heard from since") {
   const TimePoint since = now_;
   now_ += Millis(1000);
-  health_.OnHeard(kEngine);
+  health_.OnBytesReceived(kEngine);
   health_.OnOverdue(kEngine, since);
   CHECK_FALSE(health_.IsSuspect(kEngine));
   now_ += Millis(2000);
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -70,7 +70,7 @@
 
 void RequestSender::OnBytes() {
   last_bytes_at_ = services_->clock();
-  services_->health->OnHeard(endpoint_.id);
+  services_->health->OnBytesReceived(endpoint_.id);
 }
 
 std::optional<double> RequestSender::OnFirstEvent() {
