--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -54,7 +54,7 @@
   std::vector<AvoidedEndpoint> Avoided() const;
 
   // Returns whether bytes came from it clearly later than `time`.
-  bool WasHeardAfter(const EndpointId& id, TimePoint time) const;
+  bool ReceivedBytesAfter(const EndpointId& id, TimePoint time) const;
 
   // Returns whether requests should go elsewhere if they can.
   bool IsSuspect(const EndpointId& id) const;
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -31,7 +31,7 @@
 }
 
 void EndpointHealth::OnOverdue(const EndpointId& id, TimePoint since) {
-  if (!WasHeardAfter(id, since)) {
+  if (!ReceivedBytesAfter(id, since)) {
     OnUnreachable(id);
   }
 }
@@ -57,7 +57,8 @@
   return avoided;
 }
 
-bool EndpointHealth::WasHeardAfter(const EndpointId& id, TimePoint time) const {
+bool EndpointHealth::ReceivedBytesAfter(const EndpointId& id,
+                                        TimePoint time) const {
   const auto found = states_.find(id);
   return found != states_.end() && found->second.heard >= time + kAliveMargin;
 }
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -135,7 +135,7 @@
   progress.has_helpers = !helpers_.empty();
   progress.first_event_seen = began_at_.has_value();
   progress.endpoint_is_alive =
-      services_->health->WasHeardAfter(endpoint_.id, last_bytes_at_);
+      services_->health->ReceivedBytesAfter(endpoint_.id, last_bytes_at_);
   return harecrank::OverdueAt(*route_, progress);
 }
 
