--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -44,7 +44,7 @@
   // Notes that another endpoint named it as the one that a request failed by:
   // it leaves, is gone, or takes no more. Its own answers do not change that,
   // since one that leaves still ends what it has begun.
-  void OnNamedAtFault(const EndpointId& id);
+  void OnReportedAtFault(const EndpointId& id);
 
   // Notes that a peer leaves it alone for `left` more.
   void OnPeerAvoids(const EndpointId& id, Millis left);
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -36,7 +36,7 @@
   }
 }
 
-void EndpointHealth::OnNamedAtFault(const EndpointId& id) {
+void EndpointHealth::OnReportedAtFault(const EndpointId& id) {
   states_[id].named_until = clock_() + kNamedBlock;
 }
 
--- a/src/core/endpoint_health_test.cc
+++ b/src/core/endpoint_health_test.cc
@@ -76,7 +76,7 @@
 TEST_CASE_METHOD(HealthFixture,
                  "An endpoint that another names is left alone, whatever it "
                  "still answers itself") {
-  health_.OnNamedAtFault(kEngine);
+  health_.OnReportedAtFault(kEngine);
   health_.OnSuccess(kEngine, 1);
   CHECK(health_.IsSuspect(kEngine));
   REQUIRE(health_.Avoided().size() == 1);
--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -41,7 +41,7 @@
     return;
   }
   // Hosts that have not been told themselves leave it alone for a while, too.
-  health_->OnNamedAtFault(endpoint.id);
+  health_->OnReportedAtFault(endpoint.id);
   on_news_();
 }
 
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -117,7 +117,7 @@
     const EndpointRecord* record = services_->directory->Find(helper);
     const bool is_address = record != nullptr && record->address == named;
     if (helper.value == named || is_address) {
-      services_->health->OnNamedAtFault(helper);
+      services_->health->OnReportedAtFault(helper);
       services_->on_news();
     }
   }
