--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -75,7 +75,7 @@
 void EndpointHealth::OnUnreachable(const EndpointId& id) {
   State& state = states_[id];
   NoteFailure(&state);
-  Millis block = kFirstBlock;
+  Millis block = kInitialOpenTime;
   for (int i = 0; i < state.failures_in_a_row && block < kLongestBlock; ++i) {
     block *= 2;
   }
--- a/src/core/endpoint_health_test.cc
+++ b/src/core/endpoint_health_test.cc
@@ -18,10 +18,10 @@
                  "each time, and at once taken back when it answers") {
   health_.OnUnreachable(kEngine);
   CHECK(health_.IsSuspect(kEngine));
-  now_ += EndpointHealth::kFirstBlock;
+  now_ += EndpointHealth::kInitialOpenTime;
   CHECK_FALSE(health_.IsSuspect(kEngine));
   health_.OnUnreachable(kEngine);
-  now_ += EndpointHealth::kFirstBlock;
+  now_ += EndpointHealth::kInitialOpenTime;
   CHECK(health_.IsSuspect(kEngine));
   health_.OnSuccess(kEngine, 1);
   CHECK_FALSE(health_.IsSuspect(kEngine));
