--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -69,7 +69,7 @@
   // as a host needs to be found dead by its heartbeats is too long, a
   // connection's set-up too short.
   static constexpr Millis kInitialOpenTime{700};
-  static constexpr Millis kLongestBlock{5600};
+  static constexpr Millis kMaxOpenTime{5600};
   // How long an endpoint is left alone that another has named. One that leaves
   // is gone, or published as leaving, after about this; with the platform
   // silent it is named again, once for each host.
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -41,7 +41,7 @@
 }
 
 void EndpointHealth::OnPeerAvoids(const EndpointId& id, Millis left) {
-  states_[id].avoided_until = clock_() + std::min(left, kLongestBlock);
+  states_[id].avoided_until = clock_() + std::min(left, kMaxOpenTime);
 }
 
 std::vector<AvoidedEndpoint> EndpointHealth::Avoided() const {
@@ -76,11 +76,11 @@
   State& state = states_[id];
   NoteFailure(&state);
   Millis block = kInitialOpenTime;
-  for (int i = 0; i < state.failures_in_a_row && block < kLongestBlock; ++i) {
+  for (int i = 0; i < state.failures_in_a_row && block < kMaxOpenTime; ++i) {
     block *= 2;
   }
   ++state.failures_in_a_row;
-  state.blocked_until = clock_() + std::min(block, kLongestBlock);
+  state.blocked_until = clock_() + std::min(block, kMaxOpenTime);
 }
 
 bool EndpointHealth::IsSuspect(const EndpointId& id) const {
