--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -73,7 +73,7 @@
   // How long an endpoint is left alone that another has named. One that leaves
   // is gone, or published as leaving, after about this; with the platform
   // silent it is named again, once for each host.
-  static constexpr Millis kNamedBlock{3000};
+  static constexpr Millis kReportedOpenTime{3000};
   // Share of failures above which an endpoint is a last choice. Plain services
   // fail one in seven in ordinary running, and to leave a host that fails a
   // third of its requests unused costs more than it saves while all are busy.
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -37,7 +37,7 @@
 }
 
 void EndpointHealth::OnReportedAtFault(const EndpointId& id) {
-  states_[id].named_until = clock_() + kNamedBlock;
+  states_[id].named_until = clock_() + kReportedOpenTime;
 }
 
 void EndpointHealth::OnPeerAvoids(const EndpointId& id, Millis left) {
--- a/src/core/endpoint_health_test.cc
+++ b/src/core/endpoint_health_test.cc
@@ -80,8 +80,8 @@
   health_.OnSuccess(kEngine, 1);
   CHECK(health_.IsSuspect(kEngine));
   REQUIRE(health_.Avoided().size() == 1);
-  CHECK(health_.Avoided().front().left == EndpointHealth::kNamedBlock);
-  now_ += EndpointHealth::kNamedBlock;
+  CHECK(health_.Avoided().front().left == EndpointHealth::kReportedOpenTime);
+  now_ += EndpointHealth::kReportedOpenTime;
   CHECK_FALSE(health_.IsSuspect(kEngine));
   CHECK(health_.Avoided().empty());
 }
