--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -81,7 +81,7 @@
   // How long after its last failure an endpoint with such a share is a last
   // choice. Without an end it gets no request while others are sound, and so
   // never shows that it is well.
-  static constexpr Millis kRetest{1400};
+  static constexpr Millis kProbeDelay{1400};
   // An endpoint that was heard from this long after a request's last byte is
   // slow and not silent.
   static constexpr Millis kAliveMargin{300};
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -92,8 +92,8 @@
   const TimePoint until =
       std::max({state.blocked_until, state.named_until, state.avoided_until});
   const TimePoint now = clock_();
-  const bool fails =
-      state.failure_share > kSuspectShare && now < state.failed_at + kRetest;
+  const bool fails = state.failure_share > kSuspectShare &&
+                     now < state.failed_at + kProbeDelay;
   return now < until || fails;
 }
 
--- a/src/core/endpoint_health_test.cc
+++ b/src/core/endpoint_health_test.cc
@@ -106,7 +106,7 @@
     now_ += Millis(1);
   }
   CHECK(health_.IsSuspect(kEngine));
-  now_ += EndpointHealth::kRetest;
+  now_ += EndpointHealth::kProbeDelay;
   CHECK_FALSE(health_.IsSuspect(kEngine));
   health_.OnErrorAnswer(kEngine);
   CHECK(health_.IsSuspect(kEngine));
