--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -77,7 +77,7 @@
   // Share of failures above which an endpoint is a last choice. Plain services
   // fail one in seven in ordinary running, and to leave a host that fails a
   // third of its requests unused costs more than it saves while all are busy.
-  static constexpr double kSuspectShare = 0.5;
+  static constexpr double kSuspectFailureRatio = 0.5;
   // How long after its last failure an endpoint with such a share is a last
   // choice. Without an end it gets no request while others are sound, and so
   // never shows that it is well.
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -92,7 +92,7 @@
   const TimePoint until =
       std::max({state.blocked_until, state.named_until, state.avoided_until});
   const TimePoint now = clock_();
-  const bool fails = state.failure_share > kSuspectShare &&
+  const bool fails = state.failure_share > kSuspectFailureRatio &&
                      now < state.failed_at + kProbeDelay;
   return now < until || fails;
 }
