--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -60,7 +60,7 @@
   bool IsSuspect(const EndpointId& id) const;
 
   // Returns how much slower than expected it has lately been; 1 if not known.
-  double Pace(const EndpointId& id) const;
+  double Slowdown(const EndpointId& id) const;
 
   // Forgets endpoints that are gone.
   void Forget(const EndpointId& id) { states_.erase(id); }
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -97,7 +97,7 @@
   return now < until || fails;
 }
 
-double EndpointHealth::Pace(const EndpointId& id) const {
+double EndpointHealth::Slowdown(const EndpointId& id) const {
   const auto found = states_.find(id);
   return found == states_.end() ? 1 : found->second.pace;
 }
--- a/src/core/endpoint_health_test.cc
+++ b/src/core/endpoint_health_test.cc
@@ -69,8 +69,8 @@
   for (int i = 0; i < 40; ++i) {
     health_.OnSuccess(kEngine, 4);
   }
-  CHECK(health_.Pace(kEngine) > 3);
-  CHECK(health_.Pace(EndpointId{"unknown"}) == 1);
+  CHECK(health_.Slowdown(kEngine) > 3);
+  CHECK(health_.Slowdown(EndpointId{"unknown"}) == 1);
 }
 
 TEST_CASE_METHOD(HealthFixture,
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -149,7 +149,7 @@
     EngineCandidate candidate;
     candidate.record = record;
     candidate.load = loads_->Of(record->id);
-    candidate.pace = std::max(1.0, health_->Pace(record->id));
+    candidate.pace = std::max(1.0, health_->Slowdown(record->id));
     (health_->IsSuspect(record->id) ? suspect : sound).push_back(candidate);
   }
   return sound.empty() ? suspect : sound;
