--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -47,7 +47,7 @@
   void OnReportedAtFault(const EndpointId& id);
 
   // Notes that a peer leaves it alone for `left` more.
-  void OnPeerAvoids(const EndpointId& id, Millis left);
+  void OnAvoidedByPeer(const EndpointId& id, Millis left);
 
   // Returns the endpoints that this host leaves alone by what it has seen
   // itself, and for how much longer.
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -40,7 +40,7 @@
   states_[id].named_until = clock_() + kReportedOpenTime;
 }
 
-void EndpointHealth::OnPeerAvoids(const EndpointId& id, Millis left) {
+void EndpointHealth::OnAvoidedByPeer(const EndpointId& id, Millis left) {
   states_[id].avoided_until = clock_() + std::min(left, kMaxOpenTime);
 }
 
--- a/src/core/endpoint_health_test.cc
+++ b/src/core/endpoint_health_test.cc
@@ -89,7 +89,7 @@
 TEST_CASE_METHOD(HealthFixture,
                  "What a peer leaves alone is left alone for as long, and is "
                  "not told on") {
-  health_.OnPeerAvoids(kEngine, Millis(500));
+  health_.OnAvoidedByPeer(kEngine, Millis(500));
   CHECK(health_.IsSuspect(kEngine));
   CHECK(health_.Avoided().empty());
   now_ += Millis(500);
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -158,7 +158,7 @@
     Probe(word.planner);
   }
   for (const AvoidedEndpoint& endpoint : word.avoided) {
-    health_->OnPeerAvoids(endpoint.id, endpoint.left);
+    health_->OnAvoidedByPeer(endpoint.id, endpoint.left);
   }
   ports_.on_limits(word.limits);
   FollowPlanner();
