--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -53,9 +53,9 @@
 enum class LimitChange { kNone, kNamed, kChanged, kEnded };
 
 // Not thread-safe.
-class EndpointLimits {
+class EndpointRateLimits {
  public:
-  explicit EndpointLimits(MonotonicClock clock);
+  explicit EndpointRateLimits(MonotonicClock clock);
 
   // Takes what the answer to a request says that was sent at `sent_at`. One
   // that names no limit ends one only if it was sent after the limit was last
--- a/include/harecrank/core/start_quotas.h
+++ b/include/harecrank/core/start_quotas.h
@@ -62,7 +62,7 @@
                                      std::size_t others) const;
 
   // All of this time are remembered: the longest window of any bound.
-  static constexpr Millis kWindow = EndpointLimits::kWindow;
+  static constexpr Millis kWindow = EndpointRateLimits::kWindow;
   // The last one is remembered for this long.
   static constexpr Millis kLastRemembered{60000};
 
@@ -102,7 +102,7 @@
   // must outlive this. `hosts` returns how many hosts the fleet may have, or
   // nothing while that is not known.
   StartQuotas(ColdLimit cold_limit, const ColdEndpoints* cold_endpoints,
-              const EndpointLimits* limits, HostBackoffs own_rests,
+              const EndpointRateLimits* limits, HostBackoffs own_rests,
               std::function<std::optional<int>()> hosts, MonotonicClock clock);
 
   // Returns how many requests `host` may begin at `endpoint` within the window
@@ -183,7 +183,7 @@
 
   ColdLimit cold_bound_;
   const ColdEndpoints* cold_endpoints_;
-  const EndpointLimits* limits_;
+  const EndpointRateLimits* limits_;
   HostBackoffs own_rests_;
   std::function<std::optional<int>()> hosts_;
   MonotonicClock clock_;
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -25,10 +25,10 @@
   return RequestRate{std::min(*rate, kMostRequestRate)};
 }
 
-EndpointLimits::EndpointLimits(MonotonicClock clock)
+EndpointRateLimits::EndpointRateLimits(MonotonicClock clock)
     : clock_(std::move(clock)) {}
 
-Millis EndpointLimits::FreshFor(RequestRate rate) {
+Millis EndpointRateLimits::FreshFor(RequestRate rate) {
   if (rate.value <= 0) {
     return kLongestFresh;
   }
@@ -38,12 +38,13 @@
   return std::max(kShortestFresh, fresh);
 }
 
-bool EndpointLimits::IsFresh(const Entry& entry, TimePoint now) {
+bool EndpointRateLimits::IsFresh(const Entry& entry, TimePoint now) {
   return !entry.ended_at.has_value() &&
          now - entry.named_at < FreshFor(entry.rate);
 }
 
-std::optional<double> EndpointLimits::Raise(const Entry& entry, TimePoint now) {
+std::optional<double> EndpointRateLimits::Raise(const Entry& entry,
+                                                TimePoint now) {
   if (IsFresh(entry, now)) {
     return 1;
   }
@@ -57,8 +58,8 @@
   return std::exp2(doublings);
 }
 
-LimitChange EndpointLimits::Name(const EndpointId& id, RequestRate rate,
-                                 TimePoint at) {
+LimitChange EndpointRateLimits::Name(const EndpointId& id, RequestRate rate,
+                                     TimePoint at) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
     if (entries_.size() >= kMostEndpoints) {
@@ -82,8 +83,9 @@
   return is_same ? LimitChange::kNone : LimitChange::kChanged;
 }
 
-LimitChange EndpointLimits::OnAnswer(const EndpointId& id,
-                                     const LimitWord& word, TimePoint sent_at) {
+LimitChange EndpointRateLimits::OnAnswer(const EndpointId& id,
+                                         const LimitWord& word,
+                                         TimePoint sent_at) {
   const TimePoint now = clock_();
   if (const auto* rate = std::get_if<RequestRate>(&word)) {
     return Name(id, *rate, now);
@@ -103,7 +105,7 @@
   return LimitChange::kEnded;
 }
 
-LimitChange EndpointLimits::OnTold(const LimitReport& report) {
+LimitChange EndpointRateLimits::OnTold(const LimitReport& report) {
   if (report.rate.has_value() && !IsRate(report.rate->value)) {
     return LimitChange::kNone;
   }
@@ -134,7 +136,8 @@
   return LimitChange::kEnded;
 }
 
-std::optional<StartLimit> EndpointLimits::BoundOf(const EndpointId& id) const {
+std::optional<StartLimit> EndpointRateLimits::BoundOf(
+    const EndpointId& id) const {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
     return std::nullopt;
@@ -157,7 +160,8 @@
   return bound;
 }
 
-std::optional<RequestRate> EndpointLimits::NamedBy(const EndpointId& id) const {
+std::optional<RequestRate> EndpointRateLimits::NamedBy(
+    const EndpointId& id) const {
   const auto found = entries_.find(id);
   if (found == entries_.end() || !IsFresh(found->second, clock_())) {
     return std::nullopt;
@@ -165,7 +169,7 @@
   return found->second.rate;
 }
 
-std::vector<EndpointId> EndpointLimits::Bounded() const {
+std::vector<EndpointId> EndpointRateLimits::Bounded() const {
   const TimePoint now = clock_();
   std::vector<EndpointId> bounded;
   for (const auto& [id, entry] : entries_) {
@@ -176,7 +180,7 @@
   return bounded;
 }
 
-std::vector<EndpointId> EndpointLimits::TakeLifted() {
+std::vector<EndpointId> EndpointRateLimits::TakeLifted() {
   const TimePoint now = clock_();
   std::vector<EndpointId> lifted;
   for (auto it = entries_.begin(); it != entries_.end();) {
@@ -190,7 +194,7 @@
   return lifted;
 }
 
-std::vector<LimitReport> EndpointLimits::Reports() const {
+std::vector<LimitReport> EndpointRateLimits::Reports() const {
   const TimePoint now = clock_();
   std::vector<LimitReport> reports;
   for (const auto& [id, entry] : entries_) {
@@ -216,7 +220,7 @@
   return reports;
 }
 
-std::size_t EndpointLimits::Count() const {
+std::size_t EndpointRateLimits::Count() const {
   const TimePoint now = clock_();
   return static_cast<std::size_t>(std::count_if(
       entries_.begin(), entries_.end(),
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -53,7 +53,7 @@
 
   TimePoint now_{std::chrono::hours(1)};
   MonotonicClock clock_ = [this] { return now_; };
-  EndpointLimits limits_{clock_};
+  EndpointRateLimits limits_{clock_};
 };
 
 TEST_CASE_METHOD(LimitsFixture, "An endpoint that names a limit has a bound") {
@@ -86,9 +86,9 @@
         LimitChange::kNone);
   CHECK_FALSE(IsBounded());
   Names(kRate);
-  Pass(EndpointLimits::kShortestFresh - Millis(1));
+  Pass(EndpointRateLimits::kShortestFresh - Millis(1));
   limits_.OnAnswer(kEndpoint, UnreadableLimit{}, now_);
-  Pass(EndpointLimits::kShortestFresh - Millis(1));
+  Pass(EndpointRateLimits::kShortestFresh - Millis(1));
   CHECK(limits_.NamedBy(kEndpoint) == kRate);
 }
 
@@ -98,15 +98,15 @@
   Pass(Millis(1));
   CHECK(NamesNone() == LimitChange::kEnded);
   CHECK(PerSecond() == kRate.value);
-  Pass(EndpointLimits::kDoubles);
+  Pass(EndpointRateLimits::kDoubles);
   CHECK(PerSecond() == Approx(2 * kRate.value));
-  Pass(EndpointLimits::kDoubles);
+  Pass(EndpointRateLimits::kDoubles);
   CHECK(PerSecond() == Approx(4 * kRate.value));
   CHECK(Names(kRate) == LimitChange::kNamed);
   CHECK(PerSecond() == kRate.value);
   Pass(Millis(1));
   NamesNone();
-  Pass(EndpointLimits::kMostDoublings * EndpointLimits::kDoubles);
+  Pass(EndpointRateLimits::kMostDoublings * EndpointRateLimits::kDoubles);
   CHECK_FALSE(IsBounded());
   CHECK(limits_.TakeLifted().size() == 1);
   CHECK(limits_.TakeLifted().empty());
@@ -126,14 +126,14 @@
                  "A limit that nobody hears of any more lapses in the end, and "
                  "is tried before") {
   Names(RequestRate{0});
-  Pass(EndpointLimits::kLongestFresh);
+  Pass(EndpointRateLimits::kLongestFresh);
   CHECK_FALSE(limits_.NamedBy(kEndpoint).has_value());
-  CHECK(PerSecond() == EndpointLimits::kTriedPerSecond);
-  Pass(EndpointLimits::kUnheard);
-  CHECK(PerSecond() == EndpointLimits::kTriedPerSecond);
-  Pass(EndpointLimits::kDoubles);
-  CHECK(PerSecond() == Approx(2 * EndpointLimits::kTriedPerSecond));
-  Pass(EndpointLimits::kMostDoublings * EndpointLimits::kDoubles);
+  CHECK(PerSecond() == EndpointRateLimits::kTriedPerSecond);
+  Pass(EndpointRateLimits::kUnheard);
+  CHECK(PerSecond() == EndpointRateLimits::kTriedPerSecond);
+  Pass(EndpointRateLimits::kDoubles);
+  CHECK(PerSecond() == Approx(2 * EndpointRateLimits::kTriedPerSecond));
+  Pass(EndpointRateLimits::kMostDoublings * EndpointRateLimits::kDoubles);
   CHECK_FALSE(IsBounded());
 }
 
@@ -146,7 +146,8 @@
 }
 
 TEST_CASE_METHOD(LimitsFixture, "What is told too late says nothing") {
-  CHECK(IsTold(kRate, EndpointLimits::kShortestFresh) == LimitChange::kNone);
+  CHECK(IsTold(kRate, EndpointRateLimits::kShortestFresh) ==
+        LimitChange::kNone);
   CHECK_FALSE(IsBounded());
   CHECK(IsTold(std::nullopt, Millis(0)) == LimitChange::kNone);
   CHECK_FALSE(IsBounded());
@@ -160,7 +161,7 @@
   }
   // An age in the future is none.
   IsTold(kRate, Millis(-100000));
-  Pass(EndpointLimits::kShortestFresh);
+  Pass(EndpointRateLimits::kShortestFresh);
   CHECK_FALSE(limits_.NamedBy(kEndpoint).has_value());
 }
 
@@ -181,18 +182,19 @@
 TEST_CASE("A word that goes round between hosts keeps no limit alive") {
   TimePoint now{std::chrono::hours(1)};
   const MonotonicClock clock = [&now] { return now; };
-  EndpointLimits here(clock);
-  EndpointLimits there(clock);
+  EndpointRateLimits here(clock);
+  EndpointRateLimits there(clock);
   here.OnAnswer(kEndpoint, kRate, now);
-  const auto tell = [&now](const EndpointLimits& from, EndpointLimits* to) {
+  const auto tell = [&now](const EndpointRateLimits& from,
+                           EndpointRateLimits* to) {
     const std::vector<LimitReport> reports = from.Reports();
-    now += EndpointLimits::kOnTheWay;
+    now += EndpointRateLimits::kOnTheWay;
     for (const LimitReport& report : reports) {
       to->OnTold(report);
     }
   };
   const TimePoint heard = now;
-  while (now - heard < 2 * EndpointLimits::kShortestFresh) {
+  while (now - heard < 2 * EndpointRateLimits::kShortestFresh) {
     tell(here, &there);
     tell(there, &here);
   }
@@ -201,23 +203,23 @@
 }
 
 TEST_CASE_METHOD(LimitsFixture, "The newest are told, as many as fit") {
-  const auto many = static_cast<int>(EndpointLimits::kMostTold) + 10;
+  const auto many = static_cast<int>(EndpointRateLimits::kMostTold) + 10;
   for (int i = 0; i < many; ++i) {
     limits_.OnAnswer(EndpointId{std::to_string(i)}, kRate, now_);
     Pass(Millis(1));
   }
   const std::vector<LimitReport> reports = limits_.Reports();
-  REQUIRE(reports.size() == EndpointLimits::kMostTold);
+  REQUIRE(reports.size() == EndpointRateLimits::kMostTold);
   CHECK(reports.front().endpoint.value == std::to_string(many - 1));
   CHECK(reports.front().age == Millis(1));
 }
 
 TEST_CASE_METHOD(LimitsFixture, "No host can fill another's memory") {
-  for (std::size_t i = 0; i < EndpointLimits::kMostEndpoints + 100; ++i) {
+  for (std::size_t i = 0; i < EndpointRateLimits::kMostEndpoints + 100; ++i) {
     limits_.OnTold(
         LimitReport{EndpointId{std::to_string(i)}, kRate, Millis(0)});
   }
-  CHECK(limits_.Bounded().size() == EndpointLimits::kMostEndpoints);
+  CHECK(limits_.Bounded().size() == EndpointRateLimits::kMostEndpoints);
 }
 
 }  // namespace
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -119,7 +119,7 @@
     HostAddress address;
     EndpointRests rests;
     ColdEndpoints cold;
-    EndpointLimits limits;
+    EndpointRateLimits limits;
     StartQuotas shares;
     StartHistory starts;
   };
@@ -156,7 +156,7 @@
   const HostAddress asked{"asked"};
   const HostAddress other{"other"};
   ColdEndpoints cold(clock_);
-  EndpointLimits limits(clock_);
+  EndpointRateLimits limits(clock_);
   const StartQuotas shares(
       ColdLimit{}, &cold, &limits, HostBackoffs{asked, &rests_},
       [] { return 2; }, clock_);
@@ -170,7 +170,7 @@
 TEST_CASE_METHOD(RestsFixture, "An endpoint that rests helps to read nothing") {
   const HostAddress host{"h"};
   ColdEndpoints cold(clock_);
-  EndpointLimits limits(clock_);
+  EndpointRateLimits limits(clock_);
   const StartQuotas shares(
       ColdLimit{}, &cold, &limits, HostBackoffs{host, &rests_},
       [] { return 1; }, clock_);
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -82,7 +82,7 @@
     std::size_t most = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < bound.size(); ++last) {
-      while (bound[last] - bound[first] >= EndpointLimits::kSpan) {
+      while (bound[last] - bound[first] >= EndpointRateLimits::kSpan) {
         ++first;
       }
       most = std::max(most, last - first + 1);
@@ -112,7 +112,7 @@
           starts(clock) {}
 
     HostAddress address;
-    EndpointLimits limits;
+    EndpointRateLimits limits;
     ColdEndpoints cold;
     StartQuotas shares;
     StartHistory starts;
@@ -185,8 +185,8 @@
 };
 
 std::size_t Allowed(double rate) {
-  return static_cast<std::size_t>(EndpointLimits::kOverage * rate * 4 +
-                                  EndpointLimits::kSlack);
+  return static_cast<std::size_t>(EndpointRateLimits::kOverage * rate * 4 +
+                                  EndpointRateLimits::kSlack);
 }
 
 TEST_CASE("Hosts together keep to a limit, with links and without") {
@@ -205,7 +205,7 @@
     CAPTURE(seed);
     CHECK(fleet.MostBound(Millis(0)) <= Allowed(rate));
     // In the long run, where all hosts know of it, no more than it names.
-    if (links_hold && rate > EndpointLimits::kTriedPerSecond) {
+    if (links_hold && rate > EndpointRateLimits::kTriedPerSecond) {
       const auto arrived = fleet.ArrivedWithin(Millis(5000), Millis(40000));
       CHECK(static_cast<double>(arrived) <= 1.1 * rate * 35 + 5);
     }
--- a/src/core/overload_admission_test.cc
+++ b/src/core/overload_admission_test.cc
@@ -217,7 +217,7 @@
   EndpointDirectory directory_{[this] { return now_; }};
   EndpointHealth health_{[this] { return now_; }};
   ColdEndpoints cold_{[this] { return now_; }};
-  EndpointLimits limits_{[this] { return now_; }};
+  EndpointRateLimits limits_{[this] { return now_; }};
   StartQuotas start_shares_{ColdLimit{},      &cold_,
                             &limits_,         HostBackoffs{},
                             [] { return 1; }, [this] { return now_; }};
--- a/src/core/start_quotas.cc
+++ b/src/core/start_quotas.cc
@@ -94,7 +94,8 @@
 
 StartQuotas::StartQuotas(ColdLimit cold_limit,
                          const ColdEndpoints* cold_endpoints,
-                         const EndpointLimits* limits, HostBackoffs own_rests,
+                         const EndpointRateLimits* limits,
+                         HostBackoffs own_rests,
                          std::function<std::optional<int>()> hosts,
                          MonotonicClock clock)
     : cold_bound_(cold_limit),
--- a/src/core/start_quotas_test.cc
+++ b/src/core/start_quotas_test.cc
@@ -45,7 +45,7 @@
   TimePoint now_{std::chrono::hours(1)};
   MonotonicClock clock_ = [this] { return now_; };
   ColdEndpoints endpoints_{clock_};
-  EndpointLimits limits_{clock_};
+  EndpointRateLimits limits_{clock_};
 };
 
 TEST_CASE_METHOD(SharesFixture,
@@ -282,7 +282,7 @@
   EndpointDirectory directory_{clock_};
   EndpointHealth health_{clock_};
   ColdEndpoints endpoints_{clock_};
-  EndpointLimits limits_{clock_};
+  EndpointRateLimits limits_{clock_};
   StartQuotas shares_;
   std::shared_ptr<const RoutingTable> table_;
   std::vector<std::unique_ptr<Planner>> planners_;
@@ -319,7 +319,7 @@
   EndpointDirectory directory(clock);
   EndpointHealth health(clock);
   ColdEndpoints cold(clock);
-  const EndpointLimits limits(clock);
+  const EndpointRateLimits limits(clock);
   const ServiceProfile service = Service();
   EndpointRecord record = ColdRecord(kCold);
   for (const char* id : {"e0", "e1", "e2", "e3"}) {
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -117,7 +117,7 @@
   Metrics* metrics_;
   MonotonicClock clock_;
   ColdEndpoints cold_endpoints_;
-  EndpointLimits limits_;
+  EndpointRateLimits limits_;
   EndpointRests rests_;
   StartQuotas shares_;
   StartHistory starts_;
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -110,7 +110,7 @@
   Pass(Millis(200));
   const std::vector<LimitReport> reports = gate_.Reports();
   REQUIRE(reports.size() == 1);
-  CHECK(reports.front().age == Millis(250) + EndpointLimits::kOnTheWay);
+  CHECK(reports.front().age == Millis(250) + EndpointRateLimits::kOnTheWay);
 }
 
 TEST_CASE_METHOD(GateFixture, "The dump tells each limit and the own part") {
@@ -125,7 +125,7 @@
   CHECK(entry["own_share"] == 17.0);
   CHECK(entry["begun"] == 1);
   CHECK(entry["next_start_ms"] == 500);
-  Pass(EndpointLimits::kLongestFresh);
+  Pass(EndpointRateLimits::kLongestFresh);
   CHECK(gate_.Describe()["limited"].front()["named_per_second"].is_null());
 }
 
