--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_answer.h
@@ -38,7 +38,7 @@
   // that answers; empty if none is named.
   std::string at_fault;
   // How many requests a second it takes from all hosts together.
-  LimitWord limit;
+  RateLimitHint limit;
   // How long it wants nothing from this host. Refusals alone say that.
   RestWord rest;
   // Holds until the endpoint starts anew.
--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -31,13 +31,13 @@
 struct NoLimit {};
 // It names one that is no number of requests.
 struct UnreadableLimit {};
-using LimitWord = std::variant<NoLimit, RequestRate, UnreadableLimit>;
+using RateLimitHint = std::variant<NoLimit, RequestRate, UnreadableLimit>;
 
 // More is taken for this much: no bound on any fleet's requests.
 constexpr double kMostRequestRate = 1e6;
 
 // Reads a limit as an endpoint names it: a decimal number, zero or more.
-LimitWord ReadLimit(std::string_view text);
+RateLimitHint ReadLimit(std::string_view text);
 
 // What one host tells another of an endpoint's limit. Times are told as ages,
 // since no two hosts share a clock.
@@ -62,7 +62,7 @@
   // named: answers on different connections overtake each other. One that
   // cannot be read stands for the limit that was known before, if there was
   // one.
-  LimitChange OnAnswer(const EndpointId& id, const LimitWord& word,
+  LimitChange OnAnswer(const EndpointId& id, const RateLimitHint& word,
                        TimePoint sent_at);
 
   // Takes what another host tells, if it is newer than what is known here.
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-LimitWord ReadLimit(std::string_view text) {
+RateLimitHint ReadLimit(std::string_view text) {
   const auto rate = ParseDecimal(text);
   if (!rate.has_value()) {
     return UnreadableLimit{};
@@ -84,7 +84,7 @@
 }
 
 LimitChange EndpointRateLimits::OnAnswer(const EndpointId& id,
-                                         const LimitWord& word,
+                                         const RateLimitHint& word,
                                          TimePoint sent_at) {
   const TimePoint now = clock_();
   if (const auto* rate = std::get_if<RequestRate>(&word)) {
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -52,7 +52,7 @@
   }
 }
 
-bool StartGate::OnAnswer(const EndpointId& endpoint, const LimitWord& word,
+bool StartGate::OnAnswer(const EndpointId& endpoint, const RateLimitHint& word,
                          TimePoint sent_at) {
   if (std::holds_alternative<UnreadableLimit>(word)) {
     metrics_->GetCounter("harecrank_gateway_limits_unreadable_total")->Add();
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -38,7 +38,7 @@
 
   // Takes what the answer to a request that was sent at `sent_at` says of its
   // endpoint's limit. Returns whether other hosts should hear of it soon.
-  bool OnAnswer(const EndpointId& endpoint, const LimitWord& word,
+  bool OnAnswer(const EndpointId& endpoint, const RateLimitHint& word,
                 TimePoint sent_at);
 
   // Takes what an answer says of when this host may come again.
