--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -28,10 +28,10 @@
 using RequestRate = StrongNumber<struct RequestRateTag, double>;
 
 // What an answer says of its endpoint's limit.
-struct NoLimit {};
+struct NoRateLimit {};
 // It names one that is no number of requests.
 struct UnreadableLimit {};
-using RateLimitHint = std::variant<NoLimit, RequestRate, UnreadableLimit>;
+using RateLimitHint = std::variant<NoRateLimit, RequestRate, UnreadableLimit>;
 
 // More is taken for this much: no bound on any fleet's requests.
 constexpr double kMostRequestRate = 1e6;
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -40,7 +40,7 @@
     return limits_.OnAnswer(kEndpoint, rate, now_);
   }
   LimitChange NamesNone() {
-    return limits_.OnAnswer(kEndpoint, NoLimit{}, now_);
+    return limits_.OnAnswer(kEndpoint, NoRateLimit{}, now_);
   }
   LimitChange IsTold(std::optional<RequestRate> rate, Millis age) {
     return limits_.OnTold(LimitReport{kEndpoint, rate, age});
@@ -118,7 +118,8 @@
   Pass(Millis(5));
   Names(kRate);
   Pass(Millis(5));
-  CHECK(limits_.OnAnswer(kEndpoint, NoLimit{}, sent_at) == LimitChange::kNone);
+  CHECK(limits_.OnAnswer(kEndpoint, NoRateLimit{}, sent_at) ==
+        LimitChange::kNone);
   CHECK(limits_.NamedBy(kEndpoint) == kRate);
 }
 
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -149,7 +149,7 @@
     while (!answers_.empty() && answers_.top().at <= now_) {
       const Answer answer = answers_.top();
       answers_.pop();
-      RateLimitHint word = NoLimit{};
+      RateLimitHint word = NoRateLimit{};
       if (answer.rate.has_value()) {
         word = *answer.rate;
         answer.host->told = answer.host->told.value_or(now_);
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -75,7 +75,7 @@
   CHECK_FALSE(answer.is_signed);
   CHECK_FALSE(answer.not_run);
   CHECK(answer.at_fault.empty());
-  CHECK(std::holds_alternative<NoLimit>(answer.limit));
+  CHECK(std::holds_alternative<NoRateLimit>(answer.limit));
   CHECK(std::holds_alternative<NoRest>(answer.rest));
   CHECK(answer.leaving == LeavingHint::kNone);
 }
--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -48,7 +48,7 @@
 void EndpointAnswers::TakeLimit(const EndpointId& endpoint,
                                 const EndpointAnswer& answer,
                                 TimePoint sent_at) {
-  const bool names_none = std::holds_alternative<NoLimit>(answer.limit);
+  const bool names_none = std::holds_alternative<NoRateLimit>(answer.limit);
   if (names_none && !(answer.IsSuccess() && answer.is_signed)) {
     return;  // Refusals and failures may be given without a look at the need.
   }
