--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -30,8 +30,9 @@
 // What an answer says of its endpoint's limit.
 struct NoRateLimit {};
 // It names one that is no number of requests.
-struct UnreadableLimit {};
-using RateLimitHint = std::variant<NoRateLimit, RequestRate, UnreadableLimit>;
+struct UnreadableRateLimit {};
+using RateLimitHint =
+    std::variant<NoRateLimit, RequestRate, UnreadableRateLimit>;
 
 // More is taken for this much: no bound on any fleet's requests.
 constexpr double kMostRequestRate = 1e6;
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -20,7 +20,7 @@
 RateLimitHint ReadLimit(std::string_view text) {
   const auto rate = ParseDecimal(text);
   if (!rate.has_value()) {
-    return UnreadableLimit{};
+    return UnreadableRateLimit{};
   }
   return RequestRate{std::min(*rate, kMostRequestRate)};
 }
@@ -95,7 +95,7 @@
     return LimitChange::kNone;
   }
   Entry& entry = found->second;
-  if (std::holds_alternative<UnreadableLimit>(word)) {
+  if (std::holds_alternative<UnreadableRateLimit>(word)) {
     return Name(id, entry.rate, now);
   }
   if (entry.ended_at.has_value() || sent_at <= entry.named_at) {
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -11,7 +11,7 @@
 constexpr RequestRate kRate{1.6};
 
 bool IsUnreadable(const std::string& text) {
-  return std::holds_alternative<UnreadableLimit>(ReadLimit(text));
+  return std::holds_alternative<UnreadableRateLimit>(ReadLimit(text));
 }
 
 double Read(const std::string& text) {
@@ -82,12 +82,12 @@
 
 TEST_CASE_METHOD(LimitsFixture,
                  "A limit that cannot be read stands for the one before") {
-  CHECK(limits_.OnAnswer(kEndpoint, UnreadableLimit{}, now_) ==
+  CHECK(limits_.OnAnswer(kEndpoint, UnreadableRateLimit{}, now_) ==
         LimitChange::kNone);
   CHECK_FALSE(IsBounded());
   Names(kRate);
   Pass(EndpointRateLimits::kShortestFresh - Millis(1));
-  limits_.OnAnswer(kEndpoint, UnreadableLimit{}, now_);
+  limits_.OnAnswer(kEndpoint, UnreadableRateLimit{}, now_);
   Pass(EndpointRateLimits::kShortestFresh - Millis(1));
   CHECK(limits_.NamedBy(kEndpoint) == kRate);
 }
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -54,7 +54,7 @@
 
 bool StartGate::OnAnswer(const EndpointId& endpoint, const RateLimitHint& word,
                          TimePoint sent_at) {
-  if (std::holds_alternative<UnreadableLimit>(word)) {
+  if (std::holds_alternative<UnreadableRateLimit>(word)) {
     metrics_->GetCounter("harecrank_gateway_limits_unreadable_total")->Add();
     log_->Write("limit_unreadable", {{"endpoint", endpoint.value}});
   }
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -99,7 +99,7 @@
 }
 
 TEST_CASE_METHOD(GateFixture, "A limit that cannot be read is counted") {
-  CHECK_FALSE(gate_.OnAnswer(kEndpoint, UnreadableLimit{}, now_));
+  CHECK_FALSE(gate_.OnAnswer(kEndpoint, UnreadableRateLimit{}, now_));
   CHECK_FALSE(Outlook().has_value());
   CHECK(metrics_.Text().find("harecrank_gateway_limits_unreadable_total 1") !=
         std::string::npos);
