--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -38,7 +38,7 @@
 constexpr double kMostRequestRate = 1e6;
 
 // Reads a limit as an endpoint names it: a decimal number, zero or more.
-RateLimitHint ReadLimit(std::string_view text);
+RateLimitHint ParseRateLimit(std::string_view text);
 
 // What one host tells another of an endpoint's limit. Times are told as ages,
 // since no two hosts share a clock.
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-RateLimitHint ReadLimit(std::string_view text) {
+RateLimitHint ParseRateLimit(std::string_view text) {
   const auto rate = ParseDecimal(text);
   if (!rate.has_value()) {
     return UnreadableRateLimit{};
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -11,11 +11,11 @@
 constexpr RequestRate kRate{1.6};
 
 bool IsUnreadable(const std::string& text) {
-  return std::holds_alternative<UnreadableRateLimit>(ReadLimit(text));
+  return std::holds_alternative<UnreadableRateLimit>(ParseRateLimit(text));
 }
 
 double Read(const std::string& text) {
-  return std::get<RequestRate>(ReadLimit(text)).value;
+  return std::get<RequestRate>(ParseRateLimit(text)).value;
 }
 
 TEST_CASE("A limit is a decimal number that is not below zero") {
--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -74,7 +74,7 @@
   answer.at_fault = std::string(head[names.endpoint_at_fault]);
   const auto limit = head.find(names.request_limit);
   if (limit != head.end()) {
-    answer.limit = ReadLimit(View(limit->value()));
+    answer.limit = ParseRateLimit(View(limit->value()));
   }
   const auto rest = head.find(http::field::retry_after);
   if (rest != head.end() && MayAskForRest(answer.status)) {
