--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -42,7 +42,7 @@
 
 // What one host tells another of an endpoint's limit. Times are told as ages,
 // since no two hosts share a clock.
-struct LimitReport {
+struct RateLimitReport {
   EndpointId endpoint;
   // Unset: the endpoint has ceased to name one.
   std::optional<RequestRate> rate;
@@ -67,7 +67,7 @@
                        TimePoint sent_at);
 
   // Takes what another host tells, if it is newer than what is known here.
-  LimitChange OnTold(const LimitReport& report);
+  LimitChange OnTold(const RateLimitReport& report);
 
   // Returns the bound on what begins at `id`, or nothing if there is none.
   std::optional<StartLimit> BoundOf(const EndpointId& id) const;
@@ -82,7 +82,7 @@
   std::vector<EndpointId> TakeLifted();
 
   // Returns what other hosts should hear, the newest first, kMostTold at most.
-  std::vector<LimitReport> Reports() const;
+  std::vector<RateLimitReport> Reports() const;
 
   // Returns how many name a limit, as far as that is known.
   std::size_t Count() const;
--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -97,7 +97,7 @@
   // from hosts that do not tell it.
   int peak_hosts = 0;
   // What it has heard of limits that endpoints name.
-  std::vector<LimitReport> limits;
+  std::vector<RateLimitReport> limits;
 };
 
 // Asks the planner for a place.
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -105,7 +105,7 @@
   return LimitChange::kEnded;
 }
 
-LimitChange EndpointRateLimits::OnTold(const LimitReport& report) {
+LimitChange EndpointRateLimits::OnTold(const RateLimitReport& report) {
   if (report.rate.has_value() && !IsRate(report.rate->value)) {
     return LimitChange::kNone;
   }
@@ -194,16 +194,16 @@
   return lifted;
 }
 
-std::vector<LimitReport> EndpointRateLimits::Reports() const {
+std::vector<RateLimitReport> EndpointRateLimits::Reports() const {
   const TimePoint now = clock_();
-  std::vector<LimitReport> reports;
+  std::vector<RateLimitReport> reports;
   for (const auto& [id, entry] : entries_) {
     const bool is_fresh = IsFresh(entry, now);
     const auto age = now - entry.ended_at.value_or(entry.named_at);
     if (!is_fresh && !(entry.ended_at.has_value() && age < kShortestFresh)) {
       continue;
     }
-    LimitReport report;
+    RateLimitReport report;
     report.endpoint = id;
     report.age = std::chrono::ceil<Millis>(age);
     if (is_fresh) {
@@ -214,8 +214,9 @@
   const std::size_t kept = std::min(kMostTold, reports.size());
   std::partial_sort(
       reports.begin(), reports.begin() + static_cast<std::ptrdiff_t>(kept),
-      reports.end(),
-      [](const LimitReport& a, const LimitReport& b) { return a.age < b.age; });
+      reports.end(), [](const RateLimitReport& a, const RateLimitReport& b) {
+        return a.age < b.age;
+      });
   reports.resize(kept);
   return reports;
 }
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -43,7 +43,7 @@
     return limits_.OnAnswer(kEndpoint, NoRateLimit{}, now_);
   }
   LimitChange IsTold(std::optional<RequestRate> rate, Millis age) {
-    return limits_.OnTold(LimitReport{kEndpoint, rate, age});
+    return limits_.OnTold(RateLimitReport{kEndpoint, rate, age});
   }
   bool IsBounded() const { return limits_.BoundOf(kEndpoint).has_value(); }
   double PerSecond() const {
@@ -188,9 +188,9 @@
   here.OnAnswer(kEndpoint, kRate, now);
   const auto tell = [&now](const EndpointRateLimits& from,
                            EndpointRateLimits* to) {
-    const std::vector<LimitReport> reports = from.Reports();
+    const std::vector<RateLimitReport> reports = from.Reports();
     now += EndpointRateLimits::kOnTheWay;
-    for (const LimitReport& report : reports) {
+    for (const RateLimitReport& report : reports) {
       to->OnTold(report);
     }
   };
@@ -209,7 +209,7 @@
     limits_.OnAnswer(EndpointId{std::to_string(i)}, kRate, now_);
     Pass(Millis(1));
   }
-  const std::vector<LimitReport> reports = limits_.Reports();
+  const std::vector<RateLimitReport> reports = limits_.Reports();
   REQUIRE(reports.size() == EndpointRateLimits::kMostTold);
   CHECK(reports.front().endpoint.value == std::to_string(many - 1));
   CHECK(reports.front().age == Millis(1));
@@ -218,7 +218,7 @@
 TEST_CASE_METHOD(LimitsFixture, "No host can fill another's memory") {
   for (std::size_t i = 0; i < EndpointRateLimits::kMostEndpoints + 100; ++i) {
     limits_.OnTold(
-        LimitReport{EndpointId{std::to_string(i)}, kRate, Millis(0)});
+        RateLimitReport{EndpointId{std::to_string(i)}, kRate, Millis(0)});
   }
   CHECK(limits_.Bounded().size() == EndpointRateLimits::kMostEndpoints);
 }
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -139,10 +139,10 @@
   return crashes;
 }
 
-std::vector<LimitReport> TakeLimits(ArrayReader* reader) {
-  std::vector<LimitReport> limits;
+std::vector<RateLimitReport> TakeLimits(ArrayReader* reader) {
+  std::vector<RateLimitReport> limits;
   reader->EachOf([&limits](ArrayReader* entry) {
-    LimitReport report;
+    RateLimitReport report;
     report.endpoint = entry->TakeString<EndpointId>();
     if (const json& rate = entry->Next(); !rate.is_null()) {
       report.rate = RequestRate{rate.get<double>()};
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -69,9 +69,9 @@
   return list;
 }
 
-json EncodeLimits(const std::vector<LimitReport>& limits) {
+json EncodeLimits(const std::vector<RateLimitReport>& limits) {
   json list = json::array();
-  for (const LimitReport& report : limits) {
+  for (const RateLimitReport& report : limits) {
     list.push_back({report.endpoint.value,
                     report.rate.has_value() ? json(report.rate->value) : json(),
                     report.age.count()});
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -33,8 +33,9 @@
   const WorkPart part{EndpointId{"e"}, WorkClass::kLong, FractionalMillis(12.5),
                       Tokens{7}, Millis(600)};
   word.work = {QueryWork{QueryId{5}, true, {part}}};
-  word.limits = {LimitReport{EndpointId{"e"}, RequestRate{1.6}, Millis(120)},
-                 LimitReport{EndpointId{"g"}, std::nullopt, Millis(5)}};
+  word.limits = {
+      RateLimitReport{EndpointId{"e"}, RequestRate{1.6}, Millis(120)},
+      RateLimitReport{EndpointId{"g"}, std::nullopt, Millis(5)}};
   return word;
 }
 
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -162,12 +162,12 @@
   void TellEachOther() {
     told_ = now_;
     for (const auto& host : hosts_) {
-      for (const LimitReport& report : host->limits.Reports()) {
+      for (const RateLimitReport& report : host->limits.Reports()) {
         hosts_.front()->limits.OnTold(report);
       }
     }
     for (const auto& host : hosts_) {
-      for (const LimitReport& report : hosts_.front()->limits.Reports()) {
+      for (const RateLimitReport& report : hosts_.front()->limits.Reports()) {
         host->limits.OnTold(report);
       }
     }
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -52,8 +52,8 @@
       on_crashes;
   std::function<std::vector<CrashReport>()> shared_crashes;
   // What this host and others have heard of limits that endpoints name.
-  std::function<std::vector<LimitReport>()> limits;
-  std::function<void(const std::vector<LimitReport>& reports)> on_limits;
+  std::function<std::vector<RateLimitReport>()> limits;
+  std::function<void(const std::vector<RateLimitReport>& reports)> on_limits;
 };
 
 // Not thread-safe; runs on its io_context.
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -79,8 +79,8 @@
        {"readable", !is_unreadable}});
 }
 
-void StartGate::OnTold(const std::vector<LimitReport>& reports) {
-  for (const LimitReport& report : reports) {
+void StartGate::OnTold(const std::vector<RateLimitReport>& reports) {
+  for (const RateLimitReport& report : reports) {
     NoteLimit(report.endpoint, limits_.OnTold(report), "host");
   }
 }
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -51,10 +51,10 @@
   }
 
   // Takes what another host tells of limits.
-  void OnTold(const std::vector<LimitReport>& reports);
+  void OnTold(const std::vector<RateLimitReport>& reports);
 
   // Returns what other hosts should hear of limits.
-  std::vector<LimitReport> Reports() const { return limits_.Reports(); }
+  std::vector<RateLimitReport> Reports() const { return limits_.Reports(); }
 
   // Looks which bounds are over. To be called several times a second.
   void Tick();
