--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -51,7 +51,7 @@
 };
 
 // What news of an endpoint changed.
-enum class LimitChange { kNone, kNamed, kChanged, kEnded };
+enum class RateLimitChange { kNone, kNamed, kChanged, kEnded };
 
 // Not thread-safe.
 class EndpointRateLimits {
@@ -63,11 +63,11 @@
   // named: answers on different connections overtake each other. One that
   // cannot be read stands for the limit that was known before, if there was
   // one.
-  LimitChange OnAnswer(const EndpointId& id, const RateLimitHint& word,
-                       TimePoint sent_at);
+  RateLimitChange OnAnswer(const EndpointId& id, const RateLimitHint& word,
+                           TimePoint sent_at);
 
   // Takes what another host tells, if it is newer than what is known here.
-  LimitChange OnTold(const RateLimitReport& report);
+  RateLimitChange OnTold(const RateLimitReport& report);
 
   // Returns the bound on what begins at `id`, or nothing if there is none.
   std::optional<StartLimit> BoundOf(const EndpointId& id) const;
@@ -136,7 +136,7 @@
   static bool IsFresh(const Entry& entry, TimePoint now);
   // Returns by what factor the bound is raised; nothing once it is lifted.
   static std::optional<double> Raise(const Entry& entry, TimePoint now);
-  LimitChange Name(const EndpointId& id, RequestRate rate, TimePoint at);
+  RateLimitChange Name(const EndpointId& id, RequestRate rate, TimePoint at);
 
   MonotonicClock clock_;
   std::map<EndpointId, Entry> entries_;
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -58,15 +58,15 @@
   return std::exp2(doublings);
 }
 
-LimitChange EndpointRateLimits::Name(const EndpointId& id, RequestRate rate,
-                                     TimePoint at) {
+RateLimitChange EndpointRateLimits::Name(const EndpointId& id, RequestRate rate,
+                                         TimePoint at) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
     if (entries_.size() >= kMostEndpoints) {
-      return LimitChange::kNone;
+      return RateLimitChange::kNone;
     }
     entries_.emplace(id, Entry{rate, clock_(), at, std::nullopt});
-    return LimitChange::kNamed;
+    return RateLimitChange::kNamed;
   }
   Entry& entry = found->second;
   const bool was_named = !entry.ended_at.has_value();
@@ -78,62 +78,62 @@
   entry.named_at = at;
   entry.ended_at.reset();
   if (!was_named) {
-    return LimitChange::kNamed;
+    return RateLimitChange::kNamed;
   }
-  return is_same ? LimitChange::kNone : LimitChange::kChanged;
+  return is_same ? RateLimitChange::kNone : RateLimitChange::kChanged;
 }
 
-LimitChange EndpointRateLimits::OnAnswer(const EndpointId& id,
-                                         const RateLimitHint& word,
-                                         TimePoint sent_at) {
+RateLimitChange EndpointRateLimits::OnAnswer(const EndpointId& id,
+                                             const RateLimitHint& word,
+                                             TimePoint sent_at) {
   const TimePoint now = clock_();
   if (const auto* rate = std::get_if<RequestRate>(&word)) {
     return Name(id, *rate, now);
   }
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
-    return LimitChange::kNone;
+    return RateLimitChange::kNone;
   }
   Entry& entry = found->second;
   if (std::holds_alternative<UnreadableRateLimit>(word)) {
     return Name(id, entry.rate, now);
   }
   if (entry.ended_at.has_value() || sent_at <= entry.named_at) {
-    return LimitChange::kNone;
+    return RateLimitChange::kNone;
   }
   entry.ended_at = now;
-  return LimitChange::kEnded;
+  return RateLimitChange::kEnded;
 }
 
-LimitChange EndpointRateLimits::OnTold(const RateLimitReport& report) {
+RateLimitChange EndpointRateLimits::OnTold(const RateLimitReport& report) {
   if (report.rate.has_value() && !IsRate(report.rate->value)) {
-    return LimitChange::kNone;
+    return RateLimitChange::kNone;
   }
   const TimePoint now = clock_();
   const TimePoint at = now - std::max(Millis(0), report.age) - kOnTheWay;
   const Millis fresh =
       report.rate.has_value() ? FreshFor(*report.rate) : kShortestFresh;
   if (now - at >= fresh) {
-    return LimitChange::kNone;
+    return RateLimitChange::kNone;
   }
   const auto found = entries_.find(report.endpoint);
   if (found == entries_.end()) {
     return report.rate.has_value() ? Name(report.endpoint, *report.rate, at)
-                                   : LimitChange::kNone;
+                                   : RateLimitChange::kNone;
   }
   Entry& entry = found->second;
   const TimePoint known = entry.ended_at.value_or(entry.named_at);
   if (at <= known) {
-    return LimitChange::kNone;
+    return RateLimitChange::kNone;
   }
   if (report.rate.has_value()) {
     return Name(report.endpoint, *report.rate, at);
   }
   if (entry.ended_at.has_value()) {
-    return LimitChange::kNone;
+    return RateLimitChange::kNone;
   }
   entry.ended_at = at;
-  return LimitChange::kEnded;
+  return RateLimitChange::kEnded;
 }
 
 std::optional<StartLimit> EndpointRateLimits::BoundOf(
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -36,13 +36,13 @@
  protected:
   void Pass(Millis time) { now_ += time; }
 
-  LimitChange Names(RequestRate rate) {
+  RateLimitChange Names(RequestRate rate) {
     return limits_.OnAnswer(kEndpoint, rate, now_);
   }
-  LimitChange NamesNone() {
+  RateLimitChange NamesNone() {
     return limits_.OnAnswer(kEndpoint, NoRateLimit{}, now_);
   }
-  LimitChange IsTold(std::optional<RequestRate> rate, Millis age) {
+  RateLimitChange IsTold(std::optional<RequestRate> rate, Millis age) {
     return limits_.OnTold(RateLimitReport{kEndpoint, rate, age});
   }
   bool IsBounded() const { return limits_.BoundOf(kEndpoint).has_value(); }
@@ -58,9 +58,9 @@
 
 TEST_CASE_METHOD(LimitsFixture, "An endpoint that names a limit has a bound") {
   CHECK_FALSE(IsBounded());
-  CHECK(NamesNone() == LimitChange::kNone);
-  CHECK(Names(kRate) == LimitChange::kNamed);
-  CHECK(Names(kRate) == LimitChange::kNone);
+  CHECK(NamesNone() == RateLimitChange::kNone);
+  CHECK(Names(kRate) == RateLimitChange::kNamed);
+  CHECK(Names(kRate) == RateLimitChange::kNone);
   CHECK(PerSecond() == kRate.value);
   CHECK(limits_.BoundOf(kEndpoint)->max_starts == Approx(14.6));
   CHECK(limits_.NamedBy(kEndpoint) == kRate);
@@ -69,9 +69,9 @@
 
 TEST_CASE_METHOD(LimitsFixture, "The last limit that was named holds") {
   Names(kRate);
-  CHECK(Names(RequestRate{0.5}) == LimitChange::kChanged);
+  CHECK(Names(RequestRate{0.5}) == RateLimitChange::kChanged);
   CHECK(PerSecond() == 0.5);
-  CHECK(Names(RequestRate{50}) == LimitChange::kChanged);
+  CHECK(Names(RequestRate{50}) == RateLimitChange::kChanged);
   CHECK(PerSecond() == 50);
 }
 
@@ -83,7 +83,7 @@
 TEST_CASE_METHOD(LimitsFixture,
                  "A limit that cannot be read stands for the one before") {
   CHECK(limits_.OnAnswer(kEndpoint, UnreadableRateLimit{}, now_) ==
-        LimitChange::kNone);
+        RateLimitChange::kNone);
   CHECK_FALSE(IsBounded());
   Names(kRate);
   Pass(EndpointRateLimits::kShortestFresh - Millis(1));
@@ -96,13 +96,13 @@
                  "A limit that ends is lifted step by step, and comes back") {
   Names(kRate);
   Pass(Millis(1));
-  CHECK(NamesNone() == LimitChange::kEnded);
+  CHECK(NamesNone() == RateLimitChange::kEnded);
   CHECK(PerSecond() == kRate.value);
   Pass(EndpointRateLimits::kDoubles);
   CHECK(PerSecond() == Approx(2 * kRate.value));
   Pass(EndpointRateLimits::kDoubles);
   CHECK(PerSecond() == Approx(4 * kRate.value));
-  CHECK(Names(kRate) == LimitChange::kNamed);
+  CHECK(Names(kRate) == RateLimitChange::kNamed);
   CHECK(PerSecond() == kRate.value);
   Pass(Millis(1));
   NamesNone();
@@ -119,7 +119,7 @@
   Names(kRate);
   Pass(Millis(5));
   CHECK(limits_.OnAnswer(kEndpoint, NoRateLimit{}, sent_at) ==
-        LimitChange::kNone);
+        RateLimitChange::kNone);
   CHECK(limits_.NamedBy(kEndpoint) == kRate);
 }
 
@@ -139,25 +139,25 @@
 }
 
 TEST_CASE_METHOD(LimitsFixture, "What another host tells holds here too") {
-  CHECK(IsTold(kRate, Millis(200)) == LimitChange::kNamed);
+  CHECK(IsTold(kRate, Millis(200)) == RateLimitChange::kNamed);
   CHECK(limits_.NamedBy(kEndpoint) == kRate);
-  CHECK(IsTold(std::nullopt, Millis(0)) == LimitChange::kEnded);
+  CHECK(IsTold(std::nullopt, Millis(0)) == RateLimitChange::kEnded);
   CHECK_FALSE(limits_.NamedBy(kEndpoint).has_value());
   CHECK(IsBounded());
 }
 
 TEST_CASE_METHOD(LimitsFixture, "What is told too late says nothing") {
   CHECK(IsTold(kRate, EndpointRateLimits::kShortestFresh) ==
-        LimitChange::kNone);
+        RateLimitChange::kNone);
   CHECK_FALSE(IsBounded());
-  CHECK(IsTold(std::nullopt, Millis(0)) == LimitChange::kNone);
+  CHECK(IsTold(std::nullopt, Millis(0)) == RateLimitChange::kNone);
   CHECK_FALSE(IsBounded());
 }
 
 TEST_CASE_METHOD(LimitsFixture,
                  "What no endpoint can have named is not taken") {
   for (const double rate : {-1.0, std::nan(""), 1e300}) {
-    CHECK(IsTold(RequestRate{rate}, Millis(0)) == LimitChange::kNone);
+    CHECK(IsTold(RequestRate{rate}, Millis(0)) == RateLimitChange::kNone);
     CHECK_FALSE(IsBounded());
   }
   // An age in the future is none.
@@ -172,11 +172,11 @@
   NamesNone();
   Pass(Millis(100));
   // Of an answer before the one that named none.
-  CHECK(IsTold(kRate, Millis(400)) == LimitChange::kNone);
+  CHECK(IsTold(kRate, Millis(400)) == RateLimitChange::kNone);
   CHECK_FALSE(limits_.NamedBy(kEndpoint).has_value());
   Names(kRate);
-  CHECK(IsTold(std::nullopt, Millis(50)) == LimitChange::kNone);
-  CHECK(IsTold(RequestRate{9}, Millis(50)) == LimitChange::kNone);
+  CHECK(IsTold(std::nullopt, Millis(50)) == RateLimitChange::kNone);
+  CHECK(IsTold(RequestRate{9}, Millis(50)) == RateLimitChange::kNone);
   CHECK(limits_.NamedBy(kEndpoint) == kRate);
 }
 
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -58,9 +58,9 @@
     metrics_->GetCounter("harecrank_gateway_limits_unreadable_total")->Add();
     log_->Write("limit_unreadable", {{"endpoint", endpoint.value}});
   }
-  const LimitChange change = limits_.OnAnswer(endpoint, word, sent_at);
+  const RateLimitChange change = limits_.OnAnswer(endpoint, word, sent_at);
   NoteLimit(endpoint, change, "answer");
-  return change == LimitChange::kNamed || change == LimitChange::kEnded;
+  return change == RateLimitChange::kNamed || change == RateLimitChange::kEnded;
 }
 
 void StartGate::OnRest(const EndpointRecord& endpoint, const RestWord& word) {
@@ -85,13 +85,13 @@
   }
 }
 
-void StartGate::NoteLimit(const EndpointId& endpoint, LimitChange change,
+void StartGate::NoteLimit(const EndpointId& endpoint, RateLimitChange change,
                           const char* told_by) {
-  if (change == LimitChange::kNone) {
+  if (change == RateLimitChange::kNone) {
     return;
   }
   nlohmann::json fields = {{"endpoint", endpoint.value}, {"by", told_by}};
-  if (change == LimitChange::kEnded) {
+  if (change == RateLimitChange::kEnded) {
     log_->Write("limit_ended", std::move(fields));
     return;
   }
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -108,7 +108,7 @@
   nlohmann::json DescribeRest(const EndpointId& id) const;
   void CountWithheld();
   void TakeCold(const EndpointRecord& record, Millis after_start);
-  void NoteLimit(const EndpointId& endpoint, LimitChange change,
+  void NoteLimit(const EndpointId& endpoint, RateLimitChange change,
                  const char* told_by);
 
   HostAddress self_;
