--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -35,7 +35,7 @@
     std::variant<NoRateLimit, RequestRate, UnreadableRateLimit>;
 
 // More is taken for this much: no bound on any fleet's requests.
-constexpr double kMostRequestRate = 1e6;
+constexpr double kMaxRequestRate = 1e6;
 
 // Reads a limit as an endpoint names it: a decimal number, zero or more.
 RateLimitHint ParseRateLimit(std::string_view text);
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -12,7 +12,7 @@
 constexpr double kMillisPerSecond = 1000;
 
 bool IsRate(double number) {
-  return std::isfinite(number) && number >= 0 && number <= kMostRequestRate;
+  return std::isfinite(number) && number >= 0 && number <= kMaxRequestRate;
 }
 
 }  // namespace
@@ -22,7 +22,7 @@
   if (!rate.has_value()) {
     return UnreadableRateLimit{};
   }
-  return RequestRate{std::min(*rate, kMostRequestRate)};
+  return RequestRate{std::min(*rate, kMaxRequestRate)};
 }
 
 EndpointRateLimits::EndpointRateLimits(MonotonicClock clock)
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -23,7 +23,7 @@
   CHECK(Read(" 2\t") == 2);
   CHECK(Read("0") == 0);
   CHECK(Read("0.001") == 0.001);
-  CHECK(Read("1e300") == kMostRequestRate);
+  CHECK(Read("1e300") == kMaxRequestRate);
   for (const char* text :
        {"", " ", "-1", "-0.1", "nan", "inf", "-inf", "1.6 a second", "one",
         "1,6", "0x10", "1.6;2", "1e999", "--1"}) {
