--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -51,7 +51,7 @@
 };
 
 // What news of an endpoint changed.
-enum class RateLimitChange { kNone, kNamed, kChanged, kEnded };
+enum class RateLimitChange { kNone, kAdvertised, kChanged, kEnded };
 
 // Not thread-safe.
 class EndpointRateLimits {
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -66,7 +66,7 @@
       return RateLimitChange::kNone;
     }
     entries_.emplace(id, Entry{rate, clock_(), at, std::nullopt});
-    return RateLimitChange::kNamed;
+    return RateLimitChange::kAdvertised;
   }
   Entry& entry = found->second;
   const bool was_named = !entry.ended_at.has_value();
@@ -78,7 +78,7 @@
   entry.named_at = at;
   entry.ended_at.reset();
   if (!was_named) {
-    return RateLimitChange::kNamed;
+    return RateLimitChange::kAdvertised;
   }
   return is_same ? RateLimitChange::kNone : RateLimitChange::kChanged;
 }
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -59,7 +59,7 @@
 TEST_CASE_METHOD(LimitsFixture, "An endpoint that names a limit has a bound") {
   CHECK_FALSE(IsBounded());
   CHECK(NamesNone() == RateLimitChange::kNone);
-  CHECK(Names(kRate) == RateLimitChange::kNamed);
+  CHECK(Names(kRate) == RateLimitChange::kAdvertised);
   CHECK(Names(kRate) == RateLimitChange::kNone);
   CHECK(PerSecond() == kRate.value);
   CHECK(limits_.BoundOf(kEndpoint)->max_starts == Approx(14.6));
@@ -102,7 +102,7 @@
   CHECK(PerSecond() == Approx(2 * kRate.value));
   Pass(EndpointRateLimits::kDoubles);
   CHECK(PerSecond() == Approx(4 * kRate.value));
-  CHECK(Names(kRate) == RateLimitChange::kNamed);
+  CHECK(Names(kRate) == RateLimitChange::kAdvertised);
   CHECK(PerSecond() == kRate.value);
   Pass(Millis(1));
   NamesNone();
@@ -139,7 +139,7 @@
 }
 
 TEST_CASE_METHOD(LimitsFixture, "What another host tells holds here too") {
-  CHECK(IsTold(kRate, Millis(200)) == RateLimitChange::kNamed);
+  CHECK(IsTold(kRate, Millis(200)) == RateLimitChange::kAdvertised);
   CHECK(limits_.NamedBy(kEndpoint) == kRate);
   CHECK(IsTold(std::nullopt, Millis(0)) == RateLimitChange::kEnded);
   CHECK_FALSE(limits_.NamedBy(kEndpoint).has_value());
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -60,7 +60,8 @@
   }
   const RateLimitChange change = limits_.OnAnswer(endpoint, word, sent_at);
   NoteLimit(endpoint, change, "answer");
-  return change == RateLimitChange::kNamed || change == RateLimitChange::kEnded;
+  return change == RateLimitChange::kAdvertised ||
+         change == RateLimitChange::kEnded;
 }
 
 void StartGate::OnRest(const EndpointRecord& endpoint, const RestWord& word) {
