--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -73,7 +73,7 @@
   std::optional<StartLimit> BoundOf(const EndpointId& id) const;
 
   // Returns the limit that `id` names, as far as that is known.
-  std::optional<RequestRate> NamedBy(const EndpointId& id) const;
+  std::optional<RequestRate> AdvertisedRate(const EndpointId& id) const;
 
   // Returns those that have a bound.
   std::vector<EndpointId> Bounded() const;
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -160,7 +160,7 @@
   return bound;
 }
 
-std::optional<RequestRate> EndpointRateLimits::NamedBy(
+std::optional<RequestRate> EndpointRateLimits::AdvertisedRate(
     const EndpointId& id) const {
   const auto found = entries_.find(id);
   if (found == entries_.end() || !IsFresh(found->second, clock_())) {
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -63,7 +63,7 @@
   CHECK(Names(kRate) == RateLimitChange::kNone);
   CHECK(PerSecond() == kRate.value);
   CHECK(limits_.BoundOf(kEndpoint)->max_starts == Approx(14.6));
-  CHECK(limits_.NamedBy(kEndpoint) == kRate);
+  CHECK(limits_.AdvertisedRate(kEndpoint) == kRate);
   CHECK(limits_.Count() == 1);
 }
 
@@ -89,7 +89,7 @@
   Pass(EndpointRateLimits::kShortestFresh - Millis(1));
   limits_.OnAnswer(kEndpoint, UnreadableRateLimit{}, now_);
   Pass(EndpointRateLimits::kShortestFresh - Millis(1));
-  CHECK(limits_.NamedBy(kEndpoint) == kRate);
+  CHECK(limits_.AdvertisedRate(kEndpoint) == kRate);
 }
 
 TEST_CASE_METHOD(LimitsFixture,
@@ -120,7 +120,7 @@
   Pass(Millis(5));
   CHECK(limits_.OnAnswer(kEndpoint, NoRateLimit{}, sent_at) ==
         RateLimitChange::kNone);
-  CHECK(limits_.NamedBy(kEndpoint) == kRate);
+  CHECK(limits_.AdvertisedRate(kEndpoint) == kRate);
 }
 
 TEST_CASE_METHOD(LimitsFixture,
@@ -128,7 +128,7 @@
                  "is tried before") {
   Names(RequestRate{0});
   Pass(EndpointRateLimits::kLongestFresh);
-  CHECK_FALSE(limits_.NamedBy(kEndpoint).has_value());
+  CHECK_FALSE(limits_.AdvertisedRate(kEndpoint).has_value());
   CHECK(PerSecond() == EndpointRateLimits::kTriedPerSecond);
   Pass(EndpointRateLimits::kUnheard);
   CHECK(PerSecond() == EndpointRateLimits::kTriedPerSecond);
@@ -140,9 +140,9 @@
 
 TEST_CASE_METHOD(LimitsFixture, "What another host tells holds here too") {
   CHECK(IsTold(kRate, Millis(200)) == RateLimitChange::kAdvertised);
-  CHECK(limits_.NamedBy(kEndpoint) == kRate);
+  CHECK(limits_.AdvertisedRate(kEndpoint) == kRate);
   CHECK(IsTold(std::nullopt, Millis(0)) == RateLimitChange::kEnded);
-  CHECK_FALSE(limits_.NamedBy(kEndpoint).has_value());
+  CHECK_FALSE(limits_.AdvertisedRate(kEndpoint).has_value());
   CHECK(IsBounded());
 }
 
@@ -163,7 +163,7 @@
   // An age in the future is none.
   IsTold(kRate, Millis(-100000));
   Pass(EndpointRateLimits::kShortestFresh);
-  CHECK_FALSE(limits_.NamedBy(kEndpoint).has_value());
+  CHECK_FALSE(limits_.AdvertisedRate(kEndpoint).has_value());
 }
 
 TEST_CASE_METHOD(LimitsFixture, "An older word changes nothing") {
@@ -173,11 +173,11 @@
   Pass(Millis(100));
   // Of an answer before the one that named none.
   CHECK(IsTold(kRate, Millis(400)) == RateLimitChange::kNone);
-  CHECK_FALSE(limits_.NamedBy(kEndpoint).has_value());
+  CHECK_FALSE(limits_.AdvertisedRate(kEndpoint).has_value());
   Names(kRate);
   CHECK(IsTold(std::nullopt, Millis(50)) == RateLimitChange::kNone);
   CHECK(IsTold(RequestRate{9}, Millis(50)) == RateLimitChange::kNone);
-  CHECK(limits_.NamedBy(kEndpoint) == kRate);
+  CHECK(limits_.AdvertisedRate(kEndpoint) == kRate);
 }
 
 TEST_CASE("A word that goes round between hosts keeps no limit alive") {
@@ -199,8 +199,8 @@
     tell(here, &there);
     tell(there, &here);
   }
-  CHECK_FALSE(here.NamedBy(kEndpoint).has_value());
-  CHECK_FALSE(there.NamedBy(kEndpoint).has_value());
+  CHECK_FALSE(here.AdvertisedRate(kEndpoint).has_value());
+  CHECK_FALSE(there.AdvertisedRate(kEndpoint).has_value());
 }
 
 TEST_CASE_METHOD(LimitsFixture, "The newest are told, as many as fit") {
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -96,7 +96,7 @@
     log_->Write("limit_ended", std::move(fields));
     return;
   }
-  const auto rate = limits_.NamedBy(endpoint);
+  const auto rate = limits_.AdvertisedRate(endpoint);
   fields["per_second"] = rate.value_or(RequestRate{}).value;
   log_->Write("limit_named", std::move(fields));
 }
@@ -186,7 +186,7 @@
   // A service that bounds nothing by itself: what is left is the limit.
   const ServiceProfile unbounded;
   const StartLimit bound = limits_.BoundOf(id).value_or(StartLimit{});
-  const auto named = limits_.NamedBy(id);
+  const auto named = limits_.AdvertisedRate(id);
   const TimePoint next = shares_.NextStart(starts_, self_, id, unbounded);
   const auto wait = std::chrono::ceil<Millis>(next - clock_());
   return {{"endpoint", id.value},
