--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -67,7 +67,7 @@
                            TimePoint sent_at);
 
   // Takes what another host tells, if it is newer than what is known here.
-  RateLimitChange OnTold(const RateLimitReport& report);
+  RateLimitChange MergeFromPeer(const RateLimitReport& report);
 
   // Returns the bound on what begins at `id`, or nothing if there is none.
   std::optional<StartLimit> BoundOf(const EndpointId& id) const;
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -105,7 +105,8 @@
   return RateLimitChange::kEnded;
 }
 
-RateLimitChange EndpointRateLimits::OnTold(const RateLimitReport& report) {
+RateLimitChange EndpointRateLimits::MergeFromPeer(
+    const RateLimitReport& report) {
   if (report.rate.has_value() && !IsRate(report.rate->value)) {
     return RateLimitChange::kNone;
   }
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -43,7 +43,7 @@
     return limits_.OnAnswer(kEndpoint, NoRateLimit{}, now_);
   }
   RateLimitChange IsTold(std::optional<RequestRate> rate, Millis age) {
-    return limits_.OnTold(RateLimitReport{kEndpoint, rate, age});
+    return limits_.MergeFromPeer(RateLimitReport{kEndpoint, rate, age});
   }
   bool IsBounded() const { return limits_.BoundOf(kEndpoint).has_value(); }
   double PerSecond() const {
@@ -191,7 +191,7 @@
     const std::vector<RateLimitReport> reports = from.Reports();
     now += EndpointRateLimits::kOnTheWay;
     for (const RateLimitReport& report : reports) {
-      to->OnTold(report);
+      to->MergeFromPeer(report);
     }
   };
   const TimePoint heard = now;
@@ -217,7 +217,7 @@
 
 TEST_CASE_METHOD(LimitsFixture, "No host can fill another's memory") {
   for (std::size_t i = 0; i < EndpointRateLimits::kMostEndpoints + 100; ++i) {
-    limits_.OnTold(
+    limits_.MergeFromPeer(
         RateLimitReport{EndpointId{std::to_string(i)}, kRate, Millis(0)});
   }
   CHECK(limits_.Bounded().size() == EndpointRateLimits::kMostEndpoints);
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -163,12 +163,12 @@
     told_ = now_;
     for (const auto& host : hosts_) {
       for (const RateLimitReport& report : host->limits.Reports()) {
-        hosts_.front()->limits.OnTold(report);
+        hosts_.front()->limits.MergeFromPeer(report);
       }
     }
     for (const auto& host : hosts_) {
       for (const RateLimitReport& report : hosts_.front()->limits.Reports()) {
-        host->limits.OnTold(report);
+        host->limits.MergeFromPeer(report);
       }
     }
   }
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -269,7 +269,7 @@
   ports.shared_crashes = [this] { return quarantine_.SharedReports(); };
   ports.limits = [this] { return start_gate_.Reports(); };
   ports.on_limits = [this](const std::vector<RateLimitReport>& reports) {
-    start_gate_.OnTold(reports);
+    start_gate_.MergeFromPeer(reports);
   };
   ports.published = [this](StoreRevision since, std::size_t most_bytes) {
     return feed_->ExportNews(since, most_bytes);
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -80,9 +80,9 @@
        {"readable", !is_unreadable}});
 }
 
-void StartGate::OnTold(const std::vector<RateLimitReport>& reports) {
+void StartGate::MergeFromPeer(const std::vector<RateLimitReport>& reports) {
   for (const RateLimitReport& report : reports) {
-    NoteLimit(report.endpoint, limits_.OnTold(report), "host");
+    NoteLimit(report.endpoint, limits_.MergeFromPeer(report), "host");
   }
 }
 
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -51,7 +51,7 @@
   }
 
   // Takes what another host tells of limits.
-  void OnTold(const std::vector<RateLimitReport>& reports);
+  void MergeFromPeer(const std::vector<RateLimitReport>& reports);
 
   // Returns what other hosts should hear of limits.
   std::vector<RateLimitReport> Reports() const { return limits_.Reports(); }
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -106,7 +106,7 @@
 }
 
 TEST_CASE_METHOD(GateFixture, "What hosts tell of limits is told on, aged") {
-  gate_.OnTold({RateLimitReport{kEndpoint, RequestRate{2}, Millis(50)}});
+  gate_.MergeFromPeer({RateLimitReport{kEndpoint, RequestRate{2}, Millis(50)}});
   Pass(Millis(200));
   const std::vector<RateLimitReport> reports = gate_.Reports();
   REQUIRE(reports.size() == 1);
