--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -70,7 +70,7 @@
   RateLimitChange MergeFromPeer(const RateLimitReport& report);
 
   // Returns the bound on what begins at `id`, or nothing if there is none.
-  std::optional<StartLimit> BoundOf(const EndpointId& id) const;
+  std::optional<StartLimit> StartLimitOf(const EndpointId& id) const;
 
   // Returns the limit that `id` names, as far as that is known.
   std::optional<RequestRate> AdvertisedRate(const EndpointId& id) const;
--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -39,7 +39,7 @@
 
   // Returns the bound on what this host begins at `id`, or nothing if there is
   // none. The bound of the return is one on all hosts together.
-  std::optional<StartLimit> BoundOf(const EndpointId& id) const;
+  std::optional<StartLimit> StartLimitOf(const EndpointId& id) const;
 
   // Returns for how much longer `id` rests; nothing if it does not.
   std::optional<Millis> RestOf(const EndpointId& id) const;
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -137,7 +137,7 @@
   return RateLimitChange::kEnded;
 }
 
-std::optional<StartLimit> EndpointRateLimits::BoundOf(
+std::optional<StartLimit> EndpointRateLimits::StartLimitOf(
     const EndpointId& id) const {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -45,9 +45,9 @@
   RateLimitChange IsTold(std::optional<RequestRate> rate, Millis age) {
     return limits_.MergeFromPeer(RateLimitReport{kEndpoint, rate, age});
   }
-  bool IsBounded() const { return limits_.BoundOf(kEndpoint).has_value(); }
+  bool IsBounded() const { return limits_.StartLimitOf(kEndpoint).has_value(); }
   double PerSecond() const {
-    const StartLimit bound = *limits_.BoundOf(kEndpoint);
+    const StartLimit bound = *limits_.StartLimitOf(kEndpoint);
     return *bound.per_second * bound.multiplier;
   }
 
@@ -62,7 +62,7 @@
   CHECK(Names(kRate) == RateLimitChange::kAdvertised);
   CHECK(Names(kRate) == RateLimitChange::kNone);
   CHECK(PerSecond() == kRate.value);
-  CHECK(limits_.BoundOf(kEndpoint)->max_starts == Approx(14.6));
+  CHECK(limits_.StartLimitOf(kEndpoint)->max_starts == Approx(14.6));
   CHECK(limits_.AdvertisedRate(kEndpoint) == kRate);
   CHECK(limits_.Count() == 1);
 }
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -55,7 +55,8 @@
   }
 }
 
-std::optional<StartLimit> EndpointRests::BoundOf(const EndpointId& id) const {
+std::optional<StartLimit> EndpointRests::StartLimitOf(
+    const EndpointId& id) const {
   const auto found = entries_.find(id);
   const TimePoint now = clock_();
   if (found == entries_.end() || HasReturned(found->second, now)) {
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -27,7 +27,7 @@
 TEST_CASE_METHOD(RestsFixture, "An answer without a word of rest asks none") {
   CHECK_FALSE(Ask(NoRest{}));
   CHECK_FALSE(Ask(Millis(0)));
-  CHECK_FALSE(rests_.BoundOf(kEndpoint).has_value());
+  CHECK_FALSE(rests_.StartLimitOf(kEndpoint).has_value());
   CHECK(rests_.Count() == 0);
 }
 
@@ -36,14 +36,14 @@
                                Millis(std::chrono::hours(24)));
   CHECK(Ask(rest));
   CHECK(rests_.RestOf(kEndpoint) == rest);
-  CHECK(rests_.BoundOf(kEndpoint)->not_before == now_ + rest);
+  CHECK(rests_.StartLimitOf(kEndpoint)->not_before == now_ + rest);
   Pass(rest - Millis(1));
   CHECK(rests_.Count() == 1);
   Pass(Millis(1));
   CHECK(rests_.Count() == 0);
   CHECK(rests_.TakeReturned().empty());
   Pass(EndpointRests::kMostDoublings * EndpointRests::kDoubles);
-  CHECK_FALSE(rests_.BoundOf(kEndpoint).has_value());
+  CHECK_FALSE(rests_.StartLimitOf(kEndpoint).has_value());
   CHECK(rests_.TakeReturned() == std::vector<EndpointId>{kEndpoint});
 }
 
--- a/src/core/start_quotas.cc
+++ b/src/core/start_quotas.cc
@@ -127,7 +127,7 @@
 std::optional<StartLimit> StartQuotas::BackoffLimitOf(
     const HostAddress& host, const EndpointId& endpoint) const {
   const bool is_own = own_rests_.rests != nullptr && own_rests_.host == host;
-  return is_own ? own_rests_.rests->BoundOf(endpoint) : std::nullopt;
+  return is_own ? own_rests_.rests->StartLimitOf(endpoint) : std::nullopt;
 }
 
 std::vector<StartLimit> StartQuotas::LimitsOf(const HostAddress& host,
@@ -141,7 +141,7 @@
       bounds.push_back(*cold);
     }
   }
-  if (const auto limit = limits_->BoundOf(endpoint)) {
+  if (const auto limit = limits_->StartLimitOf(endpoint)) {
     bounds.push_back(*limit);
   }
   if (const auto rest = BackoffLimitOf(host, endpoint)) {
@@ -252,7 +252,7 @@
   // Endpoints turn cold unheard: what has begun there by then counts, too.
   const bool may_turn_cold =
       kind == StartKind::kRequest && LimitsColdStarts(service);
-  return may_turn_cold || limits_->BoundOf(endpoint).has_value() ||
+  return may_turn_cold || limits_->StartLimitOf(endpoint).has_value() ||
          BackoffLimitOf(host, endpoint).has_value();
 }
 
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -176,7 +176,7 @@
 }
 
 nlohmann::json StartGate::DescribeRest(const EndpointId& id) const {
-  const StartLimit bound = rests_.BoundOf(id).value_or(StartLimit{});
+  const StartLimit bound = rests_.StartLimitOf(id).value_or(StartLimit{});
   return {{"endpoint", id.value},
           {"rest_ms", rests_.RestOf(id).value_or(Millis(0)).count()},
           {"raise", bound.multiplier}};
@@ -185,7 +185,7 @@
 nlohmann::json StartGate::DescribeLimit(const EndpointId& id) const {
   // A service that bounds nothing by itself: what is left is the limit.
   const ServiceProfile unbounded;
-  const StartLimit bound = limits_.BoundOf(id).value_or(StartLimit{});
+  const StartLimit bound = limits_.StartLimitOf(id).value_or(StartLimit{});
   const auto named = limits_.AdvertisedRate(id);
   const TimePoint next = shares_.NextStart(starts_, self_, id, unbounded);
   const auto wait = std::chrono::ceil<Millis>(next - clock_());
