--- a/include/harecrank/core/cold_endpoints.h
+++ b/include/harecrank/core/cold_endpoints.h
@@ -49,7 +49,7 @@
   std::vector<EndpointId> TakeWarmed();
 
   // Returns those that have a bound now.
-  std::vector<EndpointId> Bounded() const;
+  std::vector<EndpointId> LimitedEndpoints() const;
 
   // Returns how many are cold.
   std::size_t Count() const;
--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -76,7 +76,7 @@
   std::optional<RequestRate> AdvertisedRate(const EndpointId& id) const;
 
   // Returns those that have a bound.
-  std::vector<EndpointId> Bounded() const;
+  std::vector<EndpointId> LimitedEndpoints() const;
 
   // Drops the bounds that are lifted by now, and returns whose they were.
   std::vector<EndpointId> TakeLifted();
--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -45,7 +45,7 @@
   std::optional<Millis> RestOf(const EndpointId& id) const;
 
   // Returns those that have a bound.
-  std::vector<EndpointId> Bounded() const;
+  std::vector<EndpointId> LimitedEndpoints() const;
 
   // Drops the bounds that are over by now, and returns whose they were.
   std::vector<EndpointId> TakeReturned();
--- a/src/core/cold_endpoints.cc
+++ b/src/core/cold_endpoints.cc
@@ -104,7 +104,7 @@
   return warmed;
 }
 
-std::vector<EndpointId> ColdEndpoints::Bounded() const {
+std::vector<EndpointId> ColdEndpoints::LimitedEndpoints() const {
   std::vector<EndpointId> bounded;
   for (const EndpointId& id : bounded_) {
     if (Factor(id).has_value()) {
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -170,7 +170,7 @@
   return found->second.rate;
 }
 
-std::vector<EndpointId> EndpointRateLimits::Bounded() const {
+std::vector<EndpointId> EndpointRateLimits::LimitedEndpoints() const {
   const TimePoint now = clock_();
   std::vector<EndpointId> bounded;
   for (const auto& [id, entry] : entries_) {
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -220,7 +220,8 @@
     limits_.MergeFromPeer(
         RateLimitReport{EndpointId{std::to_string(i)}, kRate, Millis(0)});
   }
-  CHECK(limits_.Bounded().size() == EndpointRateLimits::kMostEndpoints);
+  CHECK(limits_.LimitedEndpoints().size() ==
+        EndpointRateLimits::kMostEndpoints);
 }
 
 }  // namespace
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -82,7 +82,7 @@
   return std::chrono::ceil<Millis>(found->second.until - now);
 }
 
-std::vector<EndpointId> EndpointRests::Bounded() const {
+std::vector<EndpointId> EndpointRests::LimitedEndpoints() const {
   const TimePoint now = clock_();
   std::vector<EndpointId> bounded;
   for (const auto& [id, entry] : entries_) {
--- a/src/core/start_quotas.cc
+++ b/src/core/start_quotas.cc
@@ -280,11 +280,11 @@
     }
   };
   if (LimitsColdStarts(service)) {
-    withhold(cold_endpoints_->Bounded());
+    withhold(cold_endpoints_->LimitedEndpoints());
   }
-  withhold(limits_->Bounded());
+  withhold(limits_->LimitedEndpoints());
   if (own_rests_.rests != nullptr && own_rests_.host == host) {
-    withhold(own_rests_.rests->Bounded());
+    withhold(own_rests_.rests->LimitedEndpoints());
   }
   return withheld;
 }
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -157,17 +157,17 @@
 
 nlohmann::json StartGate::Describe() const {
   nlohmann::json cold = nlohmann::json::array();
-  for (const EndpointId& id : cold_endpoints_.Bounded()) {
+  for (const EndpointId& id : cold_endpoints_.LimitedEndpoints()) {
     cold.push_back({{"endpoint", id.value},
                     {"cold", cold_endpoints_.IsCold(id)},
                     {"raise", cold_endpoints_.Factor(id).value_or(1)}});
   }
   nlohmann::json limited = nlohmann::json::array();
-  for (const EndpointId& id : limits_.Bounded()) {
+  for (const EndpointId& id : limits_.LimitedEndpoints()) {
     limited.push_back(DescribeLimit(id));
   }
   nlohmann::json resting = nlohmann::json::array();
-  for (const EndpointId& id : rests_.Bounded()) {
+  for (const EndpointId& id : rests_.LimitedEndpoints()) {
     resting.push_back(DescribeRest(id));
   }
   return {{"cold", std::move(cold)},
