--- a/include/harecrank/core/cold_endpoints.h
+++ b/include/harecrank/core/cold_endpoints.h
@@ -43,7 +43,7 @@
 
   // Returns since when `id` has had a bound; the clock's beginning if it has
   // none.
-  TimePoint BoundSince(const EndpointId& id) const;
+  TimePoint LimitedSince(const EndpointId& id) const;
 
   // Returns those whose cold time has passed since the last call.
   std::vector<EndpointId> TakeWarmed();
--- a/src/core/cold_endpoints.cc
+++ b/src/core/cold_endpoints.cc
@@ -78,7 +78,7 @@
   return std::exp2(doublings);
 }
 
-TimePoint ColdEndpoints::BoundSince(const EndpointId& id) const {
+TimePoint ColdEndpoints::LimitedSince(const EndpointId& id) const {
   const auto found = entries_.find(id);
   return found == entries_.end() ? TimePoint{} : found->second.bound_since;
 }
--- a/src/core/start_quotas.cc
+++ b/src/core/start_quotas.cc
@@ -120,7 +120,7 @@
       service.cold_requests_per_s * cold_bound_.overage + cold_bound_.slack;
   bound.window = ColdEndpoints::kWindow;
   bound.multiplier = *multiplier;
-  bound.since = cold_endpoints_->BoundSince(endpoint);
+  bound.since = cold_endpoints_->LimitedSince(endpoint);
   return bound;
 }
 
