--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -79,7 +79,7 @@
   std::vector<EndpointId> LimitedEndpoints() const;
 
   // Drops the bounds that are lifted by now, and returns whose they were.
-  std::vector<EndpointId> TakeLifted();
+  std::vector<EndpointId> TakeExpired();
 
   // Returns what other hosts should hear, the newest first, kMostTold at most.
   std::vector<RateLimitReport> Reports() const;
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -181,7 +181,7 @@
   return bounded;
 }
 
-std::vector<EndpointId> EndpointRateLimits::TakeLifted() {
+std::vector<EndpointId> EndpointRateLimits::TakeExpired() {
   const TimePoint now = clock_();
   std::vector<EndpointId> lifted;
   for (auto it = entries_.begin(); it != entries_.end();) {
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -108,8 +108,8 @@
   NamesNone();
   Pass(EndpointRateLimits::kMostDoublings * EndpointRateLimits::kDoubles);
   CHECK_FALSE(IsBounded());
-  CHECK(limits_.TakeLifted().size() == 1);
-  CHECK(limits_.TakeLifted().empty());
+  CHECK(limits_.TakeExpired().size() == 1);
+  CHECK(limits_.TakeExpired().empty());
 }
 
 TEST_CASE_METHOD(LimitsFixture,
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -105,7 +105,7 @@
   for (const EndpointId& id : cold_endpoints_.TakeWarmed()) {
     log_->Write("endpoint_warm", {{"endpoint", id.value}, {"by", "time"}});
   }
-  for (const EndpointId& id : limits_.TakeLifted()) {
+  for (const EndpointId& id : limits_.TakeExpired()) {
     log_->Write("limit_lifted", {{"endpoint", id.value}});
   }
   for (const EndpointId& id : rests_.TakeReturned()) {
