--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -48,7 +48,7 @@
   std::vector<EndpointId> LimitedEndpoints() const;
 
   // Drops the bounds that are over by now, and returns whose they were.
-  std::vector<EndpointId> TakeReturned();
+  std::vector<EndpointId> TakeEnded();
 
   // Returns how many rest.
   std::size_t Count() const;
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -93,7 +93,7 @@
   return bounded;
 }
 
-std::vector<EndpointId> EndpointRests::TakeReturned() {
+std::vector<EndpointId> EndpointRests::TakeEnded() {
   const TimePoint now = clock_();
   std::vector<EndpointId> returned;
   for (auto it = entries_.begin(); it != entries_.end();) {
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -41,10 +41,10 @@
   CHECK(rests_.Count() == 1);
   Pass(Millis(1));
   CHECK(rests_.Count() == 0);
-  CHECK(rests_.TakeReturned().empty());
+  CHECK(rests_.TakeEnded().empty());
   Pass(EndpointRests::kMostDoublings * EndpointRests::kDoubles);
   CHECK_FALSE(rests_.StartLimitOf(kEndpoint).has_value());
-  CHECK(rests_.TakeReturned() == std::vector<EndpointId>{kEndpoint});
+  CHECK(rests_.TakeEnded() == std::vector<EndpointId>{kEndpoint});
 }
 
 TEST_CASE_METHOD(RestsFixture, "Of two rests the later end counts") {
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -108,7 +108,7 @@
   for (const EndpointId& id : limits_.TakeExpired()) {
     log_->Write("limit_lifted", {{"endpoint", id.value}});
   }
-  for (const EndpointId& id : rests_.TakeReturned()) {
+  for (const EndpointId& id : rests_.TakeEnded()) {
     log_->Write("rest_over", {{"endpoint", id.value}});
   }
 }
