--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -81,7 +81,8 @@
   // Drops the bounds that are lifted by now, and returns whose they were.
   std::vector<EndpointId> TakeExpired();
 
-  // Returns what other hosts should hear, the newest first, kMostTold at most.
+  // Returns what other hosts should hear, the newest first, kMaxReports at
+  // most.
   std::vector<RateLimitReport> Reports() const;
 
   // Returns how many name a limit, as far as that is known.
@@ -117,7 +118,7 @@
   // much more, so that a word which goes round and round grows old.
   static constexpr Millis kOnTheWay{100};
   // Reports that fit into a datagram beside what else hosts tell.
-  static constexpr std::size_t kMostTold = 64;
+  static constexpr std::size_t kMaxReports = 64;
   // Endpoints remembered at once; what hosts tell beyond that is dropped.
   static constexpr std::size_t kMostEndpoints = 4096;
 
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -212,7 +212,7 @@
     }
     reports.push_back(std::move(report));
   }
-  const std::size_t kept = std::min(kMostTold, reports.size());
+  const std::size_t kept = std::min(kMaxReports, reports.size());
   std::partial_sort(
       reports.begin(), reports.begin() + static_cast<std::ptrdiff_t>(kept),
       reports.end(), [](const RateLimitReport& a, const RateLimitReport& b) {
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -204,13 +204,13 @@
 }
 
 TEST_CASE_METHOD(LimitsFixture, "The newest are told, as many as fit") {
-  const auto many = static_cast<int>(EndpointRateLimits::kMostTold) + 10;
+  const auto many = static_cast<int>(EndpointRateLimits::kMaxReports) + 10;
   for (int i = 0; i < many; ++i) {
     limits_.OnAnswer(EndpointId{std::to_string(i)}, kRate, now_);
     Pass(Millis(1));
   }
   const std::vector<RateLimitReport> reports = limits_.Reports();
-  REQUIRE(reports.size() == EndpointRateLimits::kMostTold);
+  REQUIRE(reports.size() == EndpointRateLimits::kMaxReports);
   CHECK(reports.front().endpoint.value == std::to_string(many - 1));
   CHECK(reports.front().age == Millis(1));
 }
