--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -120,7 +120,7 @@
   // Reports that fit into a datagram beside what else hosts tell.
   static constexpr std::size_t kMaxReports = 64;
   // Endpoints remembered at once; what hosts tell beyond that is dropped.
-  static constexpr std::size_t kMostEndpoints = 4096;
+  static constexpr std::size_t kMaxEndpoints = 4096;
 
  private:
   struct Entry {
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -62,7 +62,7 @@
                                          TimePoint at) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
-    if (entries_.size() >= kMostEndpoints) {
+    if (entries_.size() >= kMaxEndpoints) {
       return RateLimitChange::kNone;
     }
     entries_.emplace(id, Entry{rate, clock_(), at, std::nullopt});
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -216,12 +216,11 @@
 }
 
 TEST_CASE_METHOD(LimitsFixture, "No host can fill another's memory") {
-  for (std::size_t i = 0; i < EndpointRateLimits::kMostEndpoints + 100; ++i) {
+  for (std::size_t i = 0; i < EndpointRateLimits::kMaxEndpoints + 100; ++i) {
     limits_.MergeFromPeer(
         RateLimitReport{EndpointId{std::to_string(i)}, kRate, Millis(0)});
   }
-  CHECK(limits_.LimitedEndpoints().size() ==
-        EndpointRateLimits::kMostEndpoints);
+  CHECK(limits_.LimitedEndpoints().size() == EndpointRateLimits::kMaxEndpoints);
 }
 
 }  // namespace
