--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -88,13 +88,15 @@
   // Returns how many name a limit, as far as that is known.
   std::size_t Count() const;
 
-  // The platform's bound: in any kSpan an endpoint gets at most what its limit
-  // allows in that time, times kOverage, and kSlack more.
-  static constexpr Millis kSpan{4000};
+  // The platform's bound: in any kLimitPeriod an endpoint gets at most what its
+  // limit allows in that time, times kOverage, and kSlack more.
+  static constexpr Millis kLimitPeriod{4000};
   static constexpr double kOverage = 1.5;
   static constexpr double kSlack = 5;
-  // Two requests that are decided on this far apart never arrive within kSpan.
-  static constexpr Millis kWindow = kSpan + EndpointDirectory::kMaxDispatchTime;
+  // Two requests that are decided on this far apart never arrive within
+  // kLimitPeriod.
+  static constexpr Millis kWindow =
+      kLimitPeriod + EndpointDirectory::kMaxDispatchTime;
   // A limit holds as named for as long as so many requests take by it, within
   // these bounds: with one in ten seconds, three seconds of silence say
   // nothing.
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -149,7 +149,7 @@
   if (!multiplier.has_value()) {
     return std::nullopt;
   }
-  const double span = std::chrono::duration<double>(kSpan).count();
+  const double span = std::chrono::duration<double>(kLimitPeriod).count();
   StartLimit bound;
   bound.max_starts = kOverage * entry.rate.value * span + kSlack;
   bound.window = kWindow;
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -82,7 +82,7 @@
     std::size_t most = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < bound.size(); ++last) {
-      while (bound[last] - bound[first] >= EndpointRateLimits::kSpan) {
+      while (bound[last] - bound[first] >= EndpointRateLimits::kLimitPeriod) {
         ++first;
       }
       most = std::max(most, last - first + 1);
