--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -89,9 +89,9 @@
   std::size_t Count() const;
 
   // The platform's bound: in any kLimitPeriod an endpoint gets at most what its
-  // limit allows in that time, times kOverage, and kSlack more.
+  // limit allows in that time, times kBurstFactor, and kSlack more.
   static constexpr Millis kLimitPeriod{4000};
-  static constexpr double kOverage = 1.5;
+  static constexpr double kBurstFactor = 1.5;
   static constexpr double kSlack = 5;
   // Two requests that are decided on this far apart never arrive within
   // kLimitPeriod.
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -185,7 +185,7 @@
 };
 
 std::size_t Allowed(double rate) {
-  return static_cast<std::size_t>(EndpointRateLimits::kOverage * rate * 4 +
+  return static_cast<std::size_t>(EndpointRateLimits::kBurstFactor * rate * 4 +
                                   EndpointRateLimits::kSlack);
 }
 
