--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -89,10 +89,10 @@
   std::size_t Count() const;
 
   // The platform's bound: in any kLimitPeriod an endpoint gets at most what its
-  // limit allows in that time, times kBurstFactor, and kSlack more.
+  // limit allows in that time, times kBurstFactor, and kBurstAllowance more.
   static constexpr Millis kLimitPeriod{4000};
   static constexpr double kBurstFactor = 1.5;
-  static constexpr double kSlack = 5;
+  static constexpr double kBurstAllowance = 5;
   // Two requests that are decided on this far apart never arrive within
   // kLimitPeriod.
   static constexpr Millis kWindow =
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -151,7 +151,7 @@
   }
   const double span = std::chrono::duration<double>(kLimitPeriod).count();
   StartLimit bound;
-  bound.max_starts = kBurstFactor * entry.rate.value * span + kSlack;
+  bound.max_starts = kBurstFactor * entry.rate.value * span + kBurstAllowance;
   bound.window = kWindow;
   bound.per_second = IsFresh(entry, now)
                          ? entry.rate.value
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -186,7 +186,7 @@
 
 std::size_t Allowed(double rate) {
   return static_cast<std::size_t>(EndpointRateLimits::kBurstFactor * rate * 4 +
-                                  EndpointRateLimits::kSlack);
+                                  EndpointRateLimits::kBurstAllowance);
 }
 
 TEST_CASE("Hosts together keep to a limit, with links and without") {
