--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -100,7 +100,7 @@
   // A limit holds as named for as long as so many requests take by it, within
   // these bounds: with one in ten seconds, three seconds of silence say
   // nothing.
-  static constexpr double kRequestsAwaited = 3;
+  static constexpr double kValidityInRequests = 3;
   static constexpr Millis kShortestFresh{3000};
   static constexpr Millis kLongestFresh{10000};
   // After that, requests a second that find out whether the limit still holds,
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -32,7 +32,7 @@
   if (rate.value <= 0) {
     return kLongestFresh;
   }
-  const double awaited = kRequestsAwaited / rate.value * kMillisPerSecond;
+  const double awaited = kValidityInRequests / rate.value * kMillisPerSecond;
   const auto longest = static_cast<double>(kLongestFresh.count());
   const Millis fresh(static_cast<std::int64_t>(std::min(awaited, longest)));
   return std::max(kShortestFresh, fresh);
