--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -101,7 +101,7 @@
   // these bounds: with one in ten seconds, three seconds of silence say
   // nothing.
   static constexpr double kValidityInRequests = 3;
-  static constexpr Millis kShortestFresh{3000};
+  static constexpr Millis kMinValidity{3000};
   static constexpr Millis kLongestFresh{10000};
   // After that, requests a second that find out whether the limit still holds,
   // where it allows fewer.
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -35,7 +35,7 @@
   const double awaited = kValidityInRequests / rate.value * kMillisPerSecond;
   const auto longest = static_cast<double>(kLongestFresh.count());
   const Millis fresh(static_cast<std::int64_t>(std::min(awaited, longest)));
-  return std::max(kShortestFresh, fresh);
+  return std::max(kMinValidity, fresh);
 }
 
 bool EndpointRateLimits::IsFresh(const Entry& entry, TimePoint now) {
@@ -113,7 +113,7 @@
   const TimePoint now = clock_();
   const TimePoint at = now - std::max(Millis(0), report.age) - kOnTheWay;
   const Millis fresh =
-      report.rate.has_value() ? FreshFor(*report.rate) : kShortestFresh;
+      report.rate.has_value() ? FreshFor(*report.rate) : kMinValidity;
   if (now - at >= fresh) {
     return RateLimitChange::kNone;
   }
@@ -201,7 +201,7 @@
   for (const auto& [id, entry] : entries_) {
     const bool is_fresh = IsFresh(entry, now);
     const auto age = now - entry.ended_at.value_or(entry.named_at);
-    if (!is_fresh && !(entry.ended_at.has_value() && age < kShortestFresh)) {
+    if (!is_fresh && !(entry.ended_at.has_value() && age < kMinValidity)) {
       continue;
     }
     RateLimitReport report;
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -86,9 +86,9 @@
         RateLimitChange::kNone);
   CHECK_FALSE(IsBounded());
   Names(kRate);
-  Pass(EndpointRateLimits::kShortestFresh - Millis(1));
+  Pass(EndpointRateLimits::kMinValidity - Millis(1));
   limits_.OnAnswer(kEndpoint, UnreadableRateLimit{}, now_);
-  Pass(EndpointRateLimits::kShortestFresh - Millis(1));
+  Pass(EndpointRateLimits::kMinValidity - Millis(1));
   CHECK(limits_.AdvertisedRate(kEndpoint) == kRate);
 }
 
@@ -147,7 +147,7 @@
 }
 
 TEST_CASE_METHOD(LimitsFixture, "What is told too late says nothing") {
-  CHECK(IsTold(kRate, EndpointRateLimits::kShortestFresh) ==
+  CHECK(IsTold(kRate, EndpointRateLimits::kMinValidity) ==
         RateLimitChange::kNone);
   CHECK_FALSE(IsBounded());
   CHECK(IsTold(std::nullopt, Millis(0)) == RateLimitChange::kNone);
@@ -162,7 +162,7 @@
   }
   // An age in the future is none.
   IsTold(kRate, Millis(-100000));
-  Pass(EndpointRateLimits::kShortestFresh);
+  Pass(EndpointRateLimits::kMinValidity);
   CHECK_FALSE(limits_.AdvertisedRate(kEndpoint).has_value());
 }
 
@@ -195,7 +195,7 @@
     }
   };
   const TimePoint heard = now;
-  while (now - heard < 2 * EndpointRateLimits::kShortestFresh) {
+  while (now - heard < 2 * EndpointRateLimits::kMinValidity) {
     tell(here, &there);
     tell(there, &here);
   }
