--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -102,7 +102,7 @@
   // nothing.
   static constexpr double kValidityInRequests = 3;
   static constexpr Millis kMinValidity{3000};
-  static constexpr Millis kLongestFresh{10000};
+  static constexpr Millis kMaxValidity{10000};
   // After that, requests a second that find out whether the limit still holds,
   // where it allows fewer.
   static constexpr double kTriedPerSecond = 0.5;
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -30,10 +30,10 @@
 
 Millis EndpointRateLimits::FreshFor(RequestRate rate) {
   if (rate.value <= 0) {
-    return kLongestFresh;
+    return kMaxValidity;
   }
   const double awaited = kValidityInRequests / rate.value * kMillisPerSecond;
-  const auto longest = static_cast<double>(kLongestFresh.count());
+  const auto longest = static_cast<double>(kMaxValidity.count());
   const Millis fresh(static_cast<std::int64_t>(std::min(awaited, longest)));
   return std::max(kMinValidity, fresh);
 }
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -127,7 +127,7 @@
                  "A limit that nobody hears of any more lapses in the end, and "
                  "is tried before") {
   Names(RequestRate{0});
-  Pass(EndpointRateLimits::kLongestFresh);
+  Pass(EndpointRateLimits::kMaxValidity);
   CHECK_FALSE(limits_.AdvertisedRate(kEndpoint).has_value());
   CHECK(PerSecond() == EndpointRateLimits::kTriedPerSecond);
   Pass(EndpointRateLimits::kUnheard);
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -125,7 +125,7 @@
   CHECK(entry["own_share"] == 17.0);
   CHECK(entry["begun"] == 1);
   CHECK(entry["next_start_ms"] == 500);
-  Pass(EndpointRateLimits::kLongestFresh);
+  Pass(EndpointRateLimits::kMaxValidity);
   CHECK(gate_.Describe()["limited"].front()["named_per_second"].is_null());
 }
 
