--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -105,7 +105,7 @@
   static constexpr Millis kMaxValidity{10000};
   // After that, requests a second that find out whether the limit still holds,
   // where it allows fewer.
-  static constexpr double kTriedPerSecond = 0.5;
+  static constexpr double kProbesPerSecond = 0.5;
   // The bound doubles in each of these: an answer, and the word of it to all
   // hosts, is there sooner.
   static constexpr Millis kDoubles{2000};
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -155,7 +155,7 @@
   bound.window = kWindow;
   bound.per_second = IsFresh(entry, now)
                          ? entry.rate.value
-                         : std::max(entry.rate.value, kTriedPerSecond);
+                         : std::max(entry.rate.value, kProbesPerSecond);
   bound.multiplier = *multiplier;
   bound.since = entry.since;
   return bound;
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -129,11 +129,11 @@
   Names(RequestRate{0});
   Pass(EndpointRateLimits::kMaxValidity);
   CHECK_FALSE(limits_.AdvertisedRate(kEndpoint).has_value());
-  CHECK(PerSecond() == EndpointRateLimits::kTriedPerSecond);
+  CHECK(PerSecond() == EndpointRateLimits::kProbesPerSecond);
   Pass(EndpointRateLimits::kUnheard);
-  CHECK(PerSecond() == EndpointRateLimits::kTriedPerSecond);
+  CHECK(PerSecond() == EndpointRateLimits::kProbesPerSecond);
   Pass(EndpointRateLimits::kDoubles);
-  CHECK(PerSecond() == Approx(2 * EndpointRateLimits::kTriedPerSecond));
+  CHECK(PerSecond() == Approx(2 * EndpointRateLimits::kProbesPerSecond));
   Pass(EndpointRateLimits::kMostDoublings * EndpointRateLimits::kDoubles);
   CHECK_FALSE(IsBounded());
 }
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -205,7 +205,7 @@
     CAPTURE(seed);
     CHECK(fleet.MostBound(Millis(0)) <= Allowed(rate));
     // In the long run, where all hosts know of it, no more than it names.
-    if (links_hold && rate > EndpointRateLimits::kTriedPerSecond) {
+    if (links_hold && rate > EndpointRateLimits::kProbesPerSecond) {
       const auto arrived = fleet.ArrivedWithin(Millis(5000), Millis(40000));
       CHECK(static_cast<double>(arrived) <= 1.1 * rate * 35 + 5);
     }
