--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -115,7 +115,7 @@
   // endpoint that nothing was sent to may still be in need; and hosts that are
   // cut off from each other, and have no part of the limit, must not each try
   // the endpoint every few seconds.
-  static constexpr Millis kUnheard{60000};
+  static constexpr Millis kStaleRetention{60000};
   // How long a word between hosts may be on its way. Told ages count for that
   // much more, so that a word which goes round and round grows old.
   static constexpr Millis kOnTheWay{100};
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -48,8 +48,8 @@
   if (IsFresh(entry, now)) {
     return 1;
   }
-  const TimePoint over =
-      entry.ended_at.value_or(entry.named_at + FreshFor(entry.rate) + kUnheard);
+  const TimePoint over = entry.ended_at.value_or(
+      entry.named_at + FreshFor(entry.rate) + kStaleRetention);
   const double doublings =
       std::max(0.0, FractionalMillis(now - over) / kDoubles);
   if (doublings >= kMostDoublings) {
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -130,7 +130,7 @@
   Pass(EndpointRateLimits::kMaxValidity);
   CHECK_FALSE(limits_.AdvertisedRate(kEndpoint).has_value());
   CHECK(PerSecond() == EndpointRateLimits::kProbesPerSecond);
-  Pass(EndpointRateLimits::kUnheard);
+  Pass(EndpointRateLimits::kStaleRetention);
   CHECK(PerSecond() == EndpointRateLimits::kProbesPerSecond);
   Pass(EndpointRateLimits::kDoubles);
   CHECK(PerSecond() == Approx(2 * EndpointRateLimits::kProbesPerSecond));
