--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -118,7 +118,7 @@
   static constexpr Millis kStaleRetention{60000};
   // How long a word between hosts may be on its way. Told ages count for that
   // much more, so that a word which goes round and round grows old.
-  static constexpr Millis kOnTheWay{100};
+  static constexpr Millis kMaxMessageDelay{100};
   // Reports that fit into a datagram beside what else hosts tell.
   static constexpr std::size_t kMaxReports = 64;
   // Endpoints remembered at once; what hosts tell beyond that is dropped.
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -111,7 +111,7 @@
     return RateLimitChange::kNone;
   }
   const TimePoint now = clock_();
-  const TimePoint at = now - std::max(Millis(0), report.age) - kOnTheWay;
+  const TimePoint at = now - std::max(Millis(0), report.age) - kMaxMessageDelay;
   const Millis fresh =
       report.rate.has_value() ? FreshFor(*report.rate) : kMinValidity;
   if (now - at >= fresh) {
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -189,7 +189,7 @@
   const auto tell = [&now](const EndpointRateLimits& from,
                            EndpointRateLimits* to) {
     const std::vector<RateLimitReport> reports = from.Reports();
-    now += EndpointRateLimits::kOnTheWay;
+    now += EndpointRateLimits::kMaxMessageDelay;
     for (const RateLimitReport& report : reports) {
       to->MergeFromPeer(report);
     }
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -110,7 +110,8 @@
   Pass(Millis(200));
   const std::vector<RateLimitReport> reports = gate_.Reports();
   REQUIRE(reports.size() == 1);
-  CHECK(reports.front().age == Millis(250) + EndpointRateLimits::kOnTheWay);
+  CHECK(reports.front().age ==
+        Millis(250) + EndpointRateLimits::kMaxMessageDelay);
 }
 
 TEST_CASE_METHOD(GateFixture, "The dump tells each limit and the own part") {
