--- a/include/harecrank/core/cold_endpoints.h
+++ b/include/harecrank/core/cold_endpoints.h
@@ -60,7 +60,7 @@
       Millis(1000) + EndpointDirectory::kMaxDispatchTime;
   // After the cold time the bound doubles in each of these, so that what other
   // endpoints have taken meanwhile does not return as one wave.
-  static constexpr Millis kDoubles{1000};
+  static constexpr Millis kDoublingPeriod{1000};
   // How often it doubles before it is lifted.
   static constexpr int kMostDoublings = 5;
 
--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -108,7 +108,7 @@
   static constexpr double kProbesPerSecond = 0.5;
   // The bound doubles in each of these: an answer, and the word of it to all
   // hosts, is there sooner.
-  static constexpr Millis kDoubles{2000};
+  static constexpr Millis kDoublingPeriod{2000};
   // How often it doubles before it is lifted.
   static constexpr int kMostDoublings = 5;
   // How long a limit that nobody hears of any more bounds what is begun. An
--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -60,7 +60,7 @@
   static constexpr double kMostAtReturn = 16;
   static constexpr Millis kReturnWindow{1000};
   // That doubles in each of these: an answer is there sooner.
-  static constexpr Millis kDoubles{500};
+  static constexpr Millis kDoublingPeriod{500};
   // How often it doubles before the bound is lifted.
   static constexpr int kMostDoublings = 4;
 
--- a/src/core/cold_endpoints.cc
+++ b/src/core/cold_endpoints.cc
@@ -71,7 +71,7 @@
   if (since_end < Millis(0)) {
     return 1;
   }
-  const double doublings = FractionalMillis(since_end) / kDoubles;
+  const double doublings = FractionalMillis(since_end) / kDoublingPeriod;
   if (doublings >= kMostDoublings) {
     return std::nullopt;
   }
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -51,7 +51,7 @@
   const TimePoint over = entry.ended_at.value_or(
       entry.named_at + FreshFor(entry.rate) + kStaleRetention);
   const double doublings =
-      std::max(0.0, FractionalMillis(now - over) / kDoubles);
+      std::max(0.0, FractionalMillis(now - over) / kDoublingPeriod);
   if (doublings >= kMostDoublings) {
     return std::nullopt;
   }
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -98,15 +98,16 @@
   Pass(Millis(1));
   CHECK(NamesNone() == RateLimitChange::kEnded);
   CHECK(PerSecond() == kRate.value);
-  Pass(EndpointRateLimits::kDoubles);
+  Pass(EndpointRateLimits::kDoublingPeriod);
   CHECK(PerSecond() == Approx(2 * kRate.value));
-  Pass(EndpointRateLimits::kDoubles);
+  Pass(EndpointRateLimits::kDoublingPeriod);
   CHECK(PerSecond() == Approx(4 * kRate.value));
   CHECK(Names(kRate) == RateLimitChange::kAdvertised);
   CHECK(PerSecond() == kRate.value);
   Pass(Millis(1));
   NamesNone();
-  Pass(EndpointRateLimits::kMostDoublings * EndpointRateLimits::kDoubles);
+  Pass(EndpointRateLimits::kMostDoublings *
+       EndpointRateLimits::kDoublingPeriod);
   CHECK_FALSE(IsBounded());
   CHECK(limits_.TakeExpired().size() == 1);
   CHECK(limits_.TakeExpired().empty());
@@ -132,9 +133,10 @@
   CHECK(PerSecond() == EndpointRateLimits::kProbesPerSecond);
   Pass(EndpointRateLimits::kStaleRetention);
   CHECK(PerSecond() == EndpointRateLimits::kProbesPerSecond);
-  Pass(EndpointRateLimits::kDoubles);
+  Pass(EndpointRateLimits::kDoublingPeriod);
   CHECK(PerSecond() == Approx(2 * EndpointRateLimits::kProbesPerSecond));
-  Pass(EndpointRateLimits::kMostDoublings * EndpointRateLimits::kDoubles);
+  Pass(EndpointRateLimits::kMostDoublings *
+       EndpointRateLimits::kDoublingPeriod);
   CHECK_FALSE(IsBounded());
 }
 
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -21,7 +21,7 @@
 EndpointRests::EndpointRests(MonotonicClock clock) : clock_(std::move(clock)) {}
 
 bool EndpointRests::HasReturned(const Entry& entry, TimePoint now) {
-  return now >= entry.until + kMostDoublings * kDoubles;
+  return now >= entry.until + kMostDoublings * kDoublingPeriod;
 }
 
 bool EndpointRests::OnAnswer(
@@ -67,7 +67,7 @@
   bound.max_starts = kMostAtReturn;
   bound.window = kReturnWindow;
   bound.multiplier =
-      std::exp2(std::max(0.0, FractionalMillis(now - until) / kDoubles));
+      std::exp2(std::max(0.0, FractionalMillis(now - until) / kDoublingPeriod));
   bound.since = until;
   bound.not_before = until;
   return bound;
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -42,7 +42,7 @@
   Pass(Millis(1));
   CHECK(rests_.Count() == 0);
   CHECK(rests_.TakeEnded().empty());
-  Pass(EndpointRests::kMostDoublings * EndpointRests::kDoubles);
+  Pass(EndpointRests::kMostDoublings * EndpointRests::kDoublingPeriod);
   CHECK_FALSE(rests_.StartLimitOf(kEndpoint).has_value());
   CHECK(rests_.TakeEnded() == std::vector<EndpointId>{kEndpoint});
 }
@@ -139,8 +139,8 @@
   for (Millis at{0}; at < Millis(8000); at += kStep) {
     const int begun = fleet.Press();
     within_rest += at < Millis(3000) ? begun : 0;
-    const bool is_return =
-        at >= Millis(3000) && at < Millis(3000) + EndpointRests::kDoubles;
+    const bool is_return = at >= Millis(3000) &&
+                           at < Millis(3000) + EndpointRests::kDoublingPeriod;
     at_return += is_return ? begun : 0;
     later += at >= Millis(6000) ? begun : 0;
     Pass(kStep);
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -137,7 +137,8 @@
   CHECK(Outlook()->backoff_until == now_ + Millis(3000));
   CHECK(Outlook()->next >= now_ + Millis(3000));
   CHECK(gate_.Withheld(service_).count(kEndpoint) == 1);
-  Pass(Millis(3000) + EndpointRests::kMostDoublings * EndpointRests::kDoubles);
+  Pass(Millis(3000) +
+       EndpointRests::kMostDoublings * EndpointRests::kDoublingPeriod);
   gate_.Tick();
   CHECK(MayBegin());
   CHECK_FALSE(Outlook().has_value());
