--- a/include/harecrank/core/cold_endpoints.h
+++ b/include/harecrank/core/cold_endpoints.h
@@ -62,7 +62,7 @@
   // endpoints have taken meanwhile does not return as one wave.
   static constexpr Millis kDoublingPeriod{1000};
   // How often it doubles before it is lifted.
-  static constexpr int kMostDoublings = 5;
+  static constexpr int kMaxDoublings = 5;
 
  private:
   struct Entry {
--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_limits.h
@@ -110,7 +110,7 @@
   // hosts, is there sooner.
   static constexpr Millis kDoublingPeriod{2000};
   // How often it doubles before it is lifted.
-  static constexpr int kMostDoublings = 5;
+  static constexpr int kMaxDoublings = 5;
   // How long a limit that nobody hears of any more bounds what is begun. An
   // endpoint that nothing was sent to may still be in need; and hosts that are
   // cut off from each other, and have no part of the limit, must not each try
--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -62,7 +62,7 @@
   // That doubles in each of these: an answer is there sooner.
   static constexpr Millis kDoublingPeriod{500};
   // How often it doubles before the bound is lifted.
-  static constexpr int kMostDoublings = 4;
+  static constexpr int kMaxDoublings = 4;
 
  private:
   struct Entry {
--- a/src/core/cold_endpoints.cc
+++ b/src/core/cold_endpoints.cc
@@ -72,7 +72,7 @@
     return 1;
   }
   const double doublings = FractionalMillis(since_end) / kDoublingPeriod;
-  if (doublings >= kMostDoublings) {
+  if (doublings >= kMaxDoublings) {
     return std::nullopt;
   }
   return std::exp2(doublings);
--- a/src/core/endpoint_limits.cc
+++ b/src/core/endpoint_limits.cc
@@ -52,7 +52,7 @@
       entry.named_at + FreshFor(entry.rate) + kStaleRetention);
   const double doublings =
       std::max(0.0, FractionalMillis(now - over) / kDoublingPeriod);
-  if (doublings >= kMostDoublings) {
+  if (doublings >= kMaxDoublings) {
     return std::nullopt;
   }
   return std::exp2(doublings);
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_limits_test.cc
@@ -106,8 +106,7 @@
   CHECK(PerSecond() == kRate.value);
   Pass(Millis(1));
   NamesNone();
-  Pass(EndpointRateLimits::kMostDoublings *
-       EndpointRateLimits::kDoublingPeriod);
+  Pass(EndpointRateLimits::kMaxDoublings * EndpointRateLimits::kDoublingPeriod);
   CHECK_FALSE(IsBounded());
   CHECK(limits_.TakeExpired().size() == 1);
   CHECK(limits_.TakeExpired().empty());
@@ -135,8 +134,7 @@
   CHECK(PerSecond() == EndpointRateLimits::kProbesPerSecond);
   Pass(EndpointRateLimits::kDoublingPeriod);
   CHECK(PerSecond() == Approx(2 * EndpointRateLimits::kProbesPerSecond));
-  Pass(EndpointRateLimits::kMostDoublings *
-       EndpointRateLimits::kDoublingPeriod);
+  Pass(EndpointRateLimits::kMaxDoublings * EndpointRateLimits::kDoublingPeriod);
   CHECK_FALSE(IsBounded());
 }
 
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -21,7 +21,7 @@
 EndpointRests::EndpointRests(MonotonicClock clock) : clock_(std::move(clock)) {}
 
 bool EndpointRests::HasReturned(const Entry& entry, TimePoint now) {
-  return now >= entry.until + kMostDoublings * kDoublingPeriod;
+  return now >= entry.until + kMaxDoublings * kDoublingPeriod;
 }
 
 bool EndpointRests::OnAnswer(
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -42,7 +42,7 @@
   Pass(Millis(1));
   CHECK(rests_.Count() == 0);
   CHECK(rests_.TakeEnded().empty());
-  Pass(EndpointRests::kMostDoublings * EndpointRests::kDoublingPeriod);
+  Pass(EndpointRests::kMaxDoublings * EndpointRests::kDoublingPeriod);
   CHECK_FALSE(rests_.StartLimitOf(kEndpoint).has_value());
   CHECK(rests_.TakeEnded() == std::vector<EndpointId>{kEndpoint});
 }
--- a/src/core/group_reservation.cc
+++ b/src/core/group_reservation.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Millis kFirstPause{20};
-constexpr int kMostDoublings = 6;
+constexpr int kMaxDoublings = 6;
 
 }  // namespace
 
@@ -54,7 +54,7 @@
   if (!refused) {
     return GroupReserved{};
   }
-  const Millis most = kFirstPause * (1 << std::min(rounds_, kMostDoublings));
+  const Millis most = kFirstPause * (1 << std::min(rounds_, kMaxDoublings));
   const auto span = static_cast<std::uint64_t>(most.count());
   const Millis pause{static_cast<std::int64_t>(1 + random_() % span)};
   if (clock_() + pause >= deadline_) {
--- a/src/core/poll_schedule.cc
+++ b/src/core/poll_schedule.cc
@@ -69,8 +69,8 @@
 }
 
 Millis PollSchedule::RoundLength() const {
-  constexpr int kMostDoublings = 2;
-  return std::min(kRound * (1 << std::min(failures_, kMostDoublings)),
+  constexpr int kMaxDoublings = 2;
+  return std::min(kRound * (1 << std::min(failures_, kMaxDoublings)),
                   kMaxRound);
 }
 
