--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -23,9 +23,9 @@
 namespace harecrank {
 
 // Not thread-safe.
-class EndpointRests {
+class EndpointBackoffs {
  public:
-  explicit EndpointRests(MonotonicClock clock);
+  explicit EndpointBackoffs(MonotonicClock clock);
 
   // Takes what an answer of `incarnation` says. An earlier and longer rest
   // holds on. Returns whether a rest has begun, or become longer.
--- a/include/harecrank/core/start_quotas.h
+++ b/include/harecrank/core/start_quotas.h
@@ -92,7 +92,7 @@
 // The rests that endpoints have asked of one host.
 struct HostBackoffs {
   HostAddress host;
-  const EndpointRests* rests = nullptr;
+  const EndpointBackoffs* rests = nullptr;
 };
 
 // The parts of the bounds. Not thread-safe.
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -12,19 +12,20 @@
   Millis operator()(NoRest /*word*/) const { return Millis(0); }
   Millis operator()(Millis rest) const { return rest; }
   Millis operator()(UnreadableRest /*word*/) const {
-    return EndpointRests::kUnreadable;
+    return EndpointBackoffs::kUnreadable;
   }
 };
 
 }  // namespace
 
-EndpointRests::EndpointRests(MonotonicClock clock) : clock_(std::move(clock)) {}
+EndpointBackoffs::EndpointBackoffs(MonotonicClock clock)
+    : clock_(std::move(clock)) {}
 
-bool EndpointRests::HasReturned(const Entry& entry, TimePoint now) {
+bool EndpointBackoffs::HasReturned(const Entry& entry, TimePoint now) {
   return now >= entry.until + kMaxDoublings * kDoublingPeriod;
 }
 
-bool EndpointRests::OnAnswer(
+bool EndpointBackoffs::OnAnswer(
     const EndpointId& id, const std::optional<EndpointIncarnation>& incarnation,
     const RestWord& word) {
   const Millis rest = std::visit(AskedRest{}, word);
@@ -46,7 +47,7 @@
   return is_longer;
 }
 
-void EndpointRests::OnIncarnation(
+void EndpointBackoffs::OnIncarnation(
     const EndpointId& id,
     const std::optional<EndpointIncarnation>& incarnation) {
   const auto found = entries_.find(id);
@@ -55,7 +56,7 @@
   }
 }
 
-std::optional<StartLimit> EndpointRests::StartLimitOf(
+std::optional<StartLimit> EndpointBackoffs::StartLimitOf(
     const EndpointId& id) const {
   const auto found = entries_.find(id);
   const TimePoint now = clock_();
@@ -73,7 +74,7 @@
   return bound;
 }
 
-std::optional<Millis> EndpointRests::RestOf(const EndpointId& id) const {
+std::optional<Millis> EndpointBackoffs::RestOf(const EndpointId& id) const {
   const auto found = entries_.find(id);
   const TimePoint now = clock_();
   if (found == entries_.end() || found->second.until <= now) {
@@ -82,7 +83,7 @@
   return std::chrono::ceil<Millis>(found->second.until - now);
 }
 
-std::vector<EndpointId> EndpointRests::LimitedEndpoints() const {
+std::vector<EndpointId> EndpointBackoffs::LimitedEndpoints() const {
   const TimePoint now = clock_();
   std::vector<EndpointId> bounded;
   for (const auto& [id, entry] : entries_) {
@@ -93,7 +94,7 @@
   return bounded;
 }
 
-std::vector<EndpointId> EndpointRests::TakeEnded() {
+std::vector<EndpointId> EndpointBackoffs::TakeEnded() {
   const TimePoint now = clock_();
   std::vector<EndpointId> returned;
   for (auto it = entries_.begin(); it != entries_.end();) {
@@ -107,7 +108,7 @@
   return returned;
 }
 
-std::size_t EndpointRests::Count() const {
+std::size_t EndpointBackoffs::Count() const {
   const TimePoint now = clock_();
   return static_cast<std::size_t>(std::count_if(
       entries_.begin(), entries_.end(),
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -21,7 +21,7 @@
 
   TimePoint now_{std::chrono::hours(1)};
   MonotonicClock clock_ = [this] { return now_; };
-  EndpointRests rests_{clock_};
+  EndpointBackoffs rests_{clock_};
 };
 
 TEST_CASE_METHOD(RestsFixture, "An answer without a word of rest asks none") {
@@ -42,7 +42,7 @@
   Pass(Millis(1));
   CHECK(rests_.Count() == 0);
   CHECK(rests_.TakeEnded().empty());
-  Pass(EndpointRests::kMaxDoublings * EndpointRests::kDoublingPeriod);
+  Pass(EndpointBackoffs::kMaxDoublings * EndpointBackoffs::kDoublingPeriod);
   CHECK_FALSE(rests_.StartLimitOf(kEndpoint).has_value());
   CHECK(rests_.TakeEnded() == std::vector<EndpointId>{kEndpoint});
 }
@@ -58,7 +58,7 @@
 
 TEST_CASE_METHOD(RestsFixture, "A rest that cannot be read is a short one") {
   CHECK(Ask(UnreadableRest{}));
-  CHECK(rests_.RestOf(kEndpoint) == EndpointRests::kUnreadable);
+  CHECK(rests_.RestOf(kEndpoint) == EndpointBackoffs::kUnreadable);
 }
 
 TEST_CASE_METHOD(RestsFixture, "A new life owes no rest, the same one does") {
@@ -117,7 +117,7 @@
           starts(clock) {}
 
     HostAddress address;
-    EndpointRests rests;
+    EndpointBackoffs rests;
     ColdEndpoints cold;
     EndpointRateLimits limits;
     StartQuotas shares;
@@ -139,15 +139,16 @@
   for (Millis at{0}; at < Millis(8000); at += kStep) {
     const int begun = fleet.Press();
     within_rest += at < Millis(3000) ? begun : 0;
-    const bool is_return = at >= Millis(3000) &&
-                           at < Millis(3000) + EndpointRests::kDoublingPeriod;
+    const bool is_return =
+        at >= Millis(3000) &&
+        at < Millis(3000) + EndpointBackoffs::kDoublingPeriod;
     at_return += is_return ? begun : 0;
     later += at >= Millis(6000) ? begun : 0;
     Pass(kStep);
   }
   CHECK(within_rest == 0);
   // While the bound has not doubled yet, no more than it allows in a window.
-  CHECK(at_return <= 2 * EndpointRests::kMostAtReturn);
+  CHECK(at_return <= 2 * EndpointBackoffs::kMostAtReturn);
   // Nothing holds them back in the end.
   CHECK(later == hosts * 400);
 }
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -118,7 +118,7 @@
   MonotonicClock clock_;
   ColdEndpoints cold_endpoints_;
   EndpointRateLimits limits_;
-  EndpointRests rests_;
+  EndpointBackoffs rests_;
   StartQuotas shares_;
   StartHistory starts_;
   // When the last caller whom a service's bounds left out may come again.
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -138,7 +138,7 @@
   CHECK(Outlook()->next >= now_ + Millis(3000));
   CHECK(gate_.Withheld(service_).count(kEndpoint) == 1);
   Pass(Millis(3000) +
-       EndpointRests::kMaxDoublings * EndpointRests::kDoublingPeriod);
+       EndpointBackoffs::kMaxDoublings * EndpointBackoffs::kDoublingPeriod);
   gate_.Tick();
   CHECK(MayBegin());
   CHECK_FALSE(Outlook().has_value());
