--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_answer.h
@@ -17,7 +17,7 @@
 struct NoRest {};
 // It names a time that cannot be read.
 struct UnreadableRest {};
-using RestWord = std::variant<NoRest, Millis, UnreadableRest>;
+using BackoffHint = std::variant<NoRest, Millis, UnreadableRest>;
 
 // Whether the endpoint says that it is about to end.
 enum class LeavingHint {
@@ -40,7 +40,7 @@
   // How many requests a second it takes from all hosts together.
   RateLimitHint limit;
   // How long it wants nothing from this host. Refusals alone say that.
-  RestWord rest;
+  BackoffHint rest;
   // Holds until the endpoint starts anew.
   LeavingHint leaving = LeavingHint::kNone;
 
--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -31,7 +31,7 @@
   // holds on. Returns whether a rest has begun, or become longer.
   bool OnAnswer(const EndpointId& id,
                 const std::optional<EndpointIncarnation>& incarnation,
-                const RestWord& word);
+                const BackoffHint& word);
 
   // The endpoint runs in `incarnation`: a rest of another one is over.
   void OnIncarnation(const EndpointId& id,
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -27,7 +27,7 @@
 
 bool EndpointBackoffs::OnAnswer(
     const EndpointId& id, const std::optional<EndpointIncarnation>& incarnation,
-    const RestWord& word) {
+    const BackoffHint& word) {
   const Millis rest = std::visit(AskedRest{}, word);
   if (rest <= Millis(0)) {
     return false;
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -15,7 +15,7 @@
 class RestsFixture {
  protected:
   void Pass(Millis time) { now_ += time; }
-  bool Ask(const RestWord& word, EndpointIncarnation incarnation = kLife) {
+  bool Ask(const BackoffHint& word, EndpointIncarnation incarnation = kLife) {
     return rests_.OnAnswer(kEndpoint, incarnation, word);
   }
 
--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-RestWord ReadRest(std::string_view text, std::string_view answered) {
+BackoffHint ReadRest(std::string_view text, std::string_view answered) {
   const auto longest = static_cast<double>(kLongestRest.count());
   if (const auto seconds = ParseDecimal(text)) {
     const double rest = std::min(longest, *seconds * kMillisPerSecond);
--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/answer_decoder.h
@@ -18,7 +18,7 @@
 // Reads the time for which an endpoint wants nothing, as HTTP has it: seconds,
 // with a fraction if it likes, or a date. A date counts from `answered`, the
 // date of the answer itself: hosts' own time of day may jump.
-RestWord ReadRest(std::string_view text, std::string_view answered);
+BackoffHint ReadRest(std::string_view text, std::string_view answered);
 
 // Reads whether an endpoint says that it is about to end.
 LeavingHint ReadLeaving(std::string_view text);
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -26,7 +26,7 @@
 constexpr const char* kDate = "Fri, 31 Dec 2027 23:59:50 GMT";
 
 Millis RestOf(const std::string& text, const std::string& answered = "") {
-  const RestWord word = ReadRest(text, answered);
+  const BackoffHint word = ReadRest(text, answered);
   REQUIRE(std::holds_alternative<Millis>(word));
   return std::get<Millis>(word);
 }
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -64,7 +64,8 @@
          change == RateLimitChange::kEnded;
 }
 
-void StartGate::OnRest(const EndpointRecord& endpoint, const RestWord& word) {
+void StartGate::OnRest(const EndpointRecord& endpoint,
+                       const BackoffHint& word) {
   const bool is_unreadable = std::holds_alternative<UnreadableRest>(word);
   if (is_unreadable) {
     metrics_->GetCounter("harecrank_gateway_rests_unreadable_total")->Add();
