--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_answer.h
@@ -14,10 +14,10 @@
 namespace harecrank {
 
 // What a refusal says of when this host may come again.
-struct NoRest {};
+struct NoBackoff {};
 // It names a time that cannot be read.
 struct UnreadableRest {};
-using BackoffHint = std::variant<NoRest, Millis, UnreadableRest>;
+using BackoffHint = std::variant<NoBackoff, Millis, UnreadableRest>;
 
 // Whether the endpoint says that it is about to end.
 enum class LeavingHint {
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -9,7 +9,7 @@
 
 // Returns for how long `word` asks for rest.
 struct AskedRest {
-  Millis operator()(NoRest /*word*/) const { return Millis(0); }
+  Millis operator()(NoBackoff /*word*/) const { return Millis(0); }
   Millis operator()(Millis rest) const { return rest; }
   Millis operator()(UnreadableRest /*word*/) const {
     return EndpointBackoffs::kUnreadable;
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -25,7 +25,7 @@
 };
 
 TEST_CASE_METHOD(RestsFixture, "An answer without a word of rest asks none") {
-  CHECK_FALSE(Ask(NoRest{}));
+  CHECK_FALSE(Ask(NoBackoff{}));
   CHECK_FALSE(Ask(Millis(0)));
   CHECK_FALSE(rests_.StartLimitOf(kEndpoint).has_value());
   CHECK(rests_.Count() == 0);
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -76,7 +76,7 @@
   CHECK_FALSE(answer.not_run);
   CHECK(answer.at_fault.empty());
   CHECK(std::holds_alternative<NoRateLimit>(answer.limit));
-  CHECK(std::holds_alternative<NoRest>(answer.rest));
+  CHECK(std::holds_alternative<NoBackoff>(answer.rest));
   CHECK(answer.leaving == LeavingHint::kNone);
 }
 
@@ -111,7 +111,7 @@
   const unsigned status = GENERATE(200U, 302U, 413U, 421U, 500U, 504U);
   AnswerHead head = Head(status);
   head.set(http::field::retry_after, "2");
-  CHECK(std::holds_alternative<NoRest>(DecodeAnswer(head, Names()).rest));
+  CHECK(std::holds_alternative<NoBackoff>(DecodeAnswer(head, Names()).rest));
 }
 
 }  // namespace
--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -27,7 +27,7 @@
   }
   TakeLimit(endpoint.id, answer, sent_at);
   start_gate_->OnRest(endpoint, answer.rest);
-  if (!std::holds_alternative<NoRest>(answer.rest)) {
+  if (!std::holds_alternative<NoBackoff>(answer.rest)) {
     rest_watch_->NoteRest();
   }
   TakeLeaving(endpoint, answer.leaving);
