--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_answer.h
@@ -16,8 +16,8 @@
 // What a refusal says of when this host may come again.
 struct NoBackoff {};
 // It names a time that cannot be read.
-struct UnreadableRest {};
-using BackoffHint = std::variant<NoBackoff, Millis, UnreadableRest>;
+struct UnreadableBackoff {};
+using BackoffHint = std::variant<NoBackoff, Millis, UnreadableBackoff>;
 
 // Whether the endpoint says that it is about to end.
 enum class LeavingHint {
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -11,7 +11,7 @@
 struct AskedRest {
   Millis operator()(NoBackoff /*word*/) const { return Millis(0); }
   Millis operator()(Millis rest) const { return rest; }
-  Millis operator()(UnreadableRest /*word*/) const {
+  Millis operator()(UnreadableBackoff /*word*/) const {
     return EndpointBackoffs::kUnreadable;
   }
 };
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE_METHOD(RestsFixture, "A rest that cannot be read is a short one") {
-  CHECK(Ask(UnreadableRest{}));
+  CHECK(Ask(UnreadableBackoff{}));
   CHECK(rests_.RestOf(kEndpoint) == EndpointBackoffs::kUnreadable);
 }
 
--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -50,7 +50,7 @@
   const auto until = ReadDate(text);
   const auto since = ReadDate(answered);
   if (!until.has_value() || !since.has_value()) {
-    return UnreadableRest{};
+    return UnreadableBackoff{};
   }
   const Millis rest = std::chrono::duration_cast<Millis>(
       std::chrono::microseconds(*until - *since));
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -32,7 +32,7 @@
 }
 
 bool IsUnreadable(const std::string& text, const std::string& answered = "") {
-  return std::holds_alternative<UnreadableRest>(ReadRest(text, answered));
+  return std::holds_alternative<UnreadableBackoff>(ReadRest(text, answered));
 }
 
 TEST_CASE("A rest is read in seconds, with a fraction or without") {
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -66,7 +66,7 @@
 
 void StartGate::OnRest(const EndpointRecord& endpoint,
                        const BackoffHint& word) {
-  const bool is_unreadable = std::holds_alternative<UnreadableRest>(word);
+  const bool is_unreadable = std::holds_alternative<UnreadableBackoff>(word);
   if (is_unreadable) {
     metrics_->GetCounter("harecrank_gateway_rests_unreadable_total")->Add();
   }
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -165,7 +165,7 @@
 }
 
 TEST_CASE_METHOD(GateFixture, "Rests are counted, and told in the dump") {
-  gate_.OnRest(record_, UnreadableRest{});
+  gate_.OnRest(record_, UnreadableBackoff{});
   const nlohmann::json dump = gate_.Describe();
   REQUIRE(dump["resting"].size() == 1);
   CHECK(dump["resting"].front()["endpoint"] == kEndpoint.value);
