--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -42,7 +42,7 @@
   std::optional<StartLimit> StartLimitOf(const EndpointId& id) const;
 
   // Returns for how much longer `id` rests; nothing if it does not.
-  std::optional<Millis> RestOf(const EndpointId& id) const;
+  std::optional<Millis> RemainingBackoff(const EndpointId& id) const;
 
   // Returns those that have a bound.
   std::vector<EndpointId> LimitedEndpoints() const;
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -74,7 +74,8 @@
   return bound;
 }
 
-std::optional<Millis> EndpointBackoffs::RestOf(const EndpointId& id) const {
+std::optional<Millis> EndpointBackoffs::RemainingBackoff(
+    const EndpointId& id) const {
   const auto found = entries_.find(id);
   const TimePoint now = clock_();
   if (found == entries_.end() || found->second.until <= now) {
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -35,7 +35,7 @@
   const Millis rest = GENERATE(Millis(1), Millis(50), Millis(2500),
                                Millis(std::chrono::hours(24)));
   CHECK(Ask(rest));
-  CHECK(rests_.RestOf(kEndpoint) == rest);
+  CHECK(rests_.RemainingBackoff(kEndpoint) == rest);
   CHECK(rests_.StartLimitOf(kEndpoint)->not_before == now_ + rest);
   Pass(rest - Millis(1));
   CHECK(rests_.Count() == 1);
@@ -51,14 +51,14 @@
   CHECK(Ask(Millis(3000)));
   Pass(Millis(1000));
   CHECK_FALSE(Ask(Millis(500)));
-  CHECK(rests_.RestOf(kEndpoint) == Millis(2000));
+  CHECK(rests_.RemainingBackoff(kEndpoint) == Millis(2000));
   CHECK(Ask(Millis(3000)));
-  CHECK(rests_.RestOf(kEndpoint) == Millis(3000));
+  CHECK(rests_.RemainingBackoff(kEndpoint) == Millis(3000));
 }
 
 TEST_CASE_METHOD(RestsFixture, "A rest that cannot be read is a short one") {
   CHECK(Ask(UnreadableBackoff{}));
-  CHECK(rests_.RestOf(kEndpoint) == EndpointBackoffs::kUnreadable);
+  CHECK(rests_.RemainingBackoff(kEndpoint) == EndpointBackoffs::kUnreadable);
 }
 
 TEST_CASE_METHOD(RestsFixture, "A new life owes no rest, the same one does") {
@@ -69,7 +69,7 @@
   CHECK(rests_.Count() == 0);
   Ask(Millis(3000), EndpointIncarnation{2000});
   CHECK(Ask(Millis(100), EndpointIncarnation{3000}));
-  CHECK(rests_.RestOf(kEndpoint) == Millis(100));
+  CHECK(rests_.RemainingBackoff(kEndpoint) == Millis(100));
 }
 
 // Hosts that are all told to rest at one time, and press to return.
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -77,7 +77,8 @@
   log_->Write(
       "rest_asked",
       {{"endpoint", endpoint.id.value},
-       {"rest_ms", rests_.RestOf(endpoint.id).value_or(Millis(0)).count()},
+       {"rest_ms",
+        rests_.RemainingBackoff(endpoint.id).value_or(Millis(0)).count()},
        {"readable", !is_unreadable}});
 }
 
@@ -179,7 +180,7 @@
 nlohmann::json StartGate::DescribeRest(const EndpointId& id) const {
   const StartLimit bound = rests_.StartLimitOf(id).value_or(StartLimit{});
   return {{"endpoint", id.value},
-          {"rest_ms", rests_.RestOf(id).value_or(Millis(0)).count()},
+          {"rest_ms", rests_.RemainingBackoff(id).value_or(Millis(0)).count()},
           {"raise", bound.multiplier}};
 }
 
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -92,7 +92,7 @@
   std::size_t ColdCount() const { return cold_endpoints_.Count(); }
   std::size_t LimitedCount() const { return limits_.Count(); }
   bool IsResting(const EndpointId& id) const {
-    return rests_.RestOf(id).has_value();
+    return rests_.RemainingBackoff(id).has_value();
   }
   std::size_t RestingCount() const { return rests_.Count(); }
 
