--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_answer.h
@@ -40,7 +40,7 @@
   // How many requests a second it takes from all hosts together.
   RateLimitHint limit;
   // How long it wants nothing from this host. Refusals alone say that.
-  BackoffHint rest;
+  BackoffHint backoff;
   // Holds until the endpoint starts anew.
   LeavingHint leaving = LeavingHint::kNone;
 
--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -44,17 +44,17 @@
 BackoffHint ReadRest(std::string_view text, std::string_view answered) {
   const auto longest = static_cast<double>(kLongestRest.count());
   if (const auto seconds = ParseDecimal(text)) {
-    const double rest = std::min(longest, *seconds * kMillisPerSecond);
-    return Millis(static_cast<std::int64_t>(std::ceil(rest)));
+    const double backoff = std::min(longest, *seconds * kMillisPerSecond);
+    return Millis(static_cast<std::int64_t>(std::ceil(backoff)));
   }
   const auto until = ReadDate(text);
   const auto since = ReadDate(answered);
   if (!until.has_value() || !since.has_value()) {
     return UnreadableBackoff{};
   }
-  const Millis rest = std::chrono::duration_cast<Millis>(
+  const Millis backoff = std::chrono::duration_cast<Millis>(
       std::chrono::microseconds(*until - *since));
-  return std::clamp(rest, Millis(0), kLongestRest);
+  return std::clamp(backoff, Millis(0), kLongestRest);
 }
 
 LeavingHint ReadLeaving(std::string_view text) {
@@ -76,9 +76,10 @@
   if (limit != head.end()) {
     answer.limit = ParseRateLimit(View(limit->value()));
   }
-  const auto rest = head.find(http::field::retry_after);
-  if (rest != head.end() && MayAskForRest(answer.status)) {
-    answer.rest = ReadRest(View(rest->value()), View(head[http::field::date]));
+  const auto backoff = head.find(http::field::retry_after);
+  if (backoff != head.end() && MayAskForRest(answer.status)) {
+    answer.backoff =
+        ReadRest(View(backoff->value()), View(head[http::field::date]));
   }
   const auto leaving = head.find(names.leaving);
   if (leaving != head.end()) {
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -76,7 +76,7 @@
   CHECK_FALSE(answer.not_run);
   CHECK(answer.at_fault.empty());
   CHECK(std::holds_alternative<NoRateLimit>(answer.limit));
-  CHECK(std::holds_alternative<NoBackoff>(answer.rest));
+  CHECK(std::holds_alternative<NoBackoff>(answer.backoff));
   CHECK(answer.leaving == LeavingHint::kNone);
 }
 
@@ -94,7 +94,7 @@
   CHECK(answer.not_run);
   CHECK(answer.at_fault == "e7");
   CHECK(std::get<RequestRate>(answer.limit) == RequestRate{0.5});
-  CHECK(std::get<Millis>(answer.rest) == Millis(2000));
+  CHECK(std::get<Millis>(answer.backoff) == Millis(2000));
   CHECK(answer.leaving == LeavingHint::kLeaving);
 }
 
@@ -111,7 +111,7 @@
   const unsigned status = GENERATE(200U, 302U, 413U, 421U, 500U, 504U);
   AnswerHead head = Head(status);
   head.set(http::field::retry_after, "2");
-  CHECK(std::holds_alternative<NoBackoff>(DecodeAnswer(head, Names()).rest));
+  CHECK(std::holds_alternative<NoBackoff>(DecodeAnswer(head, Names()).backoff));
 }
 
 }  // namespace
--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -26,8 +26,8 @@
     return;
   }
   TakeLimit(endpoint.id, answer, sent_at);
-  start_gate_->OnRest(endpoint, answer.rest);
-  if (!std::holds_alternative<NoBackoff>(answer.rest)) {
+  start_gate_->OnRest(endpoint, answer.backoff);
+  if (!std::holds_alternative<NoBackoff>(answer.backoff)) {
     rest_watch_->NoteRest();
   }
   TakeLeaving(endpoint, answer.leaving);
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -28,7 +28,7 @@
     answer.status = 503;
     answer.not_run = true;
     answer.limit = RequestRate{2};
-    answer.rest = Millis(3000);
+    answer.backoff = Millis(3000);
     answer.leaving = LeavingHint::kLeaving;
     return answer;
   }
