--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -54,7 +54,7 @@
   std::size_t Count() const;
 
   // What a rest counts as that cannot be read: the endpoint wants some.
-  static constexpr Millis kUnreadable{1000};
+  static constexpr Millis kUnreadableBackoff{1000};
   // What all hosts together may begin in kReturnWindow when a rest ends: about
   // what one engine begins in ordinary running.
   static constexpr double kMostAtReturn = 16;
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -12,7 +12,7 @@
   Millis operator()(NoBackoff /*word*/) const { return Millis(0); }
   Millis operator()(Millis rest) const { return rest; }
   Millis operator()(UnreadableBackoff /*word*/) const {
-    return EndpointBackoffs::kUnreadable;
+    return EndpointBackoffs::kUnreadableBackoff;
   }
 };
 
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -58,7 +58,8 @@
 
 TEST_CASE_METHOD(RestsFixture, "A rest that cannot be read is a short one") {
   CHECK(Ask(UnreadableBackoff{}));
-  CHECK(rests_.RemainingBackoff(kEndpoint) == EndpointBackoffs::kUnreadable);
+  CHECK(rests_.RemainingBackoff(kEndpoint) ==
+        EndpointBackoffs::kUnreadableBackoff);
 }
 
 TEST_CASE_METHOD(RestsFixture, "A new life owes no rest, the same one does") {
