--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -57,7 +57,7 @@
   static constexpr Millis kUnreadableBackoff{1000};
   // What all hosts together may begin in kReturnWindow when a rest ends: about
   // what one engine begins in ordinary running.
-  static constexpr double kMostAtReturn = 16;
+  static constexpr double kMaxStartsAfterBackoff = 16;
   static constexpr Millis kReturnWindow{1000};
   // That doubles in each of these: an answer is there sooner.
   static constexpr Millis kDoublingPeriod{500};
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -65,7 +65,7 @@
   }
   const TimePoint until = found->second.until;
   StartLimit bound;
-  bound.max_starts = kMostAtReturn;
+  bound.max_starts = kMaxStartsAfterBackoff;
   bound.window = kReturnWindow;
   bound.multiplier =
       std::exp2(std::max(0.0, FractionalMillis(now - until) / kDoublingPeriod));
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_rests_test.cc
@@ -149,7 +149,7 @@
   }
   CHECK(within_rest == 0);
   // While the bound has not doubled yet, no more than it allows in a window.
-  CHECK(at_return <= 2 * EndpointBackoffs::kMostAtReturn);
+  CHECK(at_return <= 2 * EndpointBackoffs::kMaxStartsAfterBackoff);
   // Nothing holds them back in the end.
   CHECK(later == hosts * 400);
 }
