--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_rests.h
@@ -55,10 +55,10 @@
 
   // What a rest counts as that cannot be read: the endpoint wants some.
   static constexpr Millis kUnreadableBackoff{1000};
-  // What all hosts together may begin in kReturnWindow when a rest ends: about
+  // What all hosts together may begin in kRampUpWindow when a rest ends: about
   // what one engine begins in ordinary running.
   static constexpr double kMaxStartsAfterBackoff = 16;
-  static constexpr Millis kReturnWindow{1000};
+  static constexpr Millis kRampUpWindow{1000};
   // That doubles in each of these: an answer is there sooner.
   static constexpr Millis kDoublingPeriod{500};
   // How often it doubles before the bound is lifted.
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_rests.cc
@@ -66,7 +66,7 @@
   const TimePoint until = found->second.until;
   StartLimit bound;
   bound.max_starts = kMaxStartsAfterBackoff;
-  bound.window = kReturnWindow;
+  bound.window = kRampUpWindow;
   bound.multiplier =
       std::exp2(std::max(0.0, FractionalMillis(now - until) / kDoublingPeriod));
   bound.since = until;
