--- a/include/harecrank/core/cold_endpoints.h
+++ b/include/harecrank/core/cold_endpoints.h
@@ -39,7 +39,7 @@
 
   // Returns by what factor the bound of `id` is raised: 1 while it is cold,
   // rising afterwards, and nothing where there is no bound.
-  std::optional<double> Factor(const EndpointId& id) const;
+  std::optional<double> RampUpFactor(const EndpointId& id) const;
 
   // Returns since when `id` has had a bound; the clock's beginning if it has
   // none.
--- a/src/core/cold_endpoints.cc
+++ b/src/core/cold_endpoints.cc
@@ -30,7 +30,7 @@
   const Millis cold_for = record.cold_for.value_or(after_start);
   const bool was_cold = entry.IsCold(now);
   if (cold_for > Millis(0)) {
-    if (!Factor(record.id).has_value()) {
+    if (!RampUpFactor(record.id).has_value()) {
       entry.bound_since = now;
     }
     entry.cold_until = now + cold_for;
@@ -62,7 +62,7 @@
   return found != entries_.end() && found->second.IsCold(clock_());
 }
 
-std::optional<double> ColdEndpoints::Factor(const EndpointId& id) const {
+std::optional<double> ColdEndpoints::RampUpFactor(const EndpointId& id) const {
   const auto found = entries_.find(id);
   if (found == entries_.end() || !found->second.cold_until.has_value()) {
     return std::nullopt;
@@ -92,7 +92,7 @@
       entry.end_told = true;
       warmed.push_back(*it);
     }
-    if (Factor(*it).has_value()) {
+    if (RampUpFactor(*it).has_value()) {
       ++it;
       continue;
     }
@@ -107,7 +107,7 @@
 std::vector<EndpointId> ColdEndpoints::LimitedEndpoints() const {
   std::vector<EndpointId> bounded;
   for (const EndpointId& id : bounded_) {
-    if (Factor(id).has_value()) {
+    if (RampUpFactor(id).has_value()) {
       bounded.push_back(id);
     }
   }
--- a/src/core/cold_endpoints_test.cc
+++ b/src/core/cold_endpoints_test.cc
@@ -83,7 +83,7 @@
   CHECK(endpoints_.IsCold(kEndpoint));
   Pass(Millis(10000));
   endpoints_.TakeWarmed();
-  CHECK_FALSE(endpoints_.Factor(kEndpoint).has_value());
+  CHECK_FALSE(endpoints_.RampUpFactor(kEndpoint).has_value());
 }
 
 }  // namespace
--- a/src/core/start_quotas.cc
+++ b/src/core/start_quotas.cc
@@ -111,7 +111,7 @@
 
 std::optional<StartLimit> StartQuotas::ColdLimitOf(
     const EndpointId& endpoint, const ServiceProfile& service) const {
-  const auto multiplier = cold_endpoints_->Factor(endpoint);
+  const auto multiplier = cold_endpoints_->RampUpFactor(endpoint);
   if (!multiplier.has_value() || !LimitsColdStarts(service)) {
     return std::nullopt;
   }
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -162,7 +162,7 @@
   for (const EndpointId& id : cold_endpoints_.LimitedEndpoints()) {
     cold.push_back({{"endpoint", id.value},
                     {"cold", cold_endpoints_.IsCold(id)},
-                    {"raise", cold_endpoints_.Factor(id).value_or(1)}});
+                    {"raise", cold_endpoints_.RampUpFactor(id).value_or(1)}});
   }
   nlohmann::json limited = nlohmann::json::array();
   for (const EndpointId& id : limits_.LimitedEndpoints()) {
