--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -35,9 +35,9 @@
 };
 
 // Holds the orders. Not thread-safe.
-class ClosedDataCentres {
+class DrainedDataCentres {
  public:
-  explicit ClosedDataCentres(MonotonicClock clock);
+  explicit DrainedDataCentres(MonotonicClock clock);
 
   // Takes an order. Returns whether the data centre was open until now.
   bool Close(const ClosedDataCentre& order);
--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -135,7 +135,7 @@
   ClosingChange ReplaceClosed(const std::vector<ClosedDataCentre>& orders,
                               StoreRevision at);
 
-  const ClosedDataCentres& Closed() const { return closed_; }
+  const DrainedDataCentres& Closed() const { return closed_; }
 
   // Returns the endpoints of one data centre, usable or not.
   std::vector<EndpointId> In(const DataCentreId& data_centre) const;
@@ -220,7 +220,7 @@
   void Rebuild() const;
 
   MonotonicClock clock_;
-  ClosedDataCentres closed_;
+  DrainedDataCentres closed_;
   std::map<EndpointId, Entry> entries_;
   Millis lapse_grace_;
   std::map<EndpointId, LeavingLife> leaving_;
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -9,10 +9,10 @@
 
 namespace harecrank {
 
-ClosedDataCentres::ClosedDataCentres(MonotonicClock clock)
+DrainedDataCentres::DrainedDataCentres(MonotonicClock clock)
     : clock_(std::move(clock)) {}
 
-bool ClosedDataCentres::Close(const ClosedDataCentre& order) {
+bool DrainedDataCentres::Close(const ClosedDataCentre& order) {
   State& state = states_[order.id];
   if (order.revision < state.revision) {
     return false;
@@ -22,7 +22,7 @@
   return was_open;
 }
 
-bool ClosedDataCentres::Open(const DataCentreId& id, StoreRevision revision) {
+bool DrainedDataCentres::Open(const DataCentreId& id, StoreRevision revision) {
   State& state = states_[id];
   if (revision < state.revision) {
     return false;
@@ -32,7 +32,7 @@
   return was_closed;
 }
 
-ClosingChange ClosedDataCentres::ReplaceAll(
+ClosingChange DrainedDataCentres::ReplaceAll(
     const std::vector<ClosedDataCentre>& orders, StoreRevision at) {
   ClosingChange change;
   std::set<DataCentreId> listed;
@@ -55,13 +55,13 @@
   return change;
 }
 
-bool ClosedDataCentres::IsClosed(const DataCentreId& id) const {
+bool DrainedDataCentres::IsClosed(const DataCentreId& id) const {
   const auto found = states_.find(id);
   return found != states_.end() && found->second.is_closed;
 }
 
-bool ClosedDataCentres::IsReturning(const DataCentreId& id,
-                                    const EndpointId& endpoint) const {
+bool DrainedDataCentres::IsReturning(const DataCentreId& id,
+                                     const EndpointId& endpoint) const {
   const auto found = states_.find(id);
   if (found == states_.end() || !ReturnsNow(found->second)) {
     return false;
@@ -72,19 +72,19 @@
   return clock_() - *found->second.opened_at < wait;
 }
 
-bool ClosedDataCentres::AnyReturns() const {
+bool DrainedDataCentres::AnyReturns() const {
   return std::any_of(states_.begin(), states_.end(), [this](const auto& item) {
     return ReturnsNow(item.second);
   });
 }
 
-std::size_t ClosedDataCentres::Count() const {
+std::size_t DrainedDataCentres::Count() const {
   return static_cast<std::size_t>(
       std::count_if(states_.begin(), states_.end(),
                     [](const auto& item) { return item.second.is_closed; }));
 }
 
-void ClosedDataCentres::SetOpen(State* state, StoreRevision revision) {
+void DrainedDataCentres::SetOpen(State* state, StoreRevision revision) {
   if (state->is_closed) {
     state->opened_at = clock_();
   }
@@ -92,7 +92,7 @@
   state->revision = revision;
 }
 
-bool ClosedDataCentres::ReturnsNow(const State& state) const {
+bool DrainedDataCentres::ReturnsNow(const State& state) const {
   return state.opened_at.has_value() && clock_() - *state.opened_at < kReturn;
 }
 
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -20,7 +20,7 @@
 class ClosedFixture {
  protected:
   TimePoint now_{};
-  ClosedDataCentres closed_{[this] { return now_; }};
+  DrainedDataCentres closed_{[this] { return now_; }};
 };
 
 TEST_CASE_METHOD(ClosedFixture,
@@ -157,7 +157,7 @@
   std::size_t largest_step = 0;
   constexpr int kSteps = 20;
   for (int i = 0; i < kSteps; ++i) {
-    now_ += ClosedDataCentres::kReturn / kSteps;
+    now_ += DrainedDataCentres::kReturn / kSteps;
     const std::size_t usable = UsableIn(kA);
     REQUIRE(usable >= last);
     largest_step = std::max(largest_step, usable - last);
