--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -18,20 +18,21 @@
 namespace harecrank {
 
 // An order that a data centre is to take nothing, as published.
-struct ClosedDataCentre {
+struct DrainedDataCentre {
   DataCentreId id;
   StoreRevision revision;
 
-  friend bool operator==(const ClosedDataCentre& a, const ClosedDataCentre& b) {
+  friend bool operator==(const DrainedDataCentre& a,
+                         const DrainedDataCentre& b) {
     return a.id == b.id && a.revision == b.revision;
   }
 };
 
 // What a listing changed of what was held.
 struct ClosingChange {
-  std::vector<ClosedDataCentre> closed;
+  std::vector<DrainedDataCentre> closed;
   // With the revision at which they were heard to be open.
-  std::vector<ClosedDataCentre> opened;
+  std::vector<DrainedDataCentre> opened;
 };
 
 // Holds the orders. Not thread-safe.
@@ -40,14 +41,14 @@
   explicit DrainedDataCentres(MonotonicClock clock);
 
   // Takes an order. Returns whether the data centre was open until now.
-  bool Close(const ClosedDataCentre& order);
+  bool Close(const DrainedDataCentre& order);
 
   // The order for `id` was taken back at `revision`. Returns whether it was
   // closed until now.
   bool Open(const DataCentreId& id, StoreRevision revision);
 
   // Takes all orders that stood at `at`: others as old as that are taken back.
-  ClosingChange ReplaceAll(const std::vector<ClosedDataCentre>& orders,
+  ClosingChange ReplaceAll(const std::vector<DrainedDataCentre>& orders,
                            StoreRevision at);
 
   bool IsClosed(const DataCentreId& id) const;
--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -126,13 +126,13 @@
 
   // Takes an order that a data centre is to take nothing. Returns whether that
   // is news.
-  bool CloseDataCentre(const ClosedDataCentre& order);
+  bool CloseDataCentre(const DrainedDataCentre& order);
 
   // Takes it back. Returns whether that is news.
   bool OpenDataCentre(const DataCentreId& id, StoreRevision revision);
 
   // Takes all orders that stood at `at`, and returns what they changed.
-  ClosingChange ReplaceClosed(const std::vector<ClosedDataCentre>& orders,
+  ClosingChange ReplaceClosed(const std::vector<DrainedDataCentre>& orders,
                               StoreRevision at);
 
   const DrainedDataCentres& Closed() const { return closed_; }
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -12,7 +12,7 @@
 DrainedDataCentres::DrainedDataCentres(MonotonicClock clock)
     : clock_(std::move(clock)) {}
 
-bool DrainedDataCentres::Close(const ClosedDataCentre& order) {
+bool DrainedDataCentres::Close(const DrainedDataCentre& order) {
   State& state = states_[order.id];
   if (order.revision < state.revision) {
     return false;
@@ -33,10 +33,10 @@
 }
 
 ClosingChange DrainedDataCentres::ReplaceAll(
-    const std::vector<ClosedDataCentre>& orders, StoreRevision at) {
+    const std::vector<DrainedDataCentre>& orders, StoreRevision at) {
   ClosingChange change;
   std::set<DataCentreId> listed;
-  for (const ClosedDataCentre& order : orders) {
+  for (const DrainedDataCentre& order : orders) {
     listed.insert(order.id);
     if (Close(order)) {
       change.closed.push_back(order);
@@ -47,7 +47,7 @@
     const bool holds = listed.count(it->first) != 0 || at < state.revision;
     if (!holds && state.is_closed) {
       SetOpen(&state, at);
-      change.opened.push_back(ClosedDataCentre{it->first, at});
+      change.opened.push_back(DrainedDataCentre{it->first, at});
     }
     const bool is_spent = !holds && !ReturnsNow(state);
     it = is_spent ? states_.erase(it) : std::next(it);
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -13,8 +13,8 @@
 const DataCentreId kB{"b"};
 const ServiceName kService{"writers"};
 
-ClosedDataCentre Order(const DataCentreId& id, std::uint64_t revision) {
-  return ClosedDataCentre{id, StoreRevision{revision}};
+DrainedDataCentre Order(const DataCentreId& id, std::uint64_t revision) {
+  return DrainedDataCentre{id, StoreRevision{revision}};
 }
 
 class ClosedFixture {
@@ -63,8 +63,8 @@
   const DataCentreId c{"c"};
   const ClosingChange change =
       closed_.ReplaceAll({Order(c, 8)}, StoreRevision{10});
-  CHECK(change.closed == std::vector<ClosedDataCentre>{Order(c, 8)});
-  CHECK(change.opened == std::vector<ClosedDataCentre>{Order(kA, 10)});
+  CHECK(change.closed == std::vector<DrainedDataCentre>{Order(c, 8)});
+  CHECK(change.opened == std::vector<DrainedDataCentre>{Order(kA, 10)});
   CHECK(closed_.IsClosed(kB));
   CHECK(closed_.IsClosed(c));
   // A late word of what the listing has taken back.
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -189,7 +189,7 @@
   }
 }
 
-bool EndpointDirectory::CloseDataCentre(const ClosedDataCentre& order) {
+bool EndpointDirectory::CloseDataCentre(const DrainedDataCentre& order) {
   stale_index_ = true;
   return closed_.Close(order);
 }
@@ -201,7 +201,7 @@
 }
 
 ClosingChange EndpointDirectory::ReplaceClosed(
-    const std::vector<ClosedDataCentre>& orders, StoreRevision at) {
+    const std::vector<DrainedDataCentre>& orders, StoreRevision at) {
   stale_index_ = true;
   return closed_.ReplaceAll(orders, at);
 }
--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -28,7 +28,7 @@
   // nothing: in one call, so that a host that has just started never knows
   // endpoints without the orders for them.
   virtual void OnListing(std::vector<EndpointRecord> records,
-                         std::vector<ClosedDataCentre> closed,
+                         std::vector<DrainedDataCentre> closed,
                          StoreRevision at) = 0;
   // One endpoint's entry was written, or has vanished.
   virtual void OnEndpoint(const EndpointRecord& record) = 0;
@@ -37,7 +37,7 @@
   virtual void OnEndpointUnusable(const EndpointId& id, StoreRevision revision,
                                   const std::string& reason) = 0;
   // A data centre is to take nothing from now on, or takes work again.
-  virtual void OnDataCentreClosed(const ClosedDataCentre& order) = 0;
+  virtual void OnDataCentreClosed(const DrainedDataCentre& order) = 0;
   virtual void OnDataCentreOpened(const DataCentreId& id,
                                   StoreRevision revision) = 0;
   // The platform has answered: what was told is complete up to `at`.
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -99,18 +99,18 @@
                                     {"reason", reason}});
 }
 
-void EndpointNews::OnClosedListed(const std::vector<ClosedDataCentre>& closed,
+void EndpointNews::OnClosedListed(const std::vector<DrainedDataCentre>& closed,
                                   StoreRevision at) {
   const ClosingChange change = directory_->ReplaceClosed(closed, at);
-  for (const ClosedDataCentre& order : change.closed) {
+  for (const DrainedDataCentre& order : change.closed) {
     NoteClosed(order);
   }
-  for (const ClosedDataCentre& order : change.opened) {
+  for (const DrainedDataCentre& order : change.opened) {
     NoteOpened(order);
   }
 }
 
-void EndpointNews::OnClosed(const ClosedDataCentre& order) {
+void EndpointNews::OnClosed(const DrainedDataCentre& order) {
   if (directory_->CloseDataCentre(order)) {
     NoteClosed(order);
   }
@@ -118,11 +118,11 @@
 
 void EndpointNews::OnOpened(const DataCentreId& id, StoreRevision revision) {
   if (directory_->OpenDataCentre(id, revision)) {
-    NoteOpened(ClosedDataCentre{id, revision});
+    NoteOpened(DrainedDataCentre{id, revision});
   }
 }
 
-void EndpointNews::NoteClosed(const ClosedDataCentre& order) {
+void EndpointNews::NoteClosed(const DrainedDataCentre& order) {
   const std::vector<EndpointId> endpoints = directory_->In(order.id);
   for (const EndpointId& id : endpoints) {
     // Nothing is to be sent there any more, and they may be stopped soon.
@@ -136,7 +136,7 @@
               LogWeight::kAlwaysKept);
 }
 
-void EndpointNews::NoteOpened(const ClosedDataCentre& order) {
+void EndpointNews::NoteOpened(const DrainedDataCentre& order) {
   log_->Write("data_centre_opened",
               {{"data_centre", order.id.value},
                {"endpoints", directory_->In(order.id).size()},
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -44,11 +44,11 @@
                   const std::string& reason);
 
   // All data centres that are to take nothing, as published at `at`.
-  void OnClosedListed(const std::vector<ClosedDataCentre>& closed,
+  void OnClosedListed(const std::vector<DrainedDataCentre>& closed,
                       StoreRevision at);
 
   // A data centre is to take nothing, or takes work again.
-  void OnClosed(const ClosedDataCentre& order);
+  void OnClosed(const DrainedDataCentre& order);
   void OnOpened(const DataCentreId& id, StoreRevision revision);
 
   // Returns how many endpoints of closed data centres still have work, as
@@ -75,8 +75,8 @@
   // `record` tells of a new one.
   void NoteLife(const EndpointRecord& record);
   void Forget(const EndpointId& id);
-  void NoteClosed(const ClosedDataCentre& order);
-  void NoteOpened(const ClosedDataCentre& order);
+  void NoteClosed(const DrainedDataCentre& order);
+  void NoteOpened(const DrainedDataCentre& order);
 
   EndpointDirectory* directory_;
   EndpointHealth* health_;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -34,7 +34,7 @@
 }
 
 void PublishedNews::OnListing(std::vector<EndpointRecord> records,
-                              std::vector<ClosedDataCentre> closed,
+                              std::vector<DrainedDataCentre> closed,
                               StoreRevision at) {
   start_gate_->OnListing(records);
   endpoint_news_->OnListing(records, at);
@@ -70,7 +70,7 @@
   endpoint_news_->OnUnusable(id, revision, reason);
 }
 
-void PublishedNews::OnDataCentreClosed(const ClosedDataCentre& order) {
+void PublishedNews::OnDataCentreClosed(const DrainedDataCentre& order) {
   endpoint_news_->OnClosed(order);
 }
 
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -29,13 +29,13 @@
 
   void OnRouting(RoutingDocument document) override;
   void OnListing(std::vector<EndpointRecord> records,
-                 std::vector<ClosedDataCentre> closed,
+                 std::vector<DrainedDataCentre> closed,
                  StoreRevision at) override;
   void OnEndpoint(const EndpointRecord& record) override;
   void OnEndpointGone(const EndpointId& id, StoreRevision revision) override;
   void OnEndpointUnusable(const EndpointId& id, StoreRevision revision,
                           const std::string& reason) override;
-  void OnDataCentreClosed(const ClosedDataCentre& order) override;
+  void OnDataCentreClosed(const DrainedDataCentre& order) override;
   void OnDataCentreOpened(const DataCentreId& id,
                           StoreRevision revision) override;
   void OnSourceWell(StoreRevision at) override;
