--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -29,7 +29,7 @@
 };
 
 // What a listing changed of what was held.
-struct ClosingChange {
+struct DrainChange {
   std::vector<DrainedDataCentre> closed;
   // With the revision at which they were heard to be open.
   std::vector<DrainedDataCentre> opened;
@@ -48,8 +48,8 @@
   bool Open(const DataCentreId& id, StoreRevision revision);
 
   // Takes all orders that stood at `at`: others as old as that are taken back.
-  ClosingChange ReplaceAll(const std::vector<DrainedDataCentre>& orders,
-                           StoreRevision at);
+  DrainChange ReplaceAll(const std::vector<DrainedDataCentre>& orders,
+                         StoreRevision at);
 
   bool IsClosed(const DataCentreId& id) const;
 
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -32,9 +32,9 @@
   return was_closed;
 }
 
-ClosingChange DrainedDataCentres::ReplaceAll(
+DrainChange DrainedDataCentres::ReplaceAll(
     const std::vector<DrainedDataCentre>& orders, StoreRevision at) {
-  ClosingChange change;
+  DrainChange change;
   std::set<DataCentreId> listed;
   for (const DrainedDataCentre& order : orders) {
     listed.insert(order.id);
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -61,7 +61,7 @@
   closed_.Close(Order(kA, 5));
   closed_.Close(Order(kB, 12));
   const DataCentreId c{"c"};
-  const ClosingChange change =
+  const DrainChange change =
       closed_.ReplaceAll({Order(c, 8)}, StoreRevision{10});
   CHECK(change.closed == std::vector<DrainedDataCentre>{Order(c, 8)});
   CHECK(change.opened == std::vector<DrainedDataCentre>{Order(kA, 10)});
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -200,7 +200,7 @@
   return closed_.Open(id, revision);
 }
 
-ClosingChange EndpointDirectory::ReplaceClosed(
+DrainChange EndpointDirectory::ReplaceClosed(
     const std::vector<DrainedDataCentre>& orders, StoreRevision at) {
   stale_index_ = true;
   return closed_.ReplaceAll(orders, at);
