--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -126,7 +126,7 @@
 
   // Takes an order that a data centre is to take nothing. Returns whether that
   // is news.
-  bool CloseDataCentre(const DrainedDataCentre& order);
+  bool DrainDataCentre(const DrainedDataCentre& order);
 
   // Takes it back. Returns whether that is news.
   bool OpenDataCentre(const DataCentreId& id, StoreRevision revision);
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -105,7 +105,7 @@
 TEST_CASE_METHOD(ClosedDirectoryFixture,
                  "Endpoints of a closed data centre are neither chosen nor "
                  "accepted from another host's choice, and are still known") {
-  directory_.CloseDataCentre(Order(kA, 5));
+  directory_.DrainDataCentre(Order(kA, 5));
   CHECK(UsableIn(kA) == 0);
   CHECK(UsableIn(kB) == kEach);
   CHECK(directory_.FindUsable(EndpointId{"a1"}, kService) == nullptr);
@@ -117,7 +117,7 @@
 TEST_CASE_METHOD(ClosedDirectoryFixture,
                  "An endpoint that appears in a closed data centre, or moves "
                  "there, takes nothing") {
-  directory_.CloseDataCentre(Order(kA, 5));
+  directory_.DrainDataCentre(Order(kA, 5));
   Publish(kA, kEach);
   CHECK(UsableIn(kA) == 0);
   EndpointRecord moved = *directory_.Find(EndpointId{"b1"});
@@ -131,14 +131,14 @@
 TEST_CASE_METHOD(ClosedDirectoryFixture,
                  "An order for a data centre that nobody knows leaves the rest "
                  "as it is") {
-  directory_.CloseDataCentre(Order(DataCentreId{"nowhere"}, 5));
+  directory_.DrainDataCentre(Order(DataCentreId{"nowhere"}, 5));
   CHECK(directory_.UsableOf(kService).size() == std::size_t{2} * kEach);
 }
 
 TEST_CASE_METHOD(ClosedDirectoryFixture,
                  "With all data centres closed nothing is usable") {
-  directory_.CloseDataCentre(Order(kA, 5));
-  directory_.CloseDataCentre(Order(kB, 6));
+  directory_.DrainDataCentre(Order(kA, 5));
+  directory_.DrainDataCentre(Order(kB, 6));
   CHECK(directory_.UsableOf(kService).empty());
 }
 
@@ -146,7 +146,7 @@
 TEST_CASE_METHOD(ClosedDirectoryFixture,
                  "Endpoints of a data centre that is open again are chosen one "
                  "after the other") {
-  directory_.CloseDataCentre(Order(kA, 5));
+  directory_.DrainDataCentre(Order(kA, 5));
   directory_.OpenDataCentre(kA, StoreRevision{6});
   const std::size_t at_first = UsableIn(kA);
   CHECK(at_first <= kEach / 10);
@@ -170,8 +170,8 @@
 TEST_CASE_METHOD(ClosedDirectoryFixture,
                  "Where no other endpoint is left, those that return are used "
                  "at once") {
-  directory_.CloseDataCentre(Order(kA, 5));
-  directory_.CloseDataCentre(Order(kB, 6));
+  directory_.DrainDataCentre(Order(kA, 5));
+  directory_.DrainDataCentre(Order(kB, 6));
   directory_.OpenDataCentre(kA, StoreRevision{7});
   CHECK(UsableIn(kA) == kEach);
 }
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -189,7 +189,7 @@
   }
 }
 
-bool EndpointDirectory::CloseDataCentre(const DrainedDataCentre& order) {
+bool EndpointDirectory::DrainDataCentre(const DrainedDataCentre& order) {
   stale_index_ = true;
   return closed_.Close(order);
 }
--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -122,7 +122,7 @@
     "against no request") {
   Host host;
   const EndpointRecord endpoint = EndedEndpoint();
-  host.directory.CloseDataCentre({endpoint.data_centre, StoreRevision{2}});
+  host.directory.DrainDataCentre({endpoint.data_centre, StoreRevision{2}});
   CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
   CHECK(host.quarantine.Count() == 0);
   host.directory.OpenDataCentre(endpoint.data_centre, StoreRevision{3});
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -111,7 +111,7 @@
 }
 
 void EndpointNews::OnClosed(const DrainedDataCentre& order) {
-  if (directory_->CloseDataCentre(order)) {
+  if (directory_->DrainDataCentre(order)) {
     NoteClosed(order);
   }
 }
