--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -129,7 +129,7 @@
   bool DrainDataCentre(const DrainedDataCentre& order);
 
   // Takes it back. Returns whether that is news.
-  bool OpenDataCentre(const DataCentreId& id, StoreRevision revision);
+  bool RestoreDataCentre(const DataCentreId& id, StoreRevision revision);
 
   // Takes all orders that stood at `at`, and returns what they changed.
   DrainChange ReplaceClosed(const std::vector<DrainedDataCentre>& orders,
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -147,7 +147,7 @@
                  "Endpoints of a data centre that is open again are chosen one "
                  "after the other") {
   directory_.DrainDataCentre(Order(kA, 5));
-  directory_.OpenDataCentre(kA, StoreRevision{6});
+  directory_.RestoreDataCentre(kA, StoreRevision{6});
   const std::size_t at_first = UsableIn(kA);
   CHECK(at_first <= kEach / 10);
   CHECK(UsableIn(kB) == kEach);
@@ -172,14 +172,14 @@
                  "at once") {
   directory_.DrainDataCentre(Order(kA, 5));
   directory_.DrainDataCentre(Order(kB, 6));
-  directory_.OpenDataCentre(kA, StoreRevision{7});
+  directory_.RestoreDataCentre(kA, StoreRevision{7});
   CHECK(UsableIn(kA) == kEach);
 }
 
 TEST_CASE_METHOD(ClosedDirectoryFixture,
                  "A data centre that was never closed, or is listed as open "
                  "for the first time, is used whole") {
-  directory_.OpenDataCentre(kA, StoreRevision{6});
+  directory_.RestoreDataCentre(kA, StoreRevision{6});
   directory_.ReplaceClosed({}, StoreRevision{7});
   CHECK(UsableIn(kA) == kEach);
 }
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -194,8 +194,8 @@
   return closed_.Close(order);
 }
 
-bool EndpointDirectory::OpenDataCentre(const DataCentreId& id,
-                                       StoreRevision revision) {
+bool EndpointDirectory::RestoreDataCentre(const DataCentreId& id,
+                                          StoreRevision revision) {
   stale_index_ = true;
   return closed_.Open(id, revision);
 }
--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -125,7 +125,7 @@
   host.directory.DrainDataCentre({endpoint.data_centre, StoreRevision{2}});
   CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
   CHECK(host.quarantine.Count() == 0);
-  host.directory.OpenDataCentre(endpoint.data_centre, StoreRevision{3});
+  host.directory.RestoreDataCentre(endpoint.data_centre, StoreRevision{3});
   CHECK(Judged(&host, endpoint) == ProbeResult::kRefused);
   CHECK(host.quarantine.Count() == 1);
 }
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -117,7 +117,7 @@
 }
 
 void EndpointNews::OnOpened(const DataCentreId& id, StoreRevision revision) {
-  if (directory_->OpenDataCentre(id, revision)) {
+  if (directory_->RestoreDataCentre(id, revision)) {
     NoteOpened(DrainedDataCentre{id, revision});
   }
 }
