--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -132,8 +132,8 @@
   bool RestoreDataCentre(const DataCentreId& id, StoreRevision revision);
 
   // Takes all orders that stood at `at`, and returns what they changed.
-  DrainChange ReplaceClosed(const std::vector<DrainedDataCentre>& orders,
-                            StoreRevision at);
+  DrainChange ReplaceDrained(const std::vector<DrainedDataCentre>& orders,
+                             StoreRevision at);
 
   const DrainedDataCentres& Closed() const { return closed_; }
 
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -180,7 +180,7 @@
                  "A data centre that was never closed, or is listed as open "
                  "for the first time, is used whole") {
   directory_.RestoreDataCentre(kA, StoreRevision{6});
-  directory_.ReplaceClosed({}, StoreRevision{7});
+  directory_.ReplaceDrained({}, StoreRevision{7});
   CHECK(UsableIn(kA) == kEach);
 }
 
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -200,7 +200,7 @@
   return closed_.Open(id, revision);
 }
 
-DrainChange EndpointDirectory::ReplaceClosed(
+DrainChange EndpointDirectory::ReplaceDrained(
     const std::vector<DrainedDataCentre>& orders, StoreRevision at) {
   stale_index_ = true;
   return closed_.ReplaceAll(orders, at);
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -101,7 +101,7 @@
 
 void EndpointNews::OnClosedListed(const std::vector<DrainedDataCentre>& closed,
                                   StoreRevision at) {
-  const DrainChange change = directory_->ReplaceClosed(closed, at);
+  const DrainChange change = directory_->ReplaceDrained(closed, at);
   for (const DrainedDataCentre& order : change.closed) {
     NoteClosed(order);
   }
