--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -135,7 +135,7 @@
   DrainChange ReplaceDrained(const std::vector<DrainedDataCentre>& orders,
                              StoreRevision at);
 
-  const DrainedDataCentres& Closed() const { return closed_; }
+  const DrainedDataCentres& Drained() const { return closed_; }
 
   // Returns the endpoints of one data centre, usable or not.
   std::vector<EndpointId> In(const DataCentreId& data_centre) const;
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -146,13 +146,13 @@
 
 int EndpointNews::BusyClosed(const EndpointLoads& loads) const {
   int busy = 0;
-  if (directory_->Closed().Count() == 0) {
+  if (directory_->Drained().Count() == 0) {
     return busy;
   }
   for (const EndpointRecord& record : directory_->All()) {
     const EndpointLoad load = loads.Of(record.id);
     const bool is_busy = load.BatchSize() > 0 || load.pending_prefills > 0;
-    if (is_busy && directory_->Closed().IsClosed(record.data_centre)) {
+    if (is_busy && directory_->Drained().IsClosed(record.data_centre)) {
       ++busy;
     }
   }
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -73,7 +73,7 @@
     return static_cast<double>(parts.hosts->Size().MaxHosts().value_or(0));
   });
   metrics->AddGauge("harecrank_gateway_data_centres_closed", [parts] {
-    return static_cast<double>(parts.directory->Closed().Count());
+    return static_cast<double>(parts.directory->Drained().Count());
   });
   metrics->AddGauge("harecrank_gateway_closed_endpoints_busy", [parts] {
     return static_cast<double>(parts.endpoint_news->BusyClosed(*parts.loads));
