--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -51,7 +51,7 @@
   DrainChange ReplaceAll(const std::vector<DrainedDataCentre>& orders,
                          StoreRevision at);
 
-  bool IsClosed(const DataCentreId& id) const;
+  bool IsDrained(const DataCentreId& id) const;
 
   // Returns whether `endpoint`, of data centre `id`, is still to wait since its
   // data centre takes work again. After an emptying its endpoints know nothing
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -55,7 +55,7 @@
   return change;
 }
 
-bool DrainedDataCentres::IsClosed(const DataCentreId& id) const {
+bool DrainedDataCentres::IsDrained(const DataCentreId& id) const {
   const auto found = states_.find(id);
   return found != states_.end() && found->second.is_closed;
 }
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -25,24 +25,24 @@
 
 TEST_CASE_METHOD(ClosedFixture,
                  "An order holds until it is taken back, and is news once") {
-  CHECK_FALSE(closed_.IsClosed(kA));
+  CHECK_FALSE(closed_.IsDrained(kA));
   CHECK(closed_.Close(Order(kA, 5)));
   CHECK_FALSE(closed_.Close(Order(kA, 5)));
-  CHECK(closed_.IsClosed(kA));
-  CHECK_FALSE(closed_.IsClosed(kB));
+  CHECK(closed_.IsDrained(kA));
+  CHECK_FALSE(closed_.IsDrained(kB));
   CHECK(closed_.Open(kA, StoreRevision{6}));
-  CHECK_FALSE(closed_.IsClosed(kA));
+  CHECK_FALSE(closed_.IsDrained(kA));
 }
 
 TEST_CASE_METHOD(ClosedFixture, "Older words change nothing") {
   closed_.Close(Order(kA, 5));
   CHECK_FALSE(closed_.Open(kA, StoreRevision{4}));
-  CHECK(closed_.IsClosed(kA));
+  CHECK(closed_.IsDrained(kA));
   closed_.Open(kA, StoreRevision{6});
   CHECK_FALSE(closed_.Close(Order(kA, 5)));
-  CHECK_FALSE(closed_.IsClosed(kA));
+  CHECK_FALSE(closed_.IsDrained(kA));
   CHECK(closed_.Close(Order(kA, 7)));
-  CHECK(closed_.IsClosed(kA));
+  CHECK(closed_.IsDrained(kA));
 }
 
 TEST_CASE_METHOD(ClosedFixture,
@@ -52,8 +52,8 @@
   closed_.Close(Order(kB, 6));
   CHECK(closed_.Count() == 2);
   closed_.Open(kA, StoreRevision{7});
-  CHECK_FALSE(closed_.IsClosed(kA));
-  CHECK(closed_.IsClosed(kB));
+  CHECK_FALSE(closed_.IsDrained(kA));
+  CHECK(closed_.IsDrained(kB));
 }
 
 TEST_CASE_METHOD(ClosedFixture,
@@ -65,8 +65,8 @@
       closed_.ReplaceAll({Order(c, 8)}, StoreRevision{10});
   CHECK(change.closed == std::vector<DrainedDataCentre>{Order(c, 8)});
   CHECK(change.opened == std::vector<DrainedDataCentre>{Order(kA, 10)});
-  CHECK(closed_.IsClosed(kB));
-  CHECK(closed_.IsClosed(c));
+  CHECK(closed_.IsDrained(kB));
+  CHECK(closed_.IsDrained(c));
   // A late word of what the listing has taken back.
   CHECK_FALSE(closed_.Close(Order(kA, 5)));
 }
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -296,7 +296,7 @@
 }
 
 bool EndpointDirectory::TakesWork(const EndpointRecord& record) const {
-  return !record.draining && !closed_.IsClosed(record.data_centre);
+  return !record.draining && !closed_.IsDrained(record.data_centre);
 }
 
 void EndpointDirectory::Rebuild() const {
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -53,7 +53,7 @@
   // Who empties a data centre may stop its endpoints, and one that leaves ends
   // by itself: that is no request's doing, and nothing more is sent there, not
   // even a probe. One that rests is not disturbed by it either.
-  return !directory_->Drained().IsClosed(endpoint.data_centre) &&
+  return !directory_->Drained().IsDrained(endpoint.data_centre) &&
          !directory_->HasAnnouncedLeave(endpoint.id, endpoint.incarnation) &&
          !is_resting_(endpoint.id);
 }
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -152,7 +152,7 @@
   for (const EndpointRecord& record : directory_->All()) {
     const EndpointLoad load = loads.Of(record.id);
     const bool is_busy = load.BatchSize() > 0 || load.pending_prefills > 0;
-    if (is_busy && directory_->Drained().IsClosed(record.data_centre)) {
+    if (is_busy && directory_->Drained().IsDrained(record.data_centre)) {
       ++busy;
     }
   }
