--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -41,7 +41,7 @@
   explicit DrainedDataCentres(MonotonicClock clock);
 
   // Takes an order. Returns whether the data centre was open until now.
-  bool Close(const DrainedDataCentre& order);
+  bool Drain(const DrainedDataCentre& order);
 
   // The order for `id` was taken back at `revision`. Returns whether it was
   // closed until now.
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -12,7 +12,7 @@
 DrainedDataCentres::DrainedDataCentres(MonotonicClock clock)
     : clock_(std::move(clock)) {}
 
-bool DrainedDataCentres::Close(const DrainedDataCentre& order) {
+bool DrainedDataCentres::Drain(const DrainedDataCentre& order) {
   State& state = states_[order.id];
   if (order.revision < state.revision) {
     return false;
@@ -38,7 +38,7 @@
   std::set<DataCentreId> listed;
   for (const DrainedDataCentre& order : orders) {
     listed.insert(order.id);
-    if (Close(order)) {
+    if (Drain(order)) {
       change.closed.push_back(order);
     }
   }
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -26,8 +26,8 @@
 TEST_CASE_METHOD(ClosedFixture,
                  "An order holds until it is taken back, and is news once") {
   CHECK_FALSE(closed_.IsDrained(kA));
-  CHECK(closed_.Close(Order(kA, 5)));
-  CHECK_FALSE(closed_.Close(Order(kA, 5)));
+  CHECK(closed_.Drain(Order(kA, 5)));
+  CHECK_FALSE(closed_.Drain(Order(kA, 5)));
   CHECK(closed_.IsDrained(kA));
   CHECK_FALSE(closed_.IsDrained(kB));
   CHECK(closed_.Open(kA, StoreRevision{6}));
@@ -35,21 +35,21 @@
 }
 
 TEST_CASE_METHOD(ClosedFixture, "Older words change nothing") {
-  closed_.Close(Order(kA, 5));
+  closed_.Drain(Order(kA, 5));
   CHECK_FALSE(closed_.Open(kA, StoreRevision{4}));
   CHECK(closed_.IsDrained(kA));
   closed_.Open(kA, StoreRevision{6});
-  CHECK_FALSE(closed_.Close(Order(kA, 5)));
+  CHECK_FALSE(closed_.Drain(Order(kA, 5)));
   CHECK_FALSE(closed_.IsDrained(kA));
-  CHECK(closed_.Close(Order(kA, 7)));
+  CHECK(closed_.Drain(Order(kA, 7)));
   CHECK(closed_.IsDrained(kA));
 }
 
 TEST_CASE_METHOD(ClosedFixture,
                  "Two data centres ordered one after the other, and taken back "
                  "in the same order, do not disturb each other") {
-  closed_.Close(Order(kA, 5));
-  closed_.Close(Order(kB, 6));
+  closed_.Drain(Order(kA, 5));
+  closed_.Drain(Order(kB, 6));
   CHECK(closed_.Count() == 2);
   closed_.Open(kA, StoreRevision{7});
   CHECK_FALSE(closed_.IsDrained(kA));
@@ -58,8 +58,8 @@
 
 TEST_CASE_METHOD(ClosedFixture,
                  "A listing replaces all but what was heard since") {
-  closed_.Close(Order(kA, 5));
-  closed_.Close(Order(kB, 12));
+  closed_.Drain(Order(kA, 5));
+  closed_.Drain(Order(kB, 12));
   const DataCentreId c{"c"};
   const DrainChange change =
       closed_.ReplaceAll({Order(c, 8)}, StoreRevision{10});
@@ -68,7 +68,7 @@
   CHECK(closed_.IsDrained(kB));
   CHECK(closed_.IsDrained(c));
   // A late word of what the listing has taken back.
-  CHECK_FALSE(closed_.Close(Order(kA, 5)));
+  CHECK_FALSE(closed_.Drain(Order(kA, 5)));
 }
 
 class ClosedDirectoryFixture {
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -191,7 +191,7 @@
 
 bool EndpointDirectory::DrainDataCentre(const DrainedDataCentre& order) {
   stale_index_ = true;
-  return closed_.Close(order);
+  return closed_.Drain(order);
 }
 
 bool EndpointDirectory::RestoreDataCentre(const DataCentreId& id,
