--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -45,7 +45,7 @@
 
   // The order for `id` was taken back at `revision`. Returns whether it was
   // closed until now.
-  bool Open(const DataCentreId& id, StoreRevision revision);
+  bool Restore(const DataCentreId& id, StoreRevision revision);
 
   // Takes all orders that stood at `at`: others as old as that are taken back.
   DrainChange ReplaceAll(const std::vector<DrainedDataCentre>& orders,
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -22,7 +22,8 @@
   return was_open;
 }
 
-bool DrainedDataCentres::Open(const DataCentreId& id, StoreRevision revision) {
+bool DrainedDataCentres::Restore(const DataCentreId& id,
+                                 StoreRevision revision) {
   State& state = states_[id];
   if (revision < state.revision) {
     return false;
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -30,15 +30,15 @@
   CHECK_FALSE(closed_.Drain(Order(kA, 5)));
   CHECK(closed_.IsDrained(kA));
   CHECK_FALSE(closed_.IsDrained(kB));
-  CHECK(closed_.Open(kA, StoreRevision{6}));
+  CHECK(closed_.Restore(kA, StoreRevision{6}));
   CHECK_FALSE(closed_.IsDrained(kA));
 }
 
 TEST_CASE_METHOD(ClosedFixture, "Older words change nothing") {
   closed_.Drain(Order(kA, 5));
-  CHECK_FALSE(closed_.Open(kA, StoreRevision{4}));
+  CHECK_FALSE(closed_.Restore(kA, StoreRevision{4}));
   CHECK(closed_.IsDrained(kA));
-  closed_.Open(kA, StoreRevision{6});
+  closed_.Restore(kA, StoreRevision{6});
   CHECK_FALSE(closed_.Drain(Order(kA, 5)));
   CHECK_FALSE(closed_.IsDrained(kA));
   CHECK(closed_.Drain(Order(kA, 7)));
@@ -51,7 +51,7 @@
   closed_.Drain(Order(kA, 5));
   closed_.Drain(Order(kB, 6));
   CHECK(closed_.Count() == 2);
-  closed_.Open(kA, StoreRevision{7});
+  closed_.Restore(kA, StoreRevision{7});
   CHECK_FALSE(closed_.IsDrained(kA));
   CHECK(closed_.IsDrained(kB));
 }
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -197,7 +197,7 @@
 bool EndpointDirectory::RestoreDataCentre(const DataCentreId& id,
                                           StoreRevision revision) {
   stale_index_ = true;
-  return closed_.Open(id, revision);
+  return closed_.Restore(id, revision);
 }
 
 DrainChange EndpointDirectory::ReplaceDrained(
