--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -30,7 +30,7 @@
 
 // What a listing changed of what was held.
 struct DrainChange {
-  std::vector<DrainedDataCentre> closed;
+  std::vector<DrainedDataCentre> drained;
   // With the revision at which they were heard to be open.
   std::vector<DrainedDataCentre> opened;
 };
@@ -44,7 +44,7 @@
   bool Drain(const DrainedDataCentre& order);
 
   // The order for `id` was taken back at `revision`. Returns whether it was
-  // closed until now.
+  // drained until now.
   bool Restore(const DataCentreId& id, StoreRevision revision);
 
   // Takes all orders that stood at `at`: others as old as that are taken back.
@@ -72,7 +72,7 @@
   struct State {
     bool is_closed = false;
     StoreRevision revision;
-    // Set where it was closed before.
+    // Set where it was drained before.
     std::optional<TimePoint> opened_at;
   };
 
--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -234,7 +234,7 @@
   TimePoint complete_at_{};
   TimePoint complete_before_{};
   mutable bool stale_index_ = true;
-  // When further endpoints of a data centre that was closed may be chosen.
+  // When further endpoints of a data centre that was drained may be chosen.
   mutable TimePoint rebuild_at_ = TimePoint::max();
   mutable std::unordered_map<ServiceName, std::vector<const EndpointRecord*>>
       usable_;
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -40,7 +40,7 @@
   for (const DrainedDataCentre& order : orders) {
     listed.insert(order.id);
     if (Drain(order)) {
-      change.closed.push_back(order);
+      change.drained.push_back(order);
     }
   }
   for (auto it = states_.begin(); it != states_.end();) {
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -11,7 +11,7 @@
 // A listing in which more than one entry in this many is missing at once is
 // taken for a lapse and not for departures, which come one by one.
 constexpr std::size_t kLapseShare = 3;
-// How often it is looked which endpoints of a data centre that was closed may
+// How often it is looked which endpoints of a data centre that was drained may
 // be chosen again.
 constexpr Millis kReturnLook{50};
 
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -99,10 +99,10 @@
                                     {"reason", reason}});
 }
 
-void EndpointNews::OnClosedListed(const std::vector<DrainedDataCentre>& closed,
+void EndpointNews::OnClosedListed(const std::vector<DrainedDataCentre>& drained,
                                   StoreRevision at) {
-  const DrainChange change = directory_->ReplaceDrained(closed, at);
-  for (const DrainedDataCentre& order : change.closed) {
+  const DrainChange change = directory_->ReplaceDrained(drained, at);
+  for (const DrainedDataCentre& order : change.drained) {
     NoteClosed(order);
   }
   for (const DrainedDataCentre& order : change.opened) {
