--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -32,7 +32,7 @@
 struct DrainChange {
   std::vector<DrainedDataCentre> drained;
   // With the revision at which they were heard to be open.
-  std::vector<DrainedDataCentre> opened;
+  std::vector<DrainedDataCentre> restored;
 };
 
 // Holds the orders. Not thread-safe.
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -48,7 +48,7 @@
     const bool holds = listed.count(it->first) != 0 || at < state.revision;
     if (!holds && state.is_closed) {
       SetOpen(&state, at);
-      change.opened.push_back(DrainedDataCentre{it->first, at});
+      change.restored.push_back(DrainedDataCentre{it->first, at});
     }
     const bool is_spent = !holds && !ReturnsNow(state);
     it = is_spent ? states_.erase(it) : std::next(it);
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -64,7 +64,7 @@
   const DrainChange change =
       closed_.ReplaceAll({Order(c, 8)}, StoreRevision{10});
   CHECK(change.drained == std::vector<DrainedDataCentre>{Order(c, 8)});
-  CHECK(change.opened == std::vector<DrainedDataCentre>{Order(kA, 10)});
+  CHECK(change.restored == std::vector<DrainedDataCentre>{Order(kA, 10)});
   CHECK(closed_.IsDrained(kB));
   CHECK(closed_.IsDrained(c));
   // A late word of what the listing has taken back.
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -105,7 +105,7 @@
   for (const DrainedDataCentre& order : change.drained) {
     NoteClosed(order);
   }
-  for (const DrainedDataCentre& order : change.opened) {
+  for (const DrainedDataCentre& order : change.restored) {
     NoteOpened(order);
   }
 }
