--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -57,7 +57,7 @@
   // data centre takes work again. After an emptying its endpoints know nothing
   // and may be slow, and all that waited for room would come at once: they
   // return one after the other, in an order that all hosts share.
-  bool IsReturning(const DataCentreId& id, const EndpointId& endpoint) const;
+  bool IsRampingUp(const DataCentreId& id, const EndpointId& endpoint) const;
 
   // Returns whether endpoints of any data centre return.
   bool AnyReturns() const;
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -61,7 +61,7 @@
   return found != states_.end() && found->second.is_closed;
 }
 
-bool DrainedDataCentres::IsReturning(const DataCentreId& id,
+bool DrainedDataCentres::IsRampingUp(const DataCentreId& id,
                                      const EndpointId& endpoint) const {
   const auto found = states_.find(id);
   if (found == states_.end() || !ReturnsNow(found->second)) {
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -305,7 +305,7 @@
   for (const auto& [id, entry] : entries_) {
     const EndpointRecord& record = entry.record;
     if (TakesWork(record)) {
-      const bool returns = closed_.IsReturning(record.data_centre, id);
+      const bool returns = closed_.IsRampingUp(record.data_centre, id);
       (returns ? returning : usable_)[record.service].push_back(&record);
     }
   }
