--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -60,7 +60,7 @@
   bool IsRampingUp(const DataCentreId& id, const EndpointId& endpoint) const;
 
   // Returns whether endpoints of any data centre return.
-  bool AnyReturns() const;
+  bool AnyRampingUp() const;
 
   std::size_t Count() const;
 
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -73,7 +73,7 @@
   return clock_() - *found->second.opened_at < wait;
 }
 
-bool DrainedDataCentres::AnyReturns() const {
+bool DrainedDataCentres::AnyRampingUp() const {
   return std::any_of(states_.begin(), states_.end(), [this](const auto& item) {
     return ReturnsNow(item.second);
   });
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -317,7 +317,7 @@
   }
   stale_index_ = false;
   rebuild_at_ =
-      closed_.AnyReturns() ? clock_() + kReturnLook : TimePoint::max();
+      closed_.AnyRampingUp() ? clock_() + kReturnLook : TimePoint::max();
 }
 
 }  // namespace harecrank
