--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/closed_data_centres.h
@@ -66,7 +66,7 @@
 
   // Within how long all endpoints of a data centre return: several times what
   // hosts differ in when they hear that it is open.
-  static constexpr Millis kReturn{2000};
+  static constexpr Millis kRampUpTime{2000};
 
  private:
   struct State {
--- a/src/core/closed_data_centres.cc
+++ b/src/core/closed_data_centres.cc
@@ -68,7 +68,7 @@
     return false;
   }
   const std::uint64_t turn = RendezvousWeight(id.value, endpoint.value) %
-                             static_cast<std::uint64_t>(kReturn.count());
+                             static_cast<std::uint64_t>(kRampUpTime.count());
   const Millis wait(static_cast<std::int64_t>(turn));
   return clock_() - *found->second.opened_at < wait;
 }
@@ -94,7 +94,8 @@
 }
 
 bool DrainedDataCentres::ReturnsNow(const State& state) const {
-  return state.opened_at.has_value() && clock_() - *state.opened_at < kReturn;
+  return state.opened_at.has_value() &&
+         clock_() - *state.opened_at < kRampUpTime;
 }
 
 }  // namespace harecrank
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/closed_data_centres_test.cc
@@ -157,7 +157,7 @@
   std::size_t largest_step = 0;
   constexpr int kSteps = 20;
   for (int i = 0; i < kSteps; ++i) {
-    now_ += DrainedDataCentres::kReturn / kSteps;
+    now_ += DrainedDataCentres::kRampUpTime / kSteps;
     const std::size_t usable = UsableIn(kA);
     REQUIRE(usable >= last);
     largest_step = std::max(largest_step, usable - last);
