--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_answer.h
@@ -28,7 +28,7 @@
   kUnreadable
 };
 
-struct EndpointAnswer {
+struct EndpointResponse {
   unsigned status = 0;
   // Marked as the endpoint's own, so that callers can check the body.
   bool is_signed = false;
--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -65,9 +65,9 @@
   return number == 1.0 ? LeavingHint::kLeaving : LeavingHint::kUnreadable;
 }
 
-EndpointAnswer DecodeAnswer(const AnswerHead& head,
-                            const ProtocolNames& names) {
-  EndpointAnswer answer;
+EndpointResponse DecodeAnswer(const AnswerHead& head,
+                              const ProtocolNames& names) {
+  EndpointResponse answer;
   answer.status = head.result_int();
   answer.is_signed = head.count(names.answer_signature) != 0;
   answer.not_run = head.count(names.not_run) != 0;
--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/answer_decoder.h
@@ -13,7 +13,8 @@
 
 // Returns what `head` says. All that endpoints may say of themselves there is
 // read here and nowhere else; docs/design/endpoint-answers.md lists it.
-EndpointAnswer DecodeAnswer(const AnswerHead& head, const ProtocolNames& names);
+EndpointResponse DecodeAnswer(const AnswerHead& head,
+                              const ProtocolNames& names);
 
 // Reads the time for which an endpoint wants nothing, as HTTP has it: seconds,
 // with a fraction if it likes, or a date. A date counts from `answered`, the
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -70,7 +70,7 @@
 }
 
 TEST_CASE("An answer without any of the headers says nothing") {
-  const EndpointAnswer answer = DecodeAnswer(Head(200), Names());
+  const EndpointResponse answer = DecodeAnswer(Head(200), Names());
   CHECK(answer.IsSuccess());
   CHECK_FALSE(answer.is_signed);
   CHECK_FALSE(answer.not_run);
@@ -88,7 +88,7 @@
   head.set("Limit", "0.5");
   head.set("Leaving", "1");
   head.set(http::field::retry_after, "2");
-  const EndpointAnswer answer = DecodeAnswer(head, Names());
+  const EndpointResponse answer = DecodeAnswer(head, Names());
   CHECK(answer.status == 503);
   CHECK(answer.is_signed);
   CHECK(answer.not_run);
--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -17,7 +17,7 @@
       on_news_(std::move(on_news)) {}
 
 void EndpointAnswers::OnAnswer(const EndpointRecord& endpoint,
-                               const EndpointAnswer& answer,
+                               const EndpointResponse& answer,
                                TimePoint sent_at) {
   const EndpointRecord* held = directory_->Find(endpoint.id);
   const bool is_of_earlier_life =
@@ -46,7 +46,7 @@
 }
 
 void EndpointAnswers::TakeLimit(const EndpointId& endpoint,
-                                const EndpointAnswer& answer,
+                                const EndpointResponse& answer,
                                 TimePoint sent_at) {
   const bool names_none = std::holds_alternative<NoRateLimit>(answer.limit);
   if (names_none && !(answer.IsSuccess() && answer.is_signed)) {
--- a/src/gateway/endpoint_answers.h
+++ b/src/gateway/endpoint_answers.h
@@ -27,11 +27,11 @@
 
   // Takes the answer to what was sent to `endpoint` at `sent_at`. One that
   // comes from an earlier incarnation of it says nothing of the present one.
-  void OnAnswer(const EndpointRecord& endpoint, const EndpointAnswer& answer,
+  void OnAnswer(const EndpointRecord& endpoint, const EndpointResponse& answer,
                 TimePoint sent_at);
 
  private:
-  void TakeLimit(const EndpointId& endpoint, const EndpointAnswer& answer,
+  void TakeLimit(const EndpointId& endpoint, const EndpointResponse& answer,
                  TimePoint sent_at);
   void TakeLeaving(const EndpointRecord& endpoint, LeavingHint word);
 
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -23,8 +23,8 @@
   }
 
   // Refuses, rests, names a limit and leaves, all in one.
-  static EndpointAnswer FullAnswer() {
-    EndpointAnswer answer;
+  static EndpointResponse FullAnswer() {
+    EndpointResponse answer;
     answer.status = 503;
     answer.not_run = true;
     answer.limit = RequestRate{2};
@@ -33,7 +33,7 @@
     return answer;
   }
 
-  void Answer(const EndpointRecord& endpoint, const EndpointAnswer& answer) {
+  void Answer(const EndpointRecord& endpoint, const EndpointResponse& answer) {
     answers_.OnAnswer(endpoint, answer, now_);
   }
 
@@ -69,7 +69,7 @@
 TEST_CASE_METHOD(AnswersFixture,
                  "Requests that wait look when an endpoint asks for rest") {
   rest_watch_.Add([] {});
-  Answer(Record(1000, 2), EndpointAnswer{});
+  Answer(Record(1000, 2), EndpointResponse{});
   CHECK(rests_looked_at_ == 0);
   Answer(Record(1000, 2), FullAnswer());
   CHECK(rests_looked_at_ == 1);
@@ -91,7 +91,7 @@
 TEST_CASE_METHOD(AnswersFixture,
                  "The answer of another endpoint says nothing of this one") {
   news_.OnEndpoint(Record(1000, 2));
-  EndpointAnswer answer = FullAnswer();
+  EndpointResponse answer = FullAnswer();
   answer.status = 421;
   Answer(Record(1000, 2), answer);
   CHECK_FALSE(IsKnownOf());
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -60,8 +60,8 @@
   void OnFirstEvent();
 
   // What is made of an answer's head: the first that applies is done.
-  void JudgeHead(const EndpointAnswer& answer, const AnswerHead& head);
-  void OnNotRunAnswer(const EndpointAnswer& answer);
+  void JudgeHead(const EndpointResponse& answer, const AnswerHead& head);
+  void OnNotRunAnswer(const EndpointResponse& answer);
   // Returns whether another endpoint is asked instead.
   bool TakeUpElsewhere(unsigned status);
   void OnNotSent(const AttemptNotSent& failure);
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -49,14 +49,15 @@
 
 void Exchange::OnAnswerHead(const AnswerHead& head) {
   const auto self = shared_from_this();
-  const EndpointAnswer answer = DecodeAnswer(head, *services_->names);
+  const EndpointResponse answer = DecodeAnswer(head, *services_->names);
   sender_->OnAnswer(answer);
   has_framed_end_ = head.count(http::field::content_length) != 0 ||
                     head.count(http::field::transfer_encoding) != 0;
   JudgeHead(answer, head);
 }
 
-void Exchange::JudgeHead(const EndpointAnswer& answer, const AnswerHead& head) {
+void Exchange::JudgeHead(const EndpointResponse& answer,
+                         const AnswerHead& head) {
   const unsigned status = answer.status;
   const bool says_not_run = answer.not_run || answer.IsOfAnother();
   if (says_not_run && status != http_status::kBadRequest) {
@@ -83,7 +84,7 @@
   relay_.KeepWhole(head);
 }
 
-void Exchange::OnNotRunAnswer(const EndpointAnswer& answer) {
+void Exchange::OnNotRunAnswer(const EndpointResponse& answer) {
   if (answer.IsOfAnother()) {
     sender_->OnUnreachable();
   }
--- a/src/gateway/memory_hold.h
+++ b/src/gateway/memory_hold.h
@@ -28,7 +28,7 @@
  public:
   // Told of each answer, also of those that come when this has ended.
   using OnEndpointAnswer = std::function<void(const EndpointRecord& endpoint,
-                                              const EndpointAnswer& answer)>;
+                                              const EndpointResponse& answer)>;
 
   // `orders` must outlive this.
   MemoryHold(boost::asio::io_context* io, MemoryOrders* orders,
--- a/src/gateway/memory_hold_test.cc
+++ b/src/gateway/memory_hold_test.cc
@@ -22,10 +22,10 @@
   }
 
   void Answer(std::size_t which, bool held) {
-    answers_.at(which)(OrderResult{held, EndpointAnswer{}});
+    answers_.at(which)(OrderResult{held, EndpointResponse{}});
   }
   void AnswerRelease(std::size_t which) {
-    releases_.at(which)(OrderResult{true, EndpointAnswer{}});
+    releases_.at(which)(OrderResult{true, EndpointResponse{}});
   }
 
   std::map<std::string, int> reserved_;
@@ -51,7 +51,7 @@
     auto hold = std::make_shared<MemoryHold>(
         &io_, &orders_,
         std::vector<MemoryNeed>{Need("a", "t1"), Need("b", "t2")},
-        [this](const EndpointRecord& endpoint, const EndpointAnswer&) {
+        [this](const EndpointRecord& endpoint, const EndpointResponse&) {
           heard_.push_back(endpoint.id.value);
         });
     hold->Acquire([this](bool held) { outcomes_.push_back(held); });
--- a/src/gateway/memory_orders.h
+++ b/src/gateway/memory_orders.h
@@ -20,7 +20,7 @@
   // The engine has carried it out, or it held already.
   bool done = false;
   // What the engine answered; unset if no answer came in time.
-  std::optional<EndpointAnswer> answer;
+  std::optional<EndpointResponse> answer;
 };
 
 // Sends orders. An order without an answer may have been taken, or may be taken
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -395,7 +395,7 @@
   hold_ = std::make_shared<MemoryHold>(
       services_->io, services_->orders, std::move(needs),
       [answers = services_->answers, asked_at = services_->clock()](
-          const EndpointRecord& endpoint, const EndpointAnswer& answer) {
+          const EndpointRecord& endpoint, const EndpointResponse& answer) {
         answers->OnAnswer(endpoint, answer, asked_at);
       });
   hold_->Acquire([weak = weak_from_this(), placement](bool held) {
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -63,7 +63,7 @@
   ++sendings_;
 }
 
-void RequestSender::OnAnswer(const EndpointAnswer& answer) {
+void RequestSender::OnAnswer(const EndpointResponse& answer) {
   last_bytes_at_ = services_->clock();
   services_->answers->OnAnswer(endpoint_, answer, sent_at_);
 }
@@ -103,7 +103,7 @@
   services_->on_news();
 }
 
-void RequestSender::OnRefusal(const EndpointAnswer& answer,
+void RequestSender::OnRefusal(const EndpointResponse& answer,
                               nlohmann::json fields) {
   const std::string& named = answer.at_fault;
   if (named.empty()) {
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -31,7 +31,7 @@
 
   // What the observer hears.
   void OnSent();
-  void OnAnswer(const EndpointAnswer& answer);
+  void OnAnswer(const EndpointResponse& answer);
   void OnBytes();
   // Returns how many times as late as predicted the first event of this attempt
   // came, or nothing if it came before.
@@ -41,7 +41,7 @@
   void OnOverdue();
   // Marks the helper that a refusal names, if it names one. `fields` name the
   // request in the log.
-  void OnRefusal(const EndpointAnswer& answer, nlohmann::json fields);
+  void OnRefusal(const EndpointResponse& answer, nlohmann::json fields);
 
   bool IsUnderWay() const { return attempt_ != nullptr; }
   // Whether the endpoint may have the request of the last attempt.
