--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_answer.h
@@ -47,7 +47,7 @@
   bool IsSuccess() const { return status / 100 == 2; }
   // Another endpoint has answered than the one that was meant: it says nothing
   // of that one.
-  bool IsOfAnother() const { return status == http_status::kMisdirected; }
+  bool IsMisdirected() const { return status == http_status::kMisdirected; }
 };
 
 }  // namespace harecrank
--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -22,7 +22,7 @@
   const EndpointRecord* held = directory_->Find(endpoint.id);
   const bool is_of_earlier_life =
       held != nullptr && held->incarnation != endpoint.incarnation;
-  if (answer.IsOfAnother() || is_of_earlier_life) {
+  if (answer.IsMisdirected() || is_of_earlier_life) {
     return;
   }
   TakeLimit(endpoint.id, answer, sent_at);
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -59,7 +59,7 @@
 void Exchange::JudgeHead(const EndpointResponse& answer,
                          const AnswerHead& head) {
   const unsigned status = answer.status;
-  const bool says_not_run = answer.not_run || answer.IsOfAnother();
+  const bool says_not_run = answer.not_run || answer.IsMisdirected();
   if (says_not_run && status != http_status::kBadRequest) {
     OnNotRunAnswer(answer);
     return;
@@ -85,7 +85,7 @@
 }
 
 void Exchange::OnNotRunAnswer(const EndpointResponse& answer) {
-  if (answer.IsOfAnother()) {
+  if (answer.IsMisdirected()) {
     sender_->OnUnreachable();
   }
   sender_->OnRefusal(answer, log_.Fields());
