--- a/include/harecrank/core/http_status.h
+++ b/include/harecrank/core/http_status.h
@@ -19,7 +19,7 @@
 constexpr int kMisdirected = 421;
 constexpr int kFailedDependency = 424;
 // Precondition required.
-constexpr int kTicketRequired = 428;
+constexpr int kPreconditionRequired = 428;
 constexpr int kTooManyRequests = 429;
 // Seen by nobody: the caller has left.
 constexpr int kClientClosed = 499;
--- a/src/entry/caller_request.cc
+++ b/src/entry/caller_request.cc
@@ -163,7 +163,7 @@
     return {};
   }
   if (headers.ticket.empty()) {
-    return Refuse(http_status::kTicketRequired, "ticket_required",
+    return Refuse(http_status::kPreconditionRequired, "ticket_required",
                   "a request that may not be repeated needs a ticket: POST "
                   "/v1/tickets, keep the ticket with your id, and send it in "
                   "Harecrank-Ticket");
