--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -85,7 +85,7 @@
   bool OnCompleted(const RequestFingerprint& request);
 
   // Returns whether `request` may be sent to no endpoint now.
-  bool IsHeld(const RequestFingerprint& request) const;
+  bool IsQuarantined(const RequestFingerprint& request) const;
 
   // To be called before each sending. Returns false if the request is held. If
   // it was held, and is let through by this, others are not for kTrialPause.
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -73,7 +73,7 @@
   record->failed_trials = 0;
 }
 
-bool RequestQuarantine::IsHeld(const RequestFingerprint& request) const {
+bool RequestQuarantine::IsQuarantined(const RequestFingerprint& request) const {
   const auto found = records_.find(request);
   if (found == records_.end()) {
     return false;
@@ -93,7 +93,7 @@
 
 bool RequestQuarantine::TakeTurn(const RequestFingerprint& request,
                                  bool* is_trial) {
-  if (IsHeld(request)) {
+  if (IsQuarantined(request)) {
     return false;
   }
   const auto found = records_.find(request);
@@ -245,7 +245,7 @@
   return static_cast<std::size_t>(
       std::count_if(records_.begin(), records_.end(),
                     [this](const Records::value_type& entry) {
-                      return IsHeld(entry.first);
+                      return IsQuarantined(entry.first);
                     }));
 }
 
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -29,11 +29,11 @@
 TEST_CASE("A request is held once three endpoints have ended under it") {
   Host host;
   host.CrashTimes(2);
-  CHECK_FALSE(host.quarantine.IsHeld(Request(1)));
+  CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
   CHECK(host.quarantine.OnCrash(Request(1), Crash(2)));
-  CHECK(host.quarantine.IsHeld(Request(1)));
+  CHECK(host.quarantine.IsQuarantined(Request(1)));
   CHECK_FALSE(host.quarantine.TakeTurn(Request(1)));
-  CHECK_FALSE(host.quarantine.IsHeld(Request(2)));
+  CHECK_FALSE(host.quarantine.IsQuarantined(Request(2)));
 }
 
 TEST_CASE("One end of an endpoint counts once, and two lives are two ends") {
@@ -50,14 +50,14 @@
   host.CrashTimes(3);
   RequestFingerprint other = Request(1);
   other.account = AccountId{"else"};
-  CHECK_FALSE(host.quarantine.IsHeld(other));
+  CHECK_FALSE(host.quarantine.IsQuarantined(other));
 }
 
 TEST_CASE("A request that was answered whole is free, whatever ended before") {
   Host host;
   host.CrashTimes(3);
   CHECK(host.quarantine.OnCompleted(Request(1)));
-  CHECK_FALSE(host.quarantine.IsHeld(Request(1)));
+  CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
   // Told late of an end that had been counted already.
   CHECK_FALSE(host.quarantine.OnCrash(Request(1), Crash(1)));
   CHECK(host.quarantine.CrashesOf(Request(1)) == 0);
@@ -75,7 +75,7 @@
     CHECK_FALSE(host.quarantine.TakeTurn(Request(1)));
   }
   host.now += 10 * RequestQuarantine::kTrialPause;
-  CHECK(host.quarantine.IsHeld(Request(1)));
+  CHECK(host.quarantine.IsQuarantined(Request(1)));
 }
 
 // Two requests that were in hand at the same three ends, of which only the
@@ -92,15 +92,15 @@
   Host host;
   HoldTwo(&host);
   CHECK(host.quarantine.TakeTurn(Request(1)));
-  CHECK(host.quarantine.IsHeld(Request(2)));
+  CHECK(host.quarantine.IsQuarantined(Request(2)));
   CHECK_FALSE(host.quarantine.TakeTurn(Request(2)));
   // The trial of the first ends the endpoint on which the second would be.
   host.quarantine.OnCrash(Request(1), Crash(3));
   host.now += Millis(500);
   CHECK(host.quarantine.TakeTurn(Request(2)));
   CHECK(host.quarantine.OnCompleted(Request(2)));
-  CHECK_FALSE(host.quarantine.IsHeld(Request(2)));
-  CHECK(host.quarantine.IsHeld(Request(1)));
+  CHECK_FALSE(host.quarantine.IsQuarantined(Request(2)));
+  CHECK(host.quarantine.IsQuarantined(Request(1)));
 }
 
 TEST_CASE("A host lets no request through beside the trial of another host") {
@@ -123,7 +123,7 @@
     REQUIRE(host.quarantine.TakeTurn(Request(1)));
     host.quarantine.ReturnTrial(Request(1));
   }
-  CHECK_FALSE(host.quarantine.IsHeld(Request(1)));
+  CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
 }
 
 TEST_CASE("A request that fails a trial waits longer, and two prove it") {
@@ -133,25 +133,25 @@
   REQUIRE(host.quarantine.TakeTurn(Request(1)));
   host.CrashTimes(4);
   host.now += RequestQuarantine::kTrialPause;
-  CHECK(host.quarantine.IsHeld(Request(1)));
+  CHECK(host.quarantine.IsQuarantined(Request(1)));
   host.now += RequestQuarantine::kPauseAfterFailure;
   REQUIRE(host.quarantine.TakeTurn(Request(1)));
   host.CrashTimes(5);
   host.now += RequestQuarantine::kRemembered + Millis(1);
-  CHECK(host.quarantine.IsHeld(Request(1)));
+  CHECK(host.quarantine.IsQuarantined(Request(1)));
   host.now += RequestQuarantine::kProvenRemembered;
-  CHECK_FALSE(host.quarantine.IsHeld(Request(1)));
+  CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
 }
 
 // Half of all callers make it, and all engines lose power at once.
 TEST_CASE("A request that was in hand at many ends is tried all the same") {
   Host host;
   host.CrashTimes(9);
-  CHECK(host.quarantine.IsHeld(Request(1)));
+  CHECK(host.quarantine.IsQuarantined(Request(1)));
   host.now += RequestQuarantine::kTrialPause;
   CHECK(host.quarantine.TakeTurn(Request(1)));
   CHECK(host.quarantine.OnCompleted(Request(1)));
-  CHECK_FALSE(host.quarantine.IsHeld(Request(1)));
+  CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
 }
 
 TEST_CASE("Ends that lie far apart are forgotten") {
@@ -180,7 +180,7 @@
   }
   for (Host& host : hosts) {
     CHECK(host.quarantine.CrashesOf(Request(1)) == 3);
-    CHECK(host.quarantine.IsHeld(Request(1)));
+    CHECK(host.quarantine.IsQuarantined(Request(1)));
   }
 }
 
@@ -206,7 +206,7 @@
   CHECK_FALSE(cleared.quarantine.Merge(old));
   CHECK(cleared.quarantine.KnowsMoreThan(old));
   CHECK(missed.quarantine.Merge(cleared.quarantine.ReportOf(Request(1))));
-  CHECK_FALSE(missed.quarantine.IsHeld(Request(1)));
+  CHECK_FALSE(missed.quarantine.IsQuarantined(Request(1)));
 }
 
 TEST_CASE("A host that did not make the trial holds the request meanwhile") {
@@ -217,9 +217,9 @@
   trying.now += RequestQuarantine::kTrialPause;
   other.now += RequestQuarantine::kTrialPause;
   REQUIRE(trying.quarantine.TakeTurn(Request(1)));
-  REQUIRE_FALSE(other.quarantine.IsHeld(Request(1)));
+  REQUIRE_FALSE(other.quarantine.IsQuarantined(Request(1)));
   CHECK(other.quarantine.Merge(trying.quarantine.ReportOf(Request(1))));
-  CHECK(other.quarantine.IsHeld(Request(1)));
+  CHECK(other.quarantine.IsQuarantined(Request(1)));
 }
 
 TEST_CASE("Digests agree exactly where hosts know the same suspects") {
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -27,8 +27,9 @@
       log_(log),
       metrics_(metrics) {}
 
-bool CrashGuard::IsHeld(GuardedRequest* request) const {
-  return !quarantine_->IsEmpty() && quarantine_->IsHeld(request->Fingerprint());
+bool CrashGuard::IsQuarantined(GuardedRequest* request) const {
+  return !quarantine_->IsEmpty() &&
+         quarantine_->IsQuarantined(request->Fingerprint());
 }
 
 bool CrashGuard::TakeTurn(GuardedRequest* request, bool* is_trial) {
@@ -120,7 +121,7 @@
 }
 
 void CrashGuard::EndHeld(const RequestFingerprint& request) {
-  if (!quarantine_->IsHeld(request)) {
+  if (!quarantine_->IsQuarantined(request)) {
     return;
   }
   log_->Write("request_held",
--- a/src/gateway/crash_guard.h
+++ b/src/gateway/crash_guard.h
@@ -70,7 +70,7 @@
 
   // Returns whether `request` may be sent nowhere now. Takes its fingerprint
   // only if any request is suspect.
-  bool IsHeld(GuardedRequest* request) const;
+  bool IsQuarantined(GuardedRequest* request) const;
 
   // Likewise, right before it is sent. A request that was held is let through
   // alone: `is_trial` is set if this is such a trial.
--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -66,7 +66,7 @@
   CHECK(deadly.held == 1);
   CHECK(harmless.held == 0);
   CHECK(ended.held == 0);
-  CHECK(host.guard.IsHeld(&deadly));
+  CHECK(host.guard.IsQuarantined(&deadly));
 }
 
 TEST_CASE("A host that knows more than it is told says so") {
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -58,7 +58,7 @@
 }
 
 void Exchange::TryNext() {
-  if (services_->crashes->IsHeld(this)) {
+  if (services_->crashes->IsQuarantined(this)) {
     RefuseHeld();
     return;
   }
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -273,7 +273,7 @@
 
 void Exchange::OnMayHaveRun(const std::string& reason) {
   may_have_run_ = true;
-  if (services_->crashes->IsHeld(this)) {
+  if (services_->crashes->IsQuarantined(this)) {
     RefuseHeld();
     return;
   }
