--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -121,7 +121,7 @@
 
   bool IsEmpty() const { return records_.empty(); }
   std::size_t Count() const { return records_.size(); }
-  std::size_t HeldCount() const;
+  std::size_t QuarantinedCount() const;
 
   // Endpoints that may end under one request: the platform's bound. A request
   // that was caught in two outages by bad luck is still served.
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -241,7 +241,7 @@
   return digest;
 }
 
-std::size_t RequestQuarantine::HeldCount() const {
+std::size_t RequestQuarantine::QuarantinedCount() const {
   return static_cast<std::size_t>(
       std::count_if(records_.begin(), records_.end(),
                     [this](const Records::value_type& entry) {
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -100,7 +100,7 @@
     return static_cast<double>(parts.quarantine->Count());
   });
   metrics->AddGauge("harecrank_gateway_requests_held", [parts] {
-    return static_cast<double>(parts.quarantine->HeldCount());
+    return static_cast<double>(parts.quarantine->QuarantinedCount());
   });
   metrics->AddGauge("harecrank_gateway_log_lines_dropped", [parts] {
     return static_cast<double>(parts.log->Dropped());
@@ -131,7 +131,7 @@
           {"requests",
            {{"waiting", parts.queue->Count()},
             {"waiting_at_planner", parts.planner->WaitingCount()},
-            {"held", parts.quarantine->HeldCount()}}},
+            {"held", parts.quarantine->QuarantinedCount()}}},
           {"copies_under_way", parts.copies->ActiveTransfers()},
           {"bounds", parts.start_gate->Describe()}};
 }
