--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -90,7 +90,7 @@
   // To be called before each sending. Returns false if the request is held. If
   // it was held, and is let through by this, others are not for kTrialPause.
   // `is_trial`, if not null, is set to whether that is the case.
-  bool TakeTurn(const RequestFingerprint& request, bool* is_trial = nullptr);
+  bool TryAdmit(const RequestFingerprint& request, bool* is_trial = nullptr);
 
   // Takes back a trial that reached no endpoint.
   void ReturnTrial(const RequestFingerprint& request);
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -91,7 +91,7 @@
   return last_trial_.has_value() && now - *last_trial_ < kTrialSpacing;
 }
 
-bool RequestQuarantine::TakeTurn(const RequestFingerprint& request,
+bool RequestQuarantine::TryAdmit(const RequestFingerprint& request,
                                  bool* is_trial) {
   if (IsQuarantined(request)) {
     return false;
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -32,7 +32,7 @@
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
   CHECK(host.quarantine.OnCrash(Request(1), Crash(2)));
   CHECK(host.quarantine.IsQuarantined(Request(1)));
-  CHECK_FALSE(host.quarantine.TakeTurn(Request(1)));
+  CHECK_FALSE(host.quarantine.TryAdmit(Request(1)));
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(2)));
 }
 
@@ -70,9 +70,9 @@
   for (int trial = 0; trial < RequestQuarantine::kMostTrials; ++trial) {
     host.now += RequestQuarantine::kTrialPause;
     bool is_trial = false;
-    CHECK(host.quarantine.TakeTurn(Request(1), &is_trial));
+    CHECK(host.quarantine.TryAdmit(Request(1), &is_trial));
     CHECK(is_trial);
-    CHECK_FALSE(host.quarantine.TakeTurn(Request(1)));
+    CHECK_FALSE(host.quarantine.TryAdmit(Request(1)));
   }
   host.now += 10 * RequestQuarantine::kTrialPause;
   CHECK(host.quarantine.IsQuarantined(Request(1)));
@@ -91,13 +91,13 @@
 TEST_CASE("Held requests are let through one after the other") {
   Host host;
   HoldTwo(&host);
-  CHECK(host.quarantine.TakeTurn(Request(1)));
+  CHECK(host.quarantine.TryAdmit(Request(1)));
   CHECK(host.quarantine.IsQuarantined(Request(2)));
-  CHECK_FALSE(host.quarantine.TakeTurn(Request(2)));
+  CHECK_FALSE(host.quarantine.TryAdmit(Request(2)));
   // The trial of the first ends the endpoint on which the second would be.
   host.quarantine.OnCrash(Request(1), Crash(3));
   host.now += Millis(500);
-  CHECK(host.quarantine.TakeTurn(Request(2)));
+  CHECK(host.quarantine.TryAdmit(Request(2)));
   CHECK(host.quarantine.OnCompleted(Request(2)));
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(2)));
   CHECK(host.quarantine.IsQuarantined(Request(1)));
@@ -108,11 +108,11 @@
   Host other;
   HoldTwo(&trying);
   HoldTwo(&other);
-  CHECK(trying.quarantine.TakeTurn(Request(1)));
+  CHECK(trying.quarantine.TryAdmit(Request(1)));
   other.quarantine.Merge(trying.quarantine.ReportOf(Request(1)));
-  CHECK_FALSE(other.quarantine.TakeTurn(Request(2)));
+  CHECK_FALSE(other.quarantine.TryAdmit(Request(2)));
   other.now += Millis(500);
-  CHECK(other.quarantine.TakeTurn(Request(2)));
+  CHECK(other.quarantine.TryAdmit(Request(2)));
 }
 
 TEST_CASE("A trial that reached no endpoint is not spent") {
@@ -120,7 +120,7 @@
   host.CrashTimes(3);
   for (int i = 0; i < 2 * RequestQuarantine::kMostTrials; ++i) {
     host.now += RequestQuarantine::kTrialPause;
-    REQUIRE(host.quarantine.TakeTurn(Request(1)));
+    REQUIRE(host.quarantine.TryAdmit(Request(1)));
     host.quarantine.ReturnTrial(Request(1));
   }
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
@@ -130,12 +130,12 @@
   Host host;
   host.CrashTimes(3);
   host.now += RequestQuarantine::kTrialPause;
-  REQUIRE(host.quarantine.TakeTurn(Request(1)));
+  REQUIRE(host.quarantine.TryAdmit(Request(1)));
   host.CrashTimes(4);
   host.now += RequestQuarantine::kTrialPause;
   CHECK(host.quarantine.IsQuarantined(Request(1)));
   host.now += RequestQuarantine::kPauseAfterFailure;
-  REQUIRE(host.quarantine.TakeTurn(Request(1)));
+  REQUIRE(host.quarantine.TryAdmit(Request(1)));
   host.CrashTimes(5);
   host.now += RequestQuarantine::kRemembered + Millis(1);
   CHECK(host.quarantine.IsQuarantined(Request(1)));
@@ -149,7 +149,7 @@
   host.CrashTimes(9);
   CHECK(host.quarantine.IsQuarantined(Request(1)));
   host.now += RequestQuarantine::kTrialPause;
-  CHECK(host.quarantine.TakeTurn(Request(1)));
+  CHECK(host.quarantine.TryAdmit(Request(1)));
   CHECK(host.quarantine.OnCompleted(Request(1)));
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
 }
@@ -216,7 +216,7 @@
   other.CrashTimes(3);
   trying.now += RequestQuarantine::kTrialPause;
   other.now += RequestQuarantine::kTrialPause;
-  REQUIRE(trying.quarantine.TakeTurn(Request(1)));
+  REQUIRE(trying.quarantine.TryAdmit(Request(1)));
   REQUIRE_FALSE(other.quarantine.IsQuarantined(Request(1)));
   CHECK(other.quarantine.Merge(trying.quarantine.ReportOf(Request(1))));
   CHECK(other.quarantine.IsQuarantined(Request(1)));
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -32,10 +32,10 @@
          quarantine_->IsQuarantined(request->Fingerprint());
 }
 
-bool CrashGuard::TakeTurn(GuardedRequest* request, bool* is_trial) {
+bool CrashGuard::TryAdmit(GuardedRequest* request, bool* is_trial) {
   *is_trial = false;
   return quarantine_->IsEmpty() ||
-         quarantine_->TakeTurn(request->Fingerprint(), is_trial);
+         quarantine_->TryAdmit(request->Fingerprint(), is_trial);
 }
 
 void CrashGuard::OnTrialSent(const RequestFingerprint& request) {
--- a/src/gateway/crash_guard.h
+++ b/src/gateway/crash_guard.h
@@ -74,7 +74,7 @@
 
   // Likewise, right before it is sent. A request that was held is let through
   // alone: `is_trial` is set if this is such a trial.
-  bool TakeTurn(GuardedRequest* request, bool* is_trial);
+  bool TryAdmit(GuardedRequest* request, bool* is_trial);
   // The trial has reached its endpoint, or has not.
   void OnTrialSent(const RequestFingerprint& request);
   void OnTrialNotSent(const RequestFingerprint& request);
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -101,7 +101,7 @@
 void Exchange::OnPlace(const Placement& placement) {
   const auto self = shared_from_this();
   // Others may have ended endpoints while this one waited for its place.
-  if (!services_->crashes->TakeTurn(this, &is_trial_)) {
+  if (!services_->crashes->TryAdmit(this, &is_trial_)) {
     RefuseHeld();
     return;
   }
