--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -93,7 +93,7 @@
   bool TryAdmit(const RequestFingerprint& request, bool* is_trial = nullptr);
 
   // Takes back a trial that reached no endpoint.
-  void ReturnTrial(const RequestFingerprint& request);
+  void CancelTrial(const RequestFingerprint& request);
 
   // Takes what another host tells. Returns whether anything of it was news.
   bool Merge(const CrashReport& report);
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -112,7 +112,7 @@
   return true;
 }
 
-void RequestQuarantine::ReturnTrial(const RequestFingerprint& request) {
+void RequestQuarantine::CancelTrial(const RequestFingerprint& request) {
   const auto found = records_.find(request);
   if (found != records_.end() && found->second.trials > 0) {
     OnChanged();
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -121,7 +121,7 @@
   for (int i = 0; i < 2 * RequestQuarantine::kMostTrials; ++i) {
     host.now += RequestQuarantine::kTrialPause;
     REQUIRE(host.quarantine.TryAdmit(Request(1)));
-    host.quarantine.ReturnTrial(Request(1));
+    host.quarantine.CancelTrial(Request(1));
   }
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
 }
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -47,7 +47,7 @@
 }
 
 void CrashGuard::OnTrialNotSent(const RequestFingerprint& request) {
-  quarantine_->ReturnTrial(request);
+  quarantine_->CancelTrial(request);
 }
 
 bool CrashGuard::MayProbe(const EndpointRecord& endpoint) const {
