--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -106,7 +106,7 @@
   CrashReport ReportOf(const RequestFingerprint& request) const;
 
   // Returns how many endpoints have ended under `request`.
-  std::size_t CrashesOf(const RequestFingerprint& request) const;
+  std::size_t CrashCount(const RequestFingerprint& request) const;
 
   // Returns what hosts that have missed words need: requests with at least
   // kShared crashes, those with the most first, kMostShared at most.
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -188,7 +188,7 @@
                      ToMillis(record.held_until - now)};
 }
 
-std::size_t RequestQuarantine::CrashesOf(
+std::size_t RequestQuarantine::CrashCount(
     const RequestFingerprint& request) const {
   const auto found = records_.find(request);
   return found == records_.end() ? 0 : found->second.crashes.size();
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -40,9 +40,9 @@
   Host host;
   CHECK(host.quarantine.OnCrash(Request(1), Crash(0)));
   CHECK_FALSE(host.quarantine.OnCrash(Request(1), Crash(0)));
-  CHECK(host.quarantine.CrashesOf(Request(1)) == 1);
+  CHECK(host.quarantine.CrashCount(Request(1)) == 1);
   CHECK(host.quarantine.OnCrash(Request(1), Crash(0, 2)));
-  CHECK(host.quarantine.CrashesOf(Request(1)) == 2);
+  CHECK(host.quarantine.CrashCount(Request(1)) == 2);
 }
 
 TEST_CASE("Requests of other accounts are other requests") {
@@ -60,7 +60,7 @@
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
   // Told late of an end that had been counted already.
   CHECK_FALSE(host.quarantine.OnCrash(Request(1), Crash(1)));
-  CHECK(host.quarantine.CrashesOf(Request(1)) == 0);
+  CHECK(host.quarantine.CrashCount(Request(1)) == 0);
   CHECK_FALSE(host.quarantine.OnCompleted(Request(1)));
 }
 
@@ -159,7 +159,7 @@
   host.CrashTimes(2);
   host.now += RequestQuarantine::kRemembered + Millis(1);
   host.quarantine.OnCrash(Request(1), Crash(7));
-  CHECK(host.quarantine.CrashesOf(Request(1)) == 1);
+  CHECK(host.quarantine.CrashCount(Request(1)) == 1);
   host.now += RequestQuarantine::kRemembered + Millis(1);
   host.quarantine.Sweep();
   CHECK(host.quarantine.IsEmpty());
@@ -179,7 +179,7 @@
     }
   }
   for (Host& host : hosts) {
-    CHECK(host.quarantine.CrashesOf(Request(1)) == 3);
+    CHECK(host.quarantine.CrashCount(Request(1)) == 3);
     CHECK(host.quarantine.IsQuarantined(Request(1)));
   }
 }
@@ -192,7 +192,7 @@
   for (Host& from : hosts) {
     hosts[0].quarantine.Merge(from.quarantine.ReportOf(Request(1)));
   }
-  CHECK(hosts[0].quarantine.CrashesOf(Request(1)) == 1);
+  CHECK(hosts[0].quarantine.CrashCount(Request(1)) == 1);
 }
 
 TEST_CASE("A host that missed that a request was cleared learns it") {
@@ -246,9 +246,9 @@
     host.quarantine.OnCrash(Request(i), Crash(9));
   }
   CHECK(host.quarantine.Count() <= RequestQuarantine::kMostRecords);
-  CHECK(host.quarantine.CrashesOf(Request(1)) == 3);
+  CHECK(host.quarantine.CrashCount(Request(1)) == 3);
   // The newest has its place.
-  CHECK(host.quarantine.CrashesOf(Request(3 * most - 1)) == 1);
+  CHECK(host.quarantine.CrashCount(Request(3 * most - 1)) == 1);
 }
 
 }  // namespace
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -41,7 +41,7 @@
 void CrashGuard::OnTrialSent(const RequestFingerprint& request) {
   log_->Write("request_tried",
               {{"fingerprint", LogName(request)},
-               {"crashes", quarantine_->CrashesOf(request)}},
+               {"crashes", quarantine_->CrashCount(request)}},
               LogWeight::kAlwaysKept);
   tell_(request);
 }
@@ -87,7 +87,7 @@
               {{"fingerprint", LogName(request)},
                {"account", request.account.value},
                {"endpoint", endpoint.id.value},
-               {"crashes", quarantine_->CrashesOf(request)}},
+               {"crashes", quarantine_->CrashCount(request)}},
               LogWeight::kAlwaysKept);
   tell_(request);
   EndHeld(request);
@@ -127,7 +127,7 @@
   log_->Write("request_held",
               {{"fingerprint", LogName(request)},
                {"account", request.account.value},
-               {"crashes", quarantine_->CrashesOf(request)}},
+               {"crashes", quarantine_->CrashCount(request)}},
               LogWeight::kAlwaysKept);
   metrics_->GetCounter("harecrank_gateway_requests_held_total")->Add();
   // A copy: a request that ends is watched no more.
