--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -125,7 +125,7 @@
 
   // Endpoints that may end under one request: the platform's bound. A request
   // that was caught in two outages by bad luck is still served.
-  static constexpr std::size_t kCrashesBorne = 3;
+  static constexpr std::size_t kCrashThreshold = 3;
   // How long a request with so many crashes is held before it is let through
   // once, and the pause until the next trial of one that ended nothing. Of some
   // 10,000 harmless requests beside two deadly ones and hosts that sleep, 95
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -80,7 +80,7 @@
   }
   const Record& record = found->second;
   const TimePoint now = clock_();
-  if (record.crashes.size() < kCrashesBorne || IsForgotten(record, now)) {
+  if (record.crashes.size() < kCrashThreshold || IsForgotten(record, now)) {
     return false;
   }
   return record.failed_trials >= kProof || record.trials >= kMostTrials ||
@@ -98,7 +98,7 @@
   }
   const auto found = records_.find(request);
   const bool tries = found != records_.end() &&
-                     found->second.crashes.size() >= kCrashesBorne &&
+                     found->second.crashes.size() >= kCrashThreshold &&
                      !IsForgotten(found->second, clock_());
   if (tries) {
     OnChanged();
@@ -251,7 +251,7 @@
 
 bool RequestQuarantine::IsForgotten(const Record& record, TimePoint now) {
   const Millis remembered =
-      record.crashes.size() > kCrashesBorne ? kProvenRemembered : kRemembered;
+      record.crashes.size() > kCrashThreshold ? kProvenRemembered : kRemembered;
   return now - record.last_crash > remembered;
 }
 
