--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -88,7 +88,7 @@
   bool IsQuarantined(const RequestFingerprint& request) const;
 
   // To be called before each sending. Returns false if the request is held. If
-  // it was held, and is let through by this, others are not for kTrialPause.
+  // it was held, and is let through by this, others are not for kTrialInterval.
   // `is_trial`, if not null, is set to whether that is the case.
   bool TryAdmit(const RequestFingerprint& request, bool* is_trial = nullptr);
 
@@ -130,7 +130,7 @@
   // once, and the pause until the next trial of one that ended nothing. Of some
   // 10,000 harmless requests beside two deadly ones and hosts that sleep, 95
   // were refused in four soaks of 15 s; with 5,000 it was 158.
-  static constexpr Millis kTrialPause{2000};
+  static constexpr Millis kTrialInterval{2000};
   // The pause once a trial has ended an endpoint. One such end may still be bad
   // luck: while an endpoint ends each second for other reasons, one trial of
   // 0.3 s in 60 meets an end among 18 of them.
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -47,7 +47,7 @@
     record->last_crash = clock_();
     record->held_until =
         record->last_crash +
-        (record->failed_trials == 0 ? kTrialPause : kPauseAfterFailure);
+        (record->failed_trials == 0 ? kTrialInterval : kPauseAfterFailure);
   }
   return is_news;
 }
@@ -104,7 +104,7 @@
     OnChanged();
     ++found->second.trials;
     last_trial_ = clock_();
-    found->second.held_until = *last_trial_ + kTrialPause;
+    found->second.held_until = *last_trial_ + kTrialInterval;
   }
   if (is_trial != nullptr) {
     *is_trial = tries;
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -68,13 +68,13 @@
   Host host;
   host.CrashTimes(3);
   for (int trial = 0; trial < RequestQuarantine::kMostTrials; ++trial) {
-    host.now += RequestQuarantine::kTrialPause;
+    host.now += RequestQuarantine::kTrialInterval;
     bool is_trial = false;
     CHECK(host.quarantine.TryAdmit(Request(1), &is_trial));
     CHECK(is_trial);
     CHECK_FALSE(host.quarantine.TryAdmit(Request(1)));
   }
-  host.now += 10 * RequestQuarantine::kTrialPause;
+  host.now += 10 * RequestQuarantine::kTrialInterval;
   CHECK(host.quarantine.IsQuarantined(Request(1)));
 }
 
@@ -85,7 +85,7 @@
     host->quarantine.OnCrash(Request(1), Crash(i));
     host->quarantine.OnCrash(Request(2), Crash(i));
   }
-  host->now += RequestQuarantine::kTrialPause;
+  host->now += RequestQuarantine::kTrialInterval;
 }
 
 TEST_CASE("Held requests are let through one after the other") {
@@ -119,7 +119,7 @@
   Host host;
   host.CrashTimes(3);
   for (int i = 0; i < 2 * RequestQuarantine::kMostTrials; ++i) {
-    host.now += RequestQuarantine::kTrialPause;
+    host.now += RequestQuarantine::kTrialInterval;
     REQUIRE(host.quarantine.TryAdmit(Request(1)));
     host.quarantine.CancelTrial(Request(1));
   }
@@ -129,10 +129,10 @@
 TEST_CASE("A request that fails a trial waits longer, and two prove it") {
   Host host;
   host.CrashTimes(3);
-  host.now += RequestQuarantine::kTrialPause;
+  host.now += RequestQuarantine::kTrialInterval;
   REQUIRE(host.quarantine.TryAdmit(Request(1)));
   host.CrashTimes(4);
-  host.now += RequestQuarantine::kTrialPause;
+  host.now += RequestQuarantine::kTrialInterval;
   CHECK(host.quarantine.IsQuarantined(Request(1)));
   host.now += RequestQuarantine::kPauseAfterFailure;
   REQUIRE(host.quarantine.TryAdmit(Request(1)));
@@ -148,7 +148,7 @@
   Host host;
   host.CrashTimes(9);
   CHECK(host.quarantine.IsQuarantined(Request(1)));
-  host.now += RequestQuarantine::kTrialPause;
+  host.now += RequestQuarantine::kTrialInterval;
   CHECK(host.quarantine.TryAdmit(Request(1)));
   CHECK(host.quarantine.OnCompleted(Request(1)));
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
@@ -214,8 +214,8 @@
   Host other;
   trying.CrashTimes(3);
   other.CrashTimes(3);
-  trying.now += RequestQuarantine::kTrialPause;
-  other.now += RequestQuarantine::kTrialPause;
+  trying.now += RequestQuarantine::kTrialInterval;
+  other.now += RequestQuarantine::kTrialInterval;
   REQUIRE(trying.quarantine.TryAdmit(Request(1)));
   REQUIRE_FALSE(other.quarantine.IsQuarantined(Request(1)));
   CHECK(other.quarantine.Merge(trying.quarantine.ReportOf(Request(1))));
