--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -134,7 +134,7 @@
   // The pause once a trial has ended an endpoint. One such end may still be bad
   // luck: while an endpoint ends each second for other reasons, one trial of
   // 0.3 s in 60 meets an end among 18 of them.
-  static constexpr Millis kPauseAfterFailure{60000};
+  static constexpr Millis kIntervalAfterFailedTrial{60000};
   // From one trial to the next of another request: several times what an engine
   // takes to end under a request, and what hosts take to tell each other.
   static constexpr Millis kTrialSpacing{500};
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -45,9 +45,9 @@
       ++record->failed_trials;
     }
     record->last_crash = clock_();
-    record->held_until =
-        record->last_crash +
-        (record->failed_trials == 0 ? kTrialInterval : kPauseAfterFailure);
+    record->held_until = record->last_crash + (record->failed_trials == 0
+                                                   ? kTrialInterval
+                                                   : kIntervalAfterFailedTrial);
   }
   return is_news;
 }
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -134,7 +134,7 @@
   host.CrashTimes(4);
   host.now += RequestQuarantine::kTrialInterval;
   CHECK(host.quarantine.IsQuarantined(Request(1)));
-  host.now += RequestQuarantine::kPauseAfterFailure;
+  host.now += RequestQuarantine::kIntervalAfterFailedTrial;
   REQUIRE(host.quarantine.TryAdmit(Request(1)));
   host.CrashTimes(5);
   host.now += RequestQuarantine::kRemembered + Millis(1);
