--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -139,7 +139,7 @@
   // takes to end under a request, and what hosts take to tell each other.
   static constexpr Millis kTrialSpacing{500};
   // How often a trial must fail until the request is not tried any more.
-  static constexpr int kProof = 2;
+  static constexpr int kMaxFailedTrials = 2;
   // Trials of one request: the platform's bound on what reaches endpoints of a
   // request that is known to end them.
   static constexpr int kMostTrials = 3;
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -83,8 +83,9 @@
   if (record.crashes.size() < kCrashThreshold || IsForgotten(record, now)) {
     return false;
   }
-  return record.failed_trials >= kProof || record.trials >= kMostTrials ||
-         now < record.held_until || IsTrialUnderWay(now);
+  return record.failed_trials >= kMaxFailedTrials ||
+         record.trials >= kMostTrials || now < record.held_until ||
+         IsTrialUnderWay(now);
 }
 
 bool RequestQuarantine::IsTrialUnderWay(TimePoint now) const {
