--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -142,7 +142,7 @@
   static constexpr int kMaxFailedTrials = 2;
   // Trials of one request: the platform's bound on what reaches endpoints of a
   // request that is known to end them.
-  static constexpr int kMostTrials = 3;
+  static constexpr int kMaxTrials = 3;
   // How long crashes are counted together. At three crashes in this time, and
   // three seconds for an endpoint to be back, one such request costs a fleet
   // one engine for 1.5 in 100 of the time.
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -84,7 +84,7 @@
     return false;
   }
   return record.failed_trials >= kMaxFailedTrials ||
-         record.trials >= kMostTrials || now < record.held_until ||
+         record.trials >= kMaxTrials || now < record.held_until ||
          IsTrialUnderWay(now);
 }
 
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -67,7 +67,7 @@
 TEST_CASE("A held request is let through alone, three times at the most") {
   Host host;
   host.CrashTimes(3);
-  for (int trial = 0; trial < RequestQuarantine::kMostTrials; ++trial) {
+  for (int trial = 0; trial < RequestQuarantine::kMaxTrials; ++trial) {
     host.now += RequestQuarantine::kTrialInterval;
     bool is_trial = false;
     CHECK(host.quarantine.TryAdmit(Request(1), &is_trial));
@@ -118,7 +118,7 @@
 TEST_CASE("A trial that reached no endpoint is not spent") {
   Host host;
   host.CrashTimes(3);
-  for (int i = 0; i < 2 * RequestQuarantine::kMostTrials; ++i) {
+  for (int i = 0; i < 2 * RequestQuarantine::kMaxTrials; ++i) {
     host.now += RequestQuarantine::kTrialInterval;
     REQUIRE(host.quarantine.TryAdmit(Request(1)));
     host.quarantine.CancelTrial(Request(1));
