--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -146,7 +146,7 @@
   // How long crashes are counted together. At three crashes in this time, and
   // three seconds for an endpoint to be back, one such request costs a fleet
   // one engine for 1.5 in 100 of the time.
-  static constexpr Millis kRemembered{600000};
+  static constexpr Millis kCrashRetention{600000};
   // How long a request is held that is proven to end endpoints. Operators who
   // have mended theirs wait no longer.
   static constexpr Millis kProvenRemembered{3600000};
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -251,8 +251,9 @@
 }
 
 bool RequestQuarantine::IsForgotten(const Record& record, TimePoint now) {
-  const Millis remembered =
-      record.crashes.size() > kCrashThreshold ? kProvenRemembered : kRemembered;
+  const Millis remembered = record.crashes.size() > kCrashThreshold
+                                ? kProvenRemembered
+                                : kCrashRetention;
   return now - record.last_crash > remembered;
 }
 
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -137,7 +137,7 @@
   host.now += RequestQuarantine::kIntervalAfterFailedTrial;
   REQUIRE(host.quarantine.TryAdmit(Request(1)));
   host.CrashTimes(5);
-  host.now += RequestQuarantine::kRemembered + Millis(1);
+  host.now += RequestQuarantine::kCrashRetention + Millis(1);
   CHECK(host.quarantine.IsQuarantined(Request(1)));
   host.now += RequestQuarantine::kProvenRemembered;
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
@@ -157,10 +157,10 @@
 TEST_CASE("Ends that lie far apart are forgotten") {
   Host host;
   host.CrashTimes(2);
-  host.now += RequestQuarantine::kRemembered + Millis(1);
+  host.now += RequestQuarantine::kCrashRetention + Millis(1);
   host.quarantine.OnCrash(Request(1), Crash(7));
   CHECK(host.quarantine.CrashCount(Request(1)) == 1);
-  host.now += RequestQuarantine::kRemembered + Millis(1);
+  host.now += RequestQuarantine::kCrashRetention + Millis(1);
   host.quarantine.Sweep();
   CHECK(host.quarantine.IsEmpty());
 }
