--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -149,7 +149,7 @@
   static constexpr Millis kCrashRetention{600000};
   // How long a request is held that is proven to end endpoints. Operators who
   // have mended theirs wait no longer.
-  static constexpr Millis kProvenRemembered{3600000};
+  static constexpr Millis kProvenRetention{3600000};
   // Requests remembered at once, 290 bytes each with one end. One end of an
   // endpoint brings as many as it had in hand, some dozens.
   static constexpr std::size_t kMostRecords = 4096;
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -252,7 +252,7 @@
 
 bool RequestQuarantine::IsForgotten(const Record& record, TimePoint now) {
   const Millis remembered = record.crashes.size() > kCrashThreshold
-                                ? kProvenRemembered
+                                ? kProvenRetention
                                 : kCrashRetention;
   return now - record.last_crash > remembered;
 }
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -139,7 +139,7 @@
   host.CrashTimes(5);
   host.now += RequestQuarantine::kCrashRetention + Millis(1);
   CHECK(host.quarantine.IsQuarantined(Request(1)));
-  host.now += RequestQuarantine::kProvenRemembered;
+  host.now += RequestQuarantine::kProvenRetention;
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
 }
 
