--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -152,7 +152,7 @@
   static constexpr Millis kProvenRetention{3600000};
   // Requests remembered at once, 290 bytes each with one end. One end of an
   // endpoint brings as many as it had in hand, some dozens.
-  static constexpr std::size_t kMostRecords = 4096;
+  static constexpr std::size_t kMaxRecords = 4096;
   // Ends that do not count, remembered for one request. With more, all of them
   // are forgotten: a report stays within a datagram, and only one that comes
   // minutes late would count again.
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -275,10 +275,10 @@
     }
     return &found->second;
   }
-  if (records_.size() >= kMostRecords) {
+  if (records_.size() >= kMaxRecords) {
     MakeRoom();
   }
-  return records_.size() < kMostRecords ? &records_[request] : nullptr;
+  return records_.size() < kMaxRecords ? &records_[request] : nullptr;
 }
 
 void RequestQuarantine::MakeRoom() {
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -240,12 +240,12 @@
 TEST_CASE("A flood of suspects does not push out a request that is held") {
   Host host;
   host.CrashTimes(3);
-  const auto most = static_cast<std::uint64_t>(RequestQuarantine::kMostRecords);
+  const auto most = static_cast<std::uint64_t>(RequestQuarantine::kMaxRecords);
   for (std::uint64_t i = 2; i < 3 * most; ++i) {
     host.now += Millis(1);
     host.quarantine.OnCrash(Request(i), Crash(9));
   }
-  CHECK(host.quarantine.Count() <= RequestQuarantine::kMostRecords);
+  CHECK(host.quarantine.Count() <= RequestQuarantine::kMaxRecords);
   CHECK(host.quarantine.CrashCount(Request(1)) == 3);
   // The newest has its place.
   CHECK(host.quarantine.CrashCount(Request(3 * most - 1)) == 1);
