--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -156,7 +156,7 @@
   // Ends that do not count, remembered for one request. With more, all of them
   // are forgotten: a report stays within a datagram, and only one that comes
   // minutes late would count again.
-  static constexpr std::size_t kMostCleared = 64;
+  static constexpr std::size_t kMaxCleared = 64;
   // From how many crashes on hosts tell each other what one of them missed. One
   // crash alone says little, and there are many such requests.
   static constexpr std::size_t kShared = 2;
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -59,7 +59,7 @@
   }
   OnChanged();
   Record& record = found->second;
-  if (record.cleared.size() > kMostCleared) {
+  if (record.cleared.size() > kMaxCleared) {
     record.cleared.clear();
   }
   record.cleared.merge(record.crashes);
