--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -109,7 +109,7 @@
   std::size_t CrashCount(const RequestFingerprint& request) const;
 
   // Returns what hosts that have missed words need: requests with at least
-  // kShared crashes, those with the most first, kMostShared at most.
+  // kMinSharedCrashes crashes, those with the most first, kMostShared at most.
   std::vector<CrashReport> SharedReports() const;
 
   // Returns a digest of these, but for their times: hosts whose digests are the
@@ -159,7 +159,7 @@
   static constexpr std::size_t kMaxCleared = 64;
   // From how many crashes on hosts tell each other what one of them missed. One
   // crash alone says little, and there are many such requests.
-  static constexpr std::size_t kShared = 2;
+  static constexpr std::size_t kMinSharedCrashes = 2;
   // Reports that fit into a datagram of 16 KB.
   static constexpr std::size_t kMostShared = 96;
 
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -199,7 +199,7 @@
 RequestQuarantine::Shared() const {
   std::vector<const Records::value_type*> shared;
   for (const Records::value_type& entry : records_) {
-    if (entry.second.crashes.size() >= kShared) {
+    if (entry.second.crashes.size() >= kMinSharedCrashes) {
       shared.push_back(&entry);
     }
   }
@@ -285,7 +285,7 @@
   Sweep();
   std::vector<TimePoint> times;
   for (const auto& [request, record] : records_) {
-    if (record.crashes.size() < kShared) {
+    if (record.crashes.size() < kMinSharedCrashes) {
       times.push_back(record.last_crash);
     }
   }
@@ -296,7 +296,7 @@
       times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
   std::nth_element(times.begin(), middle, times.end());
   for (auto it = records_.begin(); it != records_.end();) {
-    const bool goes = it->second.crashes.size() < kShared &&
+    const bool goes = it->second.crashes.size() < kMinSharedCrashes &&
                       !(*middle < it->second.last_crash);
     it = goes ? records_.erase(it) : std::next(it);
   }
