--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -109,7 +109,8 @@
   std::size_t CrashCount(const RequestFingerprint& request) const;
 
   // Returns what hosts that have missed words need: requests with at least
-  // kMinSharedCrashes crashes, those with the most first, kMostShared at most.
+  // kMinSharedCrashes crashes, those with the most first, kMaxSharedReports at
+  // most.
   std::vector<CrashReport> SharedReports() const;
 
   // Returns a digest of these, but for their times: hosts whose digests are the
@@ -161,7 +162,7 @@
   // crash alone says little, and there are many such requests.
   static constexpr std::size_t kMinSharedCrashes = 2;
   // Reports that fit into a datagram of 16 KB.
-  static constexpr std::size_t kMostShared = 96;
+  static constexpr std::size_t kMaxSharedReports = 96;
 
  private:
   struct Record {
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -70,7 +70,7 @@
 
 TEST_CASE("The largest set of reports fits into one datagram") {
   CrashReports all{kHost, {}};
-  for (std::size_t i = 0; i < RequestQuarantine::kMostShared; ++i) {
+  for (std::size_t i = 0; i < RequestQuarantine::kMaxSharedReports; ++i) {
     CrashReport report = Reports().reports.front();
     report.request.low = i;
     all.reports.push_back(report);
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -209,8 +209,8 @@
                    [](const auto* a, const auto* b) {
                      return a->second.crashes.size() > b->second.crashes.size();
                    });
-  if (shared.size() > kMostShared) {
-    shared.resize(kMostShared);
+  if (shared.size() > kMaxSharedReports) {
+    shared.resize(kMaxSharedReports);
   }
   return shared;
 }
