--- a/include/harecrank/core/attempt_patience.h
+++ b/include/harecrank/core/attempt_patience.h
@@ -29,7 +29,7 @@
 
 // Returns how much of a caller's patience with a silent stream on `route` may
 // be used before a resumption could come too late.
-Millis CallerPatience(const RouteRule& route);
+Millis UsableCallerTimeout(const RouteRule& route);
 
 }  // namespace harecrank
 
--- a/src/core/attempt_patience.cc
+++ b/src/core/attempt_patience.cc
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-Millis CallerPatience(const RouteRule& route) {
+Millis UsableCallerTimeout(const RouteRule& route) {
   const Millis given_up = std::max(
       {kCallerLeastPatience, kCallerPatienceTargets * route.target_latency,
        kCallerPatienceGaps * route.target_gap});
@@ -49,7 +49,7 @@
   if (progress.endpoint_is_alive) {
     // The endpoint is alive and slow. To begin anew elsewhere costs more than
     // to wait, until the caller is about to give the stream up.
-    limit = std::max(limit, CallerPatience(route));
+    limit = std::max(limit, UsableCallerTimeout(route));
   }
   return progress.last_bytes_at + limit;
 }
--- a/src/core/attempt_patience_test.cc
+++ b/src/core/attempt_patience_test.cc
@@ -43,8 +43,8 @@
 TEST_CASE("A slow endpoint that is alive is waited for as callers do") {
   AttemptProgress progress = Waiting();
   progress.endpoint_is_alive = true;
-  CHECK(OverdueAt(Stream(), progress) == kSent + CallerPatience(Stream()));
-  CHECK(CallerPatience(Stream()) == Millis(1500));
+  CHECK(OverdueAt(Stream(), progress) == kSent + UsableCallerTimeout(Stream()));
+  CHECK(UsableCallerTimeout(Stream()) == Millis(1500));
 }
 
 TEST_CASE("A plain answer is overdue at twice its target") {
