--- a/include/harecrank/core/attempt_policy.h
+++ b/include/harecrank/core/attempt_policy.h
@@ -49,11 +49,11 @@
 };
 
 // Keeps the tries of one request. Not thread-safe.
-class AttemptPolicy {
+class RetryPolicy {
  public:
   // `budget` is shared by all requests and must outlive this.
-  AttemptPolicy(Repeat repeat, TimePoint deadline, MonotonicClock clock,
-                RetryBudget* budget);
+  RetryPolicy(Repeat repeat, TimePoint deadline, MonotonicClock clock,
+              RetryBudget* budget);
 
   // Returns what follows an attempt that ended in `end`, given what is known
   // of it.
--- a/src/core/attempt_policy.cc
+++ b/src/core/attempt_policy.cc
@@ -84,8 +84,8 @@
 
 }  // namespace
 
-AttemptPolicy::AttemptPolicy(Repeat repeat, TimePoint deadline,
-                             MonotonicClock clock, RetryBudget* budget)
+RetryPolicy::RetryPolicy(Repeat repeat, TimePoint deadline,
+                         MonotonicClock clock, RetryBudget* budget)
     : repeat_(repeat),
       deadline_(deadline),
       clock_(std::move(clock)),
@@ -93,8 +93,8 @@
   budget_->OnFirstAttempt();
 }
 
-AttemptStep AttemptPolicy::Next(const AttemptEnd& end,
-                                const AttemptEvidence& evidence) {
+AttemptStep RetryPolicy::Next(const AttemptEnd& end,
+                              const AttemptEvidence& evidence) {
   const Outcome outcome = evidence.Conclude();
   overall_ = Weaker(overall_, outcome);
   last_refusal_ = std::visit(ToRefusal{overall_}, end);
@@ -106,7 +106,7 @@
   return GiveUp{*last_refusal_};
 }
 
-bool AttemptPolicy::MayTryAgain(Outcome outcome) const {
+bool RetryPolicy::MayTryAgain(Outcome outcome) const {
   if (attempts_ >= kMostAttempts || clock_() >= deadline_) {
     return false;
   }
--- a/src/core/attempt_policy_test.cc
+++ b/src/core/attempt_policy_test.cc
@@ -10,8 +10,8 @@
   RetryBudget budget{100};
   AttemptEvidence evidence;
 
-  AttemptPolicy MakePolicy(Repeat repeat) {
-    return AttemptPolicy(
+  RetryPolicy MakePolicy(Repeat repeat) {
+    return RetryPolicy(
         repeat, now + Millis(1000), [this] { return now; }, &budget);
   }
   static bool TriesAgain(const AttemptStep& step) {
@@ -20,13 +20,13 @@
 };
 
 TEST_CASE_METHOD(Fixture, "A repeatable request whose link broke tries again") {
-  AttemptPolicy policy = MakePolicy(Repeat::kAllowed);
+  RetryPolicy policy = MakePolicy(Repeat::kAllowed);
   evidence.OnSubmitted();
   CHECK(TriesAgain(policy.Next(AttemptLost{"cut"}, evidence)));
 }
 
 TEST_CASE_METHOD(Fixture, "A ticketed request never goes elsewhere") {
-  AttemptPolicy policy = MakePolicy(Repeat::kNever);
+  RetryPolicy policy = MakePolicy(Repeat::kNever);
   evidence.OnSubmitted();
   evidence.OnNotStarted();
   const AttemptStep step =
@@ -36,7 +36,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "An unmarked change goes elsewhere only if not run") {
-  AttemptPolicy policy = MakePolicy(Repeat::kOnlyIfNotRun);
+  RetryPolicy policy = MakePolicy(Repeat::kOnlyIfNotRun);
   evidence.OnSubmitted();
   AttemptEvidence denied = evidence;
   denied.OnNotStarted();
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "A request of several attempts claims the weakest") {
-  AttemptPolicy policy = MakePolicy(Repeat::kAllowed);
+  RetryPolicy policy = MakePolicy(Repeat::kAllowed);
   evidence.OnSubmitted();
   REQUIRE(TriesAgain(policy.Next(AttemptLost{"cut"}, evidence)));
   AttemptEvidence denied;
@@ -61,7 +61,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "A refusal tells when to come back") {
-  AttemptPolicy policy = MakePolicy(Repeat::kNever);
+  RetryPolicy policy = MakePolicy(Repeat::kNever);
   const AttemptStep step =
       policy.Next(AttemptRefused{"overloaded", "", Millis(1500)}, evidence);
   CHECK(std::get<GiveUp>(step).refusal.retry_after == Millis(1500));
@@ -72,18 +72,18 @@
   RetryBudget empty(0);
   while (empty.TryRetry()) {
   }
-  AttemptPolicy policy(
+  RetryPolicy policy(
       Repeat::kAllowed, now + Millis(1000), [this] { return now; }, &empty);
   CHECK_FALSE(TriesAgain(policy.Next(AttemptLost{"cut"}, evidence)));
 }
 
 TEST_CASE_METHOD(Fixture, "Tries end at their greatest number") {
-  AttemptPolicy policy = MakePolicy(Repeat::kAllowed);
+  RetryPolicy policy = MakePolicy(Repeat::kAllowed);
   int tries = 1;
   while (TriesAgain(policy.Next(AttemptLost{"cut"}, evidence))) {
     ++tries;
   }
-  CHECK(tries == AttemptPolicy::kMostAttempts);
+  CHECK(tries == RetryPolicy::kMostAttempts);
 }
 
 TEST_CASE("Retries stay within their share of first attempts") {
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -164,8 +164,8 @@
 DispatchResult Dispatcher::RunAttempts(Context* context, AnswerSink* sink) {
   AnswerAssembler assembler;
   AttemptPorts ports{ports_.links, ports_.clock, &assembler, sink};
-  AttemptPolicy policy(context->request.repeat, context->deadline, ports_.clock,
-                       &budget_);
+  RetryPolicy policy(context->request.repeat, context->deadline, ports_.clock,
+                     &budget_);
   // Zero for a request that one engine serves.
   const std::size_t members = GroupSize(*context);
   while (true) {
@@ -218,8 +218,7 @@
   }
   AnswerAssembler assembler;
   AttemptPorts ports{ports_.links, ports_.clock, &assembler, sink};
-  AttemptPolicy policy(Repeat::kNever, context->deadline, ports_.clock,
-                       &budget_);
+  RetryPolicy policy(Repeat::kNever, context->deadline, ports_.clock, &budget_);
   AttemptEvidence evidence;
   AttemptResult result = RunOnce(context, link, ports, &evidence);
   if (auto* finished = std::get_if<wire::Finished>(&result)) {
