--- a/include/harecrank/core/attempt_policy.h
+++ b/include/harecrank/core/attempt_policy.h
@@ -39,7 +39,7 @@
 using AttemptStep = std::variant<TryElsewhere, GiveUp>;
 
 // What may be done with a request besides its first attempt.
-enum class Repeat {
+enum class RetryMode {
   // Any endpoint may run it again.
   kAllowed,
   // It may go to another endpoint only while it is certain not to have run.
@@ -52,7 +52,7 @@
 class RetryPolicy {
  public:
   // `budget` is shared by all requests and must outlive this.
-  RetryPolicy(Repeat repeat, TimePoint deadline, MonotonicClock clock,
+  RetryPolicy(RetryMode repeat, TimePoint deadline, MonotonicClock clock,
               RetryBudget* budget);
 
   // Returns what follows an attempt that ended in `end`, given what is known
@@ -70,7 +70,7 @@
  private:
   bool MayTryAgain(Outcome outcome) const;
 
-  Repeat repeat_;
+  RetryMode repeat_;
   TimePoint deadline_;
   MonotonicClock clock_;
   RetryBudget* budget_;
--- a/src/core/attempt_policy.cc
+++ b/src/core/attempt_policy.cc
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-RetryPolicy::RetryPolicy(Repeat repeat, TimePoint deadline,
+RetryPolicy::RetryPolicy(RetryMode repeat, TimePoint deadline,
                          MonotonicClock clock, RetryBudget* budget)
     : repeat_(repeat),
       deadline_(deadline),
@@ -111,11 +111,11 @@
     return false;
   }
   switch (repeat_) {
-    case Repeat::kAllowed:
+    case RetryMode::kAllowed:
       return true;
-    case Repeat::kOnlyIfNotRun:
+    case RetryMode::kOnlyIfNotRun:
       return outcome == Outcome::kNotRun;
-    case Repeat::kNever:
+    case RetryMode::kNever:
       return false;
   }
   return false;
--- a/src/core/attempt_policy_test.cc
+++ b/src/core/attempt_policy_test.cc
@@ -10,7 +10,7 @@
   RetryBudget budget{100};
   AttemptEvidence evidence;
 
-  RetryPolicy MakePolicy(Repeat repeat) {
+  RetryPolicy MakePolicy(RetryMode repeat) {
     return RetryPolicy(
         repeat, now + Millis(1000), [this] { return now; }, &budget);
   }
@@ -20,13 +20,13 @@
 };
 
 TEST_CASE_METHOD(Fixture, "A repeatable request whose link broke tries again") {
-  RetryPolicy policy = MakePolicy(Repeat::kAllowed);
+  RetryPolicy policy = MakePolicy(RetryMode::kAllowed);
   evidence.OnSubmitted();
   CHECK(TriesAgain(policy.Next(AttemptLost{"cut"}, evidence)));
 }
 
 TEST_CASE_METHOD(Fixture, "A ticketed request never goes elsewhere") {
-  RetryPolicy policy = MakePolicy(Repeat::kNever);
+  RetryPolicy policy = MakePolicy(RetryMode::kNever);
   evidence.OnSubmitted();
   evidence.OnNotStarted();
   const AttemptStep step =
@@ -36,7 +36,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "An unmarked change goes elsewhere only if not run") {
-  RetryPolicy policy = MakePolicy(Repeat::kOnlyIfNotRun);
+  RetryPolicy policy = MakePolicy(RetryMode::kOnlyIfNotRun);
   evidence.OnSubmitted();
   AttemptEvidence denied = evidence;
   denied.OnNotStarted();
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "A request of several attempts claims the weakest") {
-  RetryPolicy policy = MakePolicy(Repeat::kAllowed);
+  RetryPolicy policy = MakePolicy(RetryMode::kAllowed);
   evidence.OnSubmitted();
   REQUIRE(TriesAgain(policy.Next(AttemptLost{"cut"}, evidence)));
   AttemptEvidence denied;
@@ -61,7 +61,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "A refusal tells when to come back") {
-  RetryPolicy policy = MakePolicy(Repeat::kNever);
+  RetryPolicy policy = MakePolicy(RetryMode::kNever);
   const AttemptStep step =
       policy.Next(AttemptRefused{"overloaded", "", Millis(1500)}, evidence);
   CHECK(std::get<GiveUp>(step).refusal.retry_after == Millis(1500));
@@ -73,12 +73,12 @@
   while (empty.TryRetry()) {
   }
   RetryPolicy policy(
-      Repeat::kAllowed, now + Millis(1000), [this] { return now; }, &empty);
+      RetryMode::kAllowed, now + Millis(1000), [this] { return now; }, &empty);
   CHECK_FALSE(TriesAgain(policy.Next(AttemptLost{"cut"}, evidence)));
 }
 
 TEST_CASE_METHOD(Fixture, "Tries end at their greatest number") {
-  RetryPolicy policy = MakePolicy(Repeat::kAllowed);
+  RetryPolicy policy = MakePolicy(RetryMode::kAllowed);
   int tries = 1;
   while (TriesAgain(policy.Next(AttemptLost{"cut"}, evidence))) {
     ++tries;
--- a/src/entry/caller_request.cc
+++ b/src/entry/caller_request.cc
@@ -136,7 +136,7 @@
   }
   // A call that may change something is not sent twice, even unmarked.
   if (headers.method != "GET" && headers.method != "HEAD") {
-    request->repeat = Repeat::kOnlyIfNotRun;
+    request->repeat = RetryMode::kOnlyIfNotRun;
   }
   return {};
 }
@@ -169,7 +169,7 @@
                   "Harecrank-Ticket");
   }
   request->ticket = headers.ticket;
-  request->repeat = Repeat::kNever;
+  request->repeat = RetryMode::kNever;
   return {};
 }
 
--- a/src/entry/caller_request.h
+++ b/src/entry/caller_request.h
@@ -30,7 +30,7 @@
   Millis time_limit{0};
   // Empty unless the request may run once only.
   std::string ticket;
-  Repeat repeat = Repeat::kAllowed;
+  RetryMode repeat = RetryMode::kAllowed;
   // For kService.
   ServiceName service;
   std::string method;
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -218,7 +218,8 @@
   }
   AnswerAssembler assembler;
   AttemptPorts ports{ports_.links, ports_.clock, &assembler, sink};
-  RetryPolicy policy(Repeat::kNever, context->deadline, ports_.clock, &budget_);
+  RetryPolicy policy(RetryMode::kNever, context->deadline, ports_.clock,
+                     &budget_);
   AttemptEvidence evidence;
   AttemptResult result = RunOnce(context, link, ports, &evidence);
   if (auto* finished = std::get_if<wire::Finished>(&result)) {
