--- a/include/harecrank/core/attempt_policy.h
+++ b/include/harecrank/core/attempt_policy.h
@@ -65,7 +65,7 @@
 
   int Attempts() const { return attempts_; }
 
-  static constexpr int kMostAttempts = 4;
+  static constexpr int kMaxAttempts = 4;
 
  private:
   bool MayTryAgain(Outcome outcome) const;
--- a/src/core/attempt_policy.cc
+++ b/src/core/attempt_policy.cc
@@ -107,7 +107,7 @@
 }
 
 bool RetryPolicy::MayTryAgain(Outcome outcome) const {
-  if (attempts_ >= kMostAttempts || clock_() >= deadline_) {
+  if (attempts_ >= kMaxAttempts || clock_() >= deadline_) {
     return false;
   }
   switch (repeat_) {
--- a/src/core/attempt_policy_test.cc
+++ b/src/core/attempt_policy_test.cc
@@ -83,7 +83,7 @@
   while (TriesAgain(policy.Next(AttemptLost{"cut"}, evidence))) {
     ++tries;
   }
-  CHECK(tries == RetryPolicy::kMostAttempts);
+  CHECK(tries == RetryPolicy::kMaxAttempts);
 }
 
 TEST_CASE("Retries stay within their share of first attempts") {
