--- a/include/harecrank/core/attempt_policy.h
+++ b/include/harecrank/core/attempt_policy.h
@@ -14,7 +14,7 @@
 namespace harecrank {
 
 // How an attempt ended without a whole answer.
-struct AttemptRefused {
+struct AttemptRejected {
   std::string code;
   std::string message;
   std::optional<Millis> retry_after;
@@ -28,7 +28,7 @@
 };
 struct AttemptOutOfTime {};
 struct CallerLeft {};
-using AttemptEnd = std::variant<AttemptRefused, AttemptFailed, AttemptLost,
+using AttemptEnd = std::variant<AttemptRejected, AttemptFailed, AttemptLost,
                                 AttemptOutOfTime, CallerLeft>;
 
 // What to do next.
--- a/src/core/attempt_policy.cc
+++ b/src/core/attempt_policy.cc
@@ -35,7 +35,7 @@
 struct ToRefusal {
   Outcome outcome;
 
-  Refusal operator()(const AttemptRefused& end) const {
+  Refusal operator()(const AttemptRejected& end) const {
     Refusal refusal{StatusOfRefusal(end.code), end.code, end.message, outcome,
                     end.retry_after};
     if (!refusal.retry_after && !IsFinalRefusal(end.code)) {
@@ -64,7 +64,7 @@
 
 // Returns whether the way an attempt ended allows another at all.
 struct HasSpareCapacity {
-  bool operator()(const AttemptRefused& end) const {
+  bool operator()(const AttemptRejected& end) const {
     return !IsFinalRefusal(end.code);
   }
   bool operator()(const AttemptFailed&) const { return true; }
--- a/src/core/attempt_policy_test.cc
+++ b/src/core/attempt_policy_test.cc
@@ -30,7 +30,7 @@
   evidence.OnSubmitted();
   evidence.OnNotStarted();
   const AttemptStep step =
-      policy.Next(AttemptRefused{"overloaded", "", std::nullopt}, evidence);
+      policy.Next(AttemptRejected{"overloaded", "", std::nullopt}, evidence);
   REQUIRE_FALSE(TriesAgain(step));
   CHECK(std::get<GiveUp>(step).refusal.outcome == Outcome::kNotRun);
 }
@@ -41,7 +41,7 @@
   AttemptEvidence denied = evidence;
   denied.OnNotStarted();
   CHECK(TriesAgain(
-      policy.Next(AttemptRefused{"overloaded", "", std::nullopt}, denied)));
+      policy.Next(AttemptRejected{"overloaded", "", std::nullopt}, denied)));
   const AttemptStep step = policy.Next(AttemptLost{"cut"}, evidence);
   REQUIRE_FALSE(TriesAgain(step));
   CHECK(std::get<GiveUp>(step).refusal.outcome == Outcome::kUnknown);
@@ -56,14 +56,14 @@
   denied.OnNotStarted();
   now += Millis(1000);
   const AttemptStep step =
-      policy.Next(AttemptRefused{"overloaded", "", std::nullopt}, denied);
+      policy.Next(AttemptRejected{"overloaded", "", std::nullopt}, denied);
   CHECK(std::get<GiveUp>(step).refusal.outcome == Outcome::kUnknown);
 }
 
 TEST_CASE_METHOD(Fixture, "A refusal tells when to come back") {
   RetryPolicy policy = MakePolicy(RetryMode::kNever);
   const AttemptStep step =
-      policy.Next(AttemptRefused{"overloaded", "", Millis(1500)}, evidence);
+      policy.Next(AttemptRejected{"overloaded", "", Millis(1500)}, evidence);
   CHECK(std::get<GiveUp>(step).refusal.retry_after == Millis(1500));
   CHECK(std::get<GiveUp>(step).refusal.http_status == 429);
 }
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -17,7 +17,7 @@
 constexpr Millis kMostStall{3000};
 
 AttemptEnd ToEnd(const wire::Refused& refused) {
-  AttemptRefused end{refused.code, refused.message, std::nullopt};
+  AttemptRejected end{refused.code, refused.message, std::nullopt};
   if (refused.retry_after >= Millis(0)) {
     end.retry_after = refused.retry_after;
   }
@@ -45,8 +45,8 @@
                            AttemptEvidence* evidence) {
   const auto deadline = link_->Convert(times_.deadline);
   if (!deadline) {
-    return AttemptEnd{AttemptRefused{"endpoint_unreachable",
-                                     "the link is not ready", Millis(500)}};
+    return AttemptEnd{AttemptRejected{"endpoint_unreachable",
+                                      "the link is not ready", Millis(500)}};
   }
   submit.stream = stream_;
   submit.deadline = *deadline;
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -17,7 +17,7 @@
 constexpr Millis kRetryAfter{2000};
 
 AttemptEnd NoRoom() {
-  return AttemptRefused{
+  return AttemptRejected{
       "overloaded", "no group of engines has room for the prompt", kRetryAfter};
 }
 
@@ -36,7 +36,7 @@
 
 AttemptResult GroupRunner::Run(AttemptEvidence* evidence) {
   if (!CanEverFit()) {
-    return AttemptEnd{AttemptRefused{
+    return AttemptEnd{AttemptRejected{
         "larger_than_engine",
         "no group of the engines that serve this model can hold the prompt",
         std::nullopt}};
