--- a/include/harecrank/core/attempt_policy.h
+++ b/include/harecrank/core/attempt_policy.h
@@ -26,10 +26,10 @@
 struct AttemptLost {
   std::string reason;
 };
-struct AttemptOutOfTime {};
+struct AttemptTimedOut {};
 struct CallerLeft {};
 using AttemptEnd = std::variant<AttemptRejected, AttemptFailed, AttemptLost,
-                                AttemptOutOfTime, CallerLeft>;
+                                AttemptTimedOut, CallerLeft>;
 
 // What to do next.
 struct TryElsewhere {};
--- a/src/core/attempt_policy.cc
+++ b/src/core/attempt_policy.cc
@@ -51,7 +51,7 @@
     return Refusal{http_status::kBadGateway, "endpoint_lost", end.reason,
                    outcome, std::nullopt};
   }
-  Refusal operator()(const AttemptOutOfTime&) const {
+  Refusal operator()(const AttemptTimedOut&) const {
     return Refusal{http_status::kGatewayTimeout, "deadline_exceeded",
                    "the request's time limit has passed", outcome,
                    std::nullopt};
@@ -69,7 +69,7 @@
   }
   bool operator()(const AttemptFailed&) const { return true; }
   bool operator()(const AttemptLost&) const { return true; }
-  bool operator()(const AttemptOutOfTime&) const { return false; }
+  bool operator()(const AttemptTimedOut&) const { return false; }
   bool operator()(const CallerLeft&) const { return false; }
 };
 
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -162,10 +162,10 @@
 std::optional<AttemptResult> Attempt::CheckTime(TimePoint now,
                                                 AttemptEvidence* evidence) {
   if (now >= times_.deadline) {
-    return AttemptEnd{AttemptOutOfTime{}};
+    return AttemptEnd{AttemptTimedOut{}};
   }
   if (!started_ && now >= times_.deadline - kWithdrawBefore) {
-    return Withdraw(evidence, AttemptEnd{AttemptOutOfTime{}});
+    return Withdraw(evidence, AttemptEnd{AttemptTimedOut{}});
   }
   if (!acknowledged_ && now >= acknowledge_by_) {
     return Withdraw(evidence,
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -55,7 +55,7 @@
     const auto* end = std::get_if<AttemptEnd>(&result);
     const bool worth_another = end != nullptr &&
                                !std::holds_alternative<CallerLeft>(*end) &&
-                               !std::holds_alternative<AttemptOutOfTime>(*end);
+                               !std::holds_alternative<AttemptTimedOut>(*end);
     if (!worth_another) {
       return result;
     }
@@ -466,7 +466,7 @@
   if (ports_.attempt.clock() < deadline_) {
     return false;
   }
-  *why = AttemptOutOfTime{};
+  *why = AttemptTimedOut{};
   return true;
 }
 
