--- a/include/harecrank/core/attempt_policy.h
+++ b/include/harecrank/core/attempt_policy.h
@@ -27,9 +27,9 @@
   std::string reason;
 };
 struct AttemptTimedOut {};
-struct CallerLeft {};
+struct CallerDisconnected {};
 using AttemptEnd = std::variant<AttemptRejected, AttemptFailed, AttemptLost,
-                                AttemptTimedOut, CallerLeft>;
+                                AttemptTimedOut, CallerDisconnected>;
 
 // What to do next.
 struct TryElsewhere {};
--- a/src/core/attempt_policy.cc
+++ b/src/core/attempt_policy.cc
@@ -56,7 +56,7 @@
                    "the request's time limit has passed", outcome,
                    std::nullopt};
   }
-  Refusal operator()(const CallerLeft&) const {
+  Refusal operator()(const CallerDisconnected&) const {
     return Refusal{http_status::kClientClosed, "caller_left", "the caller left",
                    outcome, std::nullopt};
   }
@@ -70,7 +70,7 @@
   bool operator()(const AttemptFailed&) const { return true; }
   bool operator()(const AttemptLost&) const { return true; }
   bool operator()(const AttemptTimedOut&) const { return false; }
-  bool operator()(const CallerLeft&) const { return false; }
+  bool operator()(const CallerDisconnected&) const { return false; }
 };
 
 // Returns the weaker of two claims about what ran.
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -87,7 +87,7 @@
     if (!event) {
       caller_left_ = !ports_.sink->OnSilence();
       if (caller_left_) {
-        return AttemptEnd{CallerLeft{}};
+        return AttemptEnd{CallerDisconnected{}};
       }
       continue;
     }
@@ -147,7 +147,7 @@
     ++position;
   }
   if (caller_left_) {
-    return AttemptEnd{CallerLeft{}};
+    return AttemptEnd{CallerDisconnected{}};
   }
   // Credit follows what the caller has taken, so a slow caller holds back its
   // own stream and no other.
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -170,7 +170,7 @@
   const std::size_t members = GroupSize(*context);
   while (true) {
     AttemptEvidence evidence;
-    AttemptResult result = AttemptEnd{CallerLeft{}};
+    AttemptResult result = AttemptEnd{CallerDisconnected{}};
     Answered answered;
     if (members > 0) {
       result = RunGroup(context, members, ports, &evidence, &answered);
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -53,9 +53,9 @@
     }
     result = Generate(evidence);
     const auto* end = std::get_if<AttemptEnd>(&result);
-    const bool worth_another = end != nullptr &&
-                               !std::holds_alternative<CallerLeft>(*end) &&
-                               !std::holds_alternative<AttemptTimedOut>(*end);
+    const bool worth_another =
+        end != nullptr && !std::holds_alternative<CallerDisconnected>(*end) &&
+        !std::holds_alternative<AttemptTimedOut>(*end);
     if (!worth_another) {
       return result;
     }
@@ -101,7 +101,7 @@
     if (!plan) {
       // Reports are late: what looks full now may be free at the next one.
       if (!ports_.attempt.sink->OnSilence()) {
-        *why = CallerLeft{};
+        *why = CallerDisconnected{};
         return false;
       }
       std::this_thread::sleep_for(kLook);
@@ -194,7 +194,7 @@
     if (event) {
       OnEvent(*event, evidence);
     } else if (!ports_.attempt.sink->OnSilence()) {
-      *why = CallerLeft{};
+      *why = CallerDisconnected{};
       return false;
     }
   }
