--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_answer.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <variant>
 
-#include "harecrank/core/endpoint_limits.h"
+#include "harecrank/core/endpoint_rate_limits.h"
 #include "harecrank/core/http_status.h"
 #include "harecrank/core/strong_types.h"
 
--- a/include/harecrank/core/endpoint_limits.h
+++ b/include/harecrank/core/endpoint_rate_limits.h
@@ -7,8 +7,8 @@
 // as it was: a few requests find out, and the bound is lifted step by step once
 // an answer names none, or once nobody has heard from the endpoint for long.
 
-#ifndef HARECRANK_CORE_ENDPOINT_LIMITS_H_
-#define HARECRANK_CORE_ENDPOINT_LIMITS_H_
+#ifndef HARECRANK_CORE_ENDPOINT_RATE_LIMITS_H_
+#define HARECRANK_CORE_ENDPOINT_RATE_LIMITS_H_
 
 #include <cstddef>
 #include <map>
@@ -147,4 +147,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_ENDPOINT_LIMITS_H_
+#endif  // HARECRANK_CORE_ENDPOINT_RATE_LIMITS_H_
--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -16,8 +16,8 @@
 
 #include "harecrank/core/endpoint_directory.h"
 #include "harecrank/core/endpoint_health.h"
-#include "harecrank/core/endpoint_limits.h"
 #include "harecrank/core/endpoint_loads.h"
+#include "harecrank/core/endpoint_rate_limits.h"
 #include "harecrank/core/request_origin.h"
 #include "harecrank/core/request_quarantine.h"
 #include "harecrank/core/routing_table.h"
--- a/include/harecrank/core/start_quotas.h
+++ b/include/harecrank/core/start_quotas.h
@@ -33,7 +33,7 @@
 #include "harecrank/core/clock.h"
 #include "harecrank/core/cold_endpoints.h"
 #include "harecrank/core/cold_limit.h"
-#include "harecrank/core/endpoint_limits.h"
+#include "harecrank/core/endpoint_rate_limits.h"
 #include "harecrank/core/endpoint_rests.h"
 #include "harecrank/core/fleet_messages.h"
 #include "harecrank/core/placement.h"
--- a/src/core/endpoint_limits_test.cc
+++ b/src/core/endpoint_rate_limits_test.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/endpoint_limits.h"
+#include "harecrank/core/endpoint_rate_limits.h"
 
 #include <catch2/catch.hpp>
 #include <cmath>
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "harecrank/core/endpoint_limits.h"
+#include "harecrank/core/endpoint_rate_limits.h"
 #include "harecrank/core/start_quotas.h"
 
 namespace harecrank {
