--- a/include/harecrank/core/endpoint_rests.h
+++ b/include/harecrank/core/endpoint_backoffs.h
@@ -6,8 +6,8 @@
 // that waited would come at once, from each host that was turned away at about
 // the same time: so hosts return one by one, and in full only after a while.
 
-#ifndef HARECRANK_CORE_ENDPOINT_RESTS_H_
-#define HARECRANK_CORE_ENDPOINT_RESTS_H_
+#ifndef HARECRANK_CORE_ENDPOINT_BACKOFFS_H_
+#define HARECRANK_CORE_ENDPOINT_BACKOFFS_H_
 
 #include <cstddef>
 #include <map>
@@ -79,4 +79,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_ENDPOINT_RESTS_H_
+#endif  // HARECRANK_CORE_ENDPOINT_BACKOFFS_H_
--- a/src/core/endpoint_rests.cc
+++ b/src/core/endpoint_backoffs.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/endpoint_rests.h"
+#include "harecrank/core/endpoint_backoffs.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/endpoint_rests_test.cc
+++ b/src/core/endpoint_backoffs_test.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/endpoint_rests.h"
+#include "harecrank/core/endpoint_backoffs.h"
 
 #include <catch2/catch.hpp>
 #include <memory>
