--- a/include/harecrank/core/closed_data_centres.h
+++ b/include/harecrank/core/drained_data_centres.h
@@ -5,8 +5,8 @@
 // revisions put it in order, so that a word that comes late, or twice, from a
 // host that knows less, brings back nothing.
 
-#ifndef HARECRANK_CORE_CLOSED_DATA_CENTRES_H_
-#define HARECRANK_CORE_CLOSED_DATA_CENTRES_H_
+#ifndef HARECRANK_CORE_DRAINED_DATA_CENTRES_H_
+#define HARECRANK_CORE_DRAINED_DATA_CENTRES_H_
 
 #include <map>
 #include <optional>
@@ -87,4 +87,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_CLOSED_DATA_CENTRES_H_
+#endif  // HARECRANK_CORE_DRAINED_DATA_CENTRES_H_
--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "harecrank/core/clock.h"
-#include "harecrank/core/closed_data_centres.h"
+#include "harecrank/core/drained_data_centres.h"
 #include "harecrank/core/strong_types.h"
 
 namespace harecrank {
--- a/src/core/closed_data_centres.cc
+++ b/src/core/drained_data_centres.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/closed_data_centres.h"
+#include "harecrank/core/drained_data_centres.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/core/closed_data_centres_test.cc
+++ b/src/core/drained_data_centres_test.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/closed_data_centres.h"
+#include "harecrank/core/drained_data_centres.h"
 
 #include <catch2/catch.hpp>
 #include <set>
