--- a/include/harecrank/core/endpoint_backoffs.h
+++ b/include/harecrank/core/endpoint_backoffs.h
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "harecrank/core/clock.h"
-#include "harecrank/core/endpoint_answer.h"
 #include "harecrank/core/endpoint_directory.h"
+#include "harecrank/core/endpoint_response.h"
 #include "harecrank/core/start_limit.h"
 #include "harecrank/core/strong_types.h"
 
--- a/include/harecrank/core/endpoint_answer.h
+++ b/include/harecrank/core/endpoint_response.h
@@ -1,8 +1,8 @@
 // What the head of an endpoint's answer says: of the request, and of the
 // endpoint itself.
 
-#ifndef HARECRANK_CORE_ENDPOINT_ANSWER_H_
-#define HARECRANK_CORE_ENDPOINT_ANSWER_H_
+#ifndef HARECRANK_CORE_ENDPOINT_RESPONSE_H_
+#define HARECRANK_CORE_ENDPOINT_RESPONSE_H_
 
 #include <string>
 #include <variant>
@@ -52,4 +52,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_ENDPOINT_ANSWER_H_
+#endif  // HARECRANK_CORE_ENDPOINT_RESPONSE_H_
--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/answer_decoder.h
@@ -5,7 +5,7 @@
 
 #include <string_view>
 
-#include "harecrank/core/endpoint_answer.h"
+#include "harecrank/core/endpoint_response.h"
 #include "src/gateway/answer_port.h"
 #include "src/gateway/protocol_names.h"
 
--- a/src/gateway/endpoint_answers.h
+++ b/src/gateway/endpoint_answers.h
@@ -6,9 +6,9 @@
 
 #include <functional>
 
-#include "harecrank/core/endpoint_answer.h"
 #include "harecrank/core/endpoint_directory.h"
 #include "harecrank/core/endpoint_health.h"
+#include "harecrank/core/endpoint_response.h"
 #include "src/gateway/endpoint_news.h"
 #include "src/gateway/rest_watch.h"
 #include "src/gateway/start_gate.h"
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "harecrank/core/endpoint_answer.h"
+#include "harecrank/core/endpoint_response.h"
 #include "harecrank/core/request_fingerprint.h"
 #include "src/gateway/answer_relay.h"
 #include "src/gateway/caller_session.h"
--- a/src/gateway/memory_orders.h
+++ b/src/gateway/memory_orders.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "harecrank/core/endpoint_answer.h"
+#include "harecrank/core/endpoint_response.h"
 #include "harecrank/core/strong_types.h"
 
 namespace harecrank {
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "harecrank/core/endpoint_answer.h"
+#include "harecrank/core/endpoint_response.h"
 #include "src/gateway/attempt.h"
 #include "src/gateway/gateway_services.h"
 
