--- a/include/harecrank/core/attempt_patience.h
+++ b/include/harecrank/core/attempt_timeout.h
@@ -3,8 +3,8 @@
 // The load that it answers: endpoints that fall silent, are slow, or stand
 // still since a helper has died, before callers who give a silent stream up.
 
-#ifndef HARECRANK_CORE_ATTEMPT_PATIENCE_H_
-#define HARECRANK_CORE_ATTEMPT_PATIENCE_H_
+#ifndef HARECRANK_CORE_ATTEMPT_TIMEOUT_H_
+#define HARECRANK_CORE_ATTEMPT_TIMEOUT_H_
 
 #include "harecrank/core/clock.h"
 #include "harecrank/core/engine_estimate.h"
@@ -33,4 +33,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_ATTEMPT_PATIENCE_H_
+#endif  // HARECRANK_CORE_ATTEMPT_TIMEOUT_H_
--- a/src/core/attempt_patience_test.cc
+++ b/src/core/attempt_timeout_test.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/attempt_patience.h"
+#include "harecrank/core/attempt_timeout.h"
 
 #include <catch2/catch.hpp>
 
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "harecrank/core/attempt_patience.h"
+#include "harecrank/core/attempt_timeout.h"
 
 namespace harecrank {
 namespace {
