--- a/include/harecrank/core/attempt_policy.h
+++ b/include/harecrank/core/retry_policy.h
@@ -1,7 +1,7 @@
 // Whether a request whose attempt came to nothing is tried again.
 
-#ifndef HARECRANK_CORE_ATTEMPT_POLICY_H_
-#define HARECRANK_CORE_ATTEMPT_POLICY_H_
+#ifndef HARECRANK_CORE_RETRY_POLICY_H_
+#define HARECRANK_CORE_RETRY_POLICY_H_
 
 #include <optional>
 #include <string>
@@ -82,4 +82,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_CORE_ATTEMPT_POLICY_H_
+#endif  // HARECRANK_CORE_RETRY_POLICY_H_
--- a/src/core/attempt_policy_test.cc
+++ b/src/core/retry_policy_test.cc
@@ -1,4 +1,4 @@
-#include "harecrank/core/attempt_policy.h"
+#include "harecrank/core/retry_policy.h"
 
 #include <catch2/catch.hpp>
 
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -8,7 +8,7 @@
 #include <variant>
 
 #include "harecrank/core/answer_assembler.h"
-#include "harecrank/core/attempt_policy.h"
+#include "harecrank/core/retry_policy.h"
 #include "src/entry/answer_sink.h"
 #include "src/entry/link_pool.h"
 
--- a/src/entry/caller_request.h
+++ b/src/entry/caller_request.h
@@ -6,9 +6,9 @@
 #include <boost/leaf.hpp>
 #include <string>
 
-#include "harecrank/core/attempt_policy.h"
 #include "harecrank/core/configuration.h"
 #include "harecrank/core/outcome.h"
+#include "harecrank/core/retry_policy.h"
 
 namespace harecrank {
 
