--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -55,7 +55,7 @@
     : io_(io),
       node_(std::move(node)),
       self_(std::move(self)),
-      life_(incarnation),
+      incarnation_(incarnation),
       book_(book),
       planner_(planner),
       health_(health),
@@ -231,7 +231,7 @@
   Heartbeat word = Described();
   word.node = node_;
   word.address = self_.address;
-  word.incarnation = life_;
+  word.incarnation = incarnation_;
   word.cpu_share = self_.cpu_share;
   word.leaving = book_->IsLeaving();
   word.planner = followed_.value_or(HostAddress{});
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -135,7 +135,7 @@
   boost::asio::io_context* io_;
   NodeId node_;
   KnownHost self_;
-  Incarnation life_;
+  Incarnation incarnation_;
   Membership* book_;
   Planner* planner_;
   EndpointHealth* health_;
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -24,7 +24,7 @@
                          Incarnation incarnation, PlaceClientPorts ports,
                          MonotonicClock clock)
     : self_(std::move(self)),
-      life_(incarnation),
+      incarnation_(incarnation),
       ports_(std::move(ports)),
       clock_(std::move(clock)),
       timer_(*io),
@@ -36,7 +36,7 @@
   Pending& pending = pending_[id];
   PlacementQuery& ask = pending.ask;
   ask.host = self_;
-  ask.incarnation = life_;
+  ask.incarnation = incarnation_;
   ask.id = id;
   ask.service = request.service->name;
   ask.target_latency = request.target_latency;
@@ -87,7 +87,7 @@
 }
 
 void PlaceClient::OnAnswer(const PlacementReply& answer) {
-  if (answer.incarnation != life_) {
+  if (answer.incarnation != incarnation_) {
     return;
   }
   const auto found = pending_.find(answer.id);
@@ -136,7 +136,8 @@
 }
 
 void PlaceClient::GiveBack(const HostAddress& host, QueryId id) {
-  ports_.send(host, ProgressReport{self_, life_, {}, {RequestDone{id, false}}});
+  ports_.send(
+      host, ProgressReport{self_, incarnation_, {}, {RequestDone{id, false}}});
 }
 
 void PlaceClient::Resolve(QueryId id, const AskResult& result) {
@@ -271,7 +272,7 @@
 
 void PlaceClient::Flush() {
   flushes_ = false;
-  ProgressReport note{self_, life_, std::move(read_), std::move(ended_)};
+  ProgressReport note{self_, incarnation_, std::move(read_), std::move(ended_)};
   read_.clear();
   ended_.clear();
   // Without a planner the next one is told all by this host's word.
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -112,7 +112,7 @@
   Millis Patience(Millis least, double answers) const;
 
   HostAddress self_;
-  Incarnation life_;
+  Incarnation incarnation_;
   PlaceClientPorts ports_;
   MonotonicClock clock_;
   Timer timer_;
