--- a/src/core/cold_endpoints.cc
+++ b/src/core/cold_endpoints.cc
@@ -19,11 +19,12 @@
   if (!is_first && !(entry.revision < record.revision)) {
     return ColdChange::kNone;
   }
-  const bool is_new_life = is_first || entry.incarnation != record.incarnation;
+  const bool is_new_incarnation =
+      is_first || entry.incarnation != record.incarnation;
   entry.revision = record.revision;
   entry.incarnation = record.incarnation;
   entry.gone = false;
-  if (!record.cold_for.has_value() && !is_new_life) {
+  if (!record.cold_for.has_value() && !is_new_incarnation) {
     return ColdChange::kNone;
   }
   const TimePoint now = clock_();
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -182,10 +182,10 @@
 
 void EndpointNews::NoteLife(const EndpointRecord& record) {
   const EndpointRecord* held = directory_->Find(record.id);
-  const bool is_new_life = held != nullptr &&
-                           held->incarnation != record.incarnation &&
-                           !(record.revision < held->revision);
-  if (!is_new_life) {
+  const bool is_new_incarnation = held != nullptr &&
+                                  held->incarnation != record.incarnation &&
+                                  !(record.revision < held->revision);
+  if (!is_new_incarnation) {
     return;
   }
   Forget(record.id);
