--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -20,9 +20,9 @@
                                const EndpointResponse& answer,
                                TimePoint sent_at) {
   const EndpointRecord* held = directory_->Find(endpoint.id);
-  const bool is_of_earlier_life =
+  const bool is_of_earlier_incarnation =
       held != nullptr && held->incarnation != endpoint.incarnation;
-  if (answer.IsMisdirected() || is_of_earlier_life) {
+  if (answer.IsMisdirected() || is_of_earlier_incarnation) {
     return;
   }
   TakeLimit(endpoint.id, answer, sent_at);
