--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -31,7 +31,7 @@
 void EndpointNews::OnListing(const std::vector<EndpointRecord>& records,
                              StoreRevision at) {
   for (const EndpointRecord& record : records) {
-    NoteLife(record);
+    NoteIncarnation(record);
   }
   const ListingChange change = directory_->ReplaceAll(records, at);
   log_->Write("listing", {{"endpoints", records.size()},
@@ -41,7 +41,7 @@
 }
 
 void EndpointNews::OnEndpoint(const EndpointRecord& record) {
-  NoteLife(record);
+  NoteIncarnation(record);
   if (!directory_->Upsert(record)) {
     return;
   }
@@ -180,7 +180,7 @@
   }
 }
 
-void EndpointNews::NoteLife(const EndpointRecord& record) {
+void EndpointNews::NoteIncarnation(const EndpointRecord& record) {
   const EndpointRecord* held = directory_->Find(record.id);
   const bool is_new_incarnation = held != nullptr &&
                                   held->incarnation != record.incarnation &&
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -73,7 +73,7 @@
 
   // Forgets what was seen of an earlier incarnation of the endpoint, if
   // `record` tells of a new one.
-  void NoteLife(const EndpointRecord& record);
+  void NoteIncarnation(const EndpointRecord& record);
   void Forget(const EndpointId& id);
   void NoteClosed(const DrainedDataCentre& order);
   void NoteOpened(const DrainedDataCentre& order);
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -39,7 +39,7 @@
   start_gate_->OnListing(records);
   endpoint_news_->OnListing(records, at);
   for (const EndpointRecord& record : records) {
-    NoteLife(record.id);
+    NoteIncarnation(record.id);
   }
   endpoint_news_->OnClosedListed(closed, at);
   on_usable_();
@@ -48,10 +48,10 @@
 void PublishedNews::OnEndpoint(const EndpointRecord& record) {
   start_gate_->OnEndpoint(record);
   endpoint_news_->OnEndpoint(record);
-  NoteLife(record.id);
+  NoteIncarnation(record.id);
 }
 
-void PublishedNews::NoteLife(const EndpointId& id) {
+void PublishedNews::NoteIncarnation(const EndpointId& id) {
   const EndpointRecord* held = directory_->Find(id);
   if (held != nullptr) {
     start_gate_->OnIncarnation(id, held->incarnation);
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -46,7 +46,7 @@
  private:
   // Tells of the incarnation in which an endpoint runs, as far as that is
   // known.
-  void NoteLife(const EndpointId& id);
+  void NoteIncarnation(const EndpointId& id);
 
   RoutingState* routing_;
   EndpointDirectory* directory_;
