--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -68,7 +68,7 @@
   // Since the last of its crashes.
   Millis age{0};
   // Until it may be let through; zero or less if it may be now.
-  Millis held_for{0};
+  Millis quarantined_for{0};
 };
 
 // Not thread-safe.
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -280,7 +280,7 @@
     report.trials = entry->Take<int>();
     report.failed_trials = entry->Take<int>();
     report.age = entry->TakeMillis();
-    report.held_for = entry->TakeMillis();
+    report.quarantined_for = entry->TakeMillis();
     told.reports.push_back(std::move(report));
   });
   return told;
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -163,7 +163,7 @@
                          report.request.low, EncodeCrashes(report.crashes),
                          EncodeCrashes(report.cleared), report.trials,
                          report.failed_trials, report.age.count(),
-                         report.held_for.count()});
+                         report.quarantined_for.count()});
     }
     return json::array({static_cast<int>(MessageKind::kCrashes),
                         told.from.value, std::move(reports)});
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -49,7 +49,7 @@
   report.trials = 2;
   report.failed_trials = 1;
   report.age = Millis(1500);
-  report.held_for = Millis(-20);
+  report.quarantined_for = Millis(-20);
   return CrashReports{kHost, {report}};
 }
 
@@ -65,7 +65,7 @@
   CHECK(report.trials == 2);
   CHECK(report.failed_trials == 1);
   CHECK(report.age == Millis(1500));
-  CHECK(report.held_for == Millis(-20));
+  CHECK(report.quarantined_for == Millis(-20));
 }
 
 TEST_CASE("The largest set of reports fits into one datagram") {
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -151,7 +151,8 @@
     last_trial_ = now;
   }
   record->last_crash = std::max(record->last_crash, now - report.age);
-  record->held_until = std::max(record->held_until, now + report.held_for);
+  record->held_until =
+      std::max(record->held_until, now + report.quarantined_for);
   return record->crashes.size() != known || record->cleared.size() != cleared ||
          record->trials != trials;
 }
--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -31,7 +31,7 @@
   for (int i = 0; i < crashes; ++i) {
     report.crashes.insert(EndpointCrash{EndpointId{std::to_string(i)}, {}});
   }
-  report.held_for = Millis(1000);
+  report.quarantined_for = Millis(1000);
   return report;
 }
 
