--- a/include/harecrank/core/fleet_message_kinds.h
+++ b/include/harecrank/core/fleet_message_kinds.h
@@ -1,12 +1,13 @@
-// The numbers by which fleet messages and their parts are told from each other.
+// Type numbers of fleet messages and of their variants, as they appear on the
+// wire.
 
 #ifndef HARECRANK_CORE_FLEET_MESSAGE_KINDS_H_
 #define HARECRANK_CORE_FLEET_MESSAGE_KINDS_H_
 
 namespace harecrank {
 
-// The first element of each message. Kept small: an ask is sent for each
-// request.
+// The first element of each message. A small number, to keep messages short: a
+// query is sent for each request.
 enum class MessageKind {
   kHeartbeat = 1,
   kQuery = 2,
@@ -16,7 +17,7 @@
   kCrashes = 6
 };
 
-// The first element of a decision.
+// The first element of a placement decision.
 enum class DecisionKind {
   kPlaced = 1,
   kQueued = 2,
--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -1,9 +1,10 @@
-// What entry hosts tell each other, by datagram.
+// Messages that hosts of a fleet send each other as datagrams.
 //
-// One host of a group plans for all of it. The others ask it for a place for
-// each prompt, note what became of it, and tell a few times a second what they
-// have under way, so that a planner that is new learns everything from the
-// hosts themselves. Any message may be lost or come twice.
+// One host of the fleet, the planner, places the prompts of all hosts. The
+// others send it a query for each prompt and report its progress. Their
+// heartbeats, a few times a second, list all their requests in progress, so
+// that a new planner learns its state from the hosts. Any message may be lost
+// or duplicated.
 
 #ifndef HARECRANK_CORE_FLEET_MESSAGES_H_
 #define HARECRANK_CORE_FLEET_MESSAGES_H_
@@ -25,138 +26,155 @@
 
 namespace harecrank {
 
-// Names a host: IP number and port where it answers operators and other hosts.
+// Identifies a host: IP address and port of its server for operators and other
+// hosts.
 using HostAddress = StrongString<struct HostAddressTag>;
 
-// Names one place that a host asked for. Never used twice in one incarnation of
-// it.
-using QueryId = StrongNumber<struct AskTag, std::uint64_t>;
+// Identifies one placement query. Unique within one incarnation of a host.
+using QueryId = StrongNumber<struct QueryTag, std::uint64_t>;
 
-// The processor share of a host's machine. Strong hosts plan for weak ones.
-using CpuShare = StrongNumber<struct HostPowerTag, double>;
+// CPU share of a host, in cores. Hosts with a greater share are preferred as
+// the planner.
+using CpuShare = StrongNumber<struct CpuShareTag, double>;
 
-// A host that another one knows.
+// A host that another host knows.
 struct KnownHost {
   HostAddress address;
   CpuShare cpu_share;
 };
 
-// What a host has under way by one ask.
+// The work in progress for one query.
 struct QueryWork {
   QueryId id;
-  // The first event has come.
+  // The first event has been received.
   bool prefill_done = false;
-  // Of the endpoint first, then of the helpers.
+  // The part at the endpoint first, then those at its helpers.
   std::vector<WorkPart> parts;
 };
 
-// How a host's own reading of the platform's service goes.
+// State of a host's own polling of the store.
 enum class PollState {
+  // The host does not poll.
   kNone,
-  // It reads, and the first answer may still come.
+  // The host polls; no poll has succeeded or failed recently.
   kStarted,
   kAnswered,
-  // The service refused, broke off or was silent.
+  // The store has rejected or aborted the last poll, or has not answered it.
   kFailed
 };
 
-// A host's account of itself.
+// A host's periodic report about itself.
 struct Heartbeat {
   NodeId node;
   HostAddress address;
   Incarnation incarnation;
   CpuShare cpu_share;
+  // The routing table that it uses.
   RoutingVersion routing;
+  // The store revision up to which it knows all changes.
   StoreRevision known_up_to;
-  // The platform answers it, or it hears from a host that the platform answers.
+  // Its data of the store are fresh, whether from its own polls or from another
+  // host.
   bool store_data_fresh = false;
-  // How long ago the platform answered the host that this is known from.
+  // Time since the store gave the answer from which its data come, to whichever
+  // host.
   Millis store_data_age{0};
   PollState poll_state = PollState::kNone;
-  // In a planner's word: whether the host that it goes to is one of those that
-  // read the platform's service for all.
+  // Set by the planner only: whether the receiver is one of the hosts that poll
+  // the store for the fleet.
   std::optional<bool> should_poll;
-  // If it is: zero reads all the time, others stand by in this turn.
+  // The receiver's rank among those hosts: zero polls continuously, the others
+  // stand by in this order.
   int poll_rank = 0;
-  // Whom it takes for the planner; itself if it plans. Empty if it knows none.
+  // The host that it takes for the planner, which may be itself. Empty if it
+  // knows none.
   HostAddress planner;
-  // It is about to stop, and plans no more.
+  // It is about to stop and is no longer available as the planner.
   bool leaving = false;
   bool wants_reply = false;
-  // How many hosts it knows to be alive, itself among them.
+  // Number of alive hosts that it observes, including itself.
   int alive_hosts = 1;
-  // Some that it knows to be alive.
+  // Some of the alive hosts that it knows.
   std::vector<KnownHost> hosts;
-  // Endpoints that it leaves alone by what it has seen itself.
+  // Endpoints that it avoids because of failures that it has seen itself.
   std::vector<AvoidedEndpoint> avoided;
-  // All that it has under way; nothing where the word does not tell that.
+  // All its work in progress; unset if this heartbeat does not report it.
   std::optional<std::vector<QueryWork>> work;
-  // Of what it knows of requests that end endpoints; zero if it knows of none.
+  // Digest of its reports of requests that crash endpoints; zero if it has
+  // none.
   std::uint64_t crash_digest = 0;
-  // The most hosts that it has counted for a long time, itself among them; zero
-  // from hosts that do not tell it.
+  // Largest number of hosts, including itself, that it has observed over a long
+  // time; zero if the sender does not report it.
   int peak_hosts = 0;
-  // What it has heard of limits that endpoints name.
+  // Rate limits that endpoints have announced, as far as it knows.
   std::vector<RateLimitReport> limits;
 };
 
-// Asks the planner for a place.
+// Asks the planner for a placement.
 struct PlacementQuery {
   HostAddress host;
   Incarnation incarnation;
   QueryId id;
   ServiceName service;
+  // Targets for the time to the first event and for the inter-token gap.
   Millis target_latency{0};
   Millis target_gap{0};
+  // Length of the prompt and expected length of the answer.
   Tokens prompt;
   Tokens answer;
-  // What is left until the first event is late; negative if it is.
+  // Time left until the first event is late; negative once it is late.
   FractionalMillis until_late{0};
-  // An endpoint may have run it already: it is not refused while it waits.
+  // An endpoint may have run the request already: it is not rejected while it
+  // waits.
   bool may_have_run = false;
+  // Endpoints that were tried already.
   std::set<EndpointId> tried;
-  // What is left until its caller, or its route, gives it up.
+  // Time left until the caller or the route gives the request up.
   FractionalMillis until_deadline{0};
   RequestOrigin origin;
-  // Where the host may begin nothing now, since its part of what the endpoint
-  // takes from all hosts is used up.
+  // Endpoints at which the host may not start a request now, because its share
+  // of their start limit is used up.
   std::set<EndpointId> withheld;
 };
 
-// A helper and how much of the prompt's memory lies there.
+// A helper endpoint and the part of the prompt's KV cache that it holds.
 struct PlannedHelper {
   EndpointId endpoint;
   Tokens held;
 };
 
-// Where the request goes.
+// The endpoints that run a request.
 struct PlannedPlacement {
   EndpointId endpoint;
   std::vector<PlannedHelper> helpers;
   WorkClass work_class = WorkClass::kShort;
+  // Predicted duration of the prefill, and predicted time until the first
+  // event.
   FractionalMillis prefill_time{0};
   FractionalMillis first_event{0};
+  // Number of endpoints that were considered.
   std::size_t candidates = 0;
 };
 
-// The ask stands in the planner's queue; a place follows when there is one.
+// The query waits in the planner's queue. A second reply follows with the
+// placement.
 struct QueryQueued {};
-// It would wait in vain.
+// The request is rejected because no endpoint would become free in time for it.
 struct QueryRejected {
-  // When its caller should come again; unset where the planner does not know.
+  // When the caller should retry; unset if the planner cannot tell.
   std::optional<Millis> retry_after;
 };
-// No endpoint of the service may be used.
+// No endpoint of the service is usable.
 struct NoEndpoint {};
-// The host that was asked does not plan. Names the one that it takes for the
-// planner; empty if it knows none.
+// The receiver of the query is not the planner. Names the host that it takes
+// for the planner; empty if it knows none.
 struct NotPlanner {
   HostAddress planner;
 };
 using PlacementDecision = std::variant<PlannedPlacement, QueryQueued,
                                        QueryRejected, NoEndpoint, NotPlanner>;
 
-// The planner's answer.
+// The planner's answer to a query.
 struct PlacementReply {
   HostAddress from;
   Incarnation incarnation;
@@ -164,20 +182,20 @@
   PlacementDecision decision;
 };
 
-// The first event of a request came.
+// The first event of a request was received.
 struct PrefillDone {
   QueryId id;
-  // How long that took in relation to the prediction.
+  // Measured time to the first event divided by the predicted time.
   double pace = 1;
 };
-// A request ended, however.
+// A request has ended, with or without success.
 struct RequestDone {
   QueryId id;
-  // Its endpoint answered with a failure or broke off.
+  // Its endpoint answered with a failure or broke the connection.
   bool failed = false;
 };
 
-// Tells the planner what became of places that it gave.
+// Reports the progress of placed requests to the planner.
 struct ProgressReport {
   HostAddress host;
   Incarnation incarnation;
@@ -185,14 +203,14 @@
   std::vector<RequestDone> ended;
 };
 
-// What the platform has published since a revision, told by the planner.
+// Changes of the store since a revision, sent by the planner.
 struct PublishedChanges {
   HostAddress from;
-  // In the form of the feed that read it.
+  // In the format of the feed that polled the store.
   std::string changes;
 };
 
-// What a host knows of requests that end endpoints.
+// What a host knows of requests that crash endpoints.
 struct CrashReports {
   HostAddress from;
   std::vector<CrashReport> reports;
@@ -205,8 +223,8 @@
 // Returns `message` as CBOR.
 std::string EncodeFleetMessage(const FleetMessage& message);
 
-// Reads what EncodeFleetMessage wrote. Returns nothing if `bytes` is no such
-// message.
+// Decodes the output of EncodeFleetMessage. Returns nothing if `bytes` is not a
+// valid message.
 std::optional<FleetMessage> DecodeFleetMessage(const std::string& bytes);
 
 }  // namespace harecrank
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -10,7 +10,7 @@
 using nlohmann::json;
 
 // A number that stands for none of the kinds that this version knows.
-struct UnknownNumber {};
+struct UnknownEnumValue {};
 
 // Takes the elements of an array one after the other. Throws json::exception
 // where one is missing or of another type.
@@ -56,7 +56,7 @@
   const int number = reader->Take<int>();
   if (number < static_cast<int>(WorkClass::kShort) ||
       number > static_cast<int>(WorkClass::kHelper)) {
-    throw UnknownNumber{};
+    throw UnknownEnumValue{};
   }
   return static_cast<WorkClass>(number);
 }
@@ -101,13 +101,13 @@
   return placed;
 }
 
-QueryRejected TakeRefusal(ArrayReader* reader, std::size_t size) {
-  constexpr std::size_t kSizeWithoutReturn = 1;
-  QueryRejected refused;
-  if (size > kSizeWithoutReturn) {
-    refused.retry_after = reader->TakeMillis();
+QueryRejected TakeRejection(ArrayReader* reader, std::size_t size) {
+  constexpr std::size_t kSizeWithoutRetryAfter = 1;
+  QueryRejected rejected;
+  if (size > kSizeWithoutRetryAfter) {
+    rejected.retry_after = reader->TakeMillis();
   }
-  return refused;
+  return rejected;
 }
 
 PlacementDecision TakeDecision(ArrayReader* message) {
@@ -119,13 +119,13 @@
     case DecisionKind::kQueued:
       return QueryQueued{};
     case DecisionKind::kRejected:
-      return TakeRefusal(&reader, decision.size());
+      return TakeRejection(&reader, decision.size());
     case DecisionKind::kNoEndpoint:
       return NoEndpoint{};
     case DecisionKind::kNotPlanner:
       return NotPlanner{reader.TakeString<HostAddress>()};
   }
-  throw UnknownNumber{};
+  throw UnknownEnumValue{};
 }
 
 std::set<EndpointCrash> TakeCrashes(ArrayReader* reader) {
@@ -153,68 +153,68 @@
   return limits;
 }
 
-PollState TakeOwnReading(ArrayReader* reader) {
-  const auto reading = static_cast<PollState>(reader->Take<int>());
-  switch (reading) {
+PollState TakePollState(ArrayReader* reader) {
+  const auto state = static_cast<PollState>(reader->Take<int>());
+  switch (state) {
     case PollState::kNone:
     case PollState::kStarted:
     case PollState::kAnswered:
     case PollState::kFailed:
-      return reading;
+      return state;
   }
-  throw UnknownNumber{};
+  throw UnknownEnumValue{};
 }
 
-Heartbeat TakeWord(ArrayReader* reader, std::size_t size) {
+Heartbeat TakeHeartbeat(ArrayReader* reader, std::size_t size) {
   constexpr std::size_t kSizeWithoutWork = 17;
-  Heartbeat word;
-  word.node = reader->TakeString<NodeId>();
-  word.address = reader->TakeString<HostAddress>();
-  word.incarnation = reader->TakeNumber<Incarnation>();
-  word.cpu_share = reader->TakeNumber<CpuShare>();
-  word.routing = reader->TakeNumber<RoutingVersion>();
-  word.known_up_to = reader->TakeNumber<StoreRevision>();
-  word.store_data_fresh = reader->Take<bool>();
-  word.planner = reader->TakeString<HostAddress>();
-  word.leaving = reader->Take<bool>();
-  word.wants_reply = reader->Take<bool>();
-  word.alive_hosts = reader->Take<int>();
-  reader->EachOf([&word](ArrayReader* entry) {
+  Heartbeat heartbeat;
+  heartbeat.node = reader->TakeString<NodeId>();
+  heartbeat.address = reader->TakeString<HostAddress>();
+  heartbeat.incarnation = reader->TakeNumber<Incarnation>();
+  heartbeat.cpu_share = reader->TakeNumber<CpuShare>();
+  heartbeat.routing = reader->TakeNumber<RoutingVersion>();
+  heartbeat.known_up_to = reader->TakeNumber<StoreRevision>();
+  heartbeat.store_data_fresh = reader->Take<bool>();
+  heartbeat.planner = reader->TakeString<HostAddress>();
+  heartbeat.leaving = reader->Take<bool>();
+  heartbeat.wants_reply = reader->Take<bool>();
+  heartbeat.alive_hosts = reader->Take<int>();
+  reader->EachOf([&heartbeat](ArrayReader* entry) {
     KnownHost host;
     host.address = entry->TakeString<HostAddress>();
     host.cpu_share = entry->TakeNumber<CpuShare>();
-    word.hosts.push_back(std::move(host));
+    heartbeat.hosts.push_back(std::move(host));
   });
-  reader->EachOf([&word](ArrayReader* entry) {
+  reader->EachOf([&heartbeat](ArrayReader* entry) {
     AvoidedEndpoint endpoint;
     endpoint.id = entry->TakeString<EndpointId>();
     endpoint.left = entry->TakeMillis();
-    word.avoided.push_back(std::move(endpoint));
+    heartbeat.avoided.push_back(std::move(endpoint));
   });
-  word.store_data_age = reader->TakeMillis();
-  word.poll_state = TakeOwnReading(reader);
+  heartbeat.store_data_age = reader->TakeMillis();
+  heartbeat.poll_state = TakePollState(reader);
   if (const json& should_poll = reader->Next(); !should_poll.is_null()) {
-    word.should_poll = should_poll.get<bool>();
+    heartbeat.should_poll = should_poll.get<bool>();
   }
   if (size > kSizeWithoutWork) {
     const json& work = reader->Next();
     if (!work.is_null()) {
-      word.work = TakeWork(work);
+      heartbeat.work = TakeWork(work);
     }
   }
   if (size > kSizeWithoutWork + 1) {
-    word.crash_digest = reader->Take<std::uint64_t>();
+    heartbeat.crash_digest = reader->Take<std::uint64_t>();
   }
   if (size > kSizeWithoutWork + 2) {
-    word.peak_hosts = reader->Take<int>();
+    heartbeat.peak_hosts = reader->Take<int>();
   }
   if (size > kSizeWithoutWork + 3) {
-    word.limits = TakeLimits(reader);
+    heartbeat.limits = TakeLimits(reader);
   }
   if (size > kSizeWithoutWork + 4) {
-    word.poll_rank = reader->Take<int>();
+    heartbeat.poll_rank = reader->Take<int>();
   }
-  return word;
+  return heartbeat;
 }
 
 std::set<EndpointId> TakeIds(ArrayReader* reader) {
@@ -225,38 +225,38 @@
   return ids;
 }
 
-PlacementQuery TakeAsk(ArrayReader* reader, std::size_t size) {
+PlacementQuery TakeQuery(ArrayReader* reader, std::size_t size) {
   constexpr std::size_t kSizeWithoutWithheld = 17;
-  PlacementQuery ask;
-  ask.host = reader->TakeString<HostAddress>();
-  ask.incarnation = reader->TakeNumber<Incarnation>();
-  ask.id = reader->TakeNumber<QueryId>();
-  ask.service = reader->TakeString<ServiceName>();
-  ask.target_latency = reader->TakeMillis();
-  ask.target_gap = reader->TakeMillis();
-  ask.prompt = reader->TakeNumber<Tokens>();
-  ask.answer = reader->TakeNumber<Tokens>();
-  ask.until_late = reader->TakeTime();
-  ask.may_have_run = reader->Take<bool>();
-  ask.tried = TakeIds(reader);
-  ask.until_deadline = reader->TakeTime();
-  ask.origin.request.account = reader->TakeString<AccountId>();
-  ask.origin.request.high = reader->Take<std::uint64_t>();
-  ask.origin.request.low = reader->Take<std::uint64_t>();
-  ask.origin.priority = reader->Take<int>();
+  PlacementQuery query;
+  query.host = reader->TakeString<HostAddress>();
+  query.incarnation = reader->TakeNumber<Incarnation>();
+  query.id = reader->TakeNumber<QueryId>();
+  query.service = reader->TakeString<ServiceName>();
+  query.target_latency = reader->TakeMillis();
+  query.target_gap = reader->TakeMillis();
+  query.prompt = reader->TakeNumber<Tokens>();
+  query.answer = reader->TakeNumber<Tokens>();
+  query.until_late = reader->TakeTime();
+  query.may_have_run = reader->Take<bool>();
+  query.tried = TakeIds(reader);
+  query.until_deadline = reader->TakeTime();
+  query.origin.request.account = reader->TakeString<AccountId>();
+  query.origin.request.high = reader->Take<std::uint64_t>();
+  query.origin.request.low = reader->Take<std::uint64_t>();
+  query.origin.priority = reader->Take<int>();
   if (size > kSizeWithoutWithheld) {
-    ask.withheld = TakeIds(reader);
+    query.withheld = TakeIds(reader);
   }
-  return ask;
+  return query;
 }
 
-PlacementReply TakeAnswer(ArrayReader* reader) {
-  PlacementReply answer;
-  answer.from = reader->TakeString<HostAddress>();
-  answer.incarnation = reader->TakeNumber<Incarnation>();
-  answer.id = reader->TakeNumber<QueryId>();
-  answer.decision = TakeDecision(reader);
-  return answer;
+PlacementReply TakeReply(ArrayReader* reader) {
+  PlacementReply reply;
+  reply.from = reader->TakeString<HostAddress>();
+  reply.incarnation = reader->TakeNumber<Incarnation>();
+  reply.id = reader->TakeNumber<QueryId>();
+  reply.decision = TakeDecision(reader);
+  return reply;
 }
 
 PublishedChanges TakeChanges(ArrayReader* reader) {
@@ -286,23 +286,23 @@
   return told;
 }
 
-ProgressReport TakeNote(ArrayReader* reader) {
-  ProgressReport note;
-  note.host = reader->TakeString<HostAddress>();
-  note.incarnation = reader->TakeNumber<Incarnation>();
-  reader->EachOf([&note](ArrayReader* entry) {
+ProgressReport TakeProgressReport(ArrayReader* reader) {
+  ProgressReport progress;
+  progress.host = reader->TakeString<HostAddress>();
+  progress.incarnation = reader->TakeNumber<Incarnation>();
+  reader->EachOf([&progress](ArrayReader* entry) {
     PrefillDone one;
     one.id = entry->TakeNumber<QueryId>();
     one.pace = entry->Take<double>();
-    note.read.push_back(one);
+    progress.read.push_back(one);
   });
-  reader->EachOf([&note](ArrayReader* entry) {
+  reader->EachOf([&progress](ArrayReader* entry) {
     RequestDone one;
     one.id = entry->TakeNumber<QueryId>();
     one.failed = entry->Take<bool>();
-    note.ended.push_back(one);
+    progress.ended.push_back(one);
   });
-  return note;
+  return progress;
 }
 
 }  // namespace
@@ -313,13 +313,13 @@
     ArrayReader reader(array);
     switch (static_cast<MessageKind>(reader.Take<int>())) {
       case MessageKind::kHeartbeat:
-        return TakeWord(&reader, array.size());
+        return TakeHeartbeat(&reader, array.size());
       case MessageKind::kQuery:
-        return TakeAsk(&reader, array.size());
+        return TakeQuery(&reader, array.size());
       case MessageKind::kReply:
-        return TakeAnswer(&reader);
+        return TakeReply(&reader);
       case MessageKind::kProgress:
-        return TakeNote(&reader);
+        return TakeProgressReport(&reader);
       case MessageKind::kChanges:
         return TakeChanges(&reader);
       case MessageKind::kCrashes:
@@ -329,7 +329,7 @@
   } catch (const json::exception&) {
     // Whatever reaches the port: the caller counts it.
     return std::nullopt;
-  } catch (const UnknownNumber&) {
+  } catch (const UnknownEnumValue&) {
     return std::nullopt;
   }
 }
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -43,10 +43,10 @@
     json operator()(const QueryQueued& /*waits*/) const {
       return json::array({static_cast<int>(DecisionKind::kQueued)});
     }
-    json operator()(const QueryRejected& refused) const {
+    json operator()(const QueryRejected& rejected) const {
       json array = json::array({static_cast<int>(DecisionKind::kRejected)});
-      if (refused.retry_after.has_value()) {
-        array.push_back(refused.retry_after->count());
+      if (rejected.retry_after.has_value()) {
+        array.push_back(rejected.retry_after->count());
       }
       return array;
     }
@@ -88,66 +88,71 @@
 }
 
 struct MessageEncoder {
-  json operator()(const Heartbeat& word) const {
+  json operator()(const Heartbeat& heartbeat) const {
     json hosts = json::array();
-    for (const KnownHost& host : word.hosts) {
+    for (const KnownHost& host : heartbeat.hosts) {
       hosts.push_back({host.address.value, host.cpu_share.value});
     }
     json avoided = json::array();
-    for (const AvoidedEndpoint& endpoint : word.avoided) {
+    for (const AvoidedEndpoint& endpoint : heartbeat.avoided) {
       avoided.push_back({endpoint.id.value, endpoint.left.count()});
     }
     json array = json::array(
-        {static_cast<int>(MessageKind::kHeartbeat), word.node.value,
-         word.address.value, word.incarnation.value, word.cpu_share.value,
-         word.routing.value, word.known_up_to.value, word.store_data_fresh,
-         word.planner.value, word.leaving, word.wants_reply, word.alive_hosts,
-         std::move(hosts), std::move(avoided), word.store_data_age.count(),
-         static_cast<int>(word.poll_state),
-         word.should_poll.has_value() ? json(*word.should_poll) : json()});
+        {static_cast<int>(MessageKind::kHeartbeat), heartbeat.node.value,
+         heartbeat.address.value, heartbeat.incarnation.value,
+         heartbeat.cpu_share.value, heartbeat.routing.value,
+         heartbeat.known_up_to.value, heartbeat.store_data_fresh,
+         heartbeat.planner.value, heartbeat.leaving, heartbeat.wants_reply,
+         heartbeat.alive_hosts, std::move(hosts), std::move(avoided),
+         heartbeat.store_data_age.count(),
+         static_cast<int>(heartbeat.poll_state),
+         heartbeat.should_poll.has_value() ? json(*heartbeat.should_poll)
+                                           : json()});
     // What follows is left out where there is nothing to tell: hosts of an
-    // earlier version pass over a word that is longer than they know.
-    const bool tells_turn = word.poll_rank != 0;
-    const bool tells_limits = tells_turn || !word.limits.empty();
-    const bool tells_size = tells_limits || word.peak_hosts != 0;
-    const bool tells_digest = tells_size || word.crash_digest != 0;
-    if (word.work.has_value() || tells_digest) {
-      array.push_back(word.work.has_value() ? EncodeWork(*word.work) : json());
+    // earlier version pass over a heartbeat that is longer than they know.
+    const bool tells_turn = heartbeat.poll_rank != 0;
+    const bool tells_limits = tells_turn || !heartbeat.limits.empty();
+    const bool tells_size = tells_limits || heartbeat.peak_hosts != 0;
+    const bool tells_digest = tells_size || heartbeat.crash_digest != 0;
+    if (heartbeat.work.has_value() || tells_digest) {
+      array.push_back(heartbeat.work.has_value() ? EncodeWork(*heartbeat.work)
+                                                 : json());
     }
     if (tells_digest) {
-      array.push_back(word.crash_digest);
+      array.push_back(heartbeat.crash_digest);
     }
     if (tells_size) {
-      array.push_back(word.peak_hosts);
+      array.push_back(heartbeat.peak_hosts);
     }
     if (tells_limits) {
-      array.push_back(EncodeLimits(word.limits));
+      array.push_back(EncodeLimits(heartbeat.limits));
     }
     if (tells_turn) {
-      array.push_back(word.poll_rank);
+      array.push_back(heartbeat.poll_rank);
     }
     return array;
   }
 
-  json operator()(const PlacementQuery& ask) const {
+  json operator()(const PlacementQuery& query) const {
     json array = json::array(
-        {static_cast<int>(MessageKind::kQuery), ask.host.value,
-         ask.incarnation.value, ask.id.value, ask.service.value,
-         ask.target_latency.count(), ask.target_gap.count(), ask.prompt.value,
-         ask.answer.value, ask.until_late.count(), ask.may_have_run,
-         EncodeIds(ask.tried), ask.until_deadline.count(),
-         ask.origin.request.account.value, ask.origin.request.high,
-         ask.origin.request.low, ask.origin.priority});
-    if (!ask.withheld.empty()) {
-      array.push_back(EncodeIds(ask.withheld));
+        {static_cast<int>(MessageKind::kQuery), query.host.value,
+         query.incarnation.value, query.id.value, query.service.value,
+         query.target_latency.count(), query.target_gap.count(),
+         query.prompt.value, query.answer.value, query.until_late.count(),
+         query.may_have_run, EncodeIds(query.tried),
+         query.until_deadline.count(), query.origin.request.account.value,
+         query.origin.request.high, query.origin.request.low,
+         query.origin.priority});
+    if (!query.withheld.empty()) {
+      array.push_back(EncodeIds(query.withheld));
     }
     return array;
   }
 
-  json operator()(const PlacementReply& answer) const {
-    return json::array({static_cast<int>(MessageKind::kReply),
-                        answer.from.value, answer.incarnation.value,
-                        answer.id.value, EncodeDecision(answer.decision)});
+  json operator()(const PlacementReply& reply) const {
+    return json::array({static_cast<int>(MessageKind::kReply), reply.from.value,
+                        reply.incarnation.value, reply.id.value,
+                        EncodeDecision(reply.decision)});
   }
 
   json operator()(const PublishedChanges& published) const {
@@ -169,17 +174,17 @@
                         told.from.value, std::move(reports)});
   }
 
-  json operator()(const ProgressReport& note) const {
+  json operator()(const ProgressReport& progress) const {
     json read = json::array();
-    for (const PrefillDone& one : note.read) {
+    for (const PrefillDone& one : progress.read) {
       read.push_back({one.id.value, one.pace});
     }
     json ended = json::array();
-    for (const RequestDone& one : note.ended) {
+    for (const RequestDone& one : progress.ended) {
       ended.push_back({one.id.value, one.failed});
     }
     return json::array({static_cast<int>(MessageKind::kProgress),
-                        note.host.value, note.incarnation.value,
+                        progress.host.value, progress.incarnation.value,
                         std::move(read), std::move(ended)});
   }
 };
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -15,28 +15,28 @@
 }
 
 Heartbeat Word() {
-  Heartbeat word;
-  word.node = NodeId{"n"};
-  word.address = kHost;
-  word.incarnation = Incarnation{77};
-  word.cpu_share = CpuShare{0.19};
-  word.routing = RoutingVersion{3};
-  word.known_up_to = StoreRevision{40};
-  word.store_data_fresh = true;
-  word.store_data_age = Millis(340);
-  word.poll_state = PollState::kFailed;
-  word.planner = HostAddress{"10.0.0.2:1"};
-  word.wants_reply = true;
-  word.alive_hosts = 9;
-  word.hosts = {KnownHost{HostAddress{"10.0.0.3:1"}, CpuShare{0.5}}};
-  word.avoided = {AvoidedEndpoint{EndpointId{"f"}, Millis(70)}};
+  Heartbeat heartbeat;
+  heartbeat.node = NodeId{"n"};
+  heartbeat.address = kHost;
+  heartbeat.incarnation = Incarnation{77};
+  heartbeat.cpu_share = CpuShare{0.19};
+  heartbeat.routing = RoutingVersion{3};
+  heartbeat.known_up_to = StoreRevision{40};
+  heartbeat.store_data_fresh = true;
+  heartbeat.store_data_age = Millis(340);
+  heartbeat.poll_state = PollState::kFailed;
+  heartbeat.planner = HostAddress{"10.0.0.2:1"};
+  heartbeat.wants_reply = true;
+  heartbeat.alive_hosts = 9;
+  heartbeat.hosts = {KnownHost{HostAddress{"10.0.0.3:1"}, CpuShare{0.5}}};
+  heartbeat.avoided = {AvoidedEndpoint{EndpointId{"f"}, Millis(70)}};
   const WorkPart part{EndpointId{"e"}, WorkClass::kLong, FractionalMillis(12.5),
                       Tokens{7}, Millis(600)};
-  word.work = {QueryWork{QueryId{5}, true, {part}}};
-  word.limits = {
+  heartbeat.work = {QueryWork{QueryId{5}, true, {part}}};
+  heartbeat.limits = {
       RateLimitReport{EndpointId{"e"}, RequestRate{1.6}, Millis(120)},
       RateLimitReport{EndpointId{"g"}, std::nullopt, Millis(5)}};
-  return word;
+  return heartbeat;
 }
 
 CrashReports Reports() {
@@ -80,28 +80,28 @@
 }
 
 TEST_CASE("A word tells the digest of suspects with or without its work") {
-  Heartbeat word = Word();
-  word.crash_digest = ~std::uint64_t{0};
-  CHECK(SentAndRead(word).crash_digest == ~std::uint64_t{0});
-  CHECK(SentAndRead(word).work.has_value());
-  word.work.reset();
-  CHECK(SentAndRead(word).crash_digest == ~std::uint64_t{0});
-  CHECK_FALSE(SentAndRead(word).work.has_value());
-  word.crash_digest = 0;
-  CHECK_FALSE(SentAndRead(word).work.has_value());
+  Heartbeat heartbeat = Word();
+  heartbeat.crash_digest = ~std::uint64_t{0};
+  CHECK(SentAndRead(heartbeat).crash_digest == ~std::uint64_t{0});
+  CHECK(SentAndRead(heartbeat).work.has_value());
+  heartbeat.work.reset();
+  CHECK(SentAndRead(heartbeat).crash_digest == ~std::uint64_t{0});
+  CHECK_FALSE(SentAndRead(heartbeat).work.has_value());
+  heartbeat.crash_digest = 0;
+  CHECK_FALSE(SentAndRead(heartbeat).work.has_value());
 }
 
 TEST_CASE("A word tells the size of the fleet with or without the rest") {
-  Heartbeat word = Word();
-  word.peak_hosts = 24;
-  CHECK(SentAndRead(word).peak_hosts == 24);
-  CHECK(SentAndRead(word).work.has_value());
-  word.work.reset();
-  CHECK(SentAndRead(word).peak_hosts == 24);
-  CHECK_FALSE(SentAndRead(word).work.has_value());
-  word.crash_digest = 7;
-  CHECK(SentAndRead(word).peak_hosts == 24);
-  CHECK(SentAndRead(word).crash_digest == 7);
+  Heartbeat heartbeat = Word();
+  heartbeat.peak_hosts = 24;
+  CHECK(SentAndRead(heartbeat).peak_hosts == 24);
+  CHECK(SentAndRead(heartbeat).work.has_value());
+  heartbeat.work.reset();
+  CHECK(SentAndRead(heartbeat).peak_hosts == 24);
+  CHECK_FALSE(SentAndRead(heartbeat).work.has_value());
+  heartbeat.crash_digest = 7;
+  CHECK(SentAndRead(heartbeat).peak_hosts == 24);
+  CHECK(SentAndRead(heartbeat).crash_digest == 7);
 }
 
 TEST_CASE("A host's word comes back as it was told") {
@@ -142,51 +142,51 @@
 }
 
 TEST_CASE("A word that tells no work is another than one that tells of none") {
-  Heartbeat word = Word();
-  word.work = std::vector<QueryWork>{};
-  CHECK(SentAndRead(word).work.has_value());
-  word.work.reset();
-  CHECK_FALSE(SentAndRead(word).work.has_value());
+  Heartbeat heartbeat = Word();
+  heartbeat.work = std::vector<QueryWork>{};
+  CHECK(SentAndRead(heartbeat).work.has_value());
+  heartbeat.work.reset();
+  CHECK_FALSE(SentAndRead(heartbeat).work.has_value());
 }
 
 TEST_CASE("An ask comes back as it was sent") {
-  PlacementQuery ask;
-  ask.host = kHost;
-  ask.incarnation = Incarnation{77};
-  ask.id = QueryId{5};
-  ask.service = ServiceName{"writers"};
-  ask.target_latency = Millis(3000);
-  ask.target_gap = Millis(1000);
-  ask.prompt = Tokens{154000};
-  ask.answer = Tokens{800};
-  ask.until_late = FractionalMillis(-20);
-  ask.may_have_run = true;
-  ask.tried = {EndpointId{"e"}, EndpointId{"f"}};
-  ask.until_deadline = FractionalMillis(9000);
-  ask.origin.request = RequestFingerprint{AccountId{"press"}, 7, 9};
-  ask.origin.priority = 2;
-  const PlacementQuery read = SentAndRead(ask);
-  CHECK(read.host == ask.host);
-  CHECK(read.incarnation == ask.incarnation);
-  CHECK(read.id == ask.id);
-  CHECK(read.service == ask.service);
-  CHECK(read.target_latency == ask.target_latency);
-  CHECK(read.target_gap == ask.target_gap);
-  CHECK(read.prompt == ask.prompt);
-  CHECK(read.answer == ask.answer);
-  CHECK(read.until_late == ask.until_late);
+  PlacementQuery query;
+  query.host = kHost;
+  query.incarnation = Incarnation{77};
+  query.id = QueryId{5};
+  query.service = ServiceName{"writers"};
+  query.target_latency = Millis(3000);
+  query.target_gap = Millis(1000);
+  query.prompt = Tokens{154000};
+  query.answer = Tokens{800};
+  query.until_late = FractionalMillis(-20);
+  query.may_have_run = true;
+  query.tried = {EndpointId{"e"}, EndpointId{"f"}};
+  query.until_deadline = FractionalMillis(9000);
+  query.origin.request = RequestFingerprint{AccountId{"press"}, 7, 9};
+  query.origin.priority = 2;
+  const PlacementQuery read = SentAndRead(query);
+  CHECK(read.host == query.host);
+  CHECK(read.incarnation == query.incarnation);
+  CHECK(read.id == query.id);
+  CHECK(read.service == query.service);
+  CHECK(read.target_latency == query.target_latency);
+  CHECK(read.target_gap == query.target_gap);
+  CHECK(read.prompt == query.prompt);
+  CHECK(read.answer == query.answer);
+  CHECK(read.until_late == query.until_late);
   CHECK(read.may_have_run);
-  CHECK(read.tried == ask.tried);
-  CHECK(read.until_deadline == ask.until_deadline);
-  CHECK(read.origin.request == ask.origin.request);
-  CHECK(read.origin.priority == ask.origin.priority);
+  CHECK(read.tried == query.tried);
+  CHECK(read.until_deadline == query.until_deadline);
+  CHECK(read.origin.request == query.origin.request);
+  CHECK(read.origin.priority == query.origin.priority);
   CHECK(read.withheld.empty());
-  ask.withheld = {EndpointId{"g"}};
-  CHECK(SentAndRead(ask).withheld == ask.withheld);
+  query.withheld = {EndpointId{"g"}};
+  CHECK(SentAndRead(query).withheld == query.withheld);
 }
 
 TEST_CASE("Every kind of decision comes back as it was taken") {
-  PlacementReply answer{kHost, Incarnation{77}, QueryId{5}, {}};
+  PlacementReply reply{kHost, Incarnation{77}, QueryId{5}, {}};
   PlannedPlacement placed;
   placed.endpoint = EndpointId{"e"};
   placed.helpers = {PlannedHelper{EndpointId{"f"}, Tokens{90}}};
@@ -194,33 +194,33 @@
   placed.prefill_time = FractionalMillis(150);
   placed.first_event = FractionalMillis(250);
   placed.candidates = 12;
-  answer.decision = placed;
-  const auto read = std::get<PlannedPlacement>(SentAndRead(answer).decision);
+  reply.decision = placed;
+  const auto read = std::get<PlannedPlacement>(SentAndRead(reply).decision);
   CHECK(read.endpoint == placed.endpoint);
   REQUIRE(read.helpers.size() == 1);
   CHECK(read.helpers.front().held == Tokens{90});
   CHECK(read.work_class == WorkClass::kLong);
   CHECK(read.first_event == placed.first_event);
   CHECK(read.candidates == 12);
-  answer.decision = QueryQueued{};
-  CHECK(std::holds_alternative<QueryQueued>(SentAndRead(answer).decision));
-  answer.decision = QueryRejected{Millis(750)};
-  const PlacementReply later = SentAndRead(answer);
+  reply.decision = QueryQueued{};
+  CHECK(std::holds_alternative<QueryQueued>(SentAndRead(reply).decision));
+  reply.decision = QueryRejected{Millis(750)};
+  const PlacementReply later = SentAndRead(reply);
   CHECK(std::get<QueryRejected>(later.decision).retry_after == Millis(750));
-  answer.decision = QueryRejected{};
-  CHECK(std::holds_alternative<QueryRejected>(SentAndRead(answer).decision));
-  answer.decision = NoEndpoint{};
-  CHECK(std::holds_alternative<NoEndpoint>(SentAndRead(answer).decision));
-  answer.decision = NotPlanner{kHost};
-  CHECK(std::get<NotPlanner>(SentAndRead(answer).decision).planner == kHost);
+  reply.decision = QueryRejected{};
+  CHECK(std::holds_alternative<QueryRejected>(SentAndRead(reply).decision));
+  reply.decision = NoEndpoint{};
+  CHECK(std::holds_alternative<NoEndpoint>(SentAndRead(reply).decision));
+  reply.decision = NotPlanner{kHost};
+  CHECK(std::get<NotPlanner>(SentAndRead(reply).decision).planner == kHost);
 }
 
-TEST_CASE("A note comes back as it was sent") {
-  const ProgressReport note{kHost,
-                            Incarnation{77},
-                            {PrefillDone{QueryId{1}, 1.5}},
-                            {RequestDone{QueryId{2}, true}}};
-  const ProgressReport read = SentAndRead(note);
+TEST_CASE("A progress comes back as it was sent") {
+  const ProgressReport progress{kHost,
+                                Incarnation{77},
+                                {PrefillDone{QueryId{1}, 1.5}},
+                                {RequestDone{QueryId{2}, true}}};
+  const ProgressReport read = SentAndRead(progress);
   REQUIRE(read.read.size() == 1);
   CHECK(read.read.front().pace == 1.5);
   REQUIRE(read.ended.size() == 1);
@@ -240,9 +240,9 @@
 }
 
 TEST_CASE("A number that stands for no class of work is refused") {
-  Heartbeat word = Word();
-  word.work->front().parts.front().work_class = static_cast<WorkClass>(9);
-  CHECK_FALSE(DecodeFleetMessage(EncodeFleetMessage(word)).has_value());
+  Heartbeat heartbeat = Word();
+  heartbeat.work->front().parts.front().work_class = static_cast<WorkClass>(9);
+  CHECK_FALSE(DecodeFleetMessage(EncodeFleetMessage(heartbeat)).has_value());
 }
 
 }  // namespace
