--- a/include/harecrank/core/expiry_queue.h
+++ b/include/harecrank/core/expiry_queue.h
@@ -1,4 +1,5 @@
-// Which of many keys have expired, found without a look at those that have not.
+// A set of keys with expiry times. Expired keys are found without a scan of the
+// others.
 
 #ifndef HARECRANK_CORE_EXPIRY_QUEUE_H_
 #define HARECRANK_CORE_EXPIRY_QUEUE_H_
@@ -18,48 +19,49 @@
 template <typename Key>
 class ExpiryQueue {
  public:
-  // `key` is held up to `until`, or for longer if it was held so before.
-  // Returns whether it was not held.
-  bool Hold(const Key& key, TimePoint until) {
-    const auto [held, is_new] = held_.try_emplace(key, until);
+  // Adds `key` with the expiry time `until`, or extends the expiry time of
+  // `key` to `until` if that is later. Returns whether the key was added.
+  bool Extend(const Key& key, TimePoint until) {
+    const auto [held, is_new] = expiries_.try_emplace(key, until);
     if (is_new) {
-      due_.emplace(until, key);
+      queue_.emplace(until, key);
       return true;
     }
     held->second = std::max(held->second, until);
     return false;
   }
 
-  // Drops the keys that were held up to a time before `now`, and calls
-  // `on_expired` with each. Each held key stands in the queue once, so a call
-  // costs the expired ones and those whose time was prolonged since they were
+  // Removes the keys whose expiry time is before `now` and calls `on_expired`
+  // with each. Each key is in the queue once, so the cost is that of the
+  // expired keys and of those whose expiry time was extended since they were
   // queued.
   template <typename OnExpired>
   void Expire(TimePoint now, const OnExpired& on_expired) {
-    while (!due_.empty() && due_.top().first < now) {
-      const Key key = due_.top().second;
-      due_.pop();
-      const auto held = held_.find(key);
-      if (held == held_.end()) {
+    while (!queue_.empty() && queue_.top().first < now) {
+      const Key key = queue_.top().second;
+      queue_.pop();
+      const auto held = expiries_.find(key);
+      if (held == expiries_.end()) {
         continue;
       }
       if (held->second < now) {
-        held_.erase(held);
+        expiries_.erase(held);
         on_expired(key);
       } else {
-        due_.emplace(held->second, key);
+        queue_.emplace(held->second, key);
       }
     }
   }
 
-  bool Holds(const Key& key) const { return held_.count(key) > 0; }
-  std::size_t Count() const { return held_.size(); }
+  bool Contains(const Key& key) const { return expiries_.count(key) > 0; }
+  std::size_t Count() const { return expiries_.size(); }
 
  private:
+  // Expiry time at which the key was queued; it may have been extended since.
   using Due = std::pair<TimePoint, Key>;
 
-  std::map<Key, TimePoint> held_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<Due>> due_;
+  std::map<Key, TimePoint> expiries_;
+  std::priority_queue<Due, std::vector<Due>, std::greater<Due>> queue_;
 };
 
 }  // namespace harecrank
--- a/include/harecrank/core/host_ranking.h
+++ b/include/harecrank/core/host_ranking.h
@@ -1,6 +1,6 @@
-// The hosts that were heard lately, in the orders in which one of them is
-// chosen. Kept up to date when a host changes, so that no choice looks at all
-// hosts.
+// Indexes over the hosts that were heard recently, one for each criterion by
+// which a host is chosen. They are updated when a host changes, so that no
+// choice scans all hosts.
 
 #ifndef HARECRANK_CORE_HOST_RANKING_H_
 #define HARECRANK_CORE_HOST_RANKING_H_
@@ -16,22 +16,27 @@
 
 namespace harecrank {
 
-// Sorts before another if it is the better planner.
+// CPU share, then a hash of the address. The host with the greatest rank is the
+// preferred planner.
 using HostRank = std::pair<double, std::uint64_t>;
 
-// What a host is chosen by.
+// The attributes by which a host is chosen.
 struct HostRankingEntry {
   HostRank rank;
-  // It says that it plans.
-  bool claims = false;
+  // The host declares itself the planner.
+  bool claims_planner = false;
   RoutingVersion routing;
+  // The store revision up to which the host knows all changes.
   StoreRevision known_up_to;
+  // The host's data of the store are fresh.
   bool store_data_fresh = false;
-  // The platform answers it.
-  bool is_answered = false;
+  // The store answers the host's own polls.
+  bool answered_by_store = false;
+  // Number of alive hosts that the host reports.
   int alive_hosts = 0;
-  // Sorts hosts that know the same.
-  std::uint64_t draw = 0;
+  // Orders hosts that are equally up to date. Not part of the comparison: it
+  // depends on the address alone.
+  std::uint64_t tie_break_hash = 0;
 
   friend bool operator==(const HostRankingEntry& a, const HostRankingEntry& b) {
     return a.Key() == b.Key();
@@ -41,57 +46,63 @@
   std::tuple<HostRank, bool, std::uint64_t, std::uint64_t, bool, bool, int>
   Key() const {
     return {rank,
-            claims,
+            claims_planner,
             routing.value,
             known_up_to.value,
             store_data_fresh,
-            is_answered,
+            answered_by_store,
             alive_hosts};
   }
 };
 
-// Hosts by rank, the best first.
+// Hosts by rank, highest first.
 using HostsByRank = std::set<std::pair<HostRank, HostAddress>, std::greater<>>;
 
 // Not thread-safe.
 class HostRanking {
  public:
-  void Set(const HostAddress& host, const HostRankingEntry& standing);
+  // Adds `host` or replaces its entry.
+  void Set(const HostAddress& host, const HostRankingEntry& entry);
   void Remove(const HostAddress& host);
 
+  // All hosts, those that declare themselves the planner, and those whose own
+  // polls the store answers.
   const HostsByRank& ByRank() const { return by_rank_; }
-  const HostsByRank& Claimants() const { return claimants_; }
-  const HostsByRank& Answered() const { return answered_; }
+  const HostsByRank& PlannerClaimants() const { return planner_claimants_; }
+  const HostsByRank& AnsweredByStore() const { return answered_by_store_; }
 
-  // Returns one of the hosts that know the most: first of those that the
-  // platform answers and that know more than `known_up_to`, then of those in
-  // which a newer routing table than `routing` is in force. Nothing if there is
-  // none. `draw` is a random number.
+  // Returns a host that is more up to date than the caller, or nothing if there
+  // is none. Prefers hosts with fresh data that know more than `known_up_to`,
+  // then hosts that use a newer routing table than `routing`. Hosts that are
+  // equally up to date are chosen by `random`, which is uniformly distributed.
   std::optional<HostAddress> FindMoreUpToDate(RoutingVersion routing,
                                               StoreRevision known_up_to,
-                                              std::uint64_t draw) const;
+                                              std::uint64_t random) const;
 
-  // Returns the most hosts that any of these counts as alive, or zero.
-  int MostAliveHosts() const;
+  // Returns the largest number of alive hosts that any host reports; zero if
+  // there is none.
+  int MaxReportedAliveHosts() const;
 
  private:
-  // Up to which revision, and the power: all that is published can be a tenth
-  // of a megabyte, which weak hosts send slowly.
-  using Knowledge = std::pair<std::uint64_t, double>;
-  using Informed = std::tuple<Knowledge, std::uint64_t, HostAddress>;
-  // By the routing table in force before that.
-  using Routed = std::pair<std::uint64_t, Informed>;
-
-  static Informed InformedOf(const HostAddress& host,
-                             const HostRankingEntry& standing);
-  void Unlist(const HostAddress& host, const HostRankingEntry& standing);
-
-  std::map<HostAddress, HostRankingEntry> standings_;
+  // Store revision, then CPU share: a snapshot can be about 100 kB, which hosts
+  // with a small CPU share send slowly.
+  using RevisionKey = std::pair<std::uint64_t, double>;
+  // The same, then the tie-break hash and the address.
+  using FreshnessKey = std::tuple<RevisionKey, std::uint64_t, HostAddress>;
+  // Routing table version in use, then the same.
+  using RoutingKey = std::pair<std::uint64_t, FreshnessKey>;
+
+  static FreshnessKey FreshnessKeyOf(const HostAddress& host,
+                                     const HostRankingEntry& entry);
+  void RemoveFromIndexes(const HostAddress& host,
+                         const HostRankingEntry& entry);
+
+  std::map<HostAddress, HostRankingEntry> entries_;
   HostsByRank by_rank_;
-  HostsByRank claimants_;
-  HostsByRank answered_;
-  std::set<Informed> informed_;
-  std::set<Routed> routed_;
+  HostsByRank planner_claimants_;
+  HostsByRank answered_by_store_;
+  std::set<FreshnessKey> fresh_by_revision_;
+  std::set<RoutingKey> by_routing_version_;
   std::multiset<int> alive_hosts_;
 };
 
--- a/src/core/host_ranking.cc
+++ b/src/core/host_ranking.cc
@@ -2,80 +2,82 @@
 
 namespace harecrank {
 
-HostRanking::Informed HostRanking::InformedOf(
-    const HostAddress& host, const HostRankingEntry& standing) {
-  return {Knowledge{standing.known_up_to.value, standing.rank.first},
-          standing.draw, host};
+HostRanking::FreshnessKey HostRanking::FreshnessKeyOf(
+    const HostAddress& host, const HostRankingEntry& entry) {
+  return {RevisionKey{entry.known_up_to.value, entry.rank.first},
+          entry.tie_break_hash, host};
 }
 
-void HostRanking::Set(const HostAddress& host,
-                      const HostRankingEntry& standing) {
-  const auto [held, is_new] = standings_.try_emplace(host, standing);
+void HostRanking::Set(const HostAddress& host, const HostRankingEntry& entry) {
+  const auto [held, is_new] = entries_.try_emplace(host, entry);
   if (!is_new) {
-    if (held->second == standing) {
+    if (held->second == entry) {
       return;
     }
-    Unlist(host, held->second);
-    held->second = standing;
+    RemoveFromIndexes(host, held->second);
+    held->second = entry;
   }
-  by_rank_.emplace(standing.rank, host);
-  if (standing.claims) {
-    claimants_.emplace(standing.rank, host);
+  by_rank_.emplace(entry.rank, host);
+  if (entry.claims_planner) {
+    planner_claimants_.emplace(entry.rank, host);
   }
-  if (standing.is_answered) {
-    answered_.emplace(standing.rank, host);
+  if (entry.answered_by_store) {
+    answered_by_store_.emplace(entry.rank, host);
   }
-  if (standing.store_data_fresh) {
-    informed_.insert(InformedOf(host, standing));
+  if (entry.store_data_fresh) {
+    fresh_by_revision_.insert(FreshnessKeyOf(host, entry));
   }
-  routed_.emplace(standing.routing.value, InformedOf(host, standing));
-  alive_hosts_.insert(standing.alive_hosts);
+  by_routing_version_.emplace(entry.routing.value, FreshnessKeyOf(host, entry));
+  alive_hosts_.insert(entry.alive_hosts);
 }
 
 void HostRanking::Remove(const HostAddress& host) {
-  const auto held = standings_.find(host);
-  if (held != standings_.end()) {
-    Unlist(host, held->second);
-    standings_.erase(held);
+  const auto held = entries_.find(host);
+  if (held != entries_.end()) {
+    RemoveFromIndexes(host, held->second);
+    entries_.erase(held);
   }
 }
 
-void HostRanking::Unlist(const HostAddress& host,
-                         const HostRankingEntry& standing) {
-  by_rank_.erase({standing.rank, host});
-  claimants_.erase({standing.rank, host});
-  answered_.erase({standing.rank, host});
-  informed_.erase(InformedOf(host, standing));
-  routed_.erase({standing.routing.value, InformedOf(host, standing)});
-  alive_hosts_.erase(alive_hosts_.find(standing.alive_hosts));
+void HostRanking::RemoveFromIndexes(const HostAddress& host,
+                                    const HostRankingEntry& entry) {
+  by_rank_.erase({entry.rank, host});
+  planner_claimants_.erase({entry.rank, host});
+  answered_by_store_.erase({entry.rank, host});
+  fresh_by_revision_.erase(FreshnessKeyOf(host, entry));
+  by_routing_version_.erase({entry.routing.value, FreshnessKeyOf(host, entry)});
+  alive_hosts_.erase(alive_hosts_.find(entry.alive_hosts));
 }
 
 std::optional<HostAddress> HostRanking::FindMoreUpToDate(
     RoutingVersion routing, StoreRevision known_up_to,
-    std::uint64_t draw) const {
-  if (!informed_.empty()) {
-    const Knowledge most = std::get<0>(*informed_.rbegin());
+    std::uint64_t random) const {
+  if (!fresh_by_revision_.empty()) {
+    const RevisionKey most = std::get<0>(*fresh_by_revision_.rbegin());
     if (known_up_to.value < most.first) {
-      auto drawn = informed_.lower_bound({most, draw, HostAddress{}});
-      if (drawn == informed_.end()) {
-        drawn = informed_.lower_bound({most, 0, HostAddress{}});
+      auto drawn =
+          fresh_by_revision_.lower_bound({most, random, HostAddress{}});
+      if (drawn == fresh_by_revision_.end()) {
+        drawn = fresh_by_revision_.lower_bound({most, 0, HostAddress{}});
       }
       return std::get<HostAddress>(*drawn);
     }
   }
-  if (routed_.empty() || routed_.rbegin()->first <= routing.value) {
+  if (by_routing_version_.empty() ||
+      by_routing_version_.rbegin()->first <= routing.value) {
     return std::nullopt;
   }
-  const std::uint64_t newest = routed_.rbegin()->first;
-  const Knowledge most = std::get<0>(routed_.rbegin()->second);
-  auto drawn = routed_.lower_bound({newest, {most, draw, HostAddress{}}});
-  if (drawn == routed_.end()) {
-    drawn = routed_.lower_bound({newest, {most, 0, HostAddress{}}});
+  const std::uint64_t newest = by_routing_version_.rbegin()->first;
+  const RevisionKey most = std::get<0>(by_routing_version_.rbegin()->second);
+  auto drawn =
+      by_routing_version_.lower_bound({newest, {most, random, HostAddress{}}});
+  if (drawn == by_routing_version_.end()) {
+    drawn = by_routing_version_.lower_bound({newest, {most, 0, HostAddress{}}});
   }
   return std::get<HostAddress>(drawn->second);
 }
 
-int HostRanking::MostAliveHosts() const {
+int HostRanking::MaxReportedAliveHosts() const {
   return alive_hosts_.empty() ? 0 : *alive_hosts_.rbegin();
 }
 
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -8,16 +8,16 @@
 namespace harecrank {
 namespace {
 
-// Hosts forgotten after this long without a word. Long, so that a host finds
-// its fleet again after minutes of being cut off.
+// Hosts forgotten after this long without a heartbeat. Long, so that a host
+// finds its fleet again after minutes of being cut off.
 constexpr std::chrono::minutes kForgetAfter{10};
 // Of so many hosts of highest rank those that read the platform are chosen:
-// with all of them unanswered, the others read for themselves.
-constexpr std::size_t kReadersTried = 16;
+// with all of them poll_failed_at, the others read for themselves.
+constexpr std::size_t kPollerCandidates = 16;
 // The key by which hosts of equal cpu_share are ranked.
 constexpr char kPlannerKey[] = "planner";
 // The key by which hosts that know the same are drawn.
-constexpr char kDrawKey[] = "draw";
+constexpr char kTieBreakKey[] = "draw";
 
 }  // namespace
 
@@ -26,7 +26,7 @@
     : self_(std::move(self)),
       clock_(std::move(clock)),
       random_(std::move(random)),
-      started_(clock_()),
+      started_at_(clock_()),
       size_(clock_) {
   SetSeeds(std::move(seeds));
 }
@@ -38,86 +38,90 @@
       [this](const HostAddress& seed) { return seed != self_.address; }));
 }
 
-bool Membership::OnHeartbeat(const Heartbeat& word) {
-  if (word.address == self_.address) {
+bool Membership::OnHeartbeat(const Heartbeat& heartbeat) {
+  if (heartbeat.address == self_.address) {
     return false;
   }
   Expire();
-  const bool is_new = !heard_.Holds(word.address);
-  Hosts::value_type* known = Known(word.address, word.cpu_share);
+  const bool is_new = !heard_hosts_.Contains(heartbeat.address);
+  Hosts::value_type* known = FindOrAdd(heartbeat.address, heartbeat.cpu_share);
   Host& host = known->second;
-  host.standing.routing = word.routing;
-  host.standing.known_up_to = word.known_up_to;
-  host.standing.store_data_fresh = word.store_data_fresh;
-  host.standing.is_answered = word.poll_state == PollState::kAnswered;
-  host.standing.alive_hosts = word.alive_hosts;
-  host.leaving = word.leaving;
-  host.planner = word.planner;
-  size_.OnReported(std::max(word.alive_hosts, word.peak_hosts));
-  if (word.poll_state == PollState::kFailed) {
-    host.unanswered = clock_();
+  host.ranking_entry.routing = heartbeat.routing;
+  host.ranking_entry.known_up_to = heartbeat.known_up_to;
+  host.ranking_entry.store_data_fresh = heartbeat.store_data_fresh;
+  host.ranking_entry.answered_by_store =
+      heartbeat.poll_state == PollState::kAnswered;
+  host.ranking_entry.alive_hosts = heartbeat.alive_hosts;
+  host.leaving = heartbeat.leaving;
+  host.planner = heartbeat.planner;
+  size_.OnReported(std::max(heartbeat.alive_hosts, heartbeat.peak_hosts));
+  if (heartbeat.poll_state == PollState::kFailed) {
+    host.poll_failed_at = clock_();
   }
-  NoteHeard(known);
-  for (const KnownHost& other : word.hosts) {
+  RecordHeard(known);
+  for (const KnownHost& other : heartbeat.hosts) {
     if (other.address != self_.address) {
-      Hosts::value_type* vouched = Known(other.address, other.cpu_share);
-      vouched->second.vouched = clock_();
-      alive_.Hold(vouched->first, clock_() + kHeartbeatTimeout);
-      alive_by_rank_.emplace(vouched->second.standing.rank, vouched->first);
+      Hosts::value_type* reported = FindOrAdd(other.address, other.cpu_share);
+      reported->second.last_reported_at = clock_();
+      alive_hosts_.Extend(reported->first, clock_() + kHeartbeatTimeout);
+      alive_by_rank_.emplace(reported->second.ranking_entry.rank,
+                             reported->first);
     }
   }
-  expected_ = expected_ || word.planner == self_.address;
-  DropForgotten();
+  expected_to_plan_ = expected_to_plan_ || heartbeat.planner == self_.address;
+  ForgetSilentHosts();
   return is_new;
 }
 
-Membership::Hosts::value_type* Membership::Known(const HostAddress& address,
-                                                 CpuShare cpu_share) {
+Membership::Hosts::value_type* Membership::FindOrAdd(const HostAddress& address,
+                                                     CpuShare cpu_share) {
   const auto [known, is_new] = hosts_.try_emplace(address);
   Host& host = known->second;
   if (is_new) {
-    host.place = order_.size();
-    host.standing.draw = RendezvousWeight(kDrawKey, address.value);
-    order_.push_back(address);
+    host.address_index = addresses_.size();
+    host.ranking_entry.tie_break_hash =
+        RendezvousWeight(kTieBreakKey, address.value);
+    addresses_.push_back(address);
   }
   if (is_new || host.cpu_share != cpu_share) {
-    alive_by_rank_.erase({host.standing.rank, address});
+    alive_by_rank_.erase({host.ranking_entry.rank, address});
     host.cpu_share = cpu_share;
-    host.standing.rank = RankOf(address, cpu_share);
-    if (alive_.Holds(address)) {
-      alive_by_rank_.emplace(host.standing.rank, address);
+    host.ranking_entry.rank = RankOf(address, cpu_share);
+    if (alive_hosts_.Contains(address)) {
+      alive_by_rank_.emplace(host.ranking_entry.rank, address);
     }
-    if (heard_.Holds(address)) {
-      Rank(&*known);
+    if (heard_hosts_.Contains(address)) {
+      UpdateRanking(&*known);
     }
   }
   return &*known;
 }
 
-void Membership::NoteHeard(Hosts::value_type* host) {
+void Membership::RecordHeard(Hosts::value_type* host) {
   const TimePoint now = clock_();
-  heard_any_ = now;
-  host->second.heard = now;
+  last_heard_any_at_ = now;
+  host->second.last_heard_at = now;
   host->second.suspect_until = TimePoint{};
-  heard_.Hold(host->first, now + kHeartbeatTimeout);
-  alive_.Hold(host->first, now + kHeartbeatTimeout);
-  alive_by_rank_.emplace(host->second.standing.rank, host->first);
-  Rank(host);
+  heard_hosts_.Extend(host->first, now + kHeartbeatTimeout);
+  alive_hosts_.Extend(host->first, now + kHeartbeatTimeout);
+  alive_by_rank_.emplace(host->second.ranking_entry.rank, host->first);
+  UpdateRanking(host);
 }
 
-void Membership::Rank(Hosts::value_type* host) {
-  host->second.standing.claims = host->second.planner == host->first;
-  ranking_.Set(host->first, host->second.standing);
+void Membership::UpdateRanking(Hosts::value_type* host) {
+  host->second.ranking_entry.claims_planner =
+      host->second.planner == host->first;
+  ranking_.Set(host->first, host->second.ranking_entry);
 }
 
 void Membership::Expire() const {
   const TimePoint now = clock_();
-  heard_.Expire(now,
-                [this](const HostAddress& host) { ranking_.Remove(host); });
-  alive_.Expire(now, [this](const HostAddress& host) {
+  heard_hosts_.Expire(
+      now, [this](const HostAddress& host) { ranking_.Remove(host); });
+  alive_hosts_.Expire(now, [this](const HostAddress& host) {
     const auto known = hosts_.find(host);
     if (known != hosts_.end()) {
-      alive_by_rank_.erase({known->second.standing.rank, host});
+      alive_by_rank_.erase({known->second.ranking_entry.rank, host});
     }
   });
 }
@@ -125,7 +129,7 @@
 void Membership::OnMessageReceived(const HostAddress& host) {
   const auto found = hosts_.find(host);
   if (found != hosts_.end()) {
-    NoteHeard(&*found);
+    RecordHeard(&*found);
   }
 }
 
@@ -141,42 +145,43 @@
   const auto found = hosts_.find(host);
   if (found != hosts_.end()) {
     found->second.planner = planner;
-    NoteHeard(&*found);
+    RecordHeard(&*found);
   }
 }
 
 void Membership::Leave() {
   leaving_ = true;
-  claims_ = false;
+  claims_planner_ = false;
 }
 
 std::optional<HostAddress> Membership::Planner() {
   Expire();
-  std::optional<HostAddress> claimant = Best(ranking_.Claimants(), claims_);
+  std::optional<HostAddress> claimant =
+      BestPlanner(ranking_.PlannerClaimants(), claims_planner_);
   if (claimant.has_value()) {
-    claims_ = *claimant == self_.address;
+    claims_planner_ = *claimant == self_.address;
     return claimant;
   }
-  if (!HasSettled()) {
+  if (!IsPastStartupGrace()) {
     return std::nullopt;
   }
-  std::optional<HostAddress> candidate = Best(alive_by_rank_, !leaving_);
-  claims_ = candidate == self_.address;
+  std::optional<HostAddress> candidate = BestPlanner(alive_by_rank_, !leaving_);
+  claims_planner_ = candidate == self_.address;
   return candidate;
 }
 
-std::optional<HostAddress> Membership::Best(const HostsByRank& hosts,
-                                            bool self_stands) const {
-  const HostRank own = RankOf(self_.address, self_.cpu_share);
+std::optional<HostAddress> Membership::BestPlanner(const HostsByRank& hosts,
+                                                   bool self_eligible) const {
+  const HostRank own_rank = RankOf(self_.address, self_.cpu_share);
   for (const auto& [rank, address] : hosts) {
-    if (self_stands && own > rank) {
+    if (self_eligible && own_rank > rank) {
       break;
     }
     if (IsEligible(hosts_.at(address))) {
       return address;
     }
   }
-  return self_stands ? std::make_optional(self_.address) : std::nullopt;
+  return self_eligible ? std::make_optional(self_.address) : std::nullopt;
 }
 
 std::vector<HostAddress> Membership::GossipTargets() const {
@@ -186,11 +191,12 @@
       seeds.push_back(seed);
     }
   }
-  if (order_.empty() || seeds.empty()) {
+  if (addresses_.empty() || seeds.empty()) {
     return seeds;
   }
-  const std::size_t drawn = random_() % (seeds.size() + order_.size());
-  return {drawn < seeds.size() ? seeds[drawn] : order_[drawn - seeds.size()]};
+  const std::size_t drawn = random_() % (seeds.size() + addresses_.size());
+  return {drawn < seeds.size() ? seeds[drawn]
+                               : addresses_[drawn - seeds.size()]};
 }
 
 std::vector<HostAddress> Membership::OtherAliveHosts() const {
@@ -203,84 +209,86 @@
   return alive;
 }
 
-std::vector<KnownHost> Membership::AliveByRank(std::size_t most) const {
+std::vector<KnownHost> Membership::TopAliveByRank(std::size_t limit) const {
   Expire();
-  const HostRank own = RankOf(self_.address, self_.cpu_share);
-  bool self_stands = !leaving_;
+  const HostRank own_rank = RankOf(self_.address, self_.cpu_share);
+  bool self_eligible = !leaving_;
   std::vector<KnownHost> best;
   for (const auto& [rank, address] : ranking_.ByRank()) {
-    if (self_stands && own > rank && best.size() < most) {
+    if (self_eligible && own_rank > rank && best.size() < limit) {
       best.push_back(self_);
-      self_stands = false;
+      self_eligible = false;
     }
-    if (best.size() >= most) {
+    if (best.size() >= limit) {
       return best;
     }
     if (IsEligible(hosts_.at(address))) {
       best.push_back(KnownHost{address, CpuShare{rank.first}});
     }
   }
-  if (self_stands && best.size() < most) {
+  if (self_eligible && best.size() < limit) {
     best.push_back(self_);
   }
   return best;
 }
 
-std::vector<KnownHost> Membership::PartialViewFor(const HostAddress& reader) {
-  std::vector<KnownHost> told = AliveByRank(kSuccessors + 1);
-  const bool may_plan_next = std::any_of(
-      told.begin(), told.end(),
-      [&reader](const KnownHost& host) { return host.address == reader; });
+std::vector<KnownHost> Membership::PartialViewFor(
+    const HostAddress& recipient) {
+  std::vector<KnownHost> view = TopAliveByRank(kSuccessors + 1);
+  const bool may_plan_next = std::any_of(view.begin(), view.end(),
+                                         [&recipient](const KnownHost& host) {
+                                           return host.address == recipient;
+                                         });
   if (may_plan_next) {
     if (hosts_.size() < kMaxMembersPerHeartbeat) {
-      return AliveByRank(hosts_.size() + 1);
+      return TopAliveByRank(hosts_.size() + 1);
     }
-    NameInTurn(kMaxMembersPerHeartbeat - told.size(), &told);
-    return told;
+    AddNextHosts(kMaxMembersPerHeartbeat - view.size(), &view);
+    return view;
   }
-  for (std::size_t i = 0; i < kRandomMembersPerHeartbeat && !order_.empty();
+  for (std::size_t i = 0; i < kRandomMembersPerHeartbeat && !addresses_.empty();
        ++i) {
-    const HostAddress& drawn = order_[random_() % order_.size()];
-    if (heard_.Holds(drawn)) {
-      told.push_back(KnownHost{drawn, hosts_.at(drawn).cpu_share});
+    const HostAddress& drawn = addresses_[random_() % addresses_.size()];
+    if (heard_hosts_.Contains(drawn)) {
+      view.push_back(KnownHost{drawn, hosts_.at(drawn).cpu_share});
     }
   }
-  return told;
+  return view;
 }
 
-void Membership::NameInTurn(std::size_t most, std::vector<KnownHost>* told) {
-  for (std::size_t i = 0; i < most; ++i) {
-    named_next_ = (named_next_ + 1) % order_.size();
-    const HostAddress& host = order_[named_next_];
-    if (heard_.Holds(host)) {
-      told->push_back(KnownHost{host, hosts_.at(host).cpu_share});
+void Membership::AddNextHosts(std::size_t limit, std::vector<KnownHost>* view) {
+  for (std::size_t i = 0; i < limit; ++i) {
+    next_named_ = (next_named_ + 1) % addresses_.size();
+    const HostAddress& host = addresses_[next_named_];
+    if (heard_hosts_.Contains(host)) {
+      view->push_back(KnownHost{host, hosts_.at(host).cpu_share});
     }
   }
 }
 
 std::vector<HostAddress> Membership::StorePollers() const {
   const TimePoint now = clock_();
-  const std::vector<KnownHost> best = AliveByRank(kReadersTried);
-  std::vector<HostAddress> readers;
-  for (const auto& [rank, address] : ranking_.Answered()) {
-    if (readers.size() < kPollersBesidePlanner &&
+  const std::vector<KnownHost> best = TopAliveByRank(kPollerCandidates);
+  std::vector<HostAddress> pollers;
+  for (const auto& [rank, address] : ranking_.AnsweredByStore()) {
+    if (pollers.size() < kPollersBesidePlanner &&
         IsEligible(hosts_.at(address))) {
-      readers.push_back(address);
+      pollers.push_back(address);
     }
   }
   for (const KnownHost& known : best) {
     if (known.address == self_.address ||
-        readers.size() >= kPollersBesidePlanner) {
+        pollers.size() >= kPollersBesidePlanner) {
       continue;
     }
     const Host& host = hosts_.at(known.address);
-    const bool passed_over = host.unanswered != TimePoint{} &&
-                             now - host.unanswered <= kFailedPollerCooldown;
-    if (!passed_over && !host.standing.is_answered) {
-      readers.push_back(known.address);
+    const bool in_cooldown = host.poll_failed_at != TimePoint{} &&
+                             now - host.poll_failed_at <= kFailedPollerCooldown;
+    if (!in_cooldown && !host.ranking_entry.answered_by_store) {
+      pollers.push_back(known.address);
     }
   }
-  return readers;
+  return pollers;
 }
 
 std::optional<HostAddress> Membership::FindMoreUpToDate(
@@ -295,20 +303,20 @@
 }
 
 int Membership::PollingHosts() const {
-  const bool is_lone =
-      heard_any_ == TimePoint{} || clock_() - heard_any_ > kIsolatedAfter;
-  return is_lone ? 1 : AliveHosts();
+  const bool is_isolated = last_heard_any_at_ == TimePoint{} ||
+                           clock_() - last_heard_any_at_ > kIsolatedAfter;
+  return is_isolated ? 1 : AliveHosts();
 }
 
 int Membership::ObservedHosts() const {
   Expire();
-  return 1 + static_cast<int>(alive_.Count());
+  return 1 + static_cast<int>(alive_hosts_.Count());
 }
 
 void Membership::RecordFleetSize() { size_.OnObserved(ObservedHosts()); }
 
 int Membership::AliveHosts() const {
-  return std::max(ObservedHosts(), ranking_.MostAliveHosts());
+  return std::max(ObservedHosts(), ranking_.MaxReportedAliveHosts());
 }
 
 int Membership::HostsSharingLimits() const {
@@ -319,28 +327,28 @@
   return {cpu_share.value, RendezvousWeight(kPlannerKey, address.value)};
 }
 
-bool Membership::HasSettled() const {
+bool Membership::IsPastStartupGrace() const {
   const bool has_seeds =
       std::any_of(seeds_.begin(), seeds_.end(),
                   [this](const HostAddress& s) { return s != self_.address; });
-  const bool hears_nobody = has_seeds && hosts_.empty();
-  const Millis needed = hears_nobody ? kIsolatedStartupGrace : kStartupGrace;
-  return expected_ || clock_() - started_ >= needed;
+  const bool hears_no_host = has_seeds && hosts_.empty();
+  const Millis needed = hears_no_host ? kIsolatedStartupGrace : kStartupGrace;
+  return expected_to_plan_ || clock_() - started_at_ >= needed;
 }
 
 bool Membership::IsEligible(const Host& host) const {
   return !host.leaving && clock_() >= host.suspect_until;
 }
 
-void Membership::DropForgotten() {
+void Membership::ForgetSilentHosts() {
   const TimePoint now = clock_();
-  if (now - dropped_forgotten_ < kHeartbeatTimeout) {
+  if (now - last_forget_at_ < kHeartbeatTimeout) {
     return;
   }
-  dropped_forgotten_ = now;
+  last_forget_at_ = now;
   for (auto it = hosts_.begin(); it != hosts_.end();) {
     const Host& host = it->second;
-    const TimePoint last = std::max(host.heard, host.vouched);
+    const TimePoint last = std::max(host.last_heard_at, host.last_reported_at);
     const auto next = std::next(it);
     if (now - last > kForgetAfter) {
       Forget(it);
@@ -350,10 +358,10 @@
 }
 
 void Membership::Forget(Hosts::iterator host) {
-  const std::size_t place = host->second.place;
-  order_[place] = order_.back();
-  hosts_.at(order_[place]).place = place;
-  order_.pop_back();
+  const std::size_t address_index = host->second.address_index;
+  addresses_[address_index] = addresses_.back();
+  hosts_.at(addresses_[address_index]).address_index = address_index;
+  addresses_.pop_back();
   hosts_.erase(host);
 }
 
--- a/src/core/membership_property_test.cc
+++ b/src/core/membership_property_test.cc
@@ -20,26 +20,26 @@
   explicit PlainScan(KnownHost self) : self_(std::move(self)) {}
 
   struct Host {
-    Heartbeat word;
+    Heartbeat heartbeat;
     std::optional<TimePoint> heard;
     std::optional<TimePoint> vouched;
     std::optional<TimePoint> unanswered;
     TimePoint suspect_until{};
   };
 
-  void OnHeartbeat(const Heartbeat& word, TimePoint now) {
-    Host& host = hosts[word.address];
-    host.word = word;
+  void OnHeartbeat(const Heartbeat& heartbeat, TimePoint now) {
+    Host& host = hosts[heartbeat.address];
+    host.heartbeat = heartbeat;
     host.heard = now;
     host.suspect_until = TimePoint{};
-    if (word.poll_state == PollState::kFailed) {
+    if (heartbeat.poll_state == PollState::kFailed) {
       host.unanswered = now;
     }
-    for (const KnownHost& known : word.hosts) {
+    for (const KnownHost& known : heartbeat.hosts) {
       if (known.address != self_.address) {
         Host& other = hosts[known.address];
-        other.word.address = known.address;
-        other.word.cpu_share = known.cpu_share;
+        other.heartbeat.address = known.address;
+        other.heartbeat.cpu_share = known.cpu_share;
         other.vouched = now;
       }
     }
@@ -58,7 +58,7 @@
     return IsRecent(host.heard, now) || IsRecent(host.vouched, now);
   }
   static bool IsEligible(const Host& host, TimePoint now) {
-    return !host.word.leaving && now >= host.suspect_until;
+    return !host.heartbeat.leaving && now >= host.suspect_until;
   }
 
   static HostRank RankOf(const HostAddress& address, CpuShare cpu_share) {
@@ -71,9 +71,9 @@
     HostAddress best = self_.address;
     HostRank rank = RankOf(self_.address, self_.cpu_share);
     for (const auto& [address, host] : hosts) {
-      if (may(host) && RankOf(address, host.word.cpu_share) > rank) {
+      if (may(host) && RankOf(address, host.heartbeat.cpu_share) > rank) {
         best = address;
-        rank = RankOf(address, host.word.cpu_share);
+        rank = RankOf(address, host.heartbeat.cpu_share);
       }
     }
     return best;
@@ -93,7 +93,7 @@
     int most = 1 + static_cast<int>(Alive(now).size());
     for (const auto& [address, host] : hosts) {
       if (IsRecent(host.heard, now)) {
-        most = std::max(most, host.word.alive_hosts);
+        most = std::max(most, host.heartbeat.alive_hosts);
       }
     }
     return most;
@@ -104,10 +104,11 @@
                                          StoreRevision known,
                                          TimePoint now) const {
     std::set<HostAddress> best = Most(now, [&](const Host& host) {
-      return host.word.store_data_fresh && known < host.word.known_up_to
+      return host.heartbeat.store_data_fresh &&
+                     known < host.heartbeat.known_up_to
                  ? std::make_tuple(true, std::uint64_t{0},
-                                   host.word.known_up_to.value,
-                                   host.word.cpu_share.value)
+                                   host.heartbeat.known_up_to.value,
+                                   host.heartbeat.cpu_share.value)
                  : std::make_tuple(false, std::uint64_t{0}, std::uint64_t{0},
                                    0.0);
     });
@@ -116,8 +117,8 @@
     }
     return Most(now, [&](const Host& host) {
       return std::make_tuple(
-          routing < host.word.routing, host.word.routing.value,
-          host.word.known_up_to.value, host.word.cpu_share.value);
+          routing < host.heartbeat.routing, host.heartbeat.routing.value,
+          host.heartbeat.known_up_to.value, host.heartbeat.cpu_share.value);
     });
   }
 
@@ -154,23 +155,23 @@
   }
 
   Heartbeat RandomWord() {
-    Heartbeat word;
+    Heartbeat heartbeat;
     const std::uint64_t host = 1 + random_() % kHosts;
-    word.address = Address(host);
-    word.cpu_share = CpuShare{host % 3 == 0 ? 1.0 : 0.09};
-    word.routing = RoutingVersion{random_() % 4};
-    word.known_up_to = StoreRevision{random_() % 5};
-    word.store_data_fresh = random_() % 3 != 0;
-    word.poll_state = static_cast<PollState>(random_() % 4);
-    word.planner = Address(random_() % 8 == 0 ? host : random_() % kHosts);
-    word.leaving = random_() % 20 == 0;
-    word.alive_hosts = static_cast<int>(random_() % 30);
+    heartbeat.address = Address(host);
+    heartbeat.cpu_share = CpuShare{host % 3 == 0 ? 1.0 : 0.09};
+    heartbeat.routing = RoutingVersion{random_() % 4};
+    heartbeat.known_up_to = StoreRevision{random_() % 5};
+    heartbeat.store_data_fresh = random_() % 3 != 0;
+    heartbeat.poll_state = static_cast<PollState>(random_() % 4);
+    heartbeat.planner = Address(random_() % 8 == 0 ? host : random_() % kHosts);
+    heartbeat.leaving = random_() % 20 == 0;
+    heartbeat.alive_hosts = static_cast<int>(random_() % 30);
     for (std::uint64_t i = random_() % 4; i > 0; --i) {
       const std::uint64_t other = random_() % kHosts;
-      word.hosts.push_back(
+      heartbeat.hosts.push_back(
           KnownHost{Address(other), CpuShare{other % 3 == 0 ? 1.0 : 0.09}});
     }
-    return word;
+    return heartbeat;
   }
 
   void Play() {
@@ -185,9 +186,9 @@
         break;
       }
       default: {
-        const Heartbeat word = RandomWord();
-        book_.OnHeartbeat(word);
-        plain_.OnHeartbeat(word, now_);
+        const Heartbeat heartbeat = RandomWord();
+        book_.OnHeartbeat(heartbeat);
+        plain_.OnHeartbeat(heartbeat, now_);
       }
     }
   }
@@ -206,7 +207,7 @@
 
   void CheckPlanner() {
     const auto claims = [this](const PlainScan::Host& host) {
-      return host.word.planner == host.word.address &&
+      return host.heartbeat.planner == host.heartbeat.address &&
              PlainScan::IsRecent(host.heard, now_) &&
              PlainScan::IsEligible(host, now_);
     };
@@ -250,7 +251,8 @@
       const bool passed_over =
           host.unanswered.has_value() &&
           now_ - *host.unanswered <= Membership::kFailedPollerCooldown;
-      CHECK((host.word.poll_state == PollState::kAnswered || !passed_over));
+      CHECK(
+          (host.heartbeat.poll_state == PollState::kAnswered || !passed_over));
     }
   }
 
@@ -288,20 +290,20 @@
       [&random] { return random(); });
   HostAddress next;
   for (int host = 0; host < kHosts; ++host) {
-    Heartbeat word;
-    word.address = HostAddress{"10.1." + std::to_string(host) + ":1"};
-    word.cpu_share = CpuShare{host == 0 ? 1.0 : 0.09};
-    book.OnHeartbeat(word);
-    next = host == 0 ? word.address : next;
+    Heartbeat heartbeat;
+    heartbeat.address = HostAddress{"10.1." + std::to_string(host) + ":1"};
+    heartbeat.cpu_share = CpuShare{host == 0 ? 1.0 : 0.09};
+    book.OnHeartbeat(heartbeat);
+    next = host == 0 ? heartbeat.address : next;
   }
   std::set<HostAddress> named;
   for (Millis passed{0}; passed < Membership::kHeartbeatTimeout;
        passed += Millis(300)) {
-    Heartbeat word;
-    word.hosts = book.PartialViewFor(next);
+    Heartbeat heartbeat;
+    heartbeat.hosts = book.PartialViewFor(next);
     constexpr std::size_t kMostBytes = 16384;
-    CHECK(EncodeFleetMessage(word).size() <= kMostBytes);
-    for (const KnownHost& known : word.hosts) {
+    CHECK(EncodeFleetMessage(heartbeat).size() <= kMostBytes);
+    for (const KnownHost& known : heartbeat.hosts) {
       named.insert(known.address);
     }
   }
--- a/src/core/membership_test.cc
+++ b/src/core/membership_test.cc
@@ -32,13 +32,13 @@
   }
 
   Heartbeat WordOf(int host) {
-    Heartbeat word;
-    word.node = NodeId{std::to_string(host)};
-    word.address = Address(host);
-    word.cpu_share = CpuShareOf(host);
-    word.planner = books_.at(host)->Planner().value_or(HostAddress{});
-    word.leaving = books_.at(host)->IsLeaving();
-    return word;
+    Heartbeat heartbeat;
+    heartbeat.node = NodeId{std::to_string(host)};
+    heartbeat.address = Address(host);
+    heartbeat.cpu_share = CpuShareOf(host);
+    heartbeat.planner = books_.at(host)->Planner().value_or(HostAddress{});
+    heartbeat.leaving = books_.at(host)->IsLeaving();
+    return heartbeat;
   }
 
   // `from` tells `to`, and hears back.
@@ -170,17 +170,18 @@
                  "A planner that was started again plans on as soon as one "
                  "that follows it tells it so") {
   TalkFor(Membership::kStartupGrace + Millis(300));
-  const Heartbeat word = WordOf(3);
+  const Heartbeat heartbeat = WordOf(3);
   AddHost(0);
   CHECK_FALSE(books_.at(0)->Planner().has_value());
-  books_.at(0)->OnHeartbeat(word);
+  books_.at(0)->OnHeartbeat(heartbeat);
   CHECK(books_.at(0)->IsPlanner());
   TalkFor(Millis(300));
   CHECK(FollowersOf(0) == 6);
 }
 
-// Every host knows some of the others by word of third hosts alone. If what a
-// host knows of another decided, and not its rank, each would follow another.
+// Every host knows some of the others by heartbeat of third hosts alone. If
+// what a host knows of another decided, and not its rank, each would follow
+// another.
 TEST_CASE_METHOD(FleetFixture,
                  "One host of a large fleet plans, however they come to know "
                  "each other") {
@@ -237,11 +238,11 @@
 TEST_CASE_METHOD(FleetFixture,
                  "Only a living host that knows more is asked for it") {
   Membership& book = *books_.at(5);
-  Heartbeat word = WordOf(1);
-  word.routing = RoutingVersion{3};
-  word.known_up_to = StoreRevision{40};
-  word.store_data_fresh = true;
-  book.OnHeartbeat(word);
+  Heartbeat heartbeat = WordOf(1);
+  heartbeat.routing = RoutingVersion{3};
+  heartbeat.known_up_to = StoreRevision{40};
+  heartbeat.store_data_fresh = true;
+  book.OnHeartbeat(heartbeat);
   CHECK(book.FindMoreUpToDate(RoutingVersion{2}, StoreRevision{50}) ==
         Address(1));
   CHECK(book.FindMoreUpToDate(RoutingVersion{3}, StoreRevision{39}) ==
@@ -263,9 +264,9 @@
   const std::vector<HostAddress> chosen = book.StorePollers();
   REQUIRE(chosen.size() == Membership::kPollersBesidePlanner);
   for (int host = 1; host <= 4; ++host) {
-    Heartbeat word = WordOf(host);
-    word.poll_state = PollState::kStarted;
-    book.OnHeartbeat(word);
+    Heartbeat heartbeat = WordOf(host);
+    heartbeat.poll_state = PollState::kStarted;
+    book.OnHeartbeat(heartbeat);
   }
   CHECK(book.StorePollers() == chosen);
 }
@@ -306,10 +307,10 @@
   now_ += std::chrono::minutes(5);
   books_.at(0)->RecordFleetSize();
   CHECK(books_.at(0)->ObservedHosts() == 1);
-  Heartbeat word = WordOf(0);
-  word.peak_hosts = books_.at(0)->Size().PeakObserved();
+  Heartbeat heartbeat = WordOf(0);
+  heartbeat.peak_hosts = books_.at(0)->Size().PeakObserved();
   AddHost(9);
-  books_.at(9)->OnHeartbeat(word);
+  books_.at(9)->OnHeartbeat(heartbeat);
   CHECK_FALSE(books_.at(9)->Size().MaxHosts().has_value());
   now_ += FleetSize::kStartupGrace;
   CHECK(books_.at(9)->Size().MaxHosts() == 6);
