--- a/include/harecrank/core/poll_schedule.h
+++ b/include/harecrank/core/poll_schedule.h
@@ -1,22 +1,22 @@
-// Whether this host reads the platform's service itself, and for how long.
+// Decides whether and how a host polls the store.
 //
-// Each call to the service has a price, and its rates grow more slowly than the
-// fleet. One host, the planner or one that it names, reads all the time and
-// tells the rest; two stand by. What a host knows has an age, counted from the
-// moment at which the service last answered whoever read it. The host whose
-// turn comes first at that age reads once and tells the planner, which tells
-// the others before their turns come:
+// Each call to the store has a cost, and its rate limits grow more slowly than
+// the fleet. One host, the planner or one that it names, polls continuously and
+// updates the others; two more hosts stand by. The data of a host have an age:
+// the time since the store gave the answer from which they come, to whichever
+// host. As the data of a host grow old, the host polls once and updates the
+// planner, which updates the others before they poll as well:
 //
-//   the reader         always
-//   those that         at kStandbyPollAge, and kStandbyPollStep later for each
-//   before stand by           them all others         from kFreshFor on, a few
-//   first and more by and by,
-//                      but never more than kMaxConcurrentPolls together
+// continuous poller   always
+// standby hosts       from age kStandbyPollAge on, and kStandbyPollStep
+//                     later for each standby host before it
+// all other hosts     from age kFreshFor on, in rounds: a few hosts at the
+//                     beginning of a round, then more, kMaxConcurrentPolls
+//                     on average in all
 //
-// So the number of calls a second is bounded whatever the size of the fleet,
-// also while the service answers nobody, and no rule that binds a host depends
-// on another host for long. A host that hears no other shares the turns with
-// nobody, and reads at kStandbyPollAge.
+// So the rate of calls is bounded for any size of the fleet, also while the
+// store does not answer, and no host depends on another one for long. A host
+// that hears no other host polls at kStandbyPollAge.
 
 #ifndef HARECRANK_CORE_POLL_SCHEDULE_H_
 #define HARECRANK_CORE_POLL_SCHEDULE_H_
@@ -30,109 +30,110 @@
 
 namespace harecrank {
 
-// How a host reads the platform.
+// How a host polls the store.
 enum class PollMode {
-  // Not at all: it is told by others.
+  // Not at all: other hosts update it.
   kNone,
-  // One answer, since nobody has told it for a while.
+  // Until one answer: no host has updated it recently.
   kOnce,
-  // All the time, for others too.
+  // All the time, also for other hosts.
   kContinuous
 };
 
-// What the duty asks of its owner.
+// Callbacks of PollSchedule.
 struct PollSchedulePorts {
-  // How many hosts share the turns, this one among them; one if it hears no
-  // other.
+  // Returns the number of hosts that share the polls, including this one; one
+  // if it hears no other.
   std::function<int()> polling_hosts;
-  // Whether another host is known that can tell this one all it does not know.
+  // Returns whether a host is known that can send this one a snapshot.
   std::function<bool()> snapshot_available;
 };
 
 // Not thread-safe.
 class PollSchedule {
  public:
-  // `is_seed`: other hosts turn to this one first.
+  // `is_seed`: other hosts contact this one first.
   PollSchedule(bool is_seed, PollSchedulePorts ports, MonotonicClock clock,
                RandomSource random);
 
-  // The planner, which may be this host, has named this one's turn among those
-  // that read for all: zero reads all the time, others stand by. Nothing: it
-  // is none of them.
-  void SetPollRank(std::optional<int> turn);
+  // Sets this host's rank among the hosts that poll for the fleet, as the
+  // planner assigns it: zero polls continuously, the others stand by. Nothing
+  // if it is not one of them.
+  void SetPollRank(std::optional<int> rank);
 
-  // The service answered this host, or not as it should.
+  // Records whether the store has answered a poll of this host.
   void OnPollSucceeded();
   void OnPollFailed();
 
-  // A host has told this one all that it knows, which the service answered
-  // `age` ago. What was read long ago counts as little at the end of a chain of
-  // hosts as at its beginning.
+  // Records that another host has sent this one everything that it knows, as of
+  // `age` ago. The age is counted from the answer of the store and not from the
+  // message, so that it is the same at all hosts of a chain.
   void OnPeerUpdate(Millis age);
 
-  // Looks whether this host's turn has come. To be called a few times a second
-  // and before Mode is looked at.
+  // Updates the mode. To be called a few times a second and before Mode.
   void Update();
 
-  // Returns how this host has to read.
   PollMode Mode() const;
 
-  // Returns how this host's own reading goes.
+  // Returns the state of this host's own polling, which its heartbeats report.
   PollState OwnPollState() const;
 
-  // Returns whether this host knows what is published, from the service or from
-  // another host.
+  // Returns whether the data of the store are fresh, from the store itself or
+  // from another host.
   bool HasFreshData() const { return Age() <= kFreshFor; }
 
-  // Returns whether the turns of hosts that stand by have begun to come.
+  // Returns whether the data are so old that standby hosts begin to poll.
   bool IsOverdue() const { return Age() > kStandbyPollAge; }
 
-  // Returns how long ago the service answered what this host knows; kUnknownAge
-  // if it knows nothing.
+  // Returns the age of the data; kUnknownAge if there are none.
   Millis Age() const;
 
-  // How long the reader's calls wait for a change.
+  // How long a call of the continuous poller waits for a change.
   static constexpr Millis kLongPollWait{500};
-  // What a call takes, and what a word takes on its way and in the queues of
-  // weak hosts.
+  // Duration of a call, and delay of a heartbeat on the network and in the
+  // queues of hosts with a small CPU share.
   static constexpr Millis kCallTime{50};
   static constexpr Millis kHeartbeatDelay{50};
-  // The longest pause between two words of the planner to a host.
+  // Longest interval between two heartbeats of the planner to a host.
   static constexpr Millis kMaxHeartbeatInterval{340};
-  // How long an answer of the service counts.
+  // How long data of the store count as fresh.
   static constexpr Millis kFreshFor{1000};
-  // Longer than any answer counts.
+  // Stands for the age of unknown data: longer than any data are used.
   static constexpr Millis kUnknownAge{3600000};
-  // The age at which the first host that stands by reads: the planner tells it
-  // each answer at once.
+  // Age of the data at which the first standby host polls. The planner sends
+  // standby hosts each answer at once.
   static constexpr Millis kStandbyPollAge{650};
+  // Added for each standby host before this one.
   static constexpr Millis kStandbyPollStep{150};
-  // The turns of all other hosts come within this.
+  // The polls of all other hosts are spread over this part of a round.
   static constexpr Millis kSpread{400};
-  // With so many that begin at once, all are turned away together only where
-  // the service turns away nearly everyone; and so many begin first.
+  // Expected number of hosts that poll in a round. With 16 of them, no poll of
+  // a round succeeds only if the store rejects nearly all hosts.
   static constexpr int kMaxConcurrentPolls = 16;
+  // Expected number of them that poll at the beginning of the round.
   static constexpr int kInitialConcurrentPolls = 2;
-  // After this the turns are drawn anew; it doubles while the service does not
-  // answer this host.
+  // Length of a round, for each of which the polling hosts are drawn again.
+  // Doubles, up to kMaxRound, while the store does not answer this host.
   static constexpr Millis kRound{500};
   static constexpr Millis kMaxRound{2000};
-  // A seed that has just started reads at once, since callers may be waiting
-  // for the whole fleet. The turns of other hosts come after this, and for so
-  // long at the most they wait for a copy of what another one knows.
+  // A seed polls as soon as it starts, since callers may be waiting for the
+  // whole fleet. Other hosts do not poll within this time after their start.
   static constexpr Millis kStartupDelay{150};
+  // Longest time after the start for which a host waits for a snapshot of
+  // another host instead of polling.
   static constexpr Millis kMaxSnapshotWait{2000};
 
-  // A host that every word reaches has no turn while the service is well, and
-  // one that has missed a word does not read for sure.
+  // A host that receives every heartbeat does not poll while the store answers.
+  // A host that has missed one heartbeat may be updated before its slot.
   static_assert(kLongPollWait + kCallTime + kMaxHeartbeatInterval +
                     kHeartbeatDelay <=
                 kFreshFor);
   static_assert(kLongPollWait + kCallTime + 2 * kMaxHeartbeatInterval +
                     kHeartbeatDelay <=
                 kFreshFor + kSpread);
-  // Those that stand by are told within their patience, and others are told
-  // what the first of them reads before their own turns come.
+  // Standby hosts are updated before their polls are due. All other hosts are
+  // updated with the answer to either standby host before their own polls are
+  // due.
   static_assert(kLongPollWait + kCallTime + kHeartbeatDelay <= kStandbyPollAge);
   static_assert(kStandbyPollAge + kStandbyPollStep + kCallTime +
                     2 * kHeartbeatDelay <=
@@ -140,32 +141,37 @@
   static_assert(kSpread < kRound);
 
  private:
-  bool KnowsNothing() const { return !answered_at_.has_value(); }
-  // Returns the age at which this host's turns begin.
-  Millis Patience() const;
-  // Begins the rounds of turns at `from`.
+  bool HasNoData() const { return !data_as_of_.has_value(); }
+  // Returns the age of the data from which on this host may poll.
+  Millis FirstSlotAge() const;
+  // Begins a new round at `from` and draws this host's slot in it.
   void BeginRounds(TimePoint from);
+  // Returns the length of the current round.
   Millis RoundLength() const;
-  // Returns how long after the beginning of a round this host's turn comes;
-  // nothing if not in this round.
-  std::optional<Millis> TurnInRound() const;
+  // Returns how long after the beginning of the round this host polls; nothing
+  // if it does not poll in this round.
+  std::optional<Millis> SlotInRound() const;
 
   PollSchedulePorts ports_;
   MonotonicClock clock_;
   RandomSource random_;
-  TimePoint started_;
-  std::optional<int> turn_;
-  // Its turn has come, and the service is still to answer.
-  bool reads_once_ = false;
+  TimePoint started_at_;
+  // Rank among the hosts that poll for the fleet; nothing if it is none of
+  // them.
+  std::optional<int> poll_rank_;
+  // A single poll is due and the store has not answered it yet.
+  bool poll_due_ = false;
+  // Number of failed polls since the last success.
   int failures_ = 0;
-  // When the service last failed to answer this host, unless it has answered
-  // since; when it last answered it, and whoever it knows from.
-  std::optional<TimePoint> failed_at_;
-  std::optional<TimePoint> own_answered_at_;
-  std::optional<TimePoint> answered_at_;
-  TimePoint round_began_;
-  // Of this round, between zero and one.
-  double draw_ = 0;
+  // When a poll of this host last failed, unless one has succeeded since.
+  std::optional<TimePoint> poll_failed_at_;
+  // When a poll of this host last succeeded.
+  std::optional<TimePoint> poll_succeeded_at_;
+  // When the store gave the answer from which the data come.
+  std::optional<TimePoint> data_as_of_;
+  TimePoint round_began_at_;
+  // Random number between zero and one that decides the slot in this round.
+  double round_draw_ = 0;
 };
 
 }  // namespace harecrank
--- a/src/core/poll_schedule.cc
+++ b/src/core/poll_schedule.cc
@@ -12,60 +12,60 @@
     : ports_(std::move(ports)),
       clock_(std::move(clock)),
       random_(std::move(random)),
-      started_(clock_()),
-      reads_once_(is_seed) {
-  BeginRounds(started_ + kStartupDelay);
+      started_at_(clock_()),
+      poll_due_(is_seed) {
+  BeginRounds(started_at_ + kStartupDelay);
 }
 
-void PollSchedule::SetPollRank(std::optional<int> turn) {
-  if (turn == turn_) {
+void PollSchedule::SetPollRank(std::optional<int> rank) {
+  if (rank == poll_rank_) {
     return;
   }
-  turn_ = turn;
+  poll_rank_ = rank;
   failures_ = 0;
-  reads_once_ = false;
-  if (answered_at_.has_value()) {
-    BeginRounds(*answered_at_ + Patience());
+  poll_due_ = false;
+  if (data_as_of_.has_value()) {
+    BeginRounds(*data_as_of_ + FirstSlotAge());
   }
 }
 
 void PollSchedule::OnPollSucceeded() {
-  own_answered_at_ = clock_();
-  failed_at_.reset();
+  poll_succeeded_at_ = clock_();
+  poll_failed_at_.reset();
   failures_ = 0;
-  reads_once_ = false;
+  poll_due_ = false;
   OnPeerUpdate(Millis(0));
 }
 
 void PollSchedule::OnPollFailed() {
-  failed_at_ = clock_();
-  reads_once_ = false;
+  poll_failed_at_ = clock_();
+  poll_due_ = false;
   ++failures_;
-  // It had its turn in this round.
+  // It had its slot in this round.
   BeginRounds(clock_() + RoundLength());
 }
 
 void PollSchedule::OnPeerUpdate(Millis age) {
   const TimePoint answered = clock_() - age;
-  if (answered_at_.has_value() && answered <= *answered_at_) {
+  if (data_as_of_.has_value() && answered <= *data_as_of_) {
     return;
   }
-  answered_at_ = answered;
-  BeginRounds(answered + Patience());
+  data_as_of_ = answered;
+  BeginRounds(answered + FirstSlotAge());
 }
 
-Millis PollSchedule::Patience() const {
-  if (turn_.has_value()) {
-    // The turn of zero has come anyway.
-    return kStandbyPollAge + std::max(0, *turn_ - 1) * kStandbyPollStep;
+Millis PollSchedule::FirstSlotAge() const {
+  if (poll_rank_.has_value()) {
+    // The slot of zero has come anyway.
+    return kStandbyPollAge + std::max(0, *poll_rank_ - 1) * kStandbyPollStep;
   }
   return ports_.polling_hosts() > 1 ? kFreshFor : kStandbyPollAge;
 }
 
 void PollSchedule::BeginRounds(TimePoint from) {
-  round_began_ = from;
-  draw_ = static_cast<double>(random_()) /
-          static_cast<double>(std::numeric_limits<std::uint64_t>::max());
+  round_began_at_ = from;
+  round_draw_ = static_cast<double>(random_()) /
+                static_cast<double>(std::numeric_limits<std::uint64_t>::max());
 }
 
 Millis PollSchedule::RoundLength() const {
@@ -74,18 +74,19 @@
                   kMaxRound);
 }
 
-std::optional<Millis> PollSchedule::TurnInRound() const {
+std::optional<Millis> PollSchedule::SlotInRound() const {
   const int polling_hosts = std::max(1, ports_.polling_hosts());
-  if (turn_.has_value()) {
+  if (poll_rank_.has_value()) {
     return Millis(0);
   }
   if (polling_hosts == 1) {
     // Others may be there all the same while this host has just started.
-    return KnowsNothing() ? Millis(static_cast<std::int64_t>(
-                                draw_ * static_cast<double>(kSpread.count())))
-                          : Millis(0);
+    return HasNoData()
+               ? Millis(static_cast<std::int64_t>(
+                     round_draw_ * static_cast<double>(kSpread.count())))
+               : Millis(0);
   }
-  const double place = draw_ * polling_hosts;
+  const double place = round_draw_ * polling_hosts;
   const int most = std::min(polling_hosts, kMaxConcurrentPolls);
   if (place > most) {
     return std::nullopt;
@@ -103,25 +104,25 @@
 
 void PollSchedule::Update() {
   const TimePoint now = clock_();
-  if (reads_once_ || now < round_began_) {
+  if (poll_due_ || now < round_began_at_) {
     return;
   }
-  while (now - round_began_ >= RoundLength()) {
-    BeginRounds(round_began_ + RoundLength());
+  while (now - round_began_at_ >= RoundLength()) {
+    BeginRounds(round_began_at_ + RoundLength());
   }
-  const bool waits_for_copy = KnowsNothing() &&
-                              now - started_ < kMaxSnapshotWait &&
-                              ports_.snapshot_available();
-  const std::optional<Millis> turn = TurnInRound();
-  reads_once_ =
-      !waits_for_copy && turn.has_value() && now - round_began_ >= *turn;
+  const bool waits_for_snapshot = HasNoData() &&
+                                  now - started_at_ < kMaxSnapshotWait &&
+                                  ports_.snapshot_available();
+  const std::optional<Millis> slot = SlotInRound();
+  poll_due_ =
+      !waits_for_snapshot && slot.has_value() && now - round_began_at_ >= *slot;
 }
 
 PollMode PollSchedule::Mode() const {
-  if (turn_ == 0) {
+  if (poll_rank_ == 0) {
     return PollMode::kContinuous;
   }
-  return reads_once_ ? PollMode::kOnce : PollMode::kNone;
+  return poll_due_ ? PollMode::kOnce : PollMode::kNone;
 }
 
 PollState PollSchedule::OwnPollState() const {
@@ -129,18 +130,18 @@
   const auto is_recent = [now](const std::optional<TimePoint>& time) {
     return time.has_value() && now - *time <= kFreshFor;
   };
-  if (is_recent(failed_at_)) {
+  if (is_recent(poll_failed_at_)) {
     return PollState::kFailed;
   }
-  if (is_recent(own_answered_at_)) {
+  if (is_recent(poll_succeeded_at_)) {
     return PollState::kAnswered;
   }
   return Mode() == PollMode::kNone ? PollState::kNone : PollState::kStarted;
 }
 
 Millis PollSchedule::Age() const {
-  return answered_at_.has_value()
-             ? std::chrono::duration_cast<Millis>(clock_() - *answered_at_)
+  return data_as_of_.has_value()
+             ? std::chrono::duration_cast<Millis>(clock_() - *data_as_of_)
              : kUnknownAge;
 }
 
