--- a/include/harecrank/core/snapshot_admission.h
+++ b/include/harecrank/core/snapshot_admission.h
@@ -1,10 +1,11 @@
-// Who is given a copy of all that is published, and when.
+// Admission control for snapshot transfers.
 //
-// Load: a fleet starts, or comes back, at once, and each host asks the same one
-// for everything: some tenth of a megabyte for each of hundreds of hosts. Only
-// a few copies go out at a time, each at full speed. Who comes meanwhile is
-// sent on to a host that was given one already, so that their number doubles
-// with each round, and otherwise told when its turn will be.
+// When a fleet starts or recovers, hundreds of hosts request a snapshot, about
+// 100 kB each, from the same host at once. Only a few transfers run at a time,
+// each at full speed. Other requests are redirected to a host that has received
+// a snapshot already, so that the number of hosts that serve snapshots doubles
+// with each round of transfers. If no such host is known, the requester is told
+// when to retry.
 
 #ifndef HARECRANK_CORE_SNAPSHOT_ADMISSION_H_
 #define HARECRANK_CORE_SNAPSHOT_ADMISSION_H_
@@ -18,11 +19,13 @@
 
 namespace harecrank {
 
+// This host serves the snapshot now.
 struct ServeSnapshot {};
-// Another host gives the same.
+// Another host serves the same snapshot.
 struct RedirectToPeer {
   HostAddress host;
 };
+// The requester should retry after `delay`.
 struct RetryLater {
   Millis delay{0};
 };
@@ -32,39 +35,43 @@
 // Not thread-safe.
 class SnapshotAdmission {
  public:
-  // `power` is this host's.
-  SnapshotAdmission(CpuShare power, MonotonicClock clock);
+  // `cpu_share` is that of this host.
+  SnapshotAdmission(CpuShare cpu_share, MonotonicClock clock);
 
-  // A host asks. `elsewhere` is another one that gives the same, if any is
-  // known. Each ServeSnapshot is followed by one OnTransferEnded.
-  SnapshotDecision OnRequest(const std::optional<HostAddress>& elsewhere);
+  // Decides on a request. `peer` is another host that can serve the same
+  // snapshot, if one is known. Each ServeSnapshot must be followed by one call
+  // of OnTransferEnded.
+  SnapshotDecision OnRequest(const std::optional<HostAddress>& peer);
 
-  // A copy has gone out, or its connection broke.
+  // Records that a transfer is complete or its connection was closed.
   void OnTransferEnded();
 
-  int ActiveTransfers() const { return under_way_; }
+  int ActiveTransfers() const { return active_transfers_; }
 
-  // How many copies go out at a time from a host with a whole core; fewer from
-  // weaker hosts.
+  // Number of concurrent transfers of a host with a whole core; proportionally
+  // fewer with a smaller CPU share, but at least one.
   static constexpr double kTransfersPerCore = 8;
-  // What it takes to give so many copies, before any has gone out and at the
-  // least, and the longest that a host is sent away for.
+  // Duration of a round of concurrent transfers: the value assumed until the
+  // first transfer has ended, and the lower limit of the measured value.
   static constexpr Millis kInitialRoundTime{40};
   static constexpr Millis kMinRoundTime{10};
+  // Longest delay of RetryLater.
   static constexpr Millis kMaxRetryDelay{800};
 
  private:
-  // Returns what it takes to give as many copies as go out at a time.
+  // Returns the duration of a round: the time in which `max_transfers_`
+  // transfers end.
   FractionalMillis RoundTime() const;
 
-  int most_;
+  int max_transfers_;
   MonotonicClock clock_;
-  int under_way_ = 0;
-  // Hosts that were sent away since a copy last went out at once.
-  int sent_away_ = 0;
-  // While copies are under way all the time: since when, and how many went out.
+  int active_transfers_ = 0;
+  // Requests that were told to retry since the host was last idle.
+  int deferred_requests_ = 0;
+  // Since when at least one transfer has been in progress.
   TimePoint busy_since_{};
-  int gone_ = 0;
+  // Transfers that have ended since then.
+  int ended_transfers_ = 0;
 };
 
 }  // namespace harecrank
--- a/src/core/snapshot_admission.cc
+++ b/src/core/snapshot_admission.cc
@@ -6,44 +6,47 @@
 
 namespace harecrank {
 
-SnapshotAdmission::SnapshotAdmission(CpuShare power, MonotonicClock clock)
-    : most_(std::max(1, static_cast<int>(power.value * kTransfersPerCore))),
+SnapshotAdmission::SnapshotAdmission(CpuShare cpu_share, MonotonicClock clock)
+    : max_transfers_(
+          std::max(1, static_cast<int>(cpu_share.value * kTransfersPerCore))),
       clock_(std::move(clock)) {}
 
 SnapshotDecision SnapshotAdmission::OnRequest(
-    const std::optional<HostAddress>& elsewhere) {
-  if (under_way_ < most_) {
-    if (under_way_ == 0) {
+    const std::optional<HostAddress>& peer) {
+  if (active_transfers_ < max_transfers_) {
+    if (active_transfers_ == 0) {
       busy_since_ = clock_();
-      gone_ = 0;
-      sent_away_ = 0;
+      ended_transfers_ = 0;
+      deferred_requests_ = 0;
     }
-    ++under_way_;
+    ++active_transfers_;
     return ServeSnapshot{};
   }
-  if (elsewhere.has_value()) {
-    return RedirectToPeer{*elsewhere};
+  if (peer.has_value()) {
+    return RedirectToPeer{*peer};
   }
   // Who comes later finds more hosts that give copies: their number doubles
   // with each round.
-  ++sent_away_;
+  ++deferred_requests_;
   const double rounds =
-      1 + std::log2(1 + static_cast<double>(sent_away_) / most_);
-  const auto away = std::chrono::duration_cast<Millis>(rounds * RoundTime());
-  return RetryLater{std::min(kMaxRetryDelay, away)};
+      1 +
+      std::log2(1 + static_cast<double>(deferred_requests_) / max_transfers_);
+  const auto delay = std::chrono::duration_cast<Millis>(rounds * RoundTime());
+  return RetryLater{std::min(kMaxRetryDelay, delay)};
 }
 
 FractionalMillis SnapshotAdmission::RoundTime() const {
-  if (gone_ == 0) {
+  if (ended_transfers_ == 0) {
     return kInitialRoundTime;
   }
   const FractionalMillis busy = clock_() - busy_since_;
-  return std::max(FractionalMillis(kMinRoundTime), busy * most_ / gone_);
+  return std::max(FractionalMillis(kMinRoundTime),
+                  busy * max_transfers_ / ended_transfers_);
 }
 
 void SnapshotAdmission::OnTransferEnded() {
-  --under_way_;
-  ++gone_;
+  --active_transfers_;
+  ++ended_transfers_;
 }
 
 }  // namespace harecrank
