--- a/include/harecrank/core/clock.h
+++ b/include/harecrank/core/clock.h
@@ -1,4 +1,4 @@
-// The sources of time and chance that decision logic is given.
+// Sources of time and randomness that are passed to decision logic.
 
 #ifndef HARECRANK_CORE_CLOCK_H_
 #define HARECRANK_CORE_CLOCK_H_
@@ -9,10 +9,10 @@
 
 namespace harecrank {
 
-// Never goes back, and counts on while the process is stopped and while its
-// whole machine is suspended. The standard library's steady clock stands still
-// during a suspension: a host that slept for five seconds by it took what it
-// knew for fresh, and told endpoints five seconds more than callers had left.
+// A monotonic clock that continues while the process is stopped and while the
+// machine is suspended. std::chrono::steady_clock does not count the time of a
+// suspension: after one, a host would take outdated data for fresh and grant
+// endpoints more time than their callers have left.
 struct BootClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -20,15 +20,15 @@
   using time_point = std::chrono::time_point<BootClock>;
   static constexpr bool is_steady = true;
 
-  // For timers and adapters alone: decision logic is given a MonotonicClock.
-  // The standard's requirements for clocks give it this name.
+  // For timers and adapters only: decision logic is given a MonotonicClock. The
+  // standard's requirements for clocks prescribe the name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   static time_point now() noexcept;
 };
 
 using TimePoint = BootClock::time_point;
 
-// Returns the present on a clock that never goes back, as BootClock does.
+// Returns the current time of a clock that never goes back, such as BootClock.
 using MonotonicClock = std::function<TimePoint()>;
 
 // Returns 64 random bits.
--- a/include/harecrank/core/fleet_size.h
+++ b/include/harecrank/core/fleet_size.h
@@ -1,9 +1,10 @@
-// How many hosts a fleet may have, also where most of them cannot be heard.
+// Estimates how many hosts the fleet has, including hosts that are not
+// reachable.
 //
-// Bounds that hold for all hosts together are kept by shares: each host takes
-// its part and no more. A host that divides by those that it hears now takes
-// too much as soon as a link is cut, so it divides by the most that were heard
-// for a long time.
+// Fleet-wide limits are enforced by shares: each host uses its part of the
+// limit. If hosts divided the limit by the number of hosts that they hear now,
+// a network partition would make both parts together exceed it. The limit is
+// therefore divided by the largest number of hosts seen over a long time.
 
 #ifndef HARECRANK_CORE_FLEET_SIZE_H_
 #define HARECRANK_CORE_FLEET_SIZE_H_
@@ -15,26 +16,26 @@
 
 namespace harecrank {
 
-// The highest of the numbers that were noted within a long time. Not
-// thread-safe.
+// Maximum of the values that were added within a time window. Not thread-safe.
 class WindowedMax {
  public:
   explicit WindowedMax(MonotonicClock clock);
 
-  void Note(int number);
+  void Add(int value);
 
-  // Returns zero if nothing was noted for long.
+  // Returns zero if no value was added recently.
   int Value() const;
 
-  // A number is remembered for this long at the least, and twice that at the
-  // most: longer than any cut or restart of a fleet lasts.
+  // A value counts for at least this time and at most twice that: longer than a
+  // network partition or a restart of the fleet lasts.
   static constexpr Millis kWindow{600000};
 
  private:
   MonotonicClock clock_;
-  TimePoint began_;
-  int current_ = 0;
-  int former_ = 0;
+  TimePoint window_began_at_;
+  // Maximum of the current window and of the one before it.
+  int current_max_ = 0;
+  int previous_max_ = 0;
 };
 
 // Not thread-safe.
@@ -42,36 +43,38 @@
  public:
   explicit FleetSize(MonotonicClock clock);
 
-  // Whether this host was told of others to turn to. If so, it knows the size
-  // only once it has heard of it; if not, it is alone.
+  // Sets whether this host has seeds other than itself. With seeds it knows the
+  // size only after it has heard of another host; without, it is alone.
   void SetHasOtherSeeds(bool has_other_seeds) {
     has_other_seeds_ = has_other_seeds;
   }
 
-  // Notes how many living hosts this one has heard itself, itself among them.
+  // Records the number of alive hosts that this host observes, including
+  // itself.
   void OnObserved(int hosts);
 
-  // Notes how many another host has counted.
+  // Records a number of hosts that another host reports.
   void OnReported(int hosts);
 
-  // Returns the most that this host has counted: what it may tell others. What
-  // it was told is not told on, or an old number would go round for ever.
+  // Returns the largest number that this host has observed itself, which its
+  // heartbeats report. Numbers reported by others are not passed on: an
+  // outdated number would circulate for ever.
   int PeakObserved() const;
 
-  // Returns the most hosts that the fleet may have; nothing if this host has
-  // started just now, or has not heard of any other.
+  // Returns the largest number of hosts that the fleet may have; nothing if
+  // this host has just started or has not heard of any other.
   std::optional<int> MaxHosts() const;
 
-  // A host that has started within this does not know the size: hosts that
-  // start together have not counted each other yet.
+  // How long after its start a host does not know the size: hosts that start
+  // together have not observed each other yet.
   static constexpr Millis kStartupGrace{2000};
 
  private:
   bool has_other_seeds_ = true;
   MonotonicClock clock_;
-  TimePoint started_;
-  WindowedMax counted_;
-  WindowedMax told_;
+  TimePoint started_at_;
+  WindowedMax observed_;
+  WindowedMax reported_;
 };
 
 }  // namespace harecrank
--- a/include/harecrank/core/host_list_cache.h
+++ b/include/harecrank/core/host_list_cache.h
@@ -1,4 +1,4 @@
-// What the platform's host list says, as far as routing needs it.
+// The part of the platform's host list that routing uses.
 
 #ifndef HARECRANK_CORE_HOST_LIST_CACHE_H_
 #define HARECRANK_CORE_HOST_LIST_CACHE_H_
@@ -13,25 +13,26 @@
 
 namespace harecrank {
 
-// One version of the list. Versions only grow.
+// One version of the list. Version numbers only increase.
 struct HostListVersion {
   std::uint64_t version = 0;
-  // Nodes that are leaving or no longer listed as live.
+  // Nodes that are leaving or are no longer listed as live.
   std::set<NodeId> leaving;
 };
 
-// Holds the newest version of the list that this process has heard of.
-// Thread-safe; reading is wait-free.
+// Holds the newest version of the list that this process has received.
+// Thread-safe; reads are wait-free.
 class HostListCache {
  public:
   HostListCache();
 
-  // Offers a version. Returns whether it was newer and is held now.
+  // Stores `version` if it is newer than the current one. Returns whether it
+  // was stored.
   bool Offer(HostListVersion version);
 
   std::shared_ptr<const HostListVersion> Current() const;
 
-  // Returns whether the list says that `node` is leaving.
+  // Returns whether the current version lists `node` as leaving.
   bool IsLeaving(const NodeId& node) const;
 
  private:
--- a/include/harecrank/core/pause_guard.h
+++ b/include/harecrank/core/pause_guard.h
@@ -1,4 +1,4 @@
-// Keeps a process that was paused from acting on an old view.
+// Keeps a process that was suspended from acting on an outdated decision.
 
 #ifndef HARECRANK_CORE_PAUSE_GUARD_H_
 #define HARECRANK_CORE_PAUSE_GUARD_H_
@@ -10,25 +10,25 @@
 
 namespace harecrank {
 
-// Bounds the time between a decision and the act that follows from it.
+// Limits the time between a decision and the action that follows from it.
 //
-// It is asked just before the act. What remains is a pause between that
-// question and the act itself, a few instructions and one system call; only a
-// fence that the receiver checks closes that window. Not thread-safe.
+// MayAct is called just before the action. A suspension between that call and
+// the action, a few instructions and one system call, is not detected; only a
+// fencing token that the receiver checks closes this window. Not thread-safe.
 class PauseGuard {
  public:
-  // A decision older than `most` is not to be acted on.
-  PauseGuard(Millis most, MonotonicClock clock)
-      : most_(most), clock_(std::move(clock)) {}
+  // A decision older than `max_age` must not be acted on.
+  PauseGuard(Millis max_age, MonotonicClock clock)
+      : max_age_(max_age), clock_(std::move(clock)) {}
 
-  // Notes that the decision is made now, on a view read now.
+  // Records that a decision is made now, on data read now.
   void OnDecision() { decided_ = clock_(); }
 
-  // Returns whether the decision is still fresh enough to act on.
-  bool MayAct() const { return clock_() - decided_ <= most_; }
+  // Returns whether the last decision may still be acted on.
+  bool MayAct() const { return clock_() - decided_ <= max_age_; }
 
  private:
-  Millis most_;
+  Millis max_age_;
   MonotonicClock clock_;
   TimePoint decided_{};
 };
--- a/include/harecrank/core/rendezvous.h
+++ b/include/harecrank/core/rendezvous.h
@@ -1,5 +1,6 @@
-// Rendezvous hashing: every process that knows the same members ranks them the
-// same way for a key, and a member that comes or goes moves no other.
+// Rendezvous hashing: all processes that know the same members rank them in the
+// same way for a key, and adding or removing a member does not change the order
+// of the others.
 
 #ifndef HARECRANK_CORE_RENDEZVOUS_H_
 #define HARECRANK_CORE_RENDEZVOUS_H_
@@ -10,7 +11,7 @@
 
 namespace harecrank {
 
-// Returns the weight of `member` for `key`. The same on every process.
+// Returns the weight of `member` for `key`. Equal in all processes.
 std::uint64_t RendezvousWeight(const std::string& key,
                                const std::string& member);
 
--- a/src/core/dissemination.cc
+++ b/src/core/dissemination.cc
@@ -11,8 +11,8 @@
 // Of this many comparisons, one goes to another data centre.
 constexpr std::uint64_t kRemoteOneIn = 4;
 // Looks at the service that all nodes that are no readers make together.
-constexpr std::int64_t kFallbackLooksPerSecond = 50;
-constexpr Millis kLeastFallback{30000};
+constexpr std::int64_t kFallbackPollsPerSecond = 50;
+constexpr Millis kMinFallbackInterval{30000};
 constexpr std::int64_t kMillisPerSecond = 1000;
 
 }  // namespace
@@ -39,7 +39,7 @@
                                    std::move(ids), count);
   const auto place = std::find(order.begin(), order.end(), self.value);
   const auto index = static_cast<std::size_t>(place - order.begin());
-  is_reader_ = index < kWatchers;
+  is_watcher_ = index < kWatchers;
   const std::size_t first = kWatchers + index * kFanOut;
   for (std::size_t i = first; i < first + kFanOut && i < order.size(); ++i) {
     children_.push_back(by_id.at(order[i]));
@@ -60,8 +60,8 @@
 
 Millis DisseminationPlan::FallbackPollInterval() const {
   const auto nodes = static_cast<std::int64_t>(NodeCount());
-  const Millis fair{nodes * kMillisPerSecond / kFallbackLooksPerSecond};
-  return std::max(fair, kLeastFallback);
+  const Millis fair{nodes * kMillisPerSecond / kFallbackPollsPerSecond};
+  return std::max(fair, kMinFallbackInterval);
 }
 
 }  // namespace harecrank
--- a/src/core/fleet_size.cc
+++ b/src/core/fleet_size.cc
@@ -6,43 +6,43 @@
 namespace harecrank {
 
 WindowedMax::WindowedMax(MonotonicClock clock)
-    : clock_(std::move(clock)), began_(clock_()) {}
+    : clock_(std::move(clock)), window_began_at_(clock_()) {}
 
-void WindowedMax::Note(int number) {
+void WindowedMax::Add(int value) {
   const TimePoint now = clock_();
-  if (now - began_ >= kWindow) {
-    former_ = now - began_ < 2 * kWindow ? current_ : 0;
-    current_ = 0;
-    began_ = now;
+  if (now - window_began_at_ >= kWindow) {
+    previous_max_ = now - window_began_at_ < 2 * kWindow ? current_max_ : 0;
+    current_max_ = 0;
+    window_began_at_ = now;
   }
-  current_ = std::max(current_, number);
+  current_max_ = std::max(current_max_, value);
 }
 
 int WindowedMax::Value() const {
-  const auto age = clock_() - began_;
+  const auto age = clock_() - window_began_at_;
   if (age >= 2 * kWindow) {
     return 0;
   }
-  return age >= kWindow ? current_ : std::max(current_, former_);
+  return age >= kWindow ? current_max_ : std::max(current_max_, previous_max_);
 }
 
 FleetSize::FleetSize(MonotonicClock clock)
     : clock_(std::move(clock)),
-      started_(clock_()),
-      counted_(clock_),
-      told_(clock_) {}
+      started_at_(clock_()),
+      observed_(clock_),
+      reported_(clock_) {}
 
-void FleetSize::OnObserved(int hosts) { counted_.Note(hosts); }
+void FleetSize::OnObserved(int hosts) { observed_.Add(hosts); }
 
-void FleetSize::OnReported(int hosts) { told_.Note(hosts); }
+void FleetSize::OnReported(int hosts) { reported_.Add(hosts); }
 
-int FleetSize::PeakObserved() const { return std::max(1, counted_.Value()); }
+int FleetSize::PeakObserved() const { return std::max(1, observed_.Value()); }
 
 std::optional<int> FleetSize::MaxHosts() const {
-  if (clock_() - started_ < kStartupGrace) {
+  if (clock_() - started_at_ < kStartupGrace) {
     return std::nullopt;
   }
-  const int most = std::max(PeakObserved(), told_.Value());
+  const int most = std::max(PeakObserved(), reported_.Value());
   if (has_other_seeds_ && most <= 1) {
     return std::nullopt;
   }
