--- a/include/harecrank/core/membership.h
+++ b/include/harecrank/core/membership.h
@@ -191,8 +191,8 @@
   // kHeartbeatTimeout, highest rank first, among them this host unless it is
   // leaving.
   std::vector<KnownHost> TopAliveByRank(std::size_t limit) const;
-  // Adds the next hosts of `addresses_`, at most `limit`, to `view`. Successive
-  // calls go round through all hosts.
+  // Adds those of the next `limit` hosts in `addresses_` to `view` that were
+  // heard within kHeartbeatTimeout. Successive calls cycle through all hosts.
   void AddNextHosts(std::size_t limit, std::vector<KnownHost>* view);
   // Removes hosts that have not been heard or named for a long time.
   void ForgetSilentHosts();
--- a/src/core/host_ranking.cc
+++ b/src/core/host_ranking.cc
@@ -9,13 +9,13 @@
 }
 
 void HostRanking::Set(const HostAddress& host, const HostRankingEntry& entry) {
-  const auto [held, is_new] = entries_.try_emplace(host, entry);
+  const auto [found, is_new] = entries_.try_emplace(host, entry);
   if (!is_new) {
-    if (held->second == entry) {
+    if (found->second == entry) {
       return;
     }
-    RemoveFromIndexes(host, held->second);
-    held->second = entry;
+    RemoveFromIndexes(host, found->second);
+    found->second = entry;
   }
   by_rank_.emplace(entry.rank, host);
   if (entry.claims_planner) {
@@ -32,10 +32,10 @@
 }
 
 void HostRanking::Remove(const HostAddress& host) {
-  const auto held = entries_.find(host);
-  if (held != entries_.end()) {
-    RemoveFromIndexes(host, held->second);
-    entries_.erase(held);
+  const auto found = entries_.find(host);
+  if (found != entries_.end()) {
+    RemoveFromIndexes(host, found->second);
+    entries_.erase(found);
   }
 }
 
@@ -53,14 +53,14 @@
     RoutingVersion routing, StoreRevision known_up_to,
     std::uint64_t random) const {
   if (!fresh_by_revision_.empty()) {
-    const RevisionKey most = std::get<0>(*fresh_by_revision_.rbegin());
-    if (known_up_to.value < most.first) {
-      auto drawn =
-          fresh_by_revision_.lower_bound({most, random, HostAddress{}});
-      if (drawn == fresh_by_revision_.end()) {
-        drawn = fresh_by_revision_.lower_bound({most, 0, HostAddress{}});
+    const RevisionKey best = std::get<0>(*fresh_by_revision_.rbegin());
+    if (known_up_to.value < best.first) {
+      auto chosen =
+          fresh_by_revision_.lower_bound({best, random, HostAddress{}});
+      if (chosen == fresh_by_revision_.end()) {
+        chosen = fresh_by_revision_.lower_bound({best, 0, HostAddress{}});
       }
-      return std::get<HostAddress>(*drawn);
+      return std::get<HostAddress>(*chosen);
     }
   }
   if (by_routing_version_.empty() ||
@@ -68,13 +68,14 @@
     return std::nullopt;
   }
   const std::uint64_t newest = by_routing_version_.rbegin()->first;
-  const RevisionKey most = std::get<0>(by_routing_version_.rbegin()->second);
-  auto drawn =
-      by_routing_version_.lower_bound({newest, {most, random, HostAddress{}}});
-  if (drawn == by_routing_version_.end()) {
-    drawn = by_routing_version_.lower_bound({newest, {most, 0, HostAddress{}}});
+  const RevisionKey best = std::get<0>(by_routing_version_.rbegin()->second);
+  auto chosen =
+      by_routing_version_.lower_bound({newest, {best, random, HostAddress{}}});
+  if (chosen == by_routing_version_.end()) {
+    chosen =
+        by_routing_version_.lower_bound({newest, {best, 0, HostAddress{}}});
   }
-  return std::get<HostAddress>(drawn->second);
+  return std::get<HostAddress>(chosen->second);
 }
 
 int HostRanking::MaxReportedAliveHosts() const {
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -8,15 +8,17 @@
 namespace harecrank {
 namespace {
 
-// Hosts forgotten after this long without a heartbeat. Long, so that a host
-// finds its fleet again after minutes of being cut off.
+// Hosts that have not been heard or named for this long are forgotten. Long
+// enough that a host finds its fleet again after it was partitioned for
+// minutes.
 constexpr std::chrono::minutes kForgetAfter{10};
-// Of so many hosts of highest rank those that read the platform are chosen:
-// with all of them poll_failed_at, the others read for themselves.
+// Number of hosts of highest rank among which pollers are chosen that the store
+// does not answer yet. If it answers none of them, the other hosts poll for
+// themselves.
 constexpr std::size_t kPollerCandidates = 16;
-// The key by which hosts of equal cpu_share are ranked.
+// Rendezvous key by which hosts of equal CPU share are ranked.
 constexpr char kPlannerKey[] = "planner";
-// The key by which hosts that know the same are drawn.
+// Rendezvous key by which hosts that are equally up to date are ordered.
 constexpr char kTieBreakKey[] = "draw";
 
 }  // namespace
@@ -194,9 +196,9 @@
   if (addresses_.empty() || seeds.empty()) {
     return seeds;
   }
-  const std::size_t drawn = random_() % (seeds.size() + addresses_.size());
-  return {drawn < seeds.size() ? seeds[drawn]
-                               : addresses_[drawn - seeds.size()]};
+  const std::size_t chosen = random_() % (seeds.size() + addresses_.size());
+  return {chosen < seeds.size() ? seeds[chosen]
+                                : addresses_[chosen - seeds.size()]};
 }
 
 std::vector<HostAddress> Membership::OtherAliveHosts() const {
@@ -248,9 +250,9 @@
   }
   for (std::size_t i = 0; i < kRandomMembersPerHeartbeat && !addresses_.empty();
        ++i) {
-    const HostAddress& drawn = addresses_[random_() % addresses_.size()];
-    if (heard_hosts_.Contains(drawn)) {
-      view.push_back(KnownHost{drawn, hosts_.at(drawn).cpu_share});
+    const HostAddress& chosen = addresses_[random_() % addresses_.size()];
+    if (heard_hosts_.Contains(chosen)) {
+      view.push_back(KnownHost{chosen, hosts_.at(chosen).cpu_share});
     }
   }
   return view;
@@ -348,9 +350,10 @@
   last_forget_at_ = now;
   for (auto it = hosts_.begin(); it != hosts_.end();) {
     const Host& host = it->second;
-    const TimePoint last = std::max(host.last_heard_at, host.last_reported_at);
+    const TimePoint last_sign_of_life =
+        std::max(host.last_heard_at, host.last_reported_at);
     const auto next = std::next(it);
-    if (now - last > kForgetAfter) {
+    if (now - last_sign_of_life > kForgetAfter) {
       Forget(it);
     }
     it = next;
--- a/src/core/membership_property_test.cc
+++ b/src/core/membership_property_test.cc
@@ -1,5 +1,5 @@
-// The orders that a Membership keeps up to date against a plain scan of all
-// that it was told.
+// Compares the indexes of Membership with a linear scan of everything that was
+// received.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -14,33 +14,33 @@
 namespace harecrank {
 namespace {
 
-// All that was told, looked through for each question.
-class PlainScan {
+// Keeps everything that was received and scans it for each question.
+class LinearScanModel {
  public:
-  explicit PlainScan(KnownHost self) : self_(std::move(self)) {}
+  explicit LinearScanModel(KnownHost self) : self_(std::move(self)) {}
 
   struct Host {
     Heartbeat heartbeat;
-    std::optional<TimePoint> heard;
-    std::optional<TimePoint> vouched;
-    std::optional<TimePoint> unanswered;
+    std::optional<TimePoint> last_heard_at;
+    std::optional<TimePoint> last_reported_at;
+    std::optional<TimePoint> poll_failed_at;
     TimePoint suspect_until{};
   };
 
   void OnHeartbeat(const Heartbeat& heartbeat, TimePoint now) {
     Host& host = hosts[heartbeat.address];
     host.heartbeat = heartbeat;
-    host.heard = now;
+    host.last_heard_at = now;
     host.suspect_until = TimePoint{};
     if (heartbeat.poll_state == PollState::kFailed) {
-      host.unanswered = now;
+      host.poll_failed_at = now;
     }
     for (const KnownHost& known : heartbeat.hosts) {
       if (known.address != self_.address) {
         Host& other = hosts[known.address];
         other.heartbeat.address = known.address;
         other.heartbeat.cpu_share = known.cpu_share;
-        other.vouched = now;
+        other.last_reported_at = now;
       }
     }
   }
@@ -55,7 +55,8 @@
     return time.has_value() && now - *time <= Membership::kHeartbeatTimeout;
   }
   static bool IsAlive(const Host& host, TimePoint now) {
-    return IsRecent(host.heard, now) || IsRecent(host.vouched, now);
+    return IsRecent(host.last_heard_at, now) ||
+           IsRecent(host.last_reported_at, now);
   }
   static bool IsEligible(const Host& host, TimePoint now) {
     return !host.heartbeat.leaving && now >= host.suspect_until;
@@ -65,13 +66,15 @@
     return {cpu_share.value, RendezvousWeight("planner", address.value)};
   }
 
-  // Returns the best of the hosts that `may` be chosen, and this one.
-  template <typename May>
-  HostAddress Best(const May& may) const {
+  // Returns the host of highest rank among this host and those that satisfy
+  // `is_allowed`.
+  template <typename Predicate>
+  HostAddress Best(const Predicate& is_allowed) const {
     HostAddress best = self_.address;
     HostRank rank = RankOf(self_.address, self_.cpu_share);
     for (const auto& [address, host] : hosts) {
-      if (may(host) && RankOf(address, host.heartbeat.cpu_share) > rank) {
+      if (is_allowed(host) &&
+          RankOf(address, host.heartbeat.cpu_share) > rank) {
         best = address;
         rank = RankOf(address, host.heartbeat.cpu_share);
       }
@@ -92,18 +95,18 @@
   int AliveHosts(TimePoint now) const {
     int most = 1 + static_cast<int>(Alive(now).size());
     for (const auto& [address, host] : hosts) {
-      if (IsRecent(host.heard, now)) {
+      if (IsRecent(host.last_heard_at, now)) {
         most = std::max(most, host.heartbeat.alive_hosts);
       }
     }
     return most;
   }
 
-  // Returns the hosts any of which may be asked for what it knows.
+  // Returns the hosts any of which FindMoreUpToDate may return.
   std::set<HostAddress> FindMoreUpToDate(RoutingVersion routing,
                                          StoreRevision known,
                                          TimePoint now) const {
-    std::set<HostAddress> best = Most(now, [&](const Host& host) {
+    std::set<HostAddress> best = GreatestBy(now, [&](const Host& host) {
       return host.heartbeat.store_data_fresh &&
                      known < host.heartbeat.known_up_to
                  ? std::make_tuple(true, std::uint64_t{0},
@@ -115,7 +118,7 @@
     if (!best.empty()) {
       return best;
     }
-    return Most(now, [&](const Host& host) {
+    return GreatestBy(now, [&](const Host& host) {
       return std::make_tuple(
           routing < host.heartbeat.routing, host.heartbeat.routing.value,
           host.heartbeat.known_up_to.value, host.heartbeat.cpu_share.value);
@@ -125,13 +128,14 @@
   std::map<HostAddress, Host> hosts;
 
  private:
-  // Returns those of the greatest key, if its first element is true.
+  // Returns the hosts with the greatest key among those recently heard whose
+  // key has a true first element.
   template <typename Key>
-  std::set<HostAddress> Most(TimePoint now, const Key& key) const {
+  std::set<HostAddress> GreatestBy(TimePoint now, const Key& key) const {
     std::set<HostAddress> best;
     decltype(key(Host{})) most{};
     for (const auto& [address, host] : hosts) {
-      if (!IsRecent(host.heard, now) || !std::get<0>(key(host))) {
+      if (!IsRecent(host.last_heard_at, now) || !std::get<0>(key(host))) {
         continue;
       }
       if (most < key(host)) {
@@ -148,13 +152,13 @@
   KnownHost self_;
 };
 
-class PropertyFixture {
+class MembershipPropertyFixture {
  protected:
   static HostAddress Address(std::uint64_t host) {
     return HostAddress{"10.0.0." + std::to_string(host) + ":1"};
   }
 
-  Heartbeat RandomWord() {
+  Heartbeat RandomHeartbeat() {
     Heartbeat heartbeat;
     const std::uint64_t host = 1 + random_() % kHosts;
     heartbeat.address = Address(host);
@@ -174,85 +178,85 @@
     return heartbeat;
   }
 
-  void Play() {
+  void ApplyRandomEvent() {
     switch (random_() % 4) {
       case 0:
         now_ += Millis(static_cast<std::int64_t>(random_() % 900));
         break;
       case 1: {
         const HostAddress host = Address(1 + random_() % kHosts);
-        book_.OnUnresponsive(host);
-        plain_.OnUnresponsive(host, now_);
+        membership_.OnUnresponsive(host);
+        model_.OnUnresponsive(host, now_);
         break;
       }
       default: {
-        const Heartbeat heartbeat = RandomWord();
-        book_.OnHeartbeat(heartbeat);
-        plain_.OnHeartbeat(heartbeat, now_);
+        const Heartbeat heartbeat = RandomHeartbeat();
+        membership_.OnHeartbeat(heartbeat);
+        model_.OnHeartbeat(heartbeat, now_);
       }
     }
   }
 
-  void Check() {
-    const std::set<HostAddress> alive = plain_.Alive(now_);
-    const std::vector<HostAddress> others = book_.OtherAliveHosts();
+  void CheckAgainstModel() {
+    const std::set<HostAddress> alive = model_.Alive(now_);
+    const std::vector<HostAddress> others = membership_.OtherAliveHosts();
     CHECK(std::set<HostAddress>(others.begin(), others.end()) == alive);
     CHECK(others.size() == alive.size());
-    CHECK(book_.ObservedHosts() == 1 + static_cast<int>(alive.size()));
-    CHECK(book_.AliveHosts() == plain_.AliveHosts(now_));
+    CHECK(membership_.ObservedHosts() == 1 + static_cast<int>(alive.size()));
+    CHECK(membership_.AliveHosts() == model_.AliveHosts(now_));
     CheckPlanner();
     CheckBetterInformed();
     CheckReaders();
   }
 
   void CheckPlanner() {
-    const auto claims = [this](const PlainScan::Host& host) {
+    const auto claims = [this](const LinearScanModel::Host& host) {
       return host.heartbeat.planner == host.heartbeat.address &&
-             PlainScan::IsRecent(host.heard, now_) &&
-             PlainScan::IsEligible(host, now_);
+             LinearScanModel::IsRecent(host.last_heard_at, now_) &&
+             LinearScanModel::IsEligible(host, now_);
     };
-    const bool any =
-        std::any_of(plain_.hosts.begin(), plain_.hosts.end(),
+    const bool has_claimant =
+        std::any_of(model_.hosts.begin(), model_.hosts.end(),
                     [&](const auto& entry) { return claims(entry.second); });
-    if (!claims_ && any) {
-      // Without itself, which is the weakest here.
-      CHECK(book_.Planner() == plain_.Best(claims));
+    if (!claims_planner_ && has_claimant) {
+      // This host does not declare itself; it has the lowest rank here.
+      CHECK(membership_.Planner() == model_.Best(claims));
       return;
     }
     const HostAddress candidate =
-        any ? plain_.Best(claims)
-            : plain_.Best([this](const PlainScan::Host& host) {
-                return PlainScan::IsAlive(host, now_) &&
-                       PlainScan::IsEligible(host, now_);
-              });
-    if (!claims_) {
-      CHECK(book_.Planner() == candidate);
+        has_claimant ? model_.Best(claims)
+                     : model_.Best([this](const LinearScanModel::Host& host) {
+                         return LinearScanModel::IsAlive(host, now_) &&
+                                LinearScanModel::IsEligible(host, now_);
+                       });
+    if (!claims_planner_) {
+      CHECK(membership_.Planner() == candidate);
     }
-    claims_ = book_.Planner() == kSelf.address;
+    claims_planner_ = membership_.Planner() == kSelf.address;
   }
 
   void CheckBetterInformed() {
     const RoutingVersion routing{random_() % 4};
     const StoreRevision known{random_() % 5};
-    const auto asked = book_.FindMoreUpToDate(routing, known);
+    const auto found = membership_.FindMoreUpToDate(routing, known);
     const std::set<HostAddress> best =
-        plain_.FindMoreUpToDate(routing, known, now_);
-    CHECK(asked.has_value() == !best.empty());
-    if (asked.has_value()) {
-      CHECK(best.count(*asked) == 1);
+        model_.FindMoreUpToDate(routing, known, now_);
+    CHECK(found.has_value() == !best.empty());
+    if (found.has_value()) {
+      CHECK(best.count(*found) == 1);
     }
   }
 
   void CheckReaders() {
-    for (const HostAddress& reader : book_.StorePollers()) {
-      const PlainScan::Host& host = plain_.hosts.at(reader);
-      CHECK(PlainScan::IsRecent(host.heard, now_));
-      CHECK(PlainScan::IsEligible(host, now_));
-      const bool passed_over =
-          host.unanswered.has_value() &&
-          now_ - *host.unanswered <= Membership::kFailedPollerCooldown;
+    for (const HostAddress& poller : membership_.StorePollers()) {
+      const LinearScanModel::Host& host = model_.hosts.at(poller);
+      CHECK(LinearScanModel::IsRecent(host.last_heard_at, now_));
+      CHECK(LinearScanModel::IsEligible(host, now_));
+      const bool in_cooldown =
+          host.poll_failed_at.has_value() &&
+          now_ - *host.poll_failed_at <= Membership::kFailedPollerCooldown;
       CHECK(
-          (host.heartbeat.poll_state == PollState::kAnswered || !passed_over));
+          (host.heartbeat.poll_state == PollState::kAnswered || !in_cooldown));
     }
   }
 
@@ -261,30 +265,33 @@
 
   std::mt19937_64 random_{GENERATE(1U, 2U, 3U, 4U, 5U)};
   TimePoint now_{std::chrono::hours(1)};
-  Membership book_{kSelf,
-                   {Address(1)},
-                   [this] { return now_; },
-                   [this] { return random_(); }};
-  PlainScan plain_{kSelf};
-  bool claims_ = false;
+  Membership membership_{kSelf,
+                         {Address(1)},
+                         [this] { return now_; },
+                         [this] { return random_(); }};
+  LinearScanModel model_{kSelf};
+  bool claims_planner_ = false;
 };
 
-TEST_CASE_METHOD(PropertyFixture,
-                 "A host book answers as a scan of all hosts would") {
+TEST_CASE_METHOD(
+    MembershipPropertyFixture,
+    "Membership agrees with a linear scan after any sequence of events") {
   now_ += Membership::kIsolatedStartupGrace;
   constexpr int kSteps = 3000;
   for (int step = 0; step < kSteps; ++step) {
-    Play();
-    Check();
+    ApplyRandomEvent();
+    CheckAgainstModel();
   }
 }
 
-// Words of a large fleet fit into datagrams, and all hosts are named in turn.
-TEST_CASE("A host that may plan next is told of a large fleet in parts") {
+// Heartbeats of a large fleet fit into datagrams, and successive heartbeats
+// name all hosts.
+TEST_CASE(
+    "A possible next planner is sent the members of a large fleet in parts") {
   constexpr int kHosts = 3000;
   TimePoint now{std::chrono::hours(1)};
   std::mt19937_64 random(7);
-  Membership book(
+  Membership membership(
       KnownHost{HostAddress{"10.0.0.1:1"}, CpuShare{2}},
       {HostAddress{"10.0.0.1:1"}}, [&now] { return now; },
       [&random] { return random(); });
@@ -293,14 +300,14 @@
     Heartbeat heartbeat;
     heartbeat.address = HostAddress{"10.1." + std::to_string(host) + ":1"};
     heartbeat.cpu_share = CpuShare{host == 0 ? 1.0 : 0.09};
-    book.OnHeartbeat(heartbeat);
+    membership.OnHeartbeat(heartbeat);
     next = host == 0 ? heartbeat.address : next;
   }
   std::set<HostAddress> named;
   for (Millis passed{0}; passed < Membership::kHeartbeatTimeout;
        passed += Millis(300)) {
     Heartbeat heartbeat;
-    heartbeat.hosts = book.PartialViewFor(next);
+    heartbeat.hosts = membership.PartialViewFor(next);
     constexpr std::size_t kMostBytes = 16384;
     CHECK(EncodeFleetMessage(heartbeat).size() <= kMostBytes);
     for (const KnownHost& known : heartbeat.hosts) {
