--- a/src/core/poll_schedule.cc
+++ b/src/core/poll_schedule.cc
@@ -41,22 +41,22 @@
   poll_failed_at_ = clock_();
   poll_due_ = false;
   ++failures_;
-  // It had its slot in this round.
+  // This host has already polled in this round.
   BeginRounds(clock_() + RoundLength());
 }
 
 void PollSchedule::OnPeerUpdate(Millis age) {
-  const TimePoint answered = clock_() - age;
-  if (data_as_of_.has_value() && answered <= *data_as_of_) {
+  const TimePoint as_of = clock_() - age;
+  if (data_as_of_.has_value() && as_of <= *data_as_of_) {
     return;
   }
-  data_as_of_ = answered;
-  BeginRounds(answered + FirstSlotAge());
+  data_as_of_ = as_of;
+  BeginRounds(as_of + FirstSlotAge());
 }
 
 Millis PollSchedule::FirstSlotAge() const {
   if (poll_rank_.has_value()) {
-    // The slot of zero has come anyway.
+    // Rank zero polls continuously and does not use its slot.
     return kStandbyPollAge + std::max(0, *poll_rank_ - 1) * kStandbyPollStep;
   }
   return ports_.polling_hosts() > 1 ? kFreshFor : kStandbyPollAge;
@@ -80,26 +80,26 @@
     return Millis(0);
   }
   if (polling_hosts == 1) {
-    // Others may be there all the same while this host has just started.
+    // A host that has just started may not have heard of the others yet.
     return HasNoData()
                ? Millis(static_cast<std::int64_t>(
                      round_draw_ * static_cast<double>(kSpread.count())))
                : Millis(0);
   }
-  const double place = round_draw_ * polling_hosts;
-  const int most = std::min(polling_hosts, kMaxConcurrentPolls);
-  if (place > most) {
+  const double position = round_draw_ * polling_hosts;
+  const int limit = std::min(polling_hosts, kMaxConcurrentPolls);
+  if (position > limit) {
     return std::nullopt;
   }
-  if (place <= kInitialConcurrentPolls) {
+  if (position <= kInitialConcurrentPolls) {
     return Millis(0);
   }
-  // So that their number grows evenly in proportion.
-  const double part =
-      std::log(place / kInitialConcurrentPolls) /
-      std::log(static_cast<double>(most) / kInitialConcurrentPolls);
-  return Millis(
-      static_cast<std::int64_t>(part * static_cast<double>(kSpread.count())));
+  // The number of hosts that have polled grows exponentially during the spread.
+  const double fraction =
+      std::log(position / kInitialConcurrentPolls) /
+      std::log(static_cast<double>(limit) / kInitialConcurrentPolls);
+  return Millis(static_cast<std::int64_t>(
+      fraction * static_cast<double>(kSpread.count())));
 }
 
 void PollSchedule::Update() {
--- a/src/core/poll_schedule_fleet_test.cc
+++ b/src/core/poll_schedule_fleet_test.cc
@@ -1,6 +1,6 @@
-// How many hosts read the platform's service, and how long a host is blind, in
-// fleets of 30 to 3,000 hosts. Each host takes its decisions by a PollSchedule
-// of its own; messages between hosts and answers of the service are played.
+// Simulates the polls of fleets of 30 to 3,000 hosts: how many calls the store
+// gets and how old the data of a host become. Each host has its own
+// PollSchedule; messages between hosts and answers of the store are simulated.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -15,52 +15,54 @@
 namespace {
 
 constexpr Millis kStep{20};
-// How often a host looks whether its turn has come.
-constexpr Millis kLook{100};
-// What an answer takes that the service gives, and one that never comes.
+// Interval between two calls of PollSchedule::Update.
+constexpr Millis kUpdateInterval{100};
+// Time until the store answers, and time after which a call without an answer
+// is given up.
 constexpr Millis kAnswerTime{20};
-constexpr Millis kSilence{800};
-constexpr int kStandBy = 2;
+constexpr Millis kNoAnswerTime{800};
+constexpr int kStandbyHosts = 2;
 
-// How the service treats a host.
-enum class Treatment { kAnswers, kTurnsAway, kSaysNothing };
+// How the store treats a host's calls.
+enum class Treatment { kAnswers, kRejects, kDoesNotAnswer };
 
-class ReadingFleet {
+class SimulatedFleet {
  public:
-  ReadingFleet(int hosts, std::uint64_t seed) : random_(seed) {
+  SimulatedFleet(int hosts, std::uint64_t seed) : random_(seed) {
     for (int i = 0; i < hosts; ++i) {
       hosts_.push_back(std::make_unique<Host>(this));
     }
     planner_ = 0;
-    for (int i = 0; i <= std::min(kStandBy, hosts - 1); ++i) {
-      At(i).duty.SetPollRank(i);
+    for (int i = 0; i <= std::min(kStandbyHosts, hosts - 1); ++i) {
+      At(i).schedule.SetPollRank(i);
     }
     for (auto& host : hosts_) {
-      host->duty.OnPeerUpdate(Millis(0));
+      host->schedule.OnPeerUpdate(Millis(0));
     }
   }
 
-  // Which share of the words between hosts is lost, and takes longer.
-  void SetLosses(double lost, double late) {
-    lost_ = lost;
-    late_ = late;
+  // Sets the share of heartbeats that are lost and the share that is delayed.
+  void SetNetworkFaults(double lost_share, double delayed_share) {
+    lost_share_ = lost_share;
+    delayed_share_ = delayed_share;
   }
 
-  // The service treats the hosts from `first` on, or a share of all, so.
-  void Treat(int first, int count, Treatment treatment) {
+  // Sets how the store treats `count` hosts from `first` on, or a random share
+  // of all hosts.
+  void SetTreatment(int first, int count, Treatment treatment) {
     for (int i = first; i < first + count; ++i) {
       At(i).treatment = treatment;
     }
   }
-  void TreatShare(double share, Treatment treatment) {
+  void SetTreatmentOfShare(double share, Treatment treatment) {
     for (auto& host : hosts_) {
-      if (Chance(share)) {
+      if (RandomlyTrue(share)) {
         host->treatment = treatment;
       }
     }
   }
 
-  // No host hears the planner until another one plans, `time` later.
+  // Stops the planner; the next host becomes the planner after `time`.
   void KillPlanner(Millis time) {
     replaced_at_ = now_ + time;
     At(planner_).is_dead = true;
@@ -68,13 +70,12 @@
 
   void Run(Millis time) {
     for (const TimePoint end = now_ + time; now_ < end; now_ += kStep) {
-      PlayStep();
+      Step();
     }
   }
 
-  // The most calls that began within any second, and the longest that a host
-  // has been without word of what the service answered.
-  int MostCallsInASecond() const {
+  // Returns the largest number of calls that began within a second.
+  int MaxCallsPerSecond() const {
     std::size_t most = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < calls_.size(); ++last) {
@@ -85,35 +86,37 @@
     }
     return static_cast<int>(most);
   }
-  int Calls() const { return static_cast<int>(calls_.size()); }
-  Millis LongestAge() const { return longest_age_; }
+  int CallCount() const { return static_cast<int>(calls_.size()); }
+  // Returns the greatest age that the data of any host have had.
+  Millis MaxAge() const { return max_age_; }
 
  private:
   struct Host {
-    explicit Host(ReadingFleet* fleet)
-        : duty(
+    explicit Host(SimulatedFleet* fleet)
+        : schedule(
               false,
               PollSchedulePorts{[fleet] { return fleet->Count(); },
                                 [] { return false; }},
               [fleet] { return fleet->now_; },
               [fleet] { return fleet->random_(); }),
-          phase(static_cast<std::int64_t>(
-              fleet->random_() % static_cast<std::uint64_t>(kLook.count()))) {}
+          update_phase_ms(static_cast<std::int64_t>(
+              fleet->random_() %
+              static_cast<std::uint64_t>(kUpdateInterval.count()))) {}
 
-    PollSchedule duty;
-    std::int64_t phase;
+    PollSchedule schedule;
+    std::int64_t update_phase_ms;
     Treatment treatment = Treatment::kAnswers;
     bool is_dead = false;
-    // When the call under way ends.
+    // When the call in progress ends.
     std::optional<TimePoint> call_ends;
-    TimePoint told_at{};
+    TimePoint last_heartbeat_at{};
   };
 
-  // A word that is on its way to a host.
-  struct Word {
+  // A heartbeat on its way to a host.
+  struct HeartbeatInTransit {
     TimePoint due;
     int to;
-    TimePoint answered;
+    TimePoint data_as_of;
   };
 
   int Count() const { return static_cast<int>(hosts_.size()); }
@@ -122,54 +125,60 @@
     return *hosts_[static_cast<std::size_t>(host)];
   }
 
-  bool Chance(double share) {
+  bool RandomlyTrue(double share) {
     return std::uniform_real_distribution<double>(0, 1)(random_) < share;
   }
 
-  void Tell(int to, TimePoint answered) {
-    if (!Chance(lost_)) {
-      const Millis takes = Chance(late_) ? Millis(120) : kStep;
-      words_.push_back(Word{now_ + takes, to, answered});
+  void SendHeartbeat(int to, TimePoint data_as_of) {
+    if (!RandomlyTrue(lost_share_)) {
+      const Millis delay = RandomlyTrue(delayed_share_) ? Millis(120) : kStep;
+      in_transit_.push_back(HeartbeatInTransit{now_ + delay, to, data_as_of});
     }
   }
 
-  // What the planner knows goes to those that stand by, or to all.
-  void TellReaders() {
-    for (int i = planner_ + 1; i <= planner_ + kStandBy && i < Count(); ++i) {
-      Tell(i, AnsweredAt(planner_));
+  // Sends what the planner knows to the standby hosts.
+  void SendToStandbyHosts() {
+    for (int i = planner_ + 1; i <= planner_ + kStandbyHosts && i < Count();
+         ++i) {
+      SendHeartbeat(i, DataAsOf(planner_));
     }
   }
 
-  TimePoint AnsweredAt(int host) const { return now_ - At(host).duty.Age(); }
+  TimePoint DataAsOf(int host) const { return now_ - At(host).schedule.Age(); }
 
-  void PlayStep() {
+  void Step() {
     Deliver();
     ReplacePlanner();
     for (int i = 0; i < Count(); ++i) {
       if (!At(i).is_dead) {
-        PlayHost(i);
+        StepHost(i);
       }
     }
   }
 
   void Deliver() {
-    std::vector<Word> due;
-    const auto is_due = [this](const Word& word) { return word.due <= now_; };
-    std::copy_if(words_.begin(), words_.end(), std::back_inserter(due), is_due);
-    words_.erase(std::remove_if(words_.begin(), words_.end(), is_due),
-                 words_.end());
-    for (const Word& word : due) {
-      Inform(word.to, word.answered);
+    std::vector<HeartbeatInTransit> due;
+    const auto is_due = [this](const HeartbeatInTransit& heartbeat) {
+      return heartbeat.due <= now_;
+    };
+    std::copy_if(in_transit_.begin(), in_transit_.end(),
+                 std::back_inserter(due), is_due);
+    in_transit_.erase(
+        std::remove_if(in_transit_.begin(), in_transit_.end(), is_due),
+        in_transit_.end());
+    for (const HeartbeatInTransit& heartbeat : due) {
+      ApplyUpdate(heartbeat.to, heartbeat.data_as_of);
     }
   }
 
-  void Inform(int to, TimePoint answered) {
-    PollSchedule& duty = At(to).duty;
-    const bool is_late = duty.IsOverdue();
-    duty.OnPeerUpdate(std::chrono::duration_cast<Millis>(now_ - answered));
-    if (to == planner_ && is_late && !duty.IsOverdue()) {
+  void ApplyUpdate(int to, TimePoint data_as_of) {
+    PollSchedule& schedule = At(to).schedule;
+    const bool was_overdue = schedule.IsOverdue();
+    schedule.OnPeerUpdate(
+        std::chrono::duration_cast<Millis>(now_ - data_as_of));
+    if (to == planner_ && was_overdue && !schedule.IsOverdue()) {
       for (int i = 0; i < Count(); ++i) {
-        Tell(i, answered);
+        SendHeartbeat(i, data_as_of);
       }
     }
   }
@@ -178,48 +187,49 @@
     if (replaced_at_.has_value() && now_ >= *replaced_at_) {
       replaced_at_.reset();
       ++planner_;
-      for (int i = 0; i <= kStandBy; ++i) {
-        At(planner_ + i).duty.SetPollRank(i);
+      for (int i = 0; i <= kStandbyHosts; ++i) {
+        At(planner_ + i).schedule.SetPollRank(i);
       }
     }
   }
 
-  void PlayHost(int i) {
+  void StepHost(int i) {
     Host& host = At(i);
     EndCall(i);
-    const bool looks =
+    const bool is_update_due =
         std::chrono::duration_cast<Millis>(now_.time_since_epoch()).count() %
-            kLook.count() ==
-        host.phase / kStep.count() * kStep.count();
-    if (looks) {
-      host.duty.Update();
+            kUpdateInterval.count() ==
+        host.update_phase_ms / kStep.count() * kStep.count();
+    if (is_update_due) {
+      host.schedule.Update();
     }
-    if (host.duty.Mode() != PollMode::kNone && !host.call_ends.has_value()) {
+    if (host.schedule.Mode() != PollMode::kNone &&
+        !host.call_ends.has_value()) {
       BeginCall(&host);
     }
-    if (now_ - host.told_at >= PollSchedule::kMaxHeartbeatInterval) {
-      host.told_at = now_;
+    if (now_ - host.last_heartbeat_at >= PollSchedule::kMaxHeartbeatInterval) {
+      host.last_heartbeat_at = now_;
       if (!At(planner_).is_dead) {
-        Tell(i, AnsweredAt(planner_));
+        SendHeartbeat(i, DataAsOf(planner_));
       }
     }
-    longest_age_ = std::max(longest_age_, host.duty.Age());
+    max_age_ = std::max(max_age_, host.schedule.Age());
   }
 
   void BeginCall(Host* host) {
     calls_.push_back(now_);
-    const bool waits = host->duty.Mode() == PollMode::kContinuous;
-    const Millis wait = waits ? PollSchedule::kLongPollWait : Millis(0);
+    const bool is_long_poll = host->schedule.Mode() == PollMode::kContinuous;
+    const Millis wait = is_long_poll ? PollSchedule::kLongPollWait : Millis(0);
     switch (host->treatment) {
       case Treatment::kAnswers:
         host->call_ends = now_ + wait + kAnswerTime;
         break;
-      case Treatment::kTurnsAway:
-        // The feed's own pause after a failure.
+      case Treatment::kRejects:
+        // The pause of the feed after a failure.
         host->call_ends = now_ + Millis(150);
         break;
-      case Treatment::kSaysNothing:
-        host->call_ends = now_ + wait + kSilence;
+      case Treatment::kDoesNotAnswer:
+        host->call_ends = now_ + wait + kNoAnswerTime;
         break;
     }
   }
@@ -231,15 +241,15 @@
     }
     host.call_ends.reset();
     if (host.treatment != Treatment::kAnswers) {
-      host.duty.OnPollFailed();
+      host.schedule.OnPollFailed();
       return;
     }
-    Inform(i, now_);
-    host.duty.OnPollSucceeded();
+    ApplyUpdate(i, now_);
+    host.schedule.OnPollSucceeded();
     if (i == planner_) {
-      TellReaders();
+      SendToStandbyHosts();
     } else if (!At(planner_).is_dead) {
-      Tell(planner_, now_);
+      SendHeartbeat(planner_, now_);
     }
   }
 
@@ -247,87 +257,90 @@
   TimePoint now_{std::chrono::hours(1)};
   std::vector<std::unique_ptr<Host>> hosts_;
   int planner_ = 0;
-  double lost_ = 0;
-  double late_ = 0;
-  std::vector<Word> words_;
+  double lost_share_ = 0;
+  double delayed_share_ = 0;
+  std::vector<HeartbeatInTransit> in_transit_;
   std::optional<TimePoint> replaced_at_;
   std::vector<TimePoint> calls_;
-  Millis longest_age_{0};
+  Millis max_age_{0};
 };
 
-// What hosts are granted before they read, and what a call and two words take.
-constexpr Millis kBound = PollSchedule::kFreshFor + PollSchedule::kSpread +
-                          PollSchedule::kRound + Millis(200);
-// A round of turns, in the worst second, and those that read for all.
-constexpr int kMostCallsInASecond = 3 * PollSchedule::kMaxConcurrentPolls + 20;
+// The age of data at which a poll is due at the latest, and the time of a call
+// and two heartbeats.
+constexpr Millis kMaxAge = PollSchedule::kFreshFor + PollSchedule::kSpread +
+                           PollSchedule::kRound + Millis(200);
+// The polls of the rounds within the worst second, and those of the hosts that
+// poll for the fleet.
+constexpr int kMaxCallsPerSecond = 3 * PollSchedule::kMaxConcurrentPolls + 20;
 
 constexpr Millis kLongRun{20000};
 
-int FleetSizeOfTest() { return GENERATE(30, 402, 1000, 3000); }
+int GenerateFleetSize() { return GENERATE(30, 402, 1000, 3000); }
 
-TEST_CASE("A quiet service is read by one host, whatever the size of the fleet",
-          "[fleet]") {
-  ReadingFleet fleet(FleetSizeOfTest(), 1);
+TEST_CASE(
+    "A store without changes is polled by one host for any size of the fleet",
+    "[fleet]") {
+  SimulatedFleet fleet(GenerateFleetSize(), 1);
   fleet.Run(kLongRun);
-  // One call each time that the wait is over.
-  CHECK(fleet.Calls() <= kLongRun / PollSchedule::kLongPollWait + 1);
-  CHECK(fleet.LongestAge() <= PollSchedule::kFreshFor);
+  // One call for each expiry of the long poll.
+  CHECK(fleet.CallCount() <= kLongRun / PollSchedule::kLongPollWait + 1);
+  CHECK(fleet.MaxAge() <= PollSchedule::kFreshFor);
 }
 
-TEST_CASE("Lost and late words do not multiply the calls", "[fleet]") {
-  ReadingFleet fleet(FleetSizeOfTest(), 2);
-  fleet.SetLosses(0.02, 0.05);
+TEST_CASE("Lost and delayed heartbeats do not multiply the calls", "[fleet]") {
+  SimulatedFleet fleet(GenerateFleetSize(), 2);
+  fleet.SetNetworkFaults(0.02, 0.05);
   fleet.Run(kLongRun);
-  CHECK(fleet.Calls() <= 2 * (kLongRun / PollSchedule::kLongPollWait));
-  CHECK(fleet.LongestAge() <= kBound);
+  CHECK(fleet.CallCount() <= 2 * (kLongRun / PollSchedule::kLongPollWait));
+  CHECK(fleet.MaxAge() <= kMaxAge);
 }
 
 TEST_CASE(
-    "While the reader is turned away, or not answered, another one reads "
-    "before the others look for themselves",
+    "While the polling host is rejected or not answered, a standby host polls "
+    "before the others do",
     "[fleet]") {
   const auto treatment =
-      GENERATE(Treatment::kTurnsAway, Treatment::kSaysNothing);
-  ReadingFleet fleet(FleetSizeOfTest(), 3);
+      GENERATE(Treatment::kRejects, Treatment::kDoesNotAnswer);
+  SimulatedFleet fleet(GenerateFleetSize(), 3);
   fleet.Run(Millis(3000));
-  fleet.Treat(0, 1, treatment);
+  fleet.SetTreatment(0, 1, treatment);
   fleet.Run(Millis(10000));
-  CHECK(fleet.MostCallsInASecond() <= 20);
-  CHECK(fleet.LongestAge() <= PollSchedule::kFreshFor + Millis(200));
+  CHECK(fleet.MaxCallsPerSecond() <= 20);
+  CHECK(fleet.MaxAge() <= PollSchedule::kFreshFor + Millis(200));
 }
 
 TEST_CASE(
-    "With a third of the hosts turned away, and all those that stand by, "
-    "somebody reads in time and few do",
+    "With a third of the hosts and all standby hosts rejected, some host polls "
+    "in time and few hosts poll",
     "[fleet]") {
   const auto treatment =
-      GENERATE(Treatment::kTurnsAway, Treatment::kSaysNothing);
-  ReadingFleet fleet(FleetSizeOfTest(), 4);
+      GENERATE(Treatment::kRejects, Treatment::kDoesNotAnswer);
+  SimulatedFleet fleet(GenerateFleetSize(), 4);
   fleet.Run(Millis(3000));
-  fleet.TreatShare(0.35, treatment);
-  fleet.Treat(0, kStandBy + 1, treatment);
+  fleet.SetTreatmentOfShare(0.35, treatment);
+  fleet.SetTreatment(0, kStandbyHosts + 1, treatment);
   fleet.Run(Millis(10000));
-  CHECK(fleet.MostCallsInASecond() <= kMostCallsInASecond);
-  CHECK(fleet.LongestAge() <= kBound);
+  CHECK(fleet.MaxCallsPerSecond() <= kMaxCallsPerSecond);
+  CHECK(fleet.MaxAge() <= kMaxAge);
 }
 
-TEST_CASE("A service that answers nobody is not called by everybody",
+TEST_CASE("A store that answers no host is not called by all hosts",
           "[fleet]") {
-  ReadingFleet fleet(FleetSizeOfTest(), 5);
+  SimulatedFleet fleet(GenerateFleetSize(), 5);
   fleet.Run(Millis(3000));
-  fleet.TreatShare(1.0, Treatment::kTurnsAway);
+  fleet.SetTreatmentOfShare(1.0, Treatment::kRejects);
   fleet.Run(Millis(10000));
-  CHECK(fleet.MostCallsInASecond() <= kMostCallsInASecond);
+  CHECK(fleet.MaxCallsPerSecond() <= kMaxCallsPerSecond);
 }
 
-TEST_CASE("With the planner dead few hosts read before another one plans",
+TEST_CASE("After the planner has failed, few hosts poll until it is replaced",
           "[fleet]") {
-  ReadingFleet fleet(FleetSizeOfTest(), 6);
+  SimulatedFleet fleet(GenerateFleetSize(), 6);
   fleet.Run(Millis(3000));
   fleet.KillPlanner(Millis(700));
   fleet.Run(Millis(5000));
-  CHECK(fleet.MostCallsInASecond() <= kMostCallsInASecond);
-  CHECK(fleet.LongestAge() <= kBound);
+  CHECK(fleet.MaxCallsPerSecond() <= kMaxCallsPerSecond);
+  CHECK(fleet.MaxAge() <= kMaxAge);
 }
 
 }  // namespace
--- a/src/core/poll_schedule_test.cc
+++ b/src/core/poll_schedule_test.cc
@@ -5,190 +5,191 @@
 namespace harecrank {
 namespace {
 
-class DutyFixture {
+class PollScheduleFixture {
  protected:
-  explicit DutyFixture(int polling_hosts = 2) : sharers_(polling_hosts) {}
+  explicit PollScheduleFixture(int polling_hosts = 2)
+      : polling_hosts_(polling_hosts) {}
 
-  PollSchedule MakeDuty(bool is_seed) {
+  PollSchedule MakeSchedule(bool is_seed) {
     return PollSchedule(
         is_seed,
-        PollSchedulePorts{[this] { return sharers_; },
-                          [this] { return copy_is_near_; }},
-        [this] { return now_; }, [this] { return draw_; });
+        PollSchedulePorts{[this] { return polling_hosts_; },
+                          [this] { return snapshot_available_; }},
+        [this] { return now_; }, [this] { return random_value_; });
   }
 
-  void Pass(Millis time) {
+  void Advance(Millis time) {
     now_ += time;
-    duty_.Update();
+    schedule_.Update();
   }
 
-  // The last host's draw.
-  static constexpr std::uint64_t kLast = ~std::uint64_t{0};
-  // Longer than either of two hosts ever waits for word before it reads.
-  static constexpr Millis kBlind =
+  // Random value that gives the last position among all hosts.
+  static constexpr std::uint64_t kLastDraw = ~std::uint64_t{0};
+  // Longest time after which one of two hosts polls if it is not updated.
+  static constexpr Millis kPollDueAfter =
       PollSchedule::kFreshFor + PollSchedule::kSpread + Millis(1);
 
   TimePoint now_{std::chrono::hours(1)};
-  int sharers_;
-  bool copy_is_near_ = false;
-  std::uint64_t draw_ = 0;
-  PollSchedule duty_ = MakeDuty(false);
+  int polling_hosts_;
+  bool snapshot_available_ = false;
+  std::uint64_t random_value_ = 0;
+  PollSchedule schedule_ = MakeSchedule(false);
 };
 
-TEST_CASE_METHOD(DutyFixture, "A seed that has just started reads at once") {
-  const PollSchedule seed = MakeDuty(true);
+TEST_CASE_METHOD(PollScheduleFixture, "A seed polls at its start") {
+  const PollSchedule seed = MakeSchedule(true);
   CHECK(seed.Mode() == PollMode::kOnce);
 }
 
-TEST_CASE_METHOD(DutyFixture,
-                 "A host that has just started gives others time to tell it") {
-  Pass(Millis(0));
-  CHECK(duty_.Mode() == PollMode::kNone);
-  CHECK_FALSE(duty_.HasFreshData());
-  Pass(kBlind);
-  CHECK(duty_.Mode() == PollMode::kOnce);
+TEST_CASE_METHOD(PollScheduleFixture,
+                 "A host that is not a seed waits at its start for an update "
+                 "of another host") {
+  Advance(Millis(0));
+  CHECK(schedule_.Mode() == PollMode::kNone);
+  CHECK_FALSE(schedule_.HasFreshData());
+  Advance(kPollDueAfter);
+  CHECK(schedule_.Mode() == PollMode::kOnce);
 }
 
-TEST_CASE_METHOD(DutyFixture,
-                 "A host that has just started waits for a copy that another "
-                 "one can give, but not for long") {
-  copy_is_near_ = true;
-  Pass(PollSchedule::kMaxSnapshotWait - Millis(1));
-  CHECK(duty_.Mode() == PollMode::kNone);
-  Pass(PollSchedule::kMaxRound);
-  CHECK(duty_.Mode() == PollMode::kOnce);
+TEST_CASE_METHOD(PollScheduleFixture,
+                 "A host waits at its start for a snapshot of another host, "
+                 "but not longer than the limit") {
+  snapshot_available_ = true;
+  Advance(PollSchedule::kMaxSnapshotWait - Millis(1));
+  CHECK(schedule_.Mode() == PollMode::kNone);
+  Advance(PollSchedule::kMaxRound);
+  CHECK(schedule_.Mode() == PollMode::kOnce);
 }
 
-TEST_CASE_METHOD(DutyFixture,
-                 "A host that is told does not read, and one that is told no "
-                 "more reads again soon, and once") {
-  duty_.OnPeerUpdate(Millis(0));
-  Pass(PollSchedule::kFreshFor - Millis(1));
-  CHECK(duty_.Mode() == PollMode::kNone);
-  CHECK(duty_.HasFreshData());
-  Pass(PollSchedule::kSpread + Millis(2));
-  CHECK(duty_.Mode() == PollMode::kOnce);
-  CHECK_FALSE(duty_.HasFreshData());
-  duty_.OnPollSucceeded();
-  CHECK(duty_.HasFreshData());
-  CHECK(duty_.Mode() == PollMode::kNone);
-  CHECK(duty_.OwnPollState() == PollState::kAnswered);
+TEST_CASE_METHOD(
+    PollScheduleFixture,
+    "A host polls once when it is no longer updated, and not before") {
+  schedule_.OnPeerUpdate(Millis(0));
+  Advance(PollSchedule::kFreshFor - Millis(1));
+  CHECK(schedule_.Mode() == PollMode::kNone);
+  CHECK(schedule_.HasFreshData());
+  Advance(PollSchedule::kSpread + Millis(2));
+  CHECK(schedule_.Mode() == PollMode::kOnce);
+  CHECK_FALSE(schedule_.HasFreshData());
+  schedule_.OnPollSucceeded();
+  CHECK(schedule_.HasFreshData());
+  CHECK(schedule_.Mode() == PollMode::kNone);
+  CHECK(schedule_.OwnPollState() == PollState::kAnswered);
 }
 
-// Otherwise it would lose the source and regain it again and again.
-TEST_CASE_METHOD(DutyFixture,
-                 "A host that hears no other reads before what it knows is too "
-                 "old") {
-  sharers_ = 1;
-  duty_.OnPeerUpdate(Millis(0));
-  Pass(PollSchedule::kStandbyPollAge);
-  CHECK(duty_.Mode() == PollMode::kOnce);
-  CHECK(duty_.HasFreshData());
+// Otherwise its data would expire and be renewed again and again.
+TEST_CASE_METHOD(PollScheduleFixture,
+                 "An isolated host polls while its data are still fresh") {
+  polling_hosts_ = 1;
+  schedule_.OnPeerUpdate(Millis(0));
+  Advance(PollSchedule::kStandbyPollAge);
+  CHECK(schedule_.Mode() == PollMode::kOnce);
+  CHECK(schedule_.HasFreshData());
 }
 
-TEST_CASE_METHOD(DutyFixture,
-                 "The host that reads for all reads whatever it is told") {
-  duty_.OnPeerUpdate(Millis(0));
-  duty_.SetPollRank(0);
-  CHECK(duty_.Mode() == PollMode::kContinuous);
-  CHECK(duty_.HasFreshData());
-  CHECK(duty_.OwnPollState() == PollState::kStarted);
+TEST_CASE_METHOD(
+    PollScheduleFixture,
+    "The host of rank zero polls continuously even if it is updated") {
+  schedule_.OnPeerUpdate(Millis(0));
+  schedule_.SetPollRank(0);
+  CHECK(schedule_.Mode() == PollMode::kContinuous);
+  CHECK(schedule_.HasFreshData());
+  CHECK(schedule_.OwnPollState() == PollState::kStarted);
 }
 
-TEST_CASE_METHOD(DutyFixture,
-                 "Those that stand by read one after the other, before any "
-                 "other host") {
-  sharers_ = 402;
-  draw_ = kLast;
-  duty_.SetPollRank(2);
-  duty_.OnPeerUpdate(Millis(0));
-  Pass(PollSchedule::kStandbyPollAge);
-  CHECK(duty_.Mode() == PollMode::kNone);
-  Pass(PollSchedule::kStandbyPollStep);
-  CHECK(duty_.Mode() == PollMode::kOnce);
+TEST_CASE_METHOD(
+    PollScheduleFixture,
+    "Standby hosts poll in the order of their ranks, before any other host") {
+  polling_hosts_ = 402;
+  random_value_ = kLastDraw;
+  schedule_.SetPollRank(2);
+  schedule_.OnPeerUpdate(Millis(0));
+  Advance(PollSchedule::kStandbyPollAge);
+  CHECK(schedule_.Mode() == PollMode::kNone);
+  Advance(PollSchedule::kStandbyPollStep);
+  CHECK(schedule_.Mode() == PollMode::kOnce);
 }
 
-// A planner that hands over would otherwise take the platform for lost.
-TEST_CASE_METHOD(DutyFixture,
-                 "A host that stops to read for others knows for a while what "
-                 "it has read") {
-  duty_.SetPollRank(0);
-  duty_.OnPollSucceeded();
-  Pass(PollSchedule::kLongPollWait);
-  duty_.SetPollRank(std::nullopt);
-  CHECK(duty_.HasFreshData());
-  CHECK(duty_.Mode() == PollMode::kNone);
+// A planner that is replaced would otherwise report that the store is lost.
+TEST_CASE_METHOD(PollScheduleFixture,
+                 "A host that loses its rank keeps fresh data for a while") {
+  schedule_.SetPollRank(0);
+  schedule_.OnPollSucceeded();
+  Advance(PollSchedule::kLongPollWait);
+  schedule_.SetPollRank(std::nullopt);
+  CHECK(schedule_.HasFreshData());
+  CHECK(schedule_.Mode() == PollMode::kNone);
 }
 
-TEST_CASE_METHOD(DutyFixture,
-                 "What the service answered a while ago says nothing of how "
-                 "reading goes") {
-  duty_.SetPollRank(0);
-  duty_.OnPollSucceeded();
-  Pass(PollSchedule::kFreshFor + Millis(1));
-  CHECK_FALSE(duty_.OwnPollState() == PollState::kAnswered);
-  CHECK_FALSE(duty_.HasFreshData());
+TEST_CASE_METHOD(
+    PollScheduleFixture,
+    "An answer that is no longer fresh does not count as a successful poll") {
+  schedule_.SetPollRank(0);
+  schedule_.OnPollSucceeded();
+  Advance(PollSchedule::kFreshFor + Millis(1));
+  CHECK_FALSE(schedule_.OwnPollState() == PollState::kAnswered);
+  CHECK_FALSE(schedule_.HasFreshData());
 }
 
-// Were the age counted anew at each host, the end of a chain would be blind for
-// longer.
-TEST_CASE_METHOD(DutyFixture,
-                 "A host at the end of a chain reads as soon as one at its "
-                 "beginning") {
-  PollSchedule planner = MakeDuty(false);
+// If each host of a chain counted the age from the message, data at the end of
+// the chain would become too old before the host polls.
+TEST_CASE_METHOD(PollScheduleFixture,
+                 "A host at the end of a chain of updates polls as early as "
+                 "one at its beginning") {
+  PollSchedule planner = MakeSchedule(false);
   planner.OnPeerUpdate(Millis(0));
   now_ += PollSchedule::kFreshFor - Millis(100);
   REQUIRE(planner.HasFreshData());
-  duty_.OnPeerUpdate(planner.Age());
-  Pass(Millis(100) + PollSchedule::kSpread + Millis(1));
-  CHECK_FALSE(duty_.HasFreshData());
-  CHECK(duty_.Mode() == PollMode::kOnce);
+  schedule_.OnPeerUpdate(planner.Age());
+  Advance(Millis(100) + PollSchedule::kSpread + Millis(1));
+  CHECK_FALSE(schedule_.HasFreshData());
+  CHECK(schedule_.Mode() == PollMode::kOnce);
 }
 
-TEST_CASE_METHOD(DutyFixture,
-                 "Word that is older than what a host knows does not make it "
-                 "look blind") {
-  duty_.OnPeerUpdate(Millis(100));
-  duty_.OnPeerUpdate(Millis(900));
-  CHECK(duty_.Age() == Millis(100));
+TEST_CASE_METHOD(
+    PollScheduleFixture,
+    "An update older than a host's data does not increase their age") {
+  schedule_.OnPeerUpdate(Millis(100));
+  schedule_.OnPeerUpdate(Millis(900));
+  CHECK(schedule_.Age() == Millis(100));
 }
 
-TEST_CASE_METHOD(DutyFixture,
-                 "Reading has begun until the service answers or fails") {
-  CHECK(duty_.OwnPollState() == PollState::kNone);
-  duty_.SetPollRank(0);
-  CHECK(duty_.OwnPollState() == PollState::kStarted);
-  duty_.OnPollFailed();
-  CHECK(duty_.OwnPollState() == PollState::kFailed);
-  duty_.OnPollSucceeded();
-  CHECK(duty_.OwnPollState() == PollState::kAnswered);
+TEST_CASE_METHOD(PollScheduleFixture,
+                 "The poll state is 'started' until a poll succeeds or fails") {
+  CHECK(schedule_.OwnPollState() == PollState::kNone);
+  schedule_.SetPollRank(0);
+  CHECK(schedule_.OwnPollState() == PollState::kStarted);
+  schedule_.OnPollFailed();
+  CHECK(schedule_.OwnPollState() == PollState::kFailed);
+  schedule_.OnPollSucceeded();
+  CHECK(schedule_.OwnPollState() == PollState::kAnswered);
 }
 
-TEST_CASE_METHOD(DutyFixture,
-                 "A host that the service does not answer has its next turn a "
-                 "round later, and later each time") {
-  duty_.OnPeerUpdate(Millis(0));
-  Pass(kBlind);
-  REQUIRE(duty_.Mode() == PollMode::kOnce);
-  duty_.OnPollFailed();
-  CHECK(duty_.Mode() == PollMode::kNone);
-  Pass(PollSchedule::kRound);
-  CHECK(duty_.Mode() == PollMode::kNone);
-  Pass(PollSchedule::kRound);
-  CHECK(duty_.Mode() == PollMode::kOnce);
+TEST_CASE_METHOD(PollScheduleFixture,
+                 "After a failed poll a host waits for a round, which grows "
+                 "with each failure") {
+  schedule_.OnPeerUpdate(Millis(0));
+  Advance(kPollDueAfter);
+  REQUIRE(schedule_.Mode() == PollMode::kOnce);
+  schedule_.OnPollFailed();
+  CHECK(schedule_.Mode() == PollMode::kNone);
+  Advance(PollSchedule::kRound);
+  CHECK(schedule_.Mode() == PollMode::kNone);
+  Advance(PollSchedule::kRound);
+  CHECK(schedule_.Mode() == PollMode::kOnce);
 }
 
-TEST_CASE_METHOD(DutyFixture,
-                 "Of many hosts most have no turn in a round, and the first "
-                 "draws have it at once") {
-  sharers_ = 402;
-  draw_ = kLast;
-  duty_.OnPeerUpdate(Millis(0));
-  Pass(kBlind);
-  CHECK(duty_.Mode() == PollMode::kNone);
-  draw_ = 0;
-  Pass(PollSchedule::kRound);
-  CHECK(duty_.Mode() == PollMode::kOnce);
+TEST_CASE_METHOD(PollScheduleFixture,
+                 "In a large fleet most hosts do not poll in a round, and the "
+                 "first draws poll at once") {
+  polling_hosts_ = 402;
+  random_value_ = kLastDraw;
+  schedule_.OnPeerUpdate(Millis(0));
+  Advance(kPollDueAfter);
+  CHECK(schedule_.Mode() == PollMode::kNone);
+  random_value_ = 0;
+  Advance(PollSchedule::kRound);
+  CHECK(schedule_.Mode() == PollMode::kOnce);
 }
 
 }  // namespace
