--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -9,11 +9,12 @@
 
 using nlohmann::json;
 
-// A number that stands for none of the kinds that this version knows.
+// Thrown for a number that is not a value of its enum, such as one of a later
+// version.
 struct UnknownEnumValue {};
 
-// Takes the elements of an array one after the other. Throws json::exception
-// where one is missing or of another type.
+// Reads the elements of an array in order. Throws json::exception if an element
+// is missing or has the wrong type.
 class ArrayReader {
  public:
   explicit ArrayReader(const json& array) : array_(array) {}
@@ -38,7 +39,7 @@
   Millis TakeMillis() { return Millis(Take<std::int64_t>()); }
   FractionalMillis TakeTime() { return FractionalMillis(Take<double>()); }
 
-  // Calls `read` with a reader of each element of an array of arrays.
+  // Reads an array of arrays and calls `read` with a reader for each of them.
   template <typename Read>
   void EachOf(const Read& read) {
     for (const json& entry : Next()) {
@@ -268,9 +269,9 @@
 }
 
 CrashReports TakeCrashReports(ArrayReader* reader) {
-  CrashReports told;
-  told.from = reader->TakeString<HostAddress>();
-  reader->EachOf([&told](ArrayReader* entry) {
+  CrashReports crash_reports;
+  crash_reports.from = reader->TakeString<HostAddress>();
+  reader->EachOf([&crash_reports](ArrayReader* entry) {
     CrashReport report;
     report.request.account = entry->TakeString<AccountId>();
     report.request.high = entry->Take<std::uint64_t>();
@@ -281,9 +282,9 @@
     report.failed_trials = entry->Take<int>();
     report.age = entry->TakeMillis();
     report.quarantined_for = entry->TakeMillis();
-    told.reports.push_back(std::move(report));
+    crash_reports.reports.push_back(std::move(report));
   });
-  return told;
+  return crash_reports;
 }
 
 ProgressReport TakeProgressReport(ArrayReader* reader) {
@@ -327,7 +328,8 @@
     }
     return std::nullopt;
   } catch (const json::exception&) {
-    // Whatever reaches the port: the caller counts it.
+    // The port may receive any data. The caller counts messages that cannot be
+    // decoded.
     return std::nullopt;
   } catch (const UnknownEnumValue&) {
     return std::nullopt;
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -108,26 +108,26 @@
          static_cast<int>(heartbeat.poll_state),
          heartbeat.should_poll.has_value() ? json(*heartbeat.should_poll)
                                            : json()});
-    // What follows is left out where there is nothing to tell: hosts of an
-    // earlier version pass over a heartbeat that is longer than they know.
-    const bool tells_turn = heartbeat.poll_rank != 0;
-    const bool tells_limits = tells_turn || !heartbeat.limits.empty();
-    const bool tells_size = tells_limits || heartbeat.peak_hosts != 0;
-    const bool tells_digest = tells_size || heartbeat.crash_digest != 0;
-    if (heartbeat.work.has_value() || tells_digest) {
+    // The remaining elements are left out if they are empty. Hosts of an
+    // earlier version ignore elements beyond those that they know.
+    const bool has_poll_rank = heartbeat.poll_rank != 0;
+    const bool has_limits = has_poll_rank || !heartbeat.limits.empty();
+    const bool has_peak_hosts = has_limits || heartbeat.peak_hosts != 0;
+    const bool has_crash_digest = has_peak_hosts || heartbeat.crash_digest != 0;
+    if (heartbeat.work.has_value() || has_crash_digest) {
       array.push_back(heartbeat.work.has_value() ? EncodeWork(*heartbeat.work)
                                                  : json());
     }
-    if (tells_digest) {
+    if (has_crash_digest) {
       array.push_back(heartbeat.crash_digest);
     }
-    if (tells_size) {
+    if (has_peak_hosts) {
       array.push_back(heartbeat.peak_hosts);
     }
-    if (tells_limits) {
+    if (has_limits) {
       array.push_back(EncodeLimits(heartbeat.limits));
     }
-    if (tells_turn) {
+    if (has_poll_rank) {
       array.push_back(heartbeat.poll_rank);
     }
     return array;
@@ -161,9 +161,9 @@
          json::binary({published.changes.begin(), published.changes.end()})});
   }
 
-  json operator()(const CrashReports& told) const {
+  json operator()(const CrashReports& crash_reports) const {
     json reports = json::array();
-    for (const CrashReport& report : told.reports) {
+    for (const CrashReport& report : crash_reports.reports) {
       reports.push_back({report.request.account.value, report.request.high,
                          report.request.low, EncodeCrashes(report.crashes),
                          EncodeCrashes(report.cleared), report.trials,
@@ -171,21 +171,21 @@
                          report.quarantined_for.count()});
     }
     return json::array({static_cast<int>(MessageKind::kCrashes),
-                        told.from.value, std::move(reports)});
+                        crash_reports.from.value, std::move(reports)});
   }
 
   json operator()(const ProgressReport& progress) const {
-    json read = json::array();
+    json prefills = json::array();
     for (const PrefillDone& one : progress.read) {
-      read.push_back({one.id.value, one.pace});
+      prefills.push_back({one.id.value, one.pace});
     }
-    json ended = json::array();
+    json ended_requests = json::array();
     for (const RequestDone& one : progress.ended) {
-      ended.push_back({one.id.value, one.failed});
+      ended_requests.push_back({one.id.value, one.failed});
     }
     return json::array({static_cast<int>(MessageKind::kProgress),
                         progress.host.value, progress.incarnation.value,
-                        std::move(read), std::move(ended)});
+                        std::move(prefills), std::move(ended_requests)});
   }
 };
 
--- a/src/core/fleet_messages_test.cc
+++ b/src/core/fleet_messages_test.cc
@@ -8,13 +8,13 @@
 const HostAddress kHost{"10.0.0.1:1"};
 
 template <typename T>
-T SentAndRead(const T& message) {
-  const auto read = DecodeFleetMessage(EncodeFleetMessage(message));
-  REQUIRE(read.has_value());
-  return std::get<T>(*read);
+T RoundTrip(const T& message) {
+  const auto decoded = DecodeFleetMessage(EncodeFleetMessage(message));
+  REQUIRE(decoded.has_value());
+  return std::get<T>(*decoded);
 }
 
-Heartbeat Word() {
+Heartbeat MakeHeartbeat() {
   Heartbeat heartbeat;
   heartbeat.node = NodeId{"n"};
   heartbeat.address = kHost;
@@ -39,7 +39,7 @@
   return heartbeat;
 }
 
-CrashReports Reports() {
+CrashReports MakeCrashReports() {
   CrashReport report;
   report.request = RequestFingerprint{AccountId{"acme"}, ~std::uint64_t{0}, 7};
   report.crashes = {
@@ -53,25 +53,25 @@
   return CrashReports{kHost, {report}};
 }
 
-TEST_CASE("What is told of requests that end endpoints comes back as told") {
-  const CrashReports read = SentAndRead(Reports());
-  CHECK(read.from == kHost);
-  REQUIRE(read.reports.size() == 1);
-  const CrashReport& report = read.reports.front();
-  const CrashReports told = Reports();
-  CHECK(report.request == told.reports.front().request);
-  CHECK(report.crashes == told.reports.front().crashes);
-  CHECK(report.cleared == told.reports.front().cleared);
+TEST_CASE("Crash reports round-trip") {
+  const CrashReports decoded = RoundTrip(MakeCrashReports());
+  CHECK(decoded.from == kHost);
+  REQUIRE(decoded.reports.size() == 1);
+  const CrashReport& report = decoded.reports.front();
+  const CrashReports sent = MakeCrashReports();
+  CHECK(report.request == sent.reports.front().request);
+  CHECK(report.crashes == sent.reports.front().crashes);
+  CHECK(report.cleared == sent.reports.front().cleared);
   CHECK(report.trials == 2);
   CHECK(report.failed_trials == 1);
   CHECK(report.age == Millis(1500));
   CHECK(report.quarantined_for == Millis(-20));
 }
 
-TEST_CASE("The largest set of reports fits into one datagram") {
+TEST_CASE("The largest set of crash reports fits into one datagram") {
   CrashReports all{kHost, {}};
   for (std::size_t i = 0; i < RequestQuarantine::kMaxSharedReports; ++i) {
-    CrashReport report = Reports().reports.front();
+    CrashReport report = MakeCrashReports().reports.front();
     report.request.low = i;
     all.reports.push_back(report);
   }
@@ -79,58 +79,60 @@
   CHECK(EncodeFleetMessage(all).size() < kMostDatagram / 4);
 }
 
-TEST_CASE("A word tells the digest of suspects with or without its work") {
-  Heartbeat heartbeat = Word();
+TEST_CASE("A heartbeat carries the crash digest with or without its work") {
+  Heartbeat heartbeat = MakeHeartbeat();
   heartbeat.crash_digest = ~std::uint64_t{0};
-  CHECK(SentAndRead(heartbeat).crash_digest == ~std::uint64_t{0});
-  CHECK(SentAndRead(heartbeat).work.has_value());
+  CHECK(RoundTrip(heartbeat).crash_digest == ~std::uint64_t{0});
+  CHECK(RoundTrip(heartbeat).work.has_value());
   heartbeat.work.reset();
-  CHECK(SentAndRead(heartbeat).crash_digest == ~std::uint64_t{0});
-  CHECK_FALSE(SentAndRead(heartbeat).work.has_value());
+  CHECK(RoundTrip(heartbeat).crash_digest == ~std::uint64_t{0});
+  CHECK_FALSE(RoundTrip(heartbeat).work.has_value());
   heartbeat.crash_digest = 0;
-  CHECK_FALSE(SentAndRead(heartbeat).work.has_value());
+  CHECK_FALSE(RoundTrip(heartbeat).work.has_value());
 }
 
-TEST_CASE("A word tells the size of the fleet with or without the rest") {
-  Heartbeat heartbeat = Word();
+TEST_CASE(
+    "A heartbeat carries the fleet size with or without the other optional "
+    "elements") {
+  Heartbeat heartbeat = MakeHeartbeat();
   heartbeat.peak_hosts = 24;
-  CHECK(SentAndRead(heartbeat).peak_hosts == 24);
-  CHECK(SentAndRead(heartbeat).work.has_value());
+  CHECK(RoundTrip(heartbeat).peak_hosts == 24);
+  CHECK(RoundTrip(heartbeat).work.has_value());
   heartbeat.work.reset();
-  CHECK(SentAndRead(heartbeat).peak_hosts == 24);
-  CHECK_FALSE(SentAndRead(heartbeat).work.has_value());
+  CHECK(RoundTrip(heartbeat).peak_hosts == 24);
+  CHECK_FALSE(RoundTrip(heartbeat).work.has_value());
   heartbeat.crash_digest = 7;
-  CHECK(SentAndRead(heartbeat).peak_hosts == 24);
-  CHECK(SentAndRead(heartbeat).crash_digest == 7);
+  CHECK(RoundTrip(heartbeat).peak_hosts == 24);
+  CHECK(RoundTrip(heartbeat).crash_digest == 7);
 }
 
-TEST_CASE("A host's word comes back as it was told") {
-  const Heartbeat read = SentAndRead(Word());
-  CHECK(read.node == NodeId{"n"});
-  CHECK(read.address == kHost);
-  CHECK(read.incarnation == Incarnation{77});
-  CHECK(read.cpu_share.value == 0.19);
-  CHECK(read.routing == RoutingVersion{3});
-  CHECK(read.known_up_to == StoreRevision{40});
-  CHECK(read.store_data_fresh);
-  CHECK(read.store_data_age == Millis(340));
-  CHECK(read.poll_state == PollState::kFailed);
-  CHECK(read.planner == HostAddress{"10.0.0.2:1"});
-  CHECK_FALSE(read.leaving);
-  CHECK(read.wants_reply);
-  CHECK(read.alive_hosts == 9);
-  REQUIRE(read.hosts.size() == 1);
-  CHECK(read.hosts.front().cpu_share.value == 0.5);
-  REQUIRE(read.avoided.size() == 1);
-  CHECK(read.avoided.front().left == Millis(70));
-  REQUIRE(read.limits.size() == 2);
-  CHECK(read.limits.front().endpoint == EndpointId{"e"});
-  CHECK(read.limits.front().rate == RequestRate{1.6});
-  CHECK(read.limits.front().age == Millis(120));
-  CHECK_FALSE(read.limits.back().rate.has_value());
-  REQUIRE(read.work.has_value());
-  REQUIRE(read.work->size() == 1);
-  const QueryWork& work = read.work->front();
+TEST_CASE("A heartbeat round-trips") {
+  const Heartbeat decoded = RoundTrip(MakeHeartbeat());
+  CHECK(decoded.node == NodeId{"n"});
+  CHECK(decoded.address == kHost);
+  CHECK(decoded.incarnation == Incarnation{77});
+  CHECK(decoded.cpu_share.value == 0.19);
+  CHECK(decoded.routing == RoutingVersion{3});
+  CHECK(decoded.known_up_to == StoreRevision{40});
+  CHECK(decoded.store_data_fresh);
+  CHECK(decoded.store_data_age == Millis(340));
+  CHECK(decoded.poll_state == PollState::kFailed);
+  CHECK(decoded.planner == HostAddress{"10.0.0.2:1"});
+  CHECK_FALSE(decoded.leaving);
+  CHECK(decoded.wants_reply);
+  CHECK(decoded.alive_hosts == 9);
+  REQUIRE(decoded.hosts.size() == 1);
+  CHECK(decoded.hosts.front().cpu_share.value == 0.5);
+  REQUIRE(decoded.avoided.size() == 1);
+  CHECK(decoded.avoided.front().left == Millis(70));
+  REQUIRE(decoded.limits.size() == 2);
+  CHECK(decoded.limits.front().endpoint == EndpointId{"e"});
+  CHECK(decoded.limits.front().rate == RequestRate{1.6});
+  CHECK(decoded.limits.front().age == Millis(120));
+  CHECK_FALSE(decoded.limits.back().rate.has_value());
+  REQUIRE(decoded.work.has_value());
+  REQUIRE(decoded.work->size() == 1);
+  const QueryWork& work = decoded.work->front();
   CHECK(work.id == QueryId{5});
   CHECK(work.prefill_done);
   REQUIRE(work.parts.size() == 1);
@@ -141,15 +143,16 @@
   CHECK(work.parts.front().gap == Millis(600));
 }
 
-TEST_CASE("A word that tells no work is another than one that tells of none") {
-  Heartbeat heartbeat = Word();
+TEST_CASE(
+    "A heartbeat without work differs from one with an empty list of work") {
+  Heartbeat heartbeat = MakeHeartbeat();
   heartbeat.work = std::vector<QueryWork>{};
-  CHECK(SentAndRead(heartbeat).work.has_value());
+  CHECK(RoundTrip(heartbeat).work.has_value());
   heartbeat.work.reset();
-  CHECK_FALSE(SentAndRead(heartbeat).work.has_value());
+  CHECK_FALSE(RoundTrip(heartbeat).work.has_value());
 }
 
-TEST_CASE("An ask comes back as it was sent") {
+TEST_CASE("A placement query round-trips") {
   PlacementQuery query;
   query.host = kHost;
   query.incarnation = Incarnation{77};
@@ -165,27 +168,27 @@
   query.until_deadline = FractionalMillis(9000);
   query.origin.request = RequestFingerprint{AccountId{"press"}, 7, 9};
   query.origin.priority = 2;
-  const PlacementQuery read = SentAndRead(query);
-  CHECK(read.host == query.host);
-  CHECK(read.incarnation == query.incarnation);
-  CHECK(read.id == query.id);
-  CHECK(read.service == query.service);
-  CHECK(read.target_latency == query.target_latency);
-  CHECK(read.target_gap == query.target_gap);
-  CHECK(read.prompt == query.prompt);
-  CHECK(read.answer == query.answer);
-  CHECK(read.until_late == query.until_late);
-  CHECK(read.may_have_run);
-  CHECK(read.tried == query.tried);
-  CHECK(read.until_deadline == query.until_deadline);
-  CHECK(read.origin.request == query.origin.request);
-  CHECK(read.origin.priority == query.origin.priority);
-  CHECK(read.withheld.empty());
+  const PlacementQuery decoded = RoundTrip(query);
+  CHECK(decoded.host == query.host);
+  CHECK(decoded.incarnation == query.incarnation);
+  CHECK(decoded.id == query.id);
+  CHECK(decoded.service == query.service);
+  CHECK(decoded.target_latency == query.target_latency);
+  CHECK(decoded.target_gap == query.target_gap);
+  CHECK(decoded.prompt == query.prompt);
+  CHECK(decoded.answer == query.answer);
+  CHECK(decoded.until_late == query.until_late);
+  CHECK(decoded.may_have_run);
+  CHECK(decoded.tried == query.tried);
+  CHECK(decoded.until_deadline == query.until_deadline);
+  CHECK(decoded.origin.request == query.origin.request);
+  CHECK(decoded.origin.priority == query.origin.priority);
+  CHECK(decoded.withheld.empty());
   query.withheld = {EndpointId{"g"}};
-  CHECK(SentAndRead(query).withheld == query.withheld);
+  CHECK(RoundTrip(query).withheld == query.withheld);
 }
 
-TEST_CASE("Every kind of decision comes back as it was taken") {
+TEST_CASE("Every kind of placement decision round-trips") {
   PlacementReply reply{kHost, Incarnation{77}, QueryId{5}, {}};
   PlannedPlacement placed;
   placed.endpoint = EndpointId{"e"};
@@ -195,52 +198,53 @@
   placed.first_event = FractionalMillis(250);
   placed.candidates = 12;
   reply.decision = placed;
-  const auto read = std::get<PlannedPlacement>(SentAndRead(reply).decision);
-  CHECK(read.endpoint == placed.endpoint);
-  REQUIRE(read.helpers.size() == 1);
-  CHECK(read.helpers.front().held == Tokens{90});
-  CHECK(read.work_class == WorkClass::kLong);
-  CHECK(read.first_event == placed.first_event);
-  CHECK(read.candidates == 12);
+  const auto decoded = std::get<PlannedPlacement>(RoundTrip(reply).decision);
+  CHECK(decoded.endpoint == placed.endpoint);
+  REQUIRE(decoded.helpers.size() == 1);
+  CHECK(decoded.helpers.front().held == Tokens{90});
+  CHECK(decoded.work_class == WorkClass::kLong);
+  CHECK(decoded.first_event == placed.first_event);
+  CHECK(decoded.candidates == 12);
   reply.decision = QueryQueued{};
-  CHECK(std::holds_alternative<QueryQueued>(SentAndRead(reply).decision));
+  CHECK(std::holds_alternative<QueryQueued>(RoundTrip(reply).decision));
   reply.decision = QueryRejected{Millis(750)};
-  const PlacementReply later = SentAndRead(reply);
-  CHECK(std::get<QueryRejected>(later.decision).retry_after == Millis(750));
+  const PlacementReply with_retry_after = RoundTrip(reply);
+  CHECK(std::get<QueryRejected>(with_retry_after.decision).retry_after ==
+        Millis(750));
   reply.decision = QueryRejected{};
-  CHECK(std::holds_alternative<QueryRejected>(SentAndRead(reply).decision));
+  CHECK(std::holds_alternative<QueryRejected>(RoundTrip(reply).decision));
   reply.decision = NoEndpoint{};
-  CHECK(std::holds_alternative<NoEndpoint>(SentAndRead(reply).decision));
+  CHECK(std::holds_alternative<NoEndpoint>(RoundTrip(reply).decision));
   reply.decision = NotPlanner{kHost};
-  CHECK(std::get<NotPlanner>(SentAndRead(reply).decision).planner == kHost);
+  CHECK(std::get<NotPlanner>(RoundTrip(reply).decision).planner == kHost);
 }
 
-TEST_CASE("A progress comes back as it was sent") {
-  const ProgressReport progress{kHost,
-                                Incarnation{77},
-                                {PrefillDone{QueryId{1}, 1.5}},
-                                {RequestDone{QueryId{2}, true}}};
-  const ProgressReport read = SentAndRead(progress);
-  REQUIRE(read.read.size() == 1);
-  CHECK(read.read.front().pace == 1.5);
-  REQUIRE(read.ended.size() == 1);
-  CHECK(read.ended.front().id == QueryId{2});
-  CHECK(read.ended.front().failed);
+TEST_CASE("A progress report round-trips") {
+  const ProgressReport progress_report{kHost,
+                                       Incarnation{77},
+                                       {PrefillDone{QueryId{1}, 1.5}},
+                                       {RequestDone{QueryId{2}, true}}};
+  const ProgressReport decoded = RoundTrip(progress_report);
+  REQUIRE(decoded.read.size() == 1);
+  CHECK(decoded.read.front().pace == 1.5);
+  REQUIRE(decoded.ended.size() == 1);
+  CHECK(decoded.ended.front().id == QueryId{2});
+  CHECK(decoded.ended.front().failed);
 }
 
-TEST_CASE("Bytes that are no message are refused") {
+TEST_CASE("Bytes that are not a valid message are rejected") {
   CHECK_FALSE(DecodeFleetMessage("").has_value());
   CHECK_FALSE(DecodeFleetMessage("\xff noise").has_value());
-  const std::string whole = EncodeFleetMessage(Word());
+  const std::string whole = EncodeFleetMessage(MakeHeartbeat());
   for (std::size_t size = 0; size < whole.size(); ++size) {
     CHECK_FALSE(DecodeFleetMessage(whole.substr(0, size)).has_value());
   }
-  // An array whose first number stands for no kind of message.
+  // An array whose first number is not a message kind.
   CHECK_FALSE(DecodeFleetMessage("\x81\x09").has_value());
 }
 
-TEST_CASE("A number that stands for no class of work is refused") {
-  Heartbeat heartbeat = Word();
+TEST_CASE("An unknown work class is rejected") {
+  Heartbeat heartbeat = MakeHeartbeat();
   heartbeat.work->front().parts.front().work_class = static_cast<WorkClass>(9);
   CHECK_FALSE(DecodeFleetMessage(EncodeFleetMessage(heartbeat)).has_value());
 }
