--- a/src/core/snapshot_admission.cc
+++ b/src/core/snapshot_admission.cc
@@ -25,7 +25,7 @@
   if (peer.has_value()) {
     return RedirectToPeer{*peer};
   }
-  // Who comes later finds more hosts that give copies: their number doubles
+  // A later retry finds more hosts that serve snapshots: their number doubles
   // with each round.
   ++deferred_requests_;
   const double rounds =
--- a/src/core/snapshot_admission_test.cc
+++ b/src/core/snapshot_admission_test.cc
@@ -11,101 +11,109 @@
 
 const HostAddress kOther{"10.0.0.2:1"};
 
-class DeskFixture {
+class SnapshotAdmissionFixture {
  protected:
-  bool IsGiven(const SnapshotDecision& decision) {
+  bool IsServed(const SnapshotDecision& decision) {
     return std::holds_alternative<ServeSnapshot>(decision);
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  SnapshotAdmission desk_{CpuShare{0.25}, [this] { return now_; }};
+  SnapshotAdmission admission_{CpuShare{0.25}, [this] { return now_; }};
 };
 
-TEST_CASE_METHOD(DeskFixture, "As many copies go out as the host bears") {
-  CHECK(IsGiven(desk_.OnRequest(std::nullopt)));
-  CHECK(IsGiven(desk_.OnRequest(kOther)));
-  CHECK_FALSE(IsGiven(desk_.OnRequest(std::nullopt)));
-  desk_.OnTransferEnded();
-  CHECK(IsGiven(desk_.OnRequest(std::nullopt)));
+TEST_CASE_METHOD(
+    SnapshotAdmissionFixture,
+    "The number of concurrent transfers is limited by the CPU share") {
+  CHECK(IsServed(admission_.OnRequest(std::nullopt)));
+  CHECK(IsServed(admission_.OnRequest(kOther)));
+  CHECK_FALSE(IsServed(admission_.OnRequest(std::nullopt)));
+  admission_.OnTransferEnded();
+  CHECK(IsServed(admission_.OnRequest(std::nullopt)));
 }
 
-TEST_CASE_METHOD(DeskFixture,
-                 "Beyond that hosts are sent to one that gives the same") {
-  desk_.OnRequest(std::nullopt);
-  desk_.OnRequest(std::nullopt);
-  const SnapshotDecision decision = desk_.OnRequest(kOther);
+TEST_CASE_METHOD(SnapshotAdmissionFixture,
+                 "Requests beyond the limit are redirected to a peer") {
+  admission_.OnRequest(std::nullopt);
+  admission_.OnRequest(std::nullopt);
+  const SnapshotDecision decision = admission_.OnRequest(kOther);
   REQUIRE(std::holds_alternative<RedirectToPeer>(decision));
   CHECK(std::get<RedirectToPeer>(decision).host == kOther);
 }
 
-TEST_CASE_METHOD(DeskFixture,
-                 "Where there is none they are told when their turn comes, one "
-                 "after the other") {
-  desk_.OnRequest(std::nullopt);
-  desk_.OnRequest(std::nullopt);
+TEST_CASE_METHOD(
+    SnapshotAdmissionFixture,
+    "Without a peer, requesters are told to retry after increasing delays") {
+  admission_.OnRequest(std::nullopt);
+  admission_.OnRequest(std::nullopt);
   now_ += Millis(10);
-  desk_.OnTransferEnded();
-  desk_.OnRequest(std::nullopt);
-  const auto first = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).delay;
-  const auto second = std::get<RetryLater>(desk_.OnRequest(std::nullopt)).delay;
+  admission_.OnTransferEnded();
+  admission_.OnRequest(std::nullopt);
+  const auto first =
+      std::get<RetryLater>(admission_.OnRequest(std::nullopt)).delay;
+  const auto second =
+      std::get<RetryLater>(admission_.OnRequest(std::nullopt)).delay;
   CHECK(first < second);
   CHECK(second <= SnapshotAdmission::kMaxRetryDelay);
 }
 
-TEST_CASE_METHOD(DeskFixture, "The weakest host gives one copy at a time") {
-  SnapshotAdmission desk(CpuShare{0.09}, [this] { return now_; });
-  CHECK(IsGiven(desk.OnRequest(std::nullopt)));
-  CHECK_FALSE(IsGiven(desk.OnRequest(std::nullopt)));
+TEST_CASE_METHOD(SnapshotAdmissionFixture,
+                 "The smallest host runs one transfer at a time") {
+  SnapshotAdmission admission(CpuShare{0.09}, [this] { return now_; });
+  CHECK(IsServed(admission.OnRequest(std::nullopt)));
+  CHECK_FALSE(IsServed(admission.OnRequest(std::nullopt)));
 }
 
-// A fleet starts at once: one strong host has a copy, and all others ask it.
-class CopyFleet {
+// A fleet that starts at once: one host with a large CPU share has a snapshot,
+// and all others request it.
+class SnapshotFleet {
  public:
-  CopyFleet(int hosts, int strong) {
+  SnapshotFleet(int hosts, int strong) {
     for (int i = 0; i < hosts; ++i) {
       hosts_.emplace_back(i < strong);
       if (i > 0) {
-        asks_.push(Ask{now_, i, 0});
+        events_.push(Event{now_, i, 0});
       }
     }
-    At(0).has_copy = true;
+    At(0).has_snapshot = true;
   }
 
-  // Plays until every host has a copy, and returns how long that took.
+  // Runs until every host has a snapshot and returns the time that this took.
   Millis Run() {
     const TimePoint began = now_;
-    while (!asks_.empty()) {
-      const Ask ask = asks_.top();
-      asks_.pop();
-      now_ = ask.at;
-      Take(ask);
+    while (!events_.empty()) {
+      const Event event = events_.top();
+      events_.pop();
+      now_ = event.at;
+      Process(event);
     }
     return std::chrono::duration_cast<Millis>(now_ - began);
   }
 
-  int MostAtOnce() const { return most_at_once_; }
-  int MostAsksOfOne() const { return most_asks_; }
+  int MaxConcurrentTransfers() const { return max_concurrent_transfers_; }
+  int MaxRequestsPerHost() const { return max_requests_per_host_; }
 
  private:
   struct Host {
     explicit Host(bool is_strong) : is_strong(is_strong) {}
     bool is_strong;
-    bool has_copy = false;
-    int asks = 0;
-    std::unique_ptr<SnapshotAdmission> desk;
+    bool has_snapshot = false;
+    int request_count = 0;
+    std::unique_ptr<SnapshotAdmission> admission;
   };
-  struct Ask {
+  struct Event {
     TimePoint at;
     int from;
     int to;
-    // The copy from `to` has arrived.
-    bool arrives = false;
-    friend bool operator<(const Ask& a, const Ask& b) { return b.at < a.at; }
+    // The snapshot from `to` has arrived; otherwise a request to `to`.
+    bool is_arrival = false;
+    friend bool operator<(const Event& a, const Event& b) {
+      return b.at < a.at;
+    }
   };
 
-  static constexpr Millis kHop{2};
-  // A host sends its copies side by side over one link.
-  static constexpr Millis kCopy{8};
+  static constexpr Millis kNetworkDelay{2};
+  // Concurrent transfers of a host share one link.
+  static constexpr Millis kTransferTime{8};
 
   Host& At(int host) { return hosts_[static_cast<std::size_t>(host)]; }
 
@@ -113,60 +121,65 @@
     return HostAddress{std::to_string(host)};
   }
 
-  void Take(const Ask& ask) {
-    if (ask.arrives) {
-      At(ask.to).desk->OnTransferEnded();
-      At(ask.from).has_copy = true;
-      if (At(ask.from).is_strong) {
-        givers_.push_back(ask.from);
+  void Process(const Event& event) {
+    if (event.is_arrival) {
+      At(event.to).admission->OnTransferEnded();
+      At(event.from).has_snapshot = true;
+      if (At(event.from).is_strong) {
+        servers_.push_back(event.from);
       }
       return;
     }
-    Host& giver = At(ask.to);
-    ++giver.asks;
-    most_asks_ = std::max(most_asks_, giver.asks);
-    if (giver.desk == nullptr) {
-      giver.desk = std::make_unique<SnapshotAdmission>(CpuShare{1.0},
-                                                       [this] { return now_; });
+    Host& server = At(event.to);
+    ++server.request_count;
+    max_requests_per_host_ =
+        std::max(max_requests_per_host_, server.request_count);
+    if (server.admission == nullptr) {
+      server.admission = std::make_unique<SnapshotAdmission>(
+          CpuShare{1.0}, [this] { return now_; });
     }
-    const bool knows_others = ask.to == 0 && !givers_.empty();
-    const SnapshotDecision decision = giver.desk->OnRequest(
-        knows_others ? std::make_optional(AddressOf(NextGiver()))
-                     : std::nullopt);
-    most_at_once_ = std::max(most_at_once_, giver.desk->ActiveTransfers());
+    const bool knows_peer = event.to == 0 && !servers_.empty();
+    const SnapshotDecision decision = server.admission->OnRequest(
+        knows_peer ? std::make_optional(AddressOf(NextServer()))
+                   : std::nullopt);
+    max_concurrent_transfers_ = std::max(max_concurrent_transfers_,
+                                         server.admission->ActiveTransfers());
     if (std::holds_alternative<ServeSnapshot>(decision)) {
-      const Millis takes = kCopy * giver.desk->ActiveTransfers() + kHop;
-      asks_.push(Ask{now_ + takes, ask.from, ask.to, true});
+      const Millis duration =
+          kTransferTime * server.admission->ActiveTransfers() + kNetworkDelay;
+      events_.push(Event{now_ + duration, event.from, event.to, true});
     } else if (const auto* other = std::get_if<RedirectToPeer>(&decision)) {
-      asks_.push(Ask{now_ + kHop, ask.from, std::stoi(other->host.value)});
+      events_.push(Event{now_ + kNetworkDelay, event.from,
+                         std::stoi(other->host.value)});
     } else {
-      asks_.push(Ask{now_ + std::get<RetryLater>(decision).delay, ask.from, 0});
+      events_.push(
+          Event{now_ + std::get<RetryLater>(decision).delay, event.from, 0});
     }
   }
 
-  int NextGiver() {
-    givers_.push_back(givers_.front());
-    givers_.pop_front();
-    return givers_.back();
+  int NextServer() {
+    servers_.push_back(servers_.front());
+    servers_.pop_front();
+    return servers_.back();
   }
 
   TimePoint now_{std::chrono::hours(1)};
   std::vector<Host> hosts_;
-  std::deque<int> givers_;
-  std::priority_queue<Ask> asks_;
-  int most_at_once_ = 0;
-  int most_asks_ = 0;
+  std::deque<int> servers_;
+  std::priority_queue<Event> events_;
+  int max_concurrent_transfers_ = 0;
+  int max_requests_per_host_ = 0;
 };
 
-TEST_CASE("A fleet that starts at once is served in rounds that double") {
+TEST_CASE("A fleet that starts at once is served in rounds of doubling size") {
   const int hosts = GENERATE(402, 804, 3216);
-  CopyFleet fleet(hosts, hosts / 7);
-  const Millis took = fleet.Run();
-  CHECK(fleet.MostAtOnce() <=
+  SnapshotFleet fleet(hosts, hosts / 7);
+  const Millis elapsed = fleet.Run();
+  CHECK(fleet.MaxConcurrentTransfers() <=
         static_cast<int>(SnapshotAdmission::kTransfersPerCore));
-  // One host alone would take eight milliseconds for each.
-  CHECK(took.count() <= 1000);
-  CHECK(took.count() < 8 * hosts / 2);
+  // A single host would need eight milliseconds for each snapshot.
+  CHECK(elapsed.count() <= 1000);
+  CHECK(elapsed.count() < 8 * hosts / 2);
 }
 
 }  // namespace
