--- a/src/core/dissemination.cc
+++ b/src/core/dissemination.cc
@@ -8,9 +8,9 @@
 namespace harecrank {
 namespace {
 
-// Of this many comparisons, one goes to another data centre.
-constexpr std::uint64_t kRemoteOneIn = 4;
-// Looks at the service that all nodes that are no readers make together.
+// One of this many comparisons is made with a node of another data centre.
+constexpr std::uint64_t kRemotePeerOneIn = 4;
+// Rate of the fallback polls of all nodes together.
 constexpr std::int64_t kFallbackPollsPerSecond = 50;
 constexpr Millis kMinFallbackInterval{30000};
 constexpr std::int64_t kMillisPerSecond = 1000;
@@ -37,8 +37,8 @@
   const std::size_t count = ids.size();
   const auto order = RendezvousTop("configuration " + data_centre.value,
                                    std::move(ids), count);
-  const auto place = std::find(order.begin(), order.end(), self.value);
-  const auto index = static_cast<std::size_t>(place - order.begin());
+  const auto self_position = std::find(order.begin(), order.end(), self.value);
+  const auto index = static_cast<std::size_t>(self_position - order.begin());
   is_watcher_ = index < kWatchers;
   const std::size_t first = kWatchers + index * kFanOut;
   for (std::size_t i = first; i < first + kFanOut && i < order.size(); ++i) {
@@ -48,7 +48,7 @@
 
 const NodeAddress* DisseminationPlan::PickPeer(
     const RandomSource& random) const {
-  const bool prefer_remote = random() % kRemoteOneIn == 0;
+  const bool prefer_remote = random() % kRemotePeerOneIn == 0;
   const auto& preferred = prefer_remote ? remote_ : local_;
   const auto& other = prefer_remote ? local_ : remote_;
   const auto& pool = preferred.empty() ? other : preferred;
@@ -60,8 +60,8 @@
 
 Millis DisseminationPlan::FallbackPollInterval() const {
   const auto nodes = static_cast<std::int64_t>(NodeCount());
-  const Millis fair{nodes * kMillisPerSecond / kFallbackPollsPerSecond};
-  return std::max(fair, kMinFallbackInterval);
+  const Millis interval{nodes * kMillisPerSecond / kFallbackPollsPerSecond};
+  return std::max(interval, kMinFallbackInterval);
 }
 
 }  // namespace harecrank
--- a/src/core/dissemination_test.cc
+++ b/src/core/dissemination_test.cc
@@ -18,10 +18,11 @@
   return nodes;
 }
 
-TEST_CASE("Every node of a data centre hangs below one of its readers") {
+TEST_CASE(
+    "Every node of a data centre is in the tree below one of its watchers") {
   const auto nodes = MakeNodes(900, 3);
   std::map<std::string, DisseminationPlan> plans;
-  std::vector<std::string> readers;
+  std::vector<std::string> watchers;
   for (const NodeAddress& node : nodes) {
     if (node.data_centre.value != "dc0") {
       continue;
@@ -33,12 +34,12 @@
             .first->second;
     CHECK(plan.Children().size() <= DisseminationPlan::kFanOut);
     if (plan.IsWatcher()) {
-      readers.push_back(node.id.value);
+      watchers.push_back(node.id.value);
     }
   }
-  CHECK(readers.size() == DisseminationPlan::kWatchers);
-  std::set<std::string> reached(readers.begin(), readers.end());
-  std::vector<std::string> level = readers;
+  CHECK(watchers.size() == DisseminationPlan::kWatchers);
+  std::set<std::string> reached(watchers.begin(), watchers.end());
+  std::vector<std::string> level = watchers;
   int depth = 0;
   while (!level.empty()) {
     std::vector<std::string> next;
@@ -56,17 +57,17 @@
   CHECK(depth <= 5);
 }
 
-TEST_CASE("Looks at the service stay within a rate however many nodes") {
+TEST_CASE("The rate of fallback polls is bounded for any number of nodes") {
   const auto nodes = MakeNodes(4510, 14);
   const DisseminationPlan plan(nodes, NodeId{"n5"}, DataCentreId{"dc5"});
-  const double looks_per_second =
+  const double polls_per_second =
       4510.0 * 1000.0 /
       static_cast<double>(plan.FallbackPollInterval().count());
-  INFO("all nodes together look " << looks_per_second << " times a second");
-  CHECK(looks_per_second <= 51);
+  INFO("all nodes together poll " << polls_per_second << " times a second");
+  CHECK(polls_per_second <= 51);
 }
 
-TEST_CASE("Some comparisons reach other data centres") {
+TEST_CASE("Some peers are in other data centres") {
   const auto nodes = MakeNodes(30, 3);
   const DisseminationPlan plan(nodes, NodeId{"n0"}, DataCentreId{"dc0"});
   std::uint64_t drawn = 0;
@@ -80,7 +81,7 @@
   CHECK(remote > 0);
 }
 
-TEST_CASE("A node alone has nobody to ask") {
+TEST_CASE("A single node has no peer") {
   const DisseminationPlan plan({}, NodeId{"n0"}, DataCentreId{"dc0"});
   CHECK(plan.IsWatcher());
   CHECK(plan.PickPeer([] { return std::uint64_t{0}; }) == nullptr);
--- a/src/core/fleet_size_test.cc
+++ b/src/core/fleet_size_test.cc
@@ -11,8 +11,7 @@
   FleetSize size_{[this] { return now_; }};
 };
 
-TEST_CASE_METHOD(FleetSizeFixture,
-                 "A host that has just started does not know the size") {
+TEST_CASE_METHOD(FleetSizeFixture, "The size is unknown just after the start") {
   size_.OnReported(24);
   CHECK_FALSE(size_.MaxHosts().has_value());
   now_ += FleetSize::kStartupGrace;
@@ -20,19 +19,22 @@
 }
 
 TEST_CASE_METHOD(FleetSizeFixture,
-                 "A host that has heard of no other does not know the size") {
+                 "A host with seeds that has heard of no other host does not "
+                 "know the size") {
   size_.OnObserved(1);
   now_ += FleetSize::kStartupGrace;
   CHECK_FALSE(size_.MaxHosts().has_value());
 }
 
-TEST_CASE_METHOD(FleetSizeFixture, "A host without seeds is alone") {
+TEST_CASE_METHOD(FleetSizeFixture,
+                 "A host without other seeds is a fleet of one") {
   size_.SetHasOtherSeeds(false);
   now_ += FleetSize::kStartupGrace;
   CHECK(size_.MaxHosts() == 1);
 }
 
-TEST_CASE_METHOD(FleetSizeFixture, "A host that is cut off keeps the size") {
+TEST_CASE_METHOD(FleetSizeFixture,
+                 "A partitioned host keeps the size of the whole fleet") {
   size_.OnObserved(24);
   for (int minute = 0; minute < 9; ++minute) {
     now_ += std::chrono::minutes(1);
@@ -41,7 +43,9 @@
   CHECK(size_.MaxHosts() == 24);
 }
 
-TEST_CASE_METHOD(FleetSizeFixture, "A fleet that has shrunk is smaller later") {
+TEST_CASE_METHOD(
+    FleetSizeFixture,
+    "The size of a fleet that has shrunk decreases after the window") {
   size_.OnObserved(24);
   for (int minute = 0; minute < 21; ++minute) {
     now_ += std::chrono::minutes(1);
@@ -50,7 +54,8 @@
   CHECK(size_.MaxHosts() == 3);
 }
 
-TEST_CASE_METHOD(FleetSizeFixture, "What a host was told it does not tell on") {
+TEST_CASE_METHOD(FleetSizeFixture,
+                 "Numbers reported by others are not passed on") {
   size_.OnObserved(3);
   size_.OnReported(24);
   CHECK(size_.PeakObserved() == 3);
--- a/src/core/remote_clock.cc
+++ b/src/core/remote_clock.cc
@@ -3,9 +3,10 @@
 namespace harecrank {
 
 void RemoteClock::OnPulse(RemoteMillis remote, TimePoint now) {
-  // Of two estimates the one with the larger remote reading for the same local
-  // time spent less on the way. The latest is kept all the same: a later pulse
-  // bounds the drift of the two clocks.
+  // Of two pulses, the one with the smaller difference between arrival time and
+  // remote reading had the shorter delay and gives the better estimate. The
+  // latest one is used all the same, because it limits the drift between the
+  // two clocks.
   latest_ = Pulse{remote, now};
 }
 
