--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -51,7 +51,7 @@
  public:
   // All of them must outlive this.
   Planner(const EndpointDirectory* directory, EndpointHealth* health,
-          const StartQuotas* start_shares, DataCentreId self,
+          const StartQuotas* start_quotas, DataCentreId self,
           RoutingTableProvider routing, const PlacementPolicy& policy,
           MonotonicClock clock, RandomSource random);
 
@@ -62,14 +62,14 @@
   void Begin(const std::vector<HostAddress>& hosts);
 
   // Decides on an ask. The same ask once more gets the same answer.
-  PlacementDecision OnQuery(const PlacementQuery& ask);
+  PlacementDecision OnQuery(const PlacementQuery& query);
 
   // Takes what became of places.
-  void OnProgressReport(const ProgressReport& note);
+  void OnProgressReport(const ProgressReport& report);
 
   // Takes a host's account of what it has under way, which replaces what was
   // known of it, but for places so new that the account may have crossed them.
-  void OnHeartbeat(const Heartbeat& word);
+  void OnHeartbeat(const Heartbeat& heartbeat);
 
   // Tries those that wait, first to last, and returns those that start.
   std::vector<DeferredReply> ProcessWaitQueue();
@@ -81,17 +81,21 @@
   void Clear();
 
   std::size_t WaitingCount() const {
-    return room_.Count() + short_room_.Count();
+    return long_queue_.Count() + short_queue_.Count();
   }
   std::size_t HostCount() const { return hosts_.size(); }
   // Accounts whose long prompts wait, and those of them that have had their
   // share of engine time.
-  std::size_t WaitingAccounts() const { return room_.WaitingAccounts(); }
-  std::size_t OverShareAccounts() const { return room_.OverShareAccounts(); }
+  std::size_t WaitingAccounts() const { return long_queue_.WaitingAccounts(); }
+  std::size_t OverShareAccounts() const {
+    return long_queue_.OverShareAccounts();
+  }
   // How many were told to return and have not come back yet.
-  std::size_t ReservationCount() const { return decision_.ReservationCount(); }
+  std::size_t ReservationCount() const {
+    return admission_control_.ReservationCount();
+  }
   const ReservationCounts& ReservationTotals() const {
-    return decision_.Counts();
+    return admission_control_.Counts();
   }
 
   // Over how long the demand of short prompts is taken.
@@ -113,17 +117,17 @@
 
  private:
   struct Entry {
-    PlacementQuery ask;
-    TimePoint late_at{};
-    TimePoint came_at{};
+    PlacementQuery query;
+    TimePoint first_event_due{};
+    TimePoint arrived_at{};
     // When its caller or route gives it up.
-    TimePoint ends_at{};
-    TimePoint asked_at{};
+    TimePoint deadline{};
+    TimePoint last_query_at{};
     TimePoint placed_at{};
-    std::optional<WaitingRequestId> waiter;
+    std::optional<WaitingRequestId> queue_id;
     bool is_short = false;
     // Whether room is foreseen for it.
-    bool is_foreseen = false;
+    bool uses_admission_control = false;
     // It was turned away before and came when it was told to.
     bool has_reservation = false;
     std::optional<PlannedPlacement> placed;
@@ -132,73 +136,73 @@
   };
   struct Host {
     Incarnation incarnation;
-    TimePoint heard{};
-    std::unordered_map<QueryId, Entry> asks;
+    TimePoint last_heard{};
+    std::unordered_map<QueryId, Entry> queries;
   };
-  struct AskKey {
+  struct QueryKey {
     HostAddress host;
     QueryId id;
   };
 
   bool IsLearning() const;
-  Host* HostOf(const HostAddress& address, Incarnation incarnation);
+  Host* FindOrAddHost(const HostAddress& address, Incarnation incarnation);
   // Returns nothing if all engines that could take it are busy.
   std::optional<PlacementDecision> TryPlace(Entry* entry);
   std::optional<PlacementRequest> RequestOf(const Entry& entry) const;
   // Returns where the host that asks may begin nothing now.
-  std::set<EndpointId> WithheldFrom(const Entry& entry,
-                                    const ServiceProfile& service) const;
+  std::set<EndpointId> WithheldFor(const Entry& entry,
+                                   const ServiceProfile& service) const;
   bool IsShort(const PlacementRequest& request) const;
   ShareClaim ShareClaimOf(const PlacementRequest& request) const;
   ShareRank ShareRankOf(const Entry& entry,
                         const std::optional<PlacementRequest>& request);
-  WaitQueue& RoomOf(const Entry& entry) {
-    return entry.is_short ? short_room_ : room_;
+  WaitQueue& QueueOf(const Entry& entry) {
+    return entry.is_short ? short_queue_ : long_queue_;
   }
-  bool WaitsInVain(const PlacementQuery& ask,
-                   const PlacementRequest& request) const;
-  void Wait(Entry* entry, const PlacementRequest& request);
-  void LeaveRoom(Entry* entry);
-  void NoteDemand(const PlacementRequest& request);
+  bool HasLatePrecedent(const PlacementQuery& query,
+                        const PlacementRequest& request) const;
+  void Enqueue(Entry* entry, const PlacementRequest& request);
+  void Dequeue(Entry* entry);
+  void RecordDemand(const PlacementRequest& request);
   ShortDemand DemandWithin(Millis time) const;
-  AdmissionCandidate SeekerOf(const Entry& entry,
-                              const PlacementRequest& request) const;
+  AdmissionCandidate CandidateOf(const Entry& entry,
+                                 const PlacementRequest& request) const;
   // Returns the refusal of one that just came and found no place, if it should
   // not wait.
-  std::optional<QueryRejected> RefusalOnArrival(const Entry& entry,
-                                                const PlacementRequest& request,
-                                                ShareRank turn);
+  std::optional<QueryRejected> RejectionOnArrival(
+      const Entry& entry, const PlacementRequest& request,
+      ShareRank share_rank);
   // Whether one that waits in `room` after `ahead` may take a place now.
-  bool MayStart(const Entry& entry, const WaitQueue& room,
+  bool MayStart(const Entry& entry, const WaitQueue& queue,
                 const WorkAhead& ahead) const;
   // Returns the answer to one that waits after `ahead`, if it should no longer.
-  std::optional<PlacementDecision> EndOfWait(const Entry& entry,
-                                             const WorkAhead& ahead);
+  std::optional<PlacementDecision> RejectionWhileQueued(const Entry& entry,
+                                                        const WorkAhead& ahead);
   // Whether a short prompt has waited for as long as is of use, where no room
   // is foreseen.
-  bool HasWaitedEnough(const Entry& entry) const;
-  void TryRoom(WaitQueue* room, std::size_t tried,
-               std::vector<DeferredReply>* due);
-  void Adopt(Host* host, const QueryWork& work);
-  void DropEntry(Entry* entry);
-  void DropAsks(Host* host);
+  bool HasTimedOut(const Entry& entry) const;
+  void ProcessQueue(WaitQueue* queue, std::size_t max_failed,
+                    std::vector<DeferredReply>* replies);
+  void AdoptWork(Host* host, const QueryWork& work);
+  void RemoveEntry(Entry* entry);
+  void RemoveQueries(Host* host);
 
   const EndpointDirectory* directory_;
   EndpointHealth* health_;
-  const StartQuotas* start_shares_;
+  const StartQuotas* start_quotas_;
   RoutingTableProvider routing_;
   PlacementPolicy policy_;
   MonotonicClock clock_;
   EndpointLoads loads_;
   // What this planner has given to each host.
-  StartHistory given_;
+  StartHistory granted_starts_;
   Placer placer_;
-  AdmissionControl decision_;
+  AdmissionControl admission_control_;
   // Of long prompts and of short ones.
-  WaitQueue room_;
-  WaitQueue short_room_;
-  std::map<WaitingRequestId, AskKey> waiting_;
-  std::map<WaitingRequestId, AskKey> short_waiting_;
+  WaitQueue long_queue_;
+  WaitQueue short_queue_;
+  std::map<WaitingRequestId, QueryKey> long_query_keys_;
+  std::map<WaitingRequestId, QueryKey> short_query_keys_;
   struct Demand {
     TimePoint at;
     FractionalMillis prefill_time{0};
@@ -207,8 +211,8 @@
   std::deque<Demand> demand_;
   std::map<HostAddress, Host> hosts_;
   // Those that have not told yet what they have under way.
-  std::set<HostAddress> untold_;
-  TimePoint learns_until_{};
+  std::set<HostAddress> unreported_hosts_;
+  TimePoint learning_until_{};
 };
 
 }  // namespace harecrank
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -22,119 +22,120 @@
 }  // namespace
 
 Planner::Planner(const EndpointDirectory* directory, EndpointHealth* health,
-                 const StartQuotas* start_shares, DataCentreId self,
+                 const StartQuotas* start_quotas, DataCentreId self,
                  RoutingTableProvider routing, const PlacementPolicy& policy,
                  MonotonicClock clock, RandomSource random)
     : directory_(directory),
       health_(health),
-      start_shares_(start_shares),
+      start_quotas_(start_quotas),
       routing_(std::move(routing)),
       policy_(policy),
       clock_(clock),
       loads_(clock),
-      given_(clock),
+      granted_starts_(clock),
       placer_(
           directory, &loads_, health, std::move(self), LoadScope::kAllHosts,
           [] { return 1; }, policy, std::move(random)),
-      decision_(policy_, clock),
-      room_(clock, policy_.long_order, policy_.shares_by_account),
-      short_room_(std::move(clock), policy_.short_order,
-                  policy_.shares_by_account) {}
+      admission_control_(policy_, clock),
+      long_queue_(clock, policy_.long_order, policy_.shares_by_account),
+      short_queue_(std::move(clock), policy_.short_order,
+                   policy_.shares_by_account) {}
 
 void Planner::Begin(const std::vector<HostAddress>& hosts) {
-  untold_ = std::set<HostAddress>(hosts.begin(), hosts.end());
-  learns_until_ = clock_() + kLearningPeriod;
+  unreported_hosts_ = std::set<HostAddress>(hosts.begin(), hosts.end());
+  learning_until_ = clock_() + kLearningPeriod;
 }
 
 bool Planner::IsLearning() const {
-  return !untold_.empty() && clock_() < learns_until_;
+  return !unreported_hosts_.empty() && clock_() < learning_until_;
 }
 
-PlacementDecision Planner::OnQuery(const PlacementQuery& ask) {
-  Host* host = HostOf(ask.host, ask.incarnation);
-  const auto [found, is_new] = host->asks.try_emplace(ask.id);
+PlacementDecision Planner::OnQuery(const PlacementQuery& query) {
+  Host* host = FindOrAddHost(query.host, query.incarnation);
+  const auto [found, is_new] = host->queries.try_emplace(query.id);
   Entry& entry = found->second;
-  entry.asked_at = clock_();
+  entry.last_query_at = clock_();
   if (!is_new) {
     if (entry.placed.has_value()) {
       return *entry.placed;
     }
     return QueryQueued{};
   }
-  entry.ask = ask;
-  entry.came_at = clock_();
-  entry.late_at = clock_() + std::chrono::duration_cast<TimePoint::duration>(
-                                 ask.until_late);
-  entry.ends_at = clock_() + std::chrono::duration_cast<TimePoint::duration>(
-                                 ask.until_deadline);
+  entry.query = query;
+  entry.arrived_at = clock_();
+  entry.first_event_due =
+      clock_() +
+      std::chrono::duration_cast<TimePoint::duration>(query.until_late);
+  entry.deadline = clock_() + std::chrono::duration_cast<TimePoint::duration>(
+                                  query.until_deadline);
   auto request = RequestOf(entry);
   if (request.has_value() && IsShort(*request)) {
     entry.is_short = true;
-    NoteDemand(*request);
+    RecordDemand(*request);
   }
   if (request.has_value() && request->service->engine.has_value()) {
-    const AdmissionCandidate seeker = SeekerOf(entry, *request);
-    entry.is_foreseen = decision_.CanDecide(seeker);
-    if (const auto late_at = decision_.OnArrival(seeker)) {
+    const AdmissionCandidate candidate = CandidateOf(entry, *request);
+    entry.uses_admission_control = admission_control_.CanDecide(candidate);
+    if (const auto first_event_due = admission_control_.OnArrival(candidate)) {
       entry.has_reservation = true;
-      entry.late_at = std::min(entry.late_at, *late_at);
+      entry.first_event_due = std::min(entry.first_event_due, *first_event_due);
       request = RequestOf(entry);
     }
   }
   if (IsLearning() && request.has_value()) {
-    Wait(&entry, *request);
+    Enqueue(&entry, *request);
     return QueryQueued{};
   }
-  const ShareRank turn = ShareRankOf(entry, request);
+  const ShareRank share_rank = ShareRankOf(entry, request);
   // It does not take what others wait for that have had less.
-  const bool yields = turn == ShareRank::kAfter && !ask.may_have_run;
+  const bool yields = share_rank == ShareRank::kAfter && !query.may_have_run;
   if (auto decision = yields ? std::nullopt : TryPlace(&entry)) {
     if (!entry.placed.has_value()) {
-      host->asks.erase(ask.id);
+      host->queries.erase(query.id);
     }
     return *std::move(decision);
   }
-  if (const auto refused = RefusalOnArrival(entry, *request, turn)) {
-    host->asks.erase(ask.id);
-    return *refused;
+  if (const auto rejected = RejectionOnArrival(entry, *request, share_rank)) {
+    host->queries.erase(query.id);
+    return *rejected;
   }
-  Wait(&entry, *request);
+  Enqueue(&entry, *request);
   return QueryQueued{};
 }
 
 std::optional<PlacementRequest> Planner::RequestOf(const Entry& entry) const {
   const auto table = routing_();
   const ServiceProfile* service =
-      table == nullptr ? nullptr : table->FindService(entry.ask.service);
+      table == nullptr ? nullptr : table->FindService(entry.query.service);
   if (service == nullptr) {
     return std::nullopt;
   }
   PlacementRequest request;
   request.service = service;
-  request.target_latency = entry.ask.target_latency;
-  request.target_gap = entry.ask.target_gap;
-  request.prompt = entry.ask.prompt;
-  request.answer = entry.ask.answer;
+  request.target_latency = entry.query.target_latency;
+  request.target_gap = entry.query.target_gap;
+  request.prompt = entry.query.prompt;
+  request.answer = entry.query.answer;
   request.tightest_gap = table->TightestGap(service->name);
-  request.until_late = entry.late_at - clock_();
-  request.until_deadline = entry.ends_at - clock_();
-  request.origin = entry.ask.origin;
-  request.tried = entry.ask.tried;
-  request.withheld = WithheldFrom(entry, *service);
-  request.may_have_run = entry.ask.may_have_run;
+  request.until_late = entry.first_event_due - clock_();
+  request.until_deadline = entry.deadline - clock_();
+  request.origin = entry.query.origin;
+  request.tried = entry.query.tried;
+  request.withheld = WithheldFor(entry, *service);
+  request.may_have_run = entry.query.may_have_run;
   if (entry.is_short) {
     request.demand = DemandWithin(request.target_latency);
   }
   return request;
 }
 
-std::set<EndpointId> Planner::WithheldFrom(
-    const Entry& entry, const ServiceProfile& service) const {
+std::set<EndpointId> Planner::WithheldFor(const Entry& entry,
+                                          const ServiceProfile& service) const {
   std::set<EndpointId> withheld =
-      start_shares_->Withheld(given_, entry.ask.host, service);
+      start_quotas_->Withheld(granted_starts_, entry.query.host, service);
   // What the host had begun when it asked, also by places of other planners.
-  if (clock_() - entry.came_at < kWithheldLifetime) {
-    withheld.insert(entry.ask.withheld.begin(), entry.ask.withheld.end());
+  if (clock_() - entry.arrived_at < kWithheldLifetime) {
+    withheld.insert(entry.query.withheld.begin(), entry.query.withheld.end());
   }
   return withheld;
 }
@@ -153,24 +154,25 @@
     return NoEndpoint{};
   }
   for (const WorkPart& part : PartsOf(*placement, *request)) {
-    entry->work.push_back(loads_.Begin(part, entry->late_at));
+    entry->work.push_back(loads_.Begin(part, entry->first_event_due));
   }
-  start_shares_->Add(*placement, *request->service, entry->ask.host, &given_);
+  start_quotas_->Add(*placement, *request->service, entry->query.host,
+                     &granted_starts_);
   entry->endpoint = placement->endpoint.id;
   entry->placed = Planned(*placement);
   entry->placed_at = clock_();
   if (request->service->engine.has_value()) {
-    RoomOf(*entry).OnGranted(ShareClaimOf(*request));
-    decision_.OnStarted(SeekerOf(*entry, *request));
+    QueueOf(*entry).OnGranted(ShareClaimOf(*request));
+    admission_control_.OnStarted(CandidateOf(*entry, *request));
   }
   return *entry->placed;
 }
 
-void Planner::OnProgressReport(const ProgressReport& note) {
-  Host* host = HostOf(note.host, note.incarnation);
-  for (const PrefillDone& read : note.read) {
-    const auto found = host->asks.find(read.id);
-    if (found == host->asks.end()) {
+void Planner::OnProgressReport(const ProgressReport& report) {
+  Host* host = FindOrAddHost(report.host, report.incarnation);
+  for (const PrefillDone& read : report.read) {
+    const auto found = host->queries.find(read.id);
+    if (found == host->queries.end()) {
       continue;
     }
     for (const WorkId work : found->second.work) {
@@ -178,49 +180,49 @@
     }
     health_->OnSuccess(found->second.endpoint, read.pace);
   }
-  for (const RequestDone& ended : note.ended) {
-    const auto found = host->asks.find(ended.id);
-    if (found == host->asks.end()) {
+  for (const RequestDone& ended : report.ended) {
+    const auto found = host->queries.find(ended.id);
+    if (found == host->queries.end()) {
       continue;
     }
     if (ended.failed) {
       health_->OnErrorAnswer(found->second.endpoint);
     }
-    DropEntry(&found->second);
-    host->asks.erase(found);
+    RemoveEntry(&found->second);
+    host->queries.erase(found);
   }
 }
 
-void Planner::OnHeartbeat(const Heartbeat& word) {
-  if (!word.work.has_value()) {
+void Planner::OnHeartbeat(const Heartbeat& heartbeat) {
+  if (!heartbeat.work.has_value()) {
     return;
   }
-  untold_.erase(word.address);
-  Host* host = HostOf(word.address, word.incarnation);
-  std::unordered_map<QueryId, const QueryWork*> told;
-  for (const QueryWork& work : *word.work) {
-    told[work.id] = &work;
-    Adopt(host, work);
+  unreported_hosts_.erase(heartbeat.address);
+  Host* host = FindOrAddHost(heartbeat.address, heartbeat.incarnation);
+  std::unordered_map<QueryId, const QueryWork*> reported;
+  for (const QueryWork& work : *heartbeat.work) {
+    reported[work.id] = &work;
+    AdoptWork(host, work);
   }
   const TimePoint now = clock_();
-  for (auto it = host->asks.begin(); it != host->asks.end();) {
+  for (auto it = host->queries.begin(); it != host->queries.end();) {
     Entry& entry = it->second;
-    const bool given_up =
-        entry.waiter.has_value() && now - entry.asked_at > kQueryTimeout;
-    const bool ended = !entry.waiter.has_value() &&
-                       told.count(it->first) == 0 &&
+    const bool timed_out =
+        entry.queue_id.has_value() && now - entry.last_query_at > kQueryTimeout;
+    const bool ended = !entry.queue_id.has_value() &&
+                       reported.count(it->first) == 0 &&
                        now - entry.placed_at > kHeartbeatGrace;
-    const bool gone = given_up || ended;
+    const bool gone = timed_out || ended;
     if (gone) {
-      DropEntry(&entry);
+      RemoveEntry(&entry);
     }
-    it = gone ? host->asks.erase(it) : std::next(it);
+    it = gone ? host->queries.erase(it) : std::next(it);
   }
 }
 
-void Planner::Adopt(Host* host, const QueryWork& work) {
-  Entry& entry = host->asks[work.id];
-  if (entry.work.empty() && !entry.waiter.has_value()) {
+void Planner::AdoptWork(Host* host, const QueryWork& work) {
+  Entry& entry = host->queries[work.id];
+  if (entry.work.empty() && !entry.queue_id.has_value()) {
     for (const WorkPart& part : work.parts) {
       entry.work.push_back(loads_.Begin(part));
     }
@@ -236,23 +238,23 @@
   }
 }
 
-Planner::Host* Planner::HostOf(const HostAddress& address,
-                               Incarnation incarnation) {
+Planner::Host* Planner::FindOrAddHost(const HostAddress& address,
+                                      Incarnation incarnation) {
   Host& host = hosts_[address];
   if (host.incarnation != incarnation) {
-    DropAsks(&host);
+    RemoveQueries(&host);
     host.incarnation = incarnation;
   }
-  host.heard = clock_();
+  host.last_heard = clock_();
   return &host;
 }
 
 void Planner::RemoveSilentHosts() {
   const TimePoint now = clock_();
   for (auto it = hosts_.begin(); it != hosts_.end();) {
-    const bool silent = now - it->second.heard > kHostTimeout;
+    const bool silent = now - it->second.last_heard > kHostTimeout;
     if (silent) {
-      DropAsks(&it->second);
+      RemoveQueries(&it->second);
     }
     it = silent ? hosts_.erase(it) : std::next(it);
   }
@@ -260,29 +262,29 @@
 
 void Planner::Clear() {
   for (auto& [address, host] : hosts_) {
-    DropAsks(&host);
+    RemoveQueries(&host);
   }
   hosts_.clear();
-  room_.ForgetGrants();
-  short_room_.ForgetGrants();
-  decision_.Clear();
-  untold_.clear();
-  learns_until_ = TimePoint{};
+  long_queue_.ForgetGrants();
+  short_queue_.ForgetGrants();
+  admission_control_.Clear();
+  unreported_hosts_.clear();
+  learning_until_ = TimePoint{};
 }
 
-void Planner::DropEntry(Entry* entry) {
-  LeaveRoom(entry);
+void Planner::RemoveEntry(Entry* entry) {
+  Dequeue(entry);
   for (const WorkId work : entry->work) {
     loads_.End(work);
   }
   entry->work.clear();
 }
 
-void Planner::DropAsks(Host* host) {
-  for (auto& [id, entry] : host->asks) {
-    DropEntry(&entry);
+void Planner::RemoveQueries(Host* host) {
+  for (auto& [id, entry] : host->queries) {
+    RemoveEntry(&entry);
   }
-  host->asks.clear();
+  host->queries.clear();
 }
 
 }  // namespace harecrank
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -10,9 +10,9 @@
 namespace {
 
 std::optional<PlacementDecision> AsDecision(
-    const std::optional<QueryRejected>& refused) {
-  return refused.has_value() ? std::make_optional<PlacementDecision>(*refused)
-                             : std::nullopt;
+    const std::optional<QueryRejected>& rejected) {
+  return rejected.has_value() ? std::make_optional<PlacementDecision>(*rejected)
+                              : std::nullopt;
 }
 
 }  // namespace
@@ -24,73 +24,76 @@
 
 ShareRank Planner::ShareRankOf(const Entry& entry,
                                const std::optional<PlacementRequest>& request) {
-  const bool shares =
+  const bool uses_engine =
       request.has_value() && request->service->engine.has_value();
-  return shares ? RoomOf(entry).ShareRankOf(ShareClaimOf(*request))
-                : ShareRank::kEqual;
-}
-
-AdmissionCandidate Planner::SeekerOf(const Entry& entry,
-                                     const PlacementRequest& request) const {
-  AdmissionCandidate seeker;
-  seeker.request = &request;
-  seeker.work = PrefillTime(*request.service->engine, request.prompt);
-  seeker.kind = entry.is_short ? PromptKind::kShort : PromptKind::kLong;
-  seeker.age = clock_() - entry.came_at;
-  seeker.waits = entry.waiter.has_value();
-  seeker.has_reservation = entry.has_reservation;
-  seeker.engines = directory_->UsableOf(request.service->name).size();
-  return seeker;
-}
-
-std::optional<QueryRejected> Planner::RefusalOnArrival(
-    const Entry& entry, const PlacementRequest& request, ShareRank turn) {
-  if (entry.is_foreseen) {
-    const AdmissionCandidate seeker = SeekerOf(entry, request);
-    const WaitQueue& room = entry.is_short ? short_room_ : room_;
-    return decision_.RejectionOf(
-        seeker,
-        WorkAhead{room.WorkInTime(), room.LateWork(), room.LeastLateWork()});
+  return uses_engine ? QueueOf(entry).ShareRankOf(ShareClaimOf(*request))
+                     : ShareRank::kEqual;
+}
+
+AdmissionCandidate Planner::CandidateOf(const Entry& entry,
+                                        const PlacementRequest& request) const {
+  AdmissionCandidate candidate;
+  candidate.request = &request;
+  candidate.work = PrefillTime(*request.service->engine, request.prompt);
+  candidate.kind = entry.is_short ? PromptKind::kShort : PromptKind::kLong;
+  candidate.age = clock_() - entry.arrived_at;
+  candidate.waits = entry.queue_id.has_value();
+  candidate.has_reservation = entry.has_reservation;
+  candidate.engines = directory_->UsableOf(request.service->name).size();
+  return candidate;
+}
+
+std::optional<QueryRejected> Planner::RejectionOnArrival(
+    const Entry& entry, const PlacementRequest& request, ShareRank share_rank) {
+  if (entry.uses_admission_control) {
+    const AdmissionCandidate candidate = CandidateOf(entry, request);
+    const WaitQueue& queue = entry.is_short ? short_queue_ : long_queue_;
+    return admission_control_.RejectionOf(
+        candidate,
+        WorkAhead{queue.WorkInTime(), queue.LateWork(), queue.LeastLateWork()});
   }
   // Late prompts of an account that goes after it are no precedent.
-  const bool in_vain = policy_.refuses_by_precedent && !entry.is_short &&
-                       turn != ShareRank::kBefore &&
-                       WaitsInVain(entry.ask, request);
-  return in_vain ? std::make_optional(QueryRejected{}) : std::nullopt;
+  const bool has_precedent = policy_.refuses_by_precedent && !entry.is_short &&
+                             share_rank != ShareRank::kBefore &&
+                             HasLatePrecedent(entry.query, request);
+  return has_precedent ? std::make_optional(QueryRejected{}) : std::nullopt;
 }
 
-std::optional<PlacementDecision> Planner::EndOfWait(const Entry& entry,
-                                                    const WorkAhead& ahead) {
-  if (!entry.is_foreseen) {
+std::optional<PlacementDecision> Planner::RejectionWhileQueued(
+    const Entry& entry, const WorkAhead& ahead) {
+  if (!entry.uses_admission_control) {
     return std::nullopt;
   }
   const auto request = RequestOf(entry);
   if (!request.has_value()) {
     return NoEndpoint{};
   }
-  return AsDecision(decision_.RejectionOf(SeekerOf(entry, *request), ahead));
+  return AsDecision(
+      admission_control_.RejectionOf(CandidateOf(entry, *request), ahead));
 }
 
-bool Planner::MayStart(const Entry& entry, const WaitQueue& room,
+bool Planner::MayStart(const Entry& entry, const WaitQueue& queue,
                        const WorkAhead& ahead) const {
   const PromptKind kind =
       entry.is_short ? PromptKind::kShort : PromptKind::kLong;
-  return !entry.is_foreseen || entry.ask.may_have_run ||
-         decision_.MayStart(room.Find(*entry.waiter), kind, clock_(), ahead);
+  return !entry.uses_admission_control || entry.query.may_have_run ||
+         admission_control_.MayStart(queue.Find(*entry.queue_id), kind,
+                                     clock_(), ahead);
 }
 
-bool Planner::WaitsInVain(const PlacementQuery& ask,
-                          const PlacementRequest& request) const {
-  const auto least = room_.LeastLateWork();
-  return !ask.may_have_run && least.has_value() &&
-         *least <= PrefillTime(*request.service->engine, ask.prompt);
+bool Planner::HasLatePrecedent(const PlacementQuery& query,
+                               const PlacementRequest& request) const {
+  const auto least_late_work = long_queue_.LeastLateWork();
+  return !query.may_have_run && least_late_work.has_value() &&
+         *least_late_work <=
+             PrefillTime(*request.service->engine, query.prompt);
 }
 
 bool Planner::IsShort(const PlacementRequest& request) const {
   return request.service->engine.has_value() && IsShortPrompt(request, policy_);
 }
 
-void Planner::NoteDemand(const PlacementRequest& request) {
+void Planner::RecordDemand(const PlacementRequest& request) {
   const TimePoint now = clock_();
   demand_.push_back(
       Demand{now, PrefillTime(*request.service->engine, request.prompt)});
@@ -102,102 +105,108 @@
 ShortDemand Planner::DemandWithin(Millis time) const {
   const TimePoint now = clock_();
   ShortDemand demand;
-  for (const Demand& one : demand_) {
-    if (now - one.at <= kDemandWindow) {
+  for (const Demand& sample : demand_) {
+    if (now - sample.at <= kDemandWindow) {
       demand.requests += 1;
-      demand.reading += one.prefill_time;
+      demand.prefill_time += sample.prefill_time;
     }
   }
   const double share = FractionalMillis(time) / kDemandWindow;
   demand.requests *= share;
-  demand.reading *= share;
+  demand.prefill_time *= share;
   return demand;
 }
 
-void Planner::Wait(Entry* entry, const PlacementRequest& request) {
+void Planner::Enqueue(Entry* entry, const PlacementRequest& request) {
   const FractionalMillis work =
-      PrefillTime(*request.service->engine, entry->ask.prompt);
-  const AskKey key{entry->ask.host, entry->ask.id};
+      PrefillTime(*request.service->engine, entry->query.prompt);
+  const QueryKey key{entry->query.host, entry->query.id};
   const TimePoint urgent_from =
-      entry->has_reservation ? decision_.UrgentFrom(SeekerOf(*entry, request))
-                             : TimePoint::max();
+      entry->has_reservation
+          ? admission_control_.UrgentFrom(CandidateOf(*entry, request))
+          : TimePoint::max();
   const ShareClaim claim = ShareClaimOf(request);
   if (entry->is_short) {
-    entry->waiter = short_room_.Add(WaitingRequest{entry->late_at, work, work,
-                                                   entry->has_reservation,
-                                                   urgent_from, claim});
-    short_waiting_[*entry->waiter] = key;
+    entry->queue_id = short_queue_.Add(
+        WaitingRequest{entry->first_event_due, work, work,
+                       entry->has_reservation, urgent_from, claim});
+    short_query_keys_[*entry->queue_id] = key;
     return;
   }
-  entry->waiter = room_.Add(WaitingRequest{
-      entry->late_at, work / static_cast<double>(kMaxHelpers + 1), work,
+  entry->queue_id = long_queue_.Add(WaitingRequest{
+      entry->first_event_due, work / static_cast<double>(kMaxHelpers + 1), work,
       entry->has_reservation, urgent_from, claim});
-  waiting_[*entry->waiter] = key;
+  long_query_keys_[*entry->queue_id] = key;
 }
 
-void Planner::LeaveRoom(Entry* entry) {
-  if (!entry->waiter.has_value()) {
+void Planner::Dequeue(Entry* entry) {
+  if (!entry->queue_id.has_value()) {
     return;
   }
-  (entry->is_short ? short_room_ : room_).Remove(*entry->waiter);
-  (entry->is_short ? short_waiting_ : waiting_).erase(*entry->waiter);
-  entry->waiter.reset();
+  (entry->is_short ? short_queue_ : long_queue_).Remove(*entry->queue_id);
+  (entry->is_short ? short_query_keys_ : long_query_keys_)
+      .erase(*entry->queue_id);
+  entry->queue_id.reset();
 }
 
-bool Planner::HasWaitedEnough(const Entry& entry) const {
-  const FractionalMillis late = clock_() - entry.late_at;
-  return entry.is_short && !entry.ask.may_have_run && !entry.is_foreseen &&
+bool Planner::HasTimedOut(const Entry& entry) const {
+  const FractionalMillis late = clock_() - entry.first_event_due;
+  return entry.is_short && !entry.query.may_have_run &&
+         !entry.uses_admission_control &&
          late > policy_.late_wait_share *
-                    FractionalMillis(entry.ask.target_latency);
+                    FractionalMillis(entry.query.target_latency);
 }
 
 std::vector<DeferredReply> Planner::ProcessWaitQueue() {
-  std::vector<DeferredReply> due;
+  std::vector<DeferredReply> replies;
   if (IsLearning()) {
-    return due;
+    return replies;
   }
-  // After that all that came meanwhile is tried, not the first few alone.
-  const bool has_learnt = !untold_.empty() || learns_until_ != TimePoint{};
-  const std::size_t tried = has_learnt ? WaitingCount() : policy_.tried;
-  untold_.clear();
-  learns_until_ = TimePoint{};
-  TryRoom(&short_room_, tried, &due);
-  TryRoom(&room_, tried, &due);
-  return due;
-}
-
-void Planner::TryRoom(WaitQueue* room, std::size_t tried,
-                      std::vector<DeferredReply>* due) {
-  const bool is_short = room == &short_room_;
-  decision_.OnWaiting(is_short ? PromptKind::kShort : PromptKind::kLong,
-                      !room->IsEmpty());
+  // After that all that came meanwhile is max_failed, not the first few alone.
+  const bool learning_ended =
+      !unreported_hosts_.empty() || learning_until_ != TimePoint{};
+  const std::size_t max_failed =
+      learning_ended ? WaitingCount() : policy_.tried;
+  unreported_hosts_.clear();
+  learning_until_ = TimePoint{};
+  ProcessQueue(&short_queue_, max_failed, &replies);
+  ProcessQueue(&long_queue_, max_failed, &replies);
+  return replies;
+}
+
+void Planner::ProcessQueue(WaitQueue* queue, std::size_t max_failed,
+                           std::vector<DeferredReply>* replies) {
+  const bool is_short = queue == &short_queue_;
+  admission_control_.OnWaiting(
+      is_short ? PromptKind::kShort : PromptKind::kLong, !queue->IsEmpty());
   std::size_t failed = 0;
   WorkAhead ahead;
-  for (const WaitingRequestId id : room->InOrder(room->Count())) {
-    const AskKey key = (is_short ? short_waiting_ : waiting_).at(id);
+  for (const WaitingRequestId id : queue->InOrder(queue->Count())) {
+    const QueryKey key =
+        (is_short ? short_query_keys_ : long_query_keys_).at(id);
     Host& host = hosts_.at(key.host);
-    Entry& entry = host.asks.at(key.id);
+    Entry& entry = host.queries.at(key.id);
     std::optional<PlacementDecision> decision;
-    if (HasWaitedEnough(entry)) {
+    if (HasTimedOut(entry)) {
       decision = QueryRejected{};
-    } else if (failed < tried && MayStart(entry, *room, ahead)) {
+    } else if (failed < max_failed && MayStart(entry, *queue, ahead)) {
       decision = TryPlace(&entry);
     }
     if (!decision.has_value()) {
-      decision = EndOfWait(entry, ahead);
+      decision = RejectionWhileQueued(entry, ahead);
     }
     if (!decision.has_value()) {
-      const WaitingRequest& waiter = room->Find(id);
-      (CanMeetTarget(waiter, clock_()) ? ahead.in_time : ahead.late) +=
-          waiter.work;
+      const WaitingRequest& waiting_request = queue->Find(id);
+      (CanMeetTarget(waiting_request, clock_()) ? ahead.in_time : ahead.late) +=
+          waiting_request.work;
       ++failed;
       continue;
     }
-    LeaveRoom(&entry);
-    due->push_back(DeferredReply{key.host, host.incarnation, key.id,
-                                 *std::move(decision)});
+    Dequeue(&entry);
+    replies->push_back(DeferredReply{key.host, host.incarnation, key.id,
+                                     *std::move(decision)});
     if (!entry.placed.has_value()) {
-      host.asks.erase(key.id);
+      host.queries.erase(key.id);
     }
   }
 }
