--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -67,7 +67,7 @@
   // Notes that work was sent to its endpoint. Its first event is late at
   // `late_at`, if that is known.
   WorkId Begin(const WorkPart& part,
-               std::optional<TimePoint> late_at = std::nullopt);
+               std::optional<TimePoint> first_event_due = std::nullopt);
 
   // Notes that the work's prompt has been read: its first event came.
   void OnPrefillDone(WorkId id);
@@ -81,7 +81,7 @@
   // Returns what a prompt meets that is sent there now. `bare_pass` is how long
   // the engine's pass takes that reads nothing.
   PassForecast ForecastOf(const EndpointId& endpoint,
-                          FractionalMillis bare_pass) const;
+                          FractionalMillis decode_pass) const;
 
   // Returns how many short requests are under way at all endpoints.
   int ShortRequests() const { return short_members_; }
@@ -101,33 +101,33 @@
   struct Work {
     WorkPart part;
     EnginePasses::Prompt prompt;
-    bool is_read = false;
+    bool prefill_done = false;
   };
-  struct OwnLoad {
+  struct EndpointState {
     EndpointLoad load;
     // When the prompts given so far will be read.
-    TimePoint read_until{};
-    int unread = 0;
+    TimePoint prefill_until{};
+    int pending = 0;
     // Of its streams.
     std::multiset<Millis> gaps;
     EnginePasses passes;
   };
-  struct ShortRead {
-    TimePoint begun;
+  struct ShortPrefill {
+    TimePoint started_at;
     FractionalMillis prefill_time{0};
   };
 
-  EndpointLoad OwnAt(const OwnLoad& own, TimePoint now) const;
-  void MarkRead(Work* work);
-  void NoteShortRead(FractionalMillis read);
+  EndpointLoad LoadAt(const EndpointState& state, TimePoint now) const;
+  void MarkPrefillDone(Work* work);
+  void RecordShortPrefill(FractionalMillis prefill_time);
 
   MonotonicClock clock_;
   std::uint64_t next_id_ = 1;
   std::unordered_map<WorkId, Work> work_;
-  std::unordered_map<EndpointId, OwnLoad> own_;
+  std::unordered_map<EndpointId, EndpointState> endpoints_;
   int short_members_ = 0;
   // Of the last kRateWindow, and older ones until the next short request.
-  std::deque<ShortRead> short_reads_;
+  std::deque<ShortPrefill> short_prefills_;
 };
 
 }  // namespace harecrank
--- a/include/harecrank/core/pass_forecast.h
+++ b/include/harecrank/core/pass_forecast.h
@@ -38,7 +38,7 @@
     TimePoint sent{};
     FractionalMillis prefill_time{0};
     // When its first event is late; nothing where that is not known.
-    std::optional<TimePoint> late_at;
+    std::optional<TimePoint> first_event_due;
   };
 
   void OnSent(const Prompt& prompt);
@@ -52,13 +52,13 @@
 
   // Returns what a prompt meets that is sent at `now`, if a pass that reads
   // nothing takes `bare_pass`.
-  PassForecast Forecast(TimePoint now, FractionalMillis bare_pass) const;
+  PassForecast Forecast(TimePoint now, FractionalMillis decode_pass) const;
 
  private:
   // Of those that have not been read, in the order of sending.
-  std::vector<Prompt> unread_;
+  std::vector<Prompt> pending_;
   // When the last pass began that is known by its first events.
-  TimePoint began_{};
+  TimePoint pass_start_{};
 };
 
 }  // namespace harecrank
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -6,7 +6,7 @@
 namespace harecrank {
 namespace {
 
-int* MembersOf(EndpointLoad* load, WorkClass work_class) {
+int* RequestCountOf(EndpointLoad* load, WorkClass work_class) {
   switch (work_class) {
     case WorkClass::kShort:
       return &load->short_requests;
@@ -27,44 +27,45 @@
 EndpointLoads::EndpointLoads(MonotonicClock clock) : clock_(std::move(clock)) {}
 
 WorkId EndpointLoads::Begin(const WorkPart& part,
-                            std::optional<TimePoint> late_at) {
+                            std::optional<TimePoint> first_event_due) {
   const WorkId id{next_id_++};
-  const EnginePasses::Prompt prompt{clock_(), part.prefill_time, late_at};
+  const EnginePasses::Prompt prompt{clock_(), part.prefill_time,
+                                    first_event_due};
   work_.emplace(id, Work{part, prompt, false});
-  OwnLoad& own = own_[part.endpoint];
-  own.passes.OnSent(prompt);
-  own.read_until =
-      std::max(own.read_until, clock_()) + ToSteady(part.prefill_time);
-  ++own.unread;
+  EndpointState& state = endpoints_[part.endpoint];
+  state.passes.OnSent(prompt);
+  state.prefill_until =
+      std::max(state.prefill_until, clock_()) + ToSteady(part.prefill_time);
+  ++state.pending;
   if (part.gap > Millis(0)) {
-    own.gaps.insert(part.gap);
+    state.gaps.insert(part.gap);
   }
-  own.load.pending_prefills += part.prefill_time >= kLongPart ? 1 : 0;
-  own.load.memory = own.load.memory + part.memory;
-  if (int* members = MembersOf(&own.load, part.work_class)) {
-    ++*members;
+  state.load.pending_prefills += part.prefill_time >= kLongPart ? 1 : 0;
+  state.load.memory = state.load.memory + part.memory;
+  if (int* count = RequestCountOf(&state.load, part.work_class)) {
+    ++*count;
   }
   if (part.work_class == WorkClass::kShort) {
     ++short_members_;
-    NoteShortRead(part.prefill_time);
+    RecordShortPrefill(part.prefill_time);
   }
   return id;
 }
 
-void EndpointLoads::NoteShortRead(FractionalMillis read) {
+void EndpointLoads::RecordShortPrefill(FractionalMillis prefill_time) {
   const TimePoint now = clock_();
-  short_reads_.push_back(ShortRead{now, read});
-  while (now - short_reads_.front().begun > kRateWindow) {
-    short_reads_.pop_front();
+  short_prefills_.push_back(ShortPrefill{now, prefill_time});
+  while (now - short_prefills_.front().started_at > kRateWindow) {
+    short_prefills_.pop_front();
   }
 }
 
 double EndpointLoads::ShortPrefillRate() const {
   const TimePoint now = clock_();
   FractionalMillis sum(0);
-  for (const ShortRead& one : short_reads_) {
-    if (now - one.begun <= kRateWindow) {
-      sum += one.prefill_time;
+  for (const ShortPrefill& prefill : short_prefills_) {
+    if (now - prefill.started_at <= kRateWindow) {
+      sum += prefill.prefill_time;
     }
   }
   return sum / FractionalMillis(kRateWindow);
@@ -72,10 +73,10 @@
 
 void EndpointLoads::OnPrefillDone(WorkId id) {
   const auto found = work_.find(id);
-  if (found != work_.end() && !found->second.is_read) {
+  if (found != work_.end() && !found->second.prefill_done) {
     const Work& work = found->second;
-    own_[work.part.endpoint].passes.OnPrefillDone(work.prompt, clock_());
-    MarkRead(&found->second);
+    endpoints_[work.part.endpoint].passes.OnPrefillDone(work.prompt, clock_());
+    MarkPrefillDone(&found->second);
   }
 }
 
@@ -85,58 +86,61 @@
     return;
   }
   Work& work = found->second;
-  MarkRead(&work);
+  MarkPrefillDone(&work);
   const WorkPart& part = work.part;
-  OwnLoad& own = own_[part.endpoint];
-  own.load.memory = own.load.memory - part.memory;
-  if (const auto gap = own.gaps.find(part.gap); gap != own.gaps.end()) {
-    own.gaps.erase(gap);
+  EndpointState& state = endpoints_[part.endpoint];
+  state.load.memory = state.load.memory - part.memory;
+  if (const auto gap = state.gaps.find(part.gap); gap != state.gaps.end()) {
+    state.gaps.erase(gap);
   }
-  if (int* members = MembersOf(&own.load, part.work_class)) {
-    --*members;
+  if (int* count = RequestCountOf(&state.load, part.work_class)) {
+    --*count;
   }
   if (part.work_class == WorkClass::kShort) {
     --short_members_;
   }
-  if (own.unread == 0 && own.load.BatchSize() == 0) {
-    own_.erase(part.endpoint);
+  if (state.pending == 0 && state.load.BatchSize() == 0) {
+    endpoints_.erase(part.endpoint);
   }
   work_.erase(found);
 }
 
 EndpointLoad EndpointLoads::Of(const EndpointId& endpoint) const {
-  const auto own = own_.find(endpoint);
-  return own == own_.end() ? EndpointLoad{} : OwnAt(own->second, clock_());
+  const auto state = endpoints_.find(endpoint);
+  return state == endpoints_.end() ? EndpointLoad{}
+                                   : LoadAt(state->second, clock_());
 }
 
 PassForecast EndpointLoads::ForecastOf(const EndpointId& endpoint,
-                                       FractionalMillis bare_pass) const {
-  const auto own = own_.find(endpoint);
-  return own == own_.end() ? PassForecast{}
-                           : own->second.passes.Forecast(clock_(), bare_pass);
+                                       FractionalMillis decode_pass) const {
+  const auto state = endpoints_.find(endpoint);
+  return state == endpoints_.end()
+             ? PassForecast{}
+             : state->second.passes.Forecast(clock_(), decode_pass);
 }
 
-EndpointLoad EndpointLoads::OwnAt(const OwnLoad& own, TimePoint now) const {
-  EndpointLoad load = own.load;
-  load.prefill_backlog =
-      std::max(FractionalMillis(0), FractionalMillis(own.read_until - now));
-  if (!own.gaps.empty()) {
-    load.tightest_gap = FractionalMillis(*own.gaps.begin());
+EndpointLoad EndpointLoads::LoadAt(const EndpointState& state,
+                                   TimePoint now) const {
+  EndpointLoad load = state.load;
+  load.prefill_backlog = std::max(FractionalMillis(0),
+                                  FractionalMillis(state.prefill_until - now));
+  if (!state.gaps.empty()) {
+    load.tightest_gap = FractionalMillis(*state.gaps.begin());
   }
   return load;
 }
 
-void EndpointLoads::MarkRead(Work* work) {
-  if (work->is_read) {
+void EndpointLoads::MarkPrefillDone(Work* work) {
+  if (work->prefill_done) {
     return;
   }
-  work->is_read = true;
-  OwnLoad& own = own_[work->part.endpoint];
-  own.passes.Remove(work->prompt);
-  --own.unread;
-  own.load.pending_prefills -= work->part.prefill_time >= kLongPart ? 1 : 0;
-  if (own.unread == 0) {
-    own.read_until = clock_();
+  work->prefill_done = true;
+  EndpointState& state = endpoints_[work->part.endpoint];
+  state.passes.Remove(work->prompt);
+  --state.pending;
+  state.load.pending_prefills -= work->part.prefill_time >= kLongPart ? 1 : 0;
+  if (state.pending == 0) {
+    state.prefill_until = clock_();
   }
 }
 
--- a/src/core/pass_forecast.cc
+++ b/src/core/pass_forecast.cc
@@ -8,11 +8,11 @@
 
 // From the planner over the host to the engine: a prompt is not read in a pass
 // that begins sooner after its place was given.
-constexpr FractionalMillis kWayToEngine{1.5};
+constexpr FractionalMillis kDispatchDelay{1.5};
 // From the end of a pass over the host to the planner, notes included.
-constexpr FractionalMillis kWayBack{4};
+constexpr FractionalMillis kReplyDelay{4};
 // A pass that was known so long ago tells nothing of the ones now.
-constexpr FractionalMillis kForgets{5000};
+constexpr FractionalMillis kMaxAge{5000};
 
 TimePoint After(TimePoint time, FractionalMillis wait) {
   return time + std::chrono::duration_cast<TimePoint::duration>(wait);
@@ -24,56 +24,61 @@
 
 }  // namespace
 
-void EnginePasses::OnSent(const Prompt& prompt) { unread_.push_back(prompt); }
+void EnginePasses::OnSent(const Prompt& prompt) { pending_.push_back(prompt); }
 
 void EnginePasses::OnPrefillDone(const Prompt& prompt, TimePoint now) {
   Remove(prompt);
-  began_ = std::max(began_, After(now, -kWayBack));
+  pass_start_ = std::max(pass_start_, After(now, -kReplyDelay));
 }
 
 void EnginePasses::Remove(const Prompt& prompt) {
   const auto found = std::find_if(
-      unread_.begin(), unread_.end(),
-      [&prompt](const Prompt& one) { return IsSame(one, prompt); });
-  if (found != unread_.end()) {
-    unread_.erase(found);
+      pending_.begin(), pending_.end(),
+      [&prompt](const Prompt& pending) { return IsSame(pending, prompt); });
+  if (found != pending_.end()) {
+    pending_.erase(found);
   }
 }
 
 PassForecast EnginePasses::Forecast(TimePoint now,
-                                    FractionalMillis bare_pass) const {
+                                    FractionalMillis decode_pass) const {
   PassForecast forecast;
-  TimePoint began = began_;
-  if (FractionalMillis(now - began) > kForgets) {
+  TimePoint pass_start = pass_start_;
+  if (FractionalMillis(now - pass_start) > kMaxAge) {
     // Somewhere in a pass: half of one is left on average.
-    began = After(now, -bare_pass / 2);
+    pass_start = After(now, -decode_pass / 2);
   }
   // Passes that read nothing follow each other up to the one under way, or up
   // to the one that has begun to read.
-  const auto first_sent = unread_.empty() ? now : unread_.front().sent;
-  const FractionalMillis skipped =
-      std::min(now, After(first_sent, kWayToEngine)) - began;
-  if (skipped > FractionalMillis(0)) {
-    began = After(began, std::ceil(skipped / bare_pass) * bare_pass);
+  const auto first_sent = pending_.empty() ? now : pending_.front().sent;
+  const FractionalMillis elapsed =
+      std::min(now, After(first_sent, kDispatchDelay)) - pass_start;
+  if (elapsed > FractionalMillis(0)) {
+    pass_start =
+        After(pass_start, std::ceil(elapsed / decode_pass) * decode_pass);
   }
-  const auto is_read_now = [began, now](const Prompt& one) {
-    return began <= now && After(one.sent, kWayToEngine) <= began;
+  const auto is_in_current_pass = [pass_start, now](const Prompt& pending) {
+    return pass_start <= now &&
+           After(pending.sent, kDispatchDelay) <= pass_start;
   };
-  FractionalMillis reads_now(0);
-  for (const Prompt& one : unread_) {
-    (is_read_now(one) ? reads_now : forecast.next_pass_prefill) +=
-        one.prefill_time;
+  FractionalMillis current_pass_prefill(0);
+  for (const Prompt& pending : pending_) {
+    (is_in_current_pass(pending) ? current_pass_prefill
+                                 : forecast.next_pass_prefill) +=
+        pending.prefill_time;
   }
-  const TimePoint ends =
-      began > now ? began : After(began, reads_now + bare_pass);
+  const TimePoint pass_end =
+      pass_start > now ? pass_start
+                       : After(pass_start, current_pass_prefill + decode_pass);
   forecast.until_next_pass =
-      std::max(FractionalMillis(0), FractionalMillis(ends - now));
-  const TimePoint next_ends = After(
-      now, forecast.until_next_pass + forecast.next_pass_prefill + bare_pass);
-  for (const Prompt& one : unread_) {
-    const bool in_time = one.late_at.has_value() && *one.late_at >= next_ends;
-    if (in_time && !is_read_now(one)) {
-      const FractionalMillis left = *one.late_at - now;
+      std::max(FractionalMillis(0), FractionalMillis(pass_end - now));
+  const TimePoint next_pass_end = After(
+      now, forecast.until_next_pass + forecast.next_pass_prefill + decode_pass);
+  for (const Prompt& pending : pending_) {
+    const bool in_time = pending.first_event_due.has_value() &&
+                         *pending.first_event_due >= next_pass_end;
+    if (in_time && !is_in_current_pass(pending)) {
+      const FractionalMillis left = *pending.first_event_due - now;
       forecast.next_pass_deadline =
           std::min(left, forecast.next_pass_deadline.value_or(left));
     }
--- a/src/core/pass_forecast_test.cc
+++ b/src/core/pass_forecast_test.cc
@@ -5,19 +5,19 @@
 namespace harecrank {
 namespace {
 
-constexpr FractionalMillis kBare{50};
+constexpr FractionalMillis kDecodePass{50};
 // More than the way from the planner to an engine.
-constexpr Millis kWay{2};
+constexpr Millis kMoreThanDispatchDelay{2};
 
 class PassFixture {
  protected:
-  EnginePasses::Prompt Send(FractionalMillis read, Millis until_late) {
-    const EnginePasses::Prompt prompt{now_, read, now_ + until_late};
+  EnginePasses::Prompt Send(FractionalMillis prefill_time, Millis until_late) {
+    const EnginePasses::Prompt prompt{now_, prefill_time, now_ + until_late};
     passes_.OnSent(prompt);
     return prompt;
   }
 
-  PassForecast Forecast() const { return passes_.Forecast(now_, kBare); }
+  PassForecast Forecast() const { return passes_.Forecast(now_, kDecodePass); }
 
   TimePoint now_{std::chrono::hours(1)};
   EnginePasses passes_;
@@ -26,7 +26,7 @@
 TEST_CASE_METHOD(PassFixture,
                  "What is sent while a pass reads waits for the whole of it") {
   const auto first = Send(FractionalMillis(30), Millis(300));
-  now_ += kWay;
+  now_ += kMoreThanDispatchDelay;
   passes_.OnPrefillDone(first, now_);
   const auto in_pass = Send(FractionalMillis(80), Millis(300));
   // Nothing was left to read when the last pass ended, so that a bare one
@@ -46,7 +46,7 @@
                  "The forecast names the first that a further prompt may make "
                  "late, and none that is late as it stands") {
   const auto first = Send(FractionalMillis(30), Millis(300));
-  now_ += kWay;
+  now_ += kMoreThanDispatchDelay;
   passes_.OnPrefillDone(first, now_);
   Send(FractionalMillis(40), Millis(20));
   Send(FractionalMillis(40), Millis(250));
@@ -59,13 +59,13 @@
 
 TEST_CASE_METHOD(PassFixture,
                  "Where nothing was seen lately half a pass is left") {
-  CHECK(Forecast().until_next_pass == kBare / 2);
+  CHECK(Forecast().until_next_pass == kDecodePass / 2);
   CHECK_FALSE(Forecast().next_pass_deadline.has_value());
 }
 
 TEST_CASE_METHOD(PassFixture, "A pass that is overdue ends at any moment") {
   const auto first = Send(FractionalMillis(30), Millis(300));
-  now_ += kWay;
+  now_ += kMoreThanDispatchDelay;
   passes_.OnPrefillDone(first, now_);
   Send(FractionalMillis(30), Millis(300));
   now_ += Millis(2000);
