--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -32,7 +32,7 @@
 struct ShortDemand {
   double requests = 0;
   // How long one engine reads them all.
-  FractionalMillis reading{0};
+  FractionalMillis prefill_time{0};
 };
 
 // What a decision needs to know of a request.
@@ -123,8 +123,8 @@
   // returns how many hosts place requests without knowing of each other's, this
   // one among them.
   Placer(const EndpointDirectory* directory, const EndpointLoads* loads,
-         const EndpointHealth* health, DataCentreId self, LoadScope loads_of,
-         std::function<int()> hosts, const PlacementPolicy& policy,
+         const EndpointHealth* health, DataCentreId self, LoadScope scope,
+         std::function<int()> placing_hosts, const PlacementPolicy& policy,
          RandomSource random);
 
   PlacementResult Choose(const PlacementRequest& request) const;
@@ -133,48 +133,48 @@
   std::vector<EngineCandidate> CandidatesFor(
       const PlacementRequest& request) const;
   // Whether an endpoint that has not been tried is withheld.
-  bool IsAnyWithheld(const PlacementRequest& request) const;
-  void SortInOrder(std::vector<EngineCandidate>* candidates) const;
+  bool HasWithheldEndpoint(const PlacementRequest& request) const;
+  void SortByRank(std::vector<EngineCandidate>* candidates) const;
   Placement ChoosePlain(const std::vector<EngineCandidate>& candidates) const;
   // Whether the first event of `request` can be in time on an idle engine.
-  static bool CanBeInTime(const PlacementRequest& request);
+  static bool CanMeetTargetWhenIdle(const PlacementRequest& request);
   Placement ChooseShort(const PlacementRequest& request,
-                        const std::vector<EngineCandidate>& in_order) const;
+                        const std::vector<EngineCandidate>& ranked) const;
   // Takes an engine on which the request is in time and makes nobody late.
-  PlacementResult ChooseShortInTime(
+  PlacementResult ChooseShortWithinTarget(
       const PlacementRequest& request,
-      const std::vector<EngineCandidate>& in_order) const;
+      const std::vector<EngineCandidate>& ranked) const;
   // Returns until when `candidate` would bring the first event, or nothing if
   // it has no room or others there would be late.
-  std::optional<FractionalMillis> ShortFirstEvent(
+  std::optional<FractionalMillis> PredictShortFirstEvent(
       const PlacementRequest& request, const EngineCandidate& candidate,
       const ShortDemand& reserve) const;
   PlacementResult ChooseLong(const PlacementRequest& request,
-                             std::vector<EngineCandidate> in_order) const;
+                             std::vector<EngineCandidate> ranked) const;
   // Returns nothing if the memory of `group` does not hold the request.
   std::optional<Placement> PlaceOn(const PlacementRequest& request,
                                    const PrefillGroup& group) const;
   // Lays `beyond` tokens on the placement's helpers. Returns false if they do
   // not hold it.
-  static bool SpreadMemory(const EngineProfile& engine,
-                           const PrefillGroup& group, Tokens beyond,
-                           Placement* placement);
+  static bool DistributeMemory(const EngineProfile& engine,
+                               const PrefillGroup& group, Tokens overflow,
+                               Placement* placement);
   std::size_t EnginesForShort(const EngineProfile& engine,
                               std::size_t engines) const;
   // Returns a random number from 0 to 1.
-  double Noise() const;
+  double UniformRandom() const;
   // Returns how widely predicted times are spread for `request`, so that hosts
   // that know the same do not all choose the same engine.
-  FractionalMillis TimeSpread(const PlacementRequest& request) const;
+  FractionalMillis TimeJitter(const PlacementRequest& request) const;
 
   const EndpointDirectory* directory_;
   const EndpointLoads* loads_;
   const EndpointHealth* health_;
   DataCentreId self_;
-  LoadScope loads_of_;
+  LoadScope scope_;
   // The key of the order of engines: of all hosts, or of this one.
   std::string order_key_;
-  std::function<int()> hosts_;
+  std::function<int()> placing_hosts_;
   PlacementPolicy policy_;
   RandomSource random_;
 };
--- a/include/harecrank/core/prefill_group.h
+++ b/include/harecrank/core/prefill_group.h
@@ -37,7 +37,7 @@
 // The prompt that is to be read.
 struct LongPrompt {
   // How long one engine alone reads it.
-  FractionalMillis whole{0};
+  FractionalMillis prefill_time{0};
   // KV memory that it needs up to its expected end.
   Tokens needed;
   FractionalMillis target{0};
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -12,37 +12,38 @@
 namespace {
 
 // Short requests never push long ones off more engines than this share.
-constexpr double kMostShortShare = 0.9;
+constexpr double kMaxShortShare = 0.9;
 // The spread of the random part of a plain endpoint's load, in requests, so
 // that hosts that know the same do not all choose the same.
-constexpr double kPlainNoise = 0.5;
+constexpr double kPlainJitter = 0.5;
 // The spread of the random part of a predicted time, for each peer: what peers
 // place between two of their words is not known here. Too narrow and they all
 // choose the engine that looks free first.
-constexpr FractionalMillis kTimeSpreadPerPeer{3};
+constexpr FractionalMillis kJitterPerPeer{3};
 // How often peers tell.
-constexpr Millis kWordInterval{100};
+constexpr Millis kHeartbeatInterval{100};
 // The spread stays below this share of the target, however many peers there
 // are: with more, a late engine would be as good as one in time.
-constexpr double kMostSpreadShare = 0.25;
+constexpr double kMaxJitterShare = 0.25;
 // What another data centre costs in the choice among equals.
-constexpr double kElsewherePenalty = 0.25;
+constexpr double kRemotePenalty = 0.25;
 // From the end of a pass to the caller, with what a prediction may be off by.
-constexpr FractionalMillis kWayToCaller{10};
+constexpr FractionalMillis kReplyMargin{10};
 // The key of the order of engines that all hosts share.
 constexpr char kSharedOrderKey[] = "short-first";
 
-FractionalMillis FirstEvent(const EngineProfile& engine,
-                            const EndpointLoad& load, double pace,
-                            FractionalMillis read) {
+FractionalMillis PredictFirstEvent(const EngineProfile& engine,
+                                   const EndpointLoad& load, double pace,
+                                   FractionalMillis prefill_time) {
   // On average half of a pass under way, then the request's own first.
-  constexpr double kPassesBefore = 1.5;
+  constexpr double kPassesUntilFirstEvent = 1.5;
   const FractionalMillis pass =
       PassTime(engine, load.BatchSize() + 1, load.memory);
-  return pace * (load.prefill_backlog + read + kPassesBefore * pass);
+  return pace *
+         (load.prefill_backlog + prefill_time + kPassesUntilFirstEvent * pass);
 }
 
-bool IsTight(const PlacementRequest& request) {
+bool HasTightGap(const PlacementRequest& request) {
   return IsTightGap(FractionalMillis(request.target_gap),
                     FractionalMillis(request.tightest_gap));
 }
@@ -74,38 +75,38 @@
 
 std::vector<WorkPart> PartsOf(const Placement& placement,
                               const PlacementRequest& request) {
-  WorkPart own{placement.endpoint.id, placement.work_class,
-               placement.prefill_time, request.prompt + request.answer,
-               request.target_gap};
+  WorkPart decode_part{placement.endpoint.id, placement.work_class,
+                       placement.prefill_time, request.prompt + request.answer,
+                       request.target_gap};
   std::vector<WorkPart> parts(1);
   for (const PrefillHelper& helper : placement.helpers) {
-    own.memory = own.memory - helper.held;
+    decode_part.memory = decode_part.memory - helper.held;
     parts.push_back(WorkPart{helper.record.id, WorkClass::kHelper,
                              placement.prefill_time, helper.held, Millis(0)});
   }
-  parts.front() = std::move(own);
+  parts.front() = std::move(decode_part);
   return parts;
 }
 
 Placer::Placer(const EndpointDirectory* directory, const EndpointLoads* loads,
-               const EndpointHealth* health, DataCentreId self,
-               LoadScope loads_of, std::function<int()> hosts,
+               const EndpointHealth* health, DataCentreId self, LoadScope scope,
+               std::function<int()> placing_hosts,
                const PlacementPolicy& policy, RandomSource random)
     : directory_(directory),
       loads_(loads),
       health_(health),
       self_(std::move(self)),
-      loads_of_(loads_of),
-      hosts_(std::move(hosts)),
+      scope_(scope),
+      placing_hosts_(std::move(placing_hosts)),
       policy_(policy),
       random_(std::move(random)) {
-  order_key_ = loads_of_ == LoadScope::kAllHosts ? kSharedOrderKey
-                                                 : std::to_string(random_());
+  order_key_ = scope_ == LoadScope::kAllHosts ? kSharedOrderKey
+                                              : std::to_string(random_());
 }
 
 PlacementResult Placer::Choose(const PlacementRequest& request) const {
   std::vector<EngineCandidate> candidates = CandidatesFor(request);
-  if (candidates.empty() && IsAnyWithheld(request)) {
+  if (candidates.empty() && HasWithheldEndpoint(request)) {
     return EnginesBusy{};
   }
   if (candidates.empty()) {
@@ -116,14 +117,15 @@
   if (!request.service->engine.has_value()) {
     result = ChoosePlain(candidates);
   } else {
-    SortInOrder(&candidates);
+    SortByRank(&candidates);
     const bool is_short = IsShortPrompt(request, policy_);
     // Where other hosts place unseen, a forecast of passes is worth little.
-    const bool knows_all = loads_of_ == LoadScope::kAllHosts && hosts_() <= 1;
+    const bool sees_all_loads =
+        scope_ == LoadScope::kAllHosts && placing_hosts_() <= 1;
     const bool may_wait =
-        policy_.short_waits && knows_all && !request.may_have_run;
+        policy_.short_waits && sees_all_loads && !request.may_have_run;
     if (is_short && may_wait) {
-      result = ChooseShortInTime(request, candidates);
+      result = ChooseShortWithinTarget(request, candidates);
     } else if (is_short) {
       result = ChooseShort(request, candidates);
     } else {
@@ -138,7 +140,7 @@
 
 std::vector<EngineCandidate> Placer::CandidatesFor(
     const PlacementRequest& request) const {
-  std::vector<EngineCandidate> sound;
+  std::vector<EngineCandidate> healthy;
   std::vector<EngineCandidate> suspect;
   for (const EndpointRecord* record :
        directory_->UsableOf(request.service->name)) {
@@ -150,12 +152,12 @@
     candidate.record = record;
     candidate.load = loads_->Of(record->id);
     candidate.pace = std::max(1.0, health_->Slowdown(record->id));
-    (health_->IsSuspect(record->id) ? suspect : sound).push_back(candidate);
+    (health_->IsSuspect(record->id) ? suspect : healthy).push_back(candidate);
   }
-  return sound.empty() ? suspect : sound;
+  return healthy.empty() ? suspect : healthy;
 }
 
-bool Placer::IsAnyWithheld(const PlacementRequest& request) const {
+bool Placer::HasWithheldEndpoint(const PlacementRequest& request) const {
   const auto& usable = directory_->UsableOf(request.service->name);
   return std::any_of(usable.begin(), usable.end(),
                      [&request](const EndpointRecord* record) {
@@ -164,7 +166,7 @@
                      });
 }
 
-void Placer::SortInOrder(std::vector<EngineCandidate>* candidates) const {
+void Placer::SortByRank(std::vector<EngineCandidate>* candidates) const {
   for (EngineCandidate& candidate : *candidates) {
     candidate.rank = RendezvousWeight(order_key_, candidate.record->id.value);
   }
@@ -180,11 +182,12 @@
   const EngineCandidate* best = &candidates.front();
   double best_cost = std::numeric_limits<double>::max();
   for (const EngineCandidate& candidate : candidates) {
-    const double elsewhere =
-        candidate.record->data_centre == self_ ? 0 : kElsewherePenalty;
+    const double remote_cost =
+        candidate.record->data_centre == self_ ? 0 : kRemotePenalty;
     const double cost =
-        (candidate.load.BatchSize() + kPlainNoise * Noise()) * candidate.pace +
-        elsewhere;
+        (candidate.load.BatchSize() + kPlainJitter * UniformRandom()) *
+            candidate.pace +
+        remote_cost;
     if (cost < best_cost) {
       best = &candidate;
       best_cost = cost;
@@ -197,20 +200,20 @@
 
 Placement Placer::ChooseShort(
     const PlacementRequest& request,
-    const std::vector<EngineCandidate>& in_order) const {
+    const std::vector<EngineCandidate>& ranked) const {
   const EngineProfile& engine = *request.service->engine;
-  const FractionalMillis read = PrefillTime(engine, request.prompt);
-  const std::size_t wanted = EnginesForShort(engine, in_order.size());
-  const FractionalMillis spread = TimeSpread(request);
+  const FractionalMillis prefill_time = PrefillTime(engine, request.prompt);
+  const std::size_t short_engines = EnginesForShort(engine, ranked.size());
+  const FractionalMillis jitter = TimeJitter(request);
   // There is one at least.
-  const EngineCandidate* best = &in_order.front();
+  const EngineCandidate* best = &ranked.front();
   FractionalMillis best_time = FractionalMillis::max();
-  for (std::size_t i = 0; i < in_order.size(); ++i) {
-    const EngineCandidate& candidate = in_order[i];
-    FractionalMillis time =
-        FirstEvent(engine, candidate.load, candidate.pace, read) +
-        Noise() * spread;
-    if (i >= wanted) {
+  for (std::size_t i = 0; i < ranked.size(); ++i) {
+    const EngineCandidate& candidate = ranked[i];
+    FractionalMillis time = PredictFirstEvent(engine, candidate.load,
+                                              candidate.pace, prefill_time) +
+                            UniformRandom() * jitter;
+    if (i >= short_engines) {
       // Beyond the engines that short requests need: only if those are late.
       time +=
           policy_.beyond_short_share * FractionalMillis(request.target_latency);
@@ -227,45 +230,46 @@
   Placement placement;
   placement.endpoint = *best->record;
   placement.work_class = WorkClass::kShort;
-  placement.prefill_time = read;
-  placement.first_event = FirstEvent(engine, best->load, best->pace, read);
+  placement.prefill_time = prefill_time;
+  placement.first_event =
+      PredictFirstEvent(engine, best->load, best->pace, prefill_time);
   return placement;
 }
 
-bool Placer::CanBeInTime(const PlacementRequest& request) {
+bool Placer::CanMeetTargetWhenIdle(const PlacementRequest& request) {
   const EngineProfile& engine = *request.service->engine;
   const FractionalMillis least =
       PrefillTime(engine, request.prompt) + PassTime(engine, 1, request.prompt);
-  return least + kWayToCaller <= request.until_late;
+  return least + kReplyMargin <= request.until_late;
 }
 
-PlacementResult Placer::ChooseShortInTime(
+PlacementResult Placer::ChooseShortWithinTarget(
     const PlacementRequest& request,
-    const std::vector<EngineCandidate>& in_order) const {
+    const std::vector<EngineCandidate>& ranked) const {
   const EngineProfile& engine = *request.service->engine;
-  const std::size_t wanted = EnginesForShort(engine, in_order.size());
+  const std::size_t short_engines = EnginesForShort(engine, ranked.size());
   ShortDemand reserve;
-  if (!CanBeInTime(request)) {
+  if (!CanMeetTargetWhenIdle(request)) {
     const double share =
-        policy_.late_reserve_share / static_cast<double>(in_order.size());
+        policy_.late_reserve_share / static_cast<double>(ranked.size());
     reserve.requests = std::ceil(share * request.demand.requests);
-    reserve.reading = share * request.demand.reading;
+    reserve.prefill_time = share * request.demand.prefill_time;
   }
   const EngineCandidate* best = nullptr;
   FractionalMillis best_cost = FractionalMillis::max();
   FractionalMillis first_event(0);
-  for (std::size_t i = 0; i < in_order.size(); ++i) {
-    const auto time = ShortFirstEvent(request, in_order[i], reserve);
+  for (std::size_t i = 0; i < ranked.size(); ++i) {
+    const auto time = PredictShortFirstEvent(request, ranked[i], reserve);
     if (!time.has_value()) {
       continue;
     }
     FractionalMillis cost = *time;
-    if (i >= wanted) {
+    if (i >= short_engines) {
       cost +=
           policy_.beyond_short_share * FractionalMillis(request.target_latency);
     }
     if (cost < best_cost) {
-      best = &in_order[i];
+      best = &ranked[i];
       best_cost = cost;
       first_event = *time;
     }
@@ -281,7 +285,7 @@
   return placement;
 }
 
-std::optional<FractionalMillis> Placer::ShortFirstEvent(
+std::optional<FractionalMillis> Placer::PredictShortFirstEvent(
     const PlacementRequest& request, const EngineCandidate& candidate,
     const ShortDemand& reserve) const {
   const EngineProfile& engine = *request.service->engine;
@@ -298,45 +302,44 @@
   if (load.BatchSize() > 0 || load.prefill_backlog > FractionalMillis(0)) {
     forecast = loads_->ForecastOf(candidate.record->id, pass);
   }
-  const FractionalMillis reads =
+  const FractionalMillis prefill =
       forecast.next_pass_prefill + PrefillTime(engine, request.prompt);
-  const FractionalMillis next = candidate.pace * (reads + pass);
+  const FractionalMillis next_pass = candidate.pace * (prefill + pass);
   const FractionalMillis time =
-      candidate.pace * forecast.until_next_pass + next;
-  const bool in_time = time + kWayToCaller <= request.until_late;
-  if (CanBeInTime(request) && !in_time) {
+      candidate.pace * forecast.until_next_pass + next_pass;
+  const bool in_time = time + kReplyMargin <= request.until_late;
+  if (CanMeetTargetWhenIdle(request) && !in_time) {
     return std::nullopt;
   }
   // The streams there pause while the pass lasts.
-  const bool stalls =
-      load.tightest_gap > FractionalMillis(0) &&
-      next + reserve.reading > policy_.pause_share_of_gap * load.tightest_gap;
-  const bool delays = forecast.next_pass_deadline.has_value() &&
-                      time + kWayToCaller > *forecast.next_pass_deadline;
-  if (stalls || delays) {
+  const bool stalls = load.tightest_gap > FractionalMillis(0) &&
+                      next_pass + reserve.prefill_time >
+                          policy_.pause_share_of_gap * load.tightest_gap;
+  const bool delays_others = forecast.next_pass_deadline.has_value() &&
+                             time + kReplyMargin > *forecast.next_pass_deadline;
+  if (stalls || delays_others) {
     return std::nullopt;
   }
   return time;
 }
 
-PlacementResult Placer::ChooseLong(
-    const PlacementRequest& request,
-    std::vector<EngineCandidate> in_order) const {
+PlacementResult Placer::ChooseLong(const PlacementRequest& request,
+                                   std::vector<EngineCandidate> ranked) const {
   const EngineProfile& engine = *request.service->engine;
   const std::size_t reserved_for_short =
-      std::min(EnginesForShort(engine, in_order.size()), in_order.size() - 1);
+      std::min(EnginesForShort(engine, ranked.size()), ranked.size() - 1);
   for (std::size_t i = 0; i < reserved_for_short; ++i) {
-    in_order[i].reserved_for_short = true;
+    ranked[i].reserved_for_short = true;
   }
   LongPrompt prompt;
-  prompt.whole = PrefillTime(engine, request.prompt);
+  prompt.prefill_time = PrefillTime(engine, request.prompt);
   prompt.needed = request.prompt + request.answer;
   prompt.target = FractionalMillis(request.target_latency);
   prompt.until_late = request.until_late;
   prompt.gap = FractionalMillis(request.target_gap);
   prompt.tightest_gap = FractionalMillis(request.tightest_gap);
   const std::optional<PrefillGroup> group =
-      ChoosePrefillGroup(engine, policy_, prompt, in_order);
+      ChoosePrefillGroup(engine, policy_, prompt, ranked);
   if (!group.has_value()) {
     return EnginesBusy{};
   }
@@ -353,28 +356,30 @@
   Placement placement;
   placement.endpoint = *group.decode_engine.record;
   placement.work_class =
-      IsTight(request) ? WorkClass::kShort : WorkClass::kLong;
+      HasTightGap(request) ? WorkClass::kShort : WorkClass::kLong;
   placement.prefill_time = group.part;
   placement.first_event =
-      FirstEvent(engine, group.decode_engine.load, group.decode_engine.pace,
-                 placement.prefill_time);
+      PredictFirstEvent(engine, group.decode_engine.load,
+                        group.decode_engine.pace, placement.prefill_time);
   for (const EngineCandidate& helper : group.helpers) {
-    placement.first_event = std::max(
-        placement.first_event,
-        FirstEvent(engine, helper.load, helper.pace, placement.prefill_time));
+    placement.first_event =
+        std::max(placement.first_event,
+                 PredictFirstEvent(engine, helper.load, helper.pace,
+                                   placement.prefill_time));
     placement.helpers.push_back(PrefillHelper{*helper.record, Tokens{0}});
   }
   const Tokens needed = request.prompt + request.answer;
-  const Tokens beyond = needed - FreeMemory(engine, group.decode_engine.load);
-  if (Tokens{0} < beyond && !SpreadMemory(engine, group, beyond, &placement)) {
+  const Tokens overflow = needed - FreeMemory(engine, group.decode_engine.load);
+  if (Tokens{0} < overflow &&
+      !DistributeMemory(engine, group, overflow, &placement)) {
     return std::nullopt;
   }
   return placement;
 }
 
-bool Placer::SpreadMemory(const EngineProfile& engine,
-                          const PrefillGroup& group, Tokens beyond,
-                          Placement* placement) {
+bool Placer::DistributeMemory(const EngineProfile& engine,
+                              const PrefillGroup& group, Tokens overflow,
+                              Placement* placement) {
   std::unordered_map<EndpointId, Tokens> free;
   for (const EngineCandidate& candidate : group.helpers) {
     free[candidate.record->id] = FreeMemory(engine, candidate.load);
@@ -384,9 +389,9 @@
               return free[b.record.id] < free[a.record.id];
             });
   for (PrefillHelper& helper : placement->helpers) {
-    helper.held = std::min(beyond, free[helper.record.id]);
-    beyond = beyond - helper.held;
-    if (!(Tokens{0} < beyond)) {
+    helper.held = std::min(overflow, free[helper.record.id]);
+    overflow = overflow - helper.held;
+    if (!(Tokens{0} < overflow)) {
       return true;
     }
   }
@@ -395,33 +400,34 @@
 
 std::size_t Placer::EnginesForShort(const EngineProfile& engine,
                                     std::size_t engines) const {
-  if (loads_of_ == LoadScope::kThisHost) {
+  if (scope_ == LoadScope::kThisHost) {
     return engines;
   }
   const double per_engine = std::max(
       1.0, policy_.short_share_of_slots * static_cast<double>(engine.slots));
-  const double by_members = loads_->ShortRequests() / per_engine;
+  const double by_slots = loads_->ShortRequests() / per_engine;
   // Peers see about as many arrive as this host does.
-  const double reading = loads_->ShortPrefillRate() * hosts_();
-  const double by_arrivals = reading / policy_.short_reading_share;
+  const double prefill_load = loads_->ShortPrefillRate() * placing_hosts_();
+  const double by_arrivals = prefill_load / policy_.short_reading_share;
   const auto needed =
-      static_cast<std::size_t>(std::ceil(std::max(by_members, by_arrivals)));
-  const auto most = static_cast<std::size_t>(
-      std::ceil(kMostShortShare * static_cast<double>(engines)));
-  return std::min(most, needed + static_cast<std::size_t>(policy_.spare_short));
+      static_cast<std::size_t>(std::ceil(std::max(by_slots, by_arrivals)));
+  const auto max_engines = static_cast<std::size_t>(
+      std::ceil(kMaxShortShare * static_cast<double>(engines)));
+  return std::min(max_engines,
+                  needed + static_cast<std::size_t>(policy_.spare_short));
 }
 
-FractionalMillis Placer::TimeSpread(const PlacementRequest& request) const {
-  const int peers = std::max(0, hosts_() - 1);
-  const FractionalMillis unseen = policy_.unseen_factor *
-                                  loads_->ShortPrefillRate() * peers *
-                                  FractionalMillis(kWordInterval);
+FractionalMillis Placer::TimeJitter(const PlacementRequest& request) const {
+  const int peers = std::max(0, placing_hosts_() - 1);
+  const FractionalMillis unseen_load = policy_.unseen_factor *
+                                       loads_->ShortPrefillRate() * peers *
+                                       FractionalMillis(kHeartbeatInterval);
   return std::min(
-      std::max(FractionalMillis(peers * kTimeSpreadPerPeer), unseen),
-      kMostSpreadShare * FractionalMillis(request.target_latency));
+      std::max(FractionalMillis(peers * kJitterPerPeer), unseen_load),
+      kMaxJitterShare * FractionalMillis(request.target_latency));
 }
 
-double Placer::Noise() const {
+double Placer::UniformRandom() const {
   constexpr double kRange = 18446744073709551616.0;
   return static_cast<double>(random_()) / kRange;
 }
--- a/src/core/prefill_group.cc
+++ b/src/core/prefill_group.cc
@@ -18,20 +18,21 @@
 constexpr double kTightFactor = 1.5;
 
 // Where a part is laid, the best first.
-enum class Place { kIdle, kBesideLong, kBesideShort };
+enum class EngineUse { kIdle, kBesideLong, kBesideShort };
 
-Place PlaceOf(const EngineCandidate& candidate) {
+EngineUse EngineUseOf(const EngineCandidate& candidate) {
   if (candidate.reserved_for_short || candidate.load.short_requests > 0) {
-    return Place::kBesideShort;
+    return EngineUse::kBesideShort;
   }
-  return candidate.load.long_requests > 0 ? Place::kBesideLong : Place::kIdle;
+  return candidate.load.long_requests > 0 ? EngineUse::kBesideLong
+                                          : EngineUse::kIdle;
 }
 
 // Chooses for one prompt.
-class ReaderChooser {
+class PrefillGroupChooser {
  public:
-  ReaderChooser(const EngineProfile& engine, const PlacementPolicy& policy,
-                const LongPrompt& prompt)
+  PrefillGroupChooser(const EngineProfile& engine,
+                      const PlacementPolicy& policy, const LongPrompt& prompt)
       : engine_(engine),
         policy_(policy),
         prompt_(prompt),
@@ -40,17 +41,19 @@
 
   std::optional<PrefillGroup> Choose(
       const std::vector<EngineCandidate>& candidates) const {
-    const std::vector<Room> rooms = OpenRooms(candidates);
-    const std::size_t most = std::min(rooms.size(), kMaxHelpers + 1);
-    const auto wanted =
-        static_cast<std::size_t>(std::ceil(prompt_.whole / wanted_part_));
-    const FractionalMillis allowed = PartAllowed();
-    for (std::size_t count = std::min(wanted, most); count > 0; --count) {
-      const FractionalMillis part = PartOf(count);
-      if (part > std::max(allowed, wanted_part_)) {
+    const std::vector<OpenEngine> open_engines = OpenEngines(candidates);
+    const std::size_t max_count =
+        std::min(open_engines.size(), kMaxHelpers + 1);
+    const auto wanted_count = static_cast<std::size_t>(
+        std::ceil(prompt_.prefill_time / wanted_part_));
+    const FractionalMillis max_part = MaxPartTime();
+    for (std::size_t count = std::min(wanted_count, max_count); count > 0;
+         --count) {
+      const FractionalMillis part = PartTime(count);
+      if (part > std::max(max_part, wanted_part_)) {
         break;
       }
-      std::vector<EngineCandidate> pool = Harmless(rooms, part);
+      std::vector<EngineCandidate> pool = EnginesThatAllow(open_engines, part);
       if (pool.size() >= count) {
         return GroupOf(std::move(pool), count);
       }
@@ -59,57 +62,59 @@
   }
 
  private:
-  struct Room {
+  struct OpenEngine {
     FractionalMillis part;
     const EngineCandidate* candidate;
   };
 
-  FractionalMillis PartOf(std::size_t count) const {
-    return prompt_.whole / static_cast<double>(count);
+  FractionalMillis PartTime(std::size_t count) const {
+    return prompt_.prefill_time / static_cast<double>(count);
   }
 
-  std::vector<Room> OpenRooms(
+  std::vector<OpenEngine> OpenEngines(
       const std::vector<EngineCandidate>& candidates) const {
-    std::vector<Room> rooms;
+    std::vector<OpenEngine> open_engines;
     for (const EngineCandidate& candidate : candidates) {
-      const bool reads = candidate.load.pending_prefills > 0;
-      const bool behind = candidate.load.prefill_backlog >
-                          policy_.open_share_of_part * wanted_part_;
-      if (reads || (behind && PlaceOf(candidate) != Place::kBesideShort)) {
+      const bool is_prefilling = candidate.load.pending_prefills > 0;
+      const bool has_backlog = candidate.load.prefill_backlog >
+                               policy_.open_share_of_part * wanted_part_;
+      if (is_prefilling ||
+          (has_backlog && EngineUseOf(candidate) != EngineUse::kBesideShort)) {
         continue;
       }
       const FractionalMillis part =
           MaxPrefillPart(engine_, policy_, candidate, prompt_.tightest_gap);
-      rooms.push_back(Room{part, &candidate});
+      open_engines.push_back(OpenEngine{part, &candidate});
     }
-    return rooms;
+    return open_engines;
   }
 
-  static std::vector<EngineCandidate> Harmless(const std::vector<Room>& rooms,
-                                               FractionalMillis part) {
+  static std::vector<EngineCandidate> EnginesThatAllow(
+      const std::vector<OpenEngine>& open_engines, FractionalMillis part) {
     std::vector<EngineCandidate> pool;
-    for (const Room& room : rooms) {
-      if (room.part >= part) {
-        pool.push_back(*room.candidate);
+    for (const OpenEngine& open_engine : open_engines) {
+      if (open_engine.part >= part) {
+        pool.push_back(*open_engine.candidate);
       }
     }
     return pool;
   }
 
   // Returns how long a part may take to read, given how much time is left.
-  FractionalMillis PartAllowed() const {
+  FractionalMillis MaxPartTime() const {
     if (!policy_.bound_late_parts && prompt_.until_late < FractionalMillis(0)) {
-      return prompt_.whole;
+      return prompt_.prefill_time;
     }
-    const FractionalMillis calm = std::max(
+    const FractionalMillis relaxed_limit = std::max(
         {policy_.part_stretch * wanted_part_,
-         policy_.part_stretch * PartOf(kMaxHelpers + 1),
+         policy_.part_stretch * PartTime(kMaxHelpers + 1),
          FractionalMillis(policy_.part_share_of_target * prompt_.target)});
-    const bool hurries =
+    const bool is_urgent =
         prompt_.until_late < policy_.hurry_share * prompt_.target;
-    return hurries ? std::max(calm, FractionalMillis(policy_.time_share_used *
-                                                     prompt_.until_late))
-                   : calm;
+    return is_urgent ? std::max(relaxed_limit,
+                                FractionalMillis(policy_.time_share_used *
+                                                 prompt_.until_late))
+                     : relaxed_limit;
   }
 
   PrefillGroup GroupOf(std::vector<EngineCandidate> pool,
@@ -119,7 +124,7 @@
     std::sort(pool.begin(), pool.end(),
               [](const EngineCandidate& a, const EngineCandidate& b) {
                 const auto cost = [](const EngineCandidate& c) {
-                  return std::make_tuple(PlaceOf(c), c.load.short_requests,
+                  return std::make_tuple(EngineUseOf(c), c.load.short_requests,
                                          c.pace >= kSlowPace, c.rank);
                 };
                 return cost(a) < cost(b);
@@ -127,11 +132,11 @@
     const auto decode_engine = std::min_element(
         pool.begin(), pool.end(),
         [this](const EngineCandidate& a, const EngineCandidate& b) {
-          return WriterCost(a) < WriterCost(b);
+          return DecodeEngineCost(a) < DecodeEngineCost(b);
         });
     PrefillGroup group;
     group.decode_engine = *decode_engine;
-    group.part = PartOf(count);
+    group.part = PartTime(count);
     pool.erase(decode_engine);
     pool.resize(count - 1);
     group.helpers = std::move(pool);
@@ -141,12 +146,12 @@
   // The least is best. One of the readers holds the memory, as far as it can,
   // and writes the answer. Writers are packed, so that other engines stay free
   // of streams that a large part would hold up.
-  std::tuple<bool, bool, double, std::int64_t> WriterCost(
+  std::tuple<bool, bool, double, std::int64_t> DecodeEngineCost(
       const EngineCandidate& candidate) const {
     const EndpointLoad& load = candidate.load;
     const bool fits = !(FreeMemory(engine_, load) < prompt_.needed);
     const bool tight = IsTightGap(prompt_.gap, prompt_.tightest_gap);
-    const bool beside_short = PlaceOf(candidate) == Place::kBesideShort;
+    const bool beside_short = EngineUseOf(candidate) == EngineUse::kBesideShort;
     const bool full = load.long_requests >= policy_.packed_writers;
     const double packed = fits && !full ? load.long_requests : 0;
     return {!fits, tight != beside_short, -packed, load.memory.value};
@@ -165,9 +170,9 @@
 }
 
 Tokens FreeMemory(const EngineProfile& engine, const EndpointLoad& load) {
-  const auto most = static_cast<std::int64_t>(
+  const auto usable = static_cast<std::int64_t>(
       kMemoryShare * static_cast<double>(engine.memory.value));
-  return Tokens{std::max<std::int64_t>(0, most - load.memory.value)};
+  return Tokens{std::max<std::int64_t>(0, usable - load.memory.value)};
 }
 
 FractionalMillis MaxPrefillPart(const EngineProfile& engine,
@@ -191,7 +196,7 @@
 std::optional<PrefillGroup> ChoosePrefillGroup(
     const EngineProfile& engine, const PlacementPolicy& policy,
     const LongPrompt& prompt, const std::vector<EngineCandidate>& candidates) {
-  return ReaderChooser(engine, policy, prompt).Choose(candidates);
+  return PrefillGroupChooser(engine, policy, prompt).Choose(candidates);
 }
 
 }  // namespace harecrank
--- a/src/core/prefill_group_test.cc
+++ b/src/core/prefill_group_test.cc
@@ -20,9 +20,9 @@
 }
 
 // Engines e0, e1 and so on; e0 has the highest rank.
-class ReadersFixture {
+class PrefillGroupFixture {
  protected:
-  ReadersFixture() {
+  PrefillGroupFixture() {
     constexpr std::size_t kEngines = 6;
     records_.resize(kEngines);
     for (std::size_t i = 0; i < kEngines; ++i) {
@@ -32,7 +32,7 @@
       candidate.rank = kEngines - i;
       candidates_.push_back(candidate);
     }
-    prompt_.whole = FractionalMillis(900);
+    prompt_.prefill_time = FractionalMillis(900);
     prompt_.needed = Tokens{100000};
     prompt_.target = FractionalMillis(3000);
     prompt_.until_late = FractionalMillis(3000);
@@ -50,7 +50,7 @@
     return ChoosePrefillGroup(engine_, policy_, prompt_, candidates_);
   }
 
-  static bool Reads(const PrefillGroup& group, const std::string& id) {
+  static bool IsMember(const PrefillGroup& group, const std::string& id) {
     const auto is = [&id](const EngineCandidate& candidate) {
       return candidate.record->id.value == id;
     };
@@ -65,21 +65,21 @@
   std::vector<EngineCandidate> candidates_;
 };
 
-TEST_CASE_METHOD(ReadersFixture,
+TEST_CASE_METHOD(PrefillGroupFixture,
                  "No part pauses a stream beside it for longer than its gap") {
   AddStreams(5, 1, FractionalMillis(600));
   AddStreams(4, 1, kTightestGap);
   // Cut for four engines, a part takes 300 ms: too long for e4 alone.
-  prompt_.whole = FractionalMillis(1200);
+  prompt_.prefill_time = FractionalMillis(1200);
   prompt_.until_late = FractionalMillis(1000);
   const auto group = Choose();
   REQUIRE(group.has_value());
-  CHECK(Reads(*group, "e5"));
-  CHECK_FALSE(Reads(*group, "e4"));
+  CHECK(IsMember(*group, "e5"));
+  CHECK_FALSE(IsMember(*group, "e4"));
   CHECK(group->part == FractionalMillis(240));
 }
 
-TEST_CASE_METHOD(ReadersFixture,
+TEST_CASE_METHOD(PrefillGroupFixture,
                  "Long streams are written where others are, while the parts "
                  "are harmless there") {
   AddStreams(2, 1, FractionalMillis(600));
@@ -87,35 +87,35 @@
   REQUIRE(group.has_value());
   CHECK(group->decode_engine.record->id.value == "e2");
   // A prompt that needs a larger part than e2's stream bears goes elsewhere.
-  prompt_.whole = FractionalMillis(6000);
+  prompt_.prefill_time = FractionalMillis(6000);
   prompt_.until_late = FractionalMillis(1800);
   const auto large = Choose();
   REQUIRE(large.has_value());
-  CHECK_FALSE(Reads(*large, "e2"));
+  CHECK_FALSE(IsMember(*large, "e2"));
 }
 
-TEST_CASE_METHOD(ReadersFixture,
+TEST_CASE_METHOD(PrefillGroupFixture,
                  "A stream with a tight gap is written beside short requests") {
   candidates_[0].reserved_for_short = true;
-  prompt_.whole = FractionalMillis(150);
+  prompt_.prefill_time = FractionalMillis(150);
   prompt_.gap = kTightestGap;
   const auto group = Choose();
   REQUIRE(group.has_value());
   CHECK(group->decode_engine.record->id.value == "e0");
 }
 
-TEST_CASE_METHOD(ReadersFixture,
+TEST_CASE_METHOD(PrefillGroupFixture,
                  "Engines kept for short requests read small parts only") {
   for (std::size_t i = 0; i < 5; ++i) {
     candidates_[i].reserved_for_short = true;
   }
-  prompt_.whole = FractionalMillis(6 * 140);
+  prompt_.prefill_time = FractionalMillis(6 * 140);
   CHECK(Choose().has_value());
-  prompt_.whole = FractionalMillis(6 * 220);
+  prompt_.prefill_time = FractionalMillis(6 * 220);
   CHECK_FALSE(Choose().has_value());
 }
 
-TEST_CASE_METHOD(ReadersFixture,
+TEST_CASE_METHOD(PrefillGroupFixture,
                  "An engine that has yet to read a part takes no other") {
   for (EngineCandidate& candidate : candidates_) {
     candidate.load.pending_prefills = 1;
@@ -125,11 +125,11 @@
 
 // One that is late can no longer be in time, and read whole by one engine it
 // makes the next ones late.
-TEST_CASE_METHOD(ReadersFixture, "A late prompt is cut like others") {
+TEST_CASE_METHOD(PrefillGroupFixture, "A late prompt is cut like others") {
   for (std::size_t i = 1; i < 6; ++i) {
     candidates_[i].load.pending_prefills = 1;
   }
-  prompt_.whole = FractionalMillis(4000);
+  prompt_.prefill_time = FractionalMillis(4000);
   prompt_.until_late = FractionalMillis(-100);
   CHECK_FALSE(Choose().has_value());
   policy_.bound_late_parts = false;
