--- a/include/harecrank/core/group_reservation.h
+++ b/include/harecrank/core/group_reservation.h
@@ -53,15 +53,15 @@
   GroupStep OnRefused(const EndpointId& member);
 
  private:
-  enum class Answer { kNone, kReserved, kRefused };
+  enum class Reply { kPending, kReserved, kRefused };
 
-  GroupStep Settle();
+  GroupStep FinishRound();
 
   TimePoint deadline_;
   MonotonicClock clock_;
   RandomSource random_;
   int rounds_ = 0;
-  std::map<EndpointId, Answer> answers_;
+  std::map<EndpointId, Reply> replies_;
 };
 
 }  // namespace harecrank
--- a/include/harecrank/core/oversize_wait.h
+++ b/include/harecrank/core/oversize_wait.h
@@ -15,8 +15,8 @@
 // hold: after the policy's share of its target, and no later than its prompt
 // can still be read before `deadline`. It is in time until `late_at`.
 TimePoint OversizeWaitEnd(const PlacementRequest& request,
-                          const PlacementPolicy& policy, TimePoint late_at,
-                          TimePoint deadline);
+                          const PlacementPolicy& policy,
+                          TimePoint first_event_due, TimePoint deadline);
 
 }  // namespace harecrank
 
--- a/src/core/group_reservation.cc
+++ b/src/core/group_reservation.cc
@@ -6,7 +6,7 @@
 namespace harecrank {
 namespace {
 
-constexpr Millis kFirstPause{20};
+constexpr Millis kInitialPause{20};
 constexpr int kMaxDoublings = 6;
 
 }  // namespace
@@ -18,35 +18,35 @@
       random_(std::move(random)) {}
 
 GroupStep GroupReservation::Begin(std::vector<Segment> segments) {
-  answers_.clear();
+  replies_.clear();
   for (const Segment& segment : segments) {
-    answers_[segment.member] = Answer::kNone;
+    replies_[segment.member] = Reply::kPending;
   }
   ++rounds_;
   return ReserveMembers{std::move(segments)};
 }
 
 GroupStep GroupReservation::OnReserved(const EndpointId& member) {
-  answers_[member] = Answer::kReserved;
-  return Settle();
+  replies_[member] = Reply::kReserved;
+  return FinishRound();
 }
 
 GroupStep GroupReservation::OnRefused(const EndpointId& member) {
-  answers_[member] = Answer::kRefused;
-  return Settle();
+  replies_[member] = Reply::kRefused;
+  return FinishRound();
 }
 
-GroupStep GroupReservation::Settle() {
+GroupStep GroupReservation::FinishRound() {
   // A round ends only when every member has answered, so that no reservation
   // of this round can come in after the give-back.
   std::vector<EndpointId> reserved;
   bool refused = false;
-  for (const auto& answer : answers_) {
-    if (answer.second == Answer::kNone) {
+  for (const auto& reply : replies_) {
+    if (reply.second == Reply::kPending) {
       return WaitForMembers{};
     }
-    if (answer.second == Answer::kReserved) {
-      reserved.push_back(answer.first);
+    if (reply.second == Reply::kReserved) {
+      reserved.push_back(reply.first);
     } else {
       refused = true;
     }
@@ -54,8 +54,9 @@
   if (!refused) {
     return GroupReserved{};
   }
-  const Millis most = kFirstPause * (1 << std::min(rounds_, kMaxDoublings));
-  const auto span = static_cast<std::uint64_t>(most.count());
+  const Millis max_pause =
+      kInitialPause * (1 << std::min(rounds_, kMaxDoublings));
+  const auto span = static_cast<std::uint64_t>(max_pause.count());
   const Millis pause{static_cast<std::int64_t>(1 + random_() % span)};
   if (clock_() + pause >= deadline_) {
     return GroupRefused{std::move(reserved)};
--- a/src/core/oversize_wait.cc
+++ b/src/core/oversize_wait.cc
@@ -5,15 +5,16 @@
 namespace harecrank {
 
 TimePoint OversizeWaitEnd(const PlacementRequest& request,
-                          const PlacementPolicy& policy, TimePoint late_at,
-                          TimePoint deadline) {
+                          const PlacementPolicy& policy,
+                          TimePoint first_event_due, TimePoint deadline) {
   const FractionalMillis target(request.target_latency);
-  const FractionalMillis beyond = (policy.oversize_wait_share - 1) * target;
-  const FractionalMillis reading =
+  const FractionalMillis extra_wait = (policy.oversize_wait_share - 1) * target;
+  const FractionalMillis min_prefill_time =
       PrefillTime(*request.service->engine, request.prompt) /
       static_cast<double>(kMaxHelpers + 1);
-  return std::min(late_at + std::chrono::duration_cast<Millis>(beyond),
-                  deadline - std::chrono::duration_cast<Millis>(reading));
+  return std::min(
+      first_event_due + std::chrono::duration_cast<Millis>(extra_wait),
+      deadline - std::chrono::duration_cast<Millis>(min_prefill_time));
 }
 
 }  // namespace harecrank
--- a/src/core/oversize_wait_test.cc
+++ b/src/core/oversize_wait_test.cc
@@ -8,9 +8,9 @@
 constexpr TimePoint kArrived{std::chrono::hours(1)};
 constexpr Millis kTarget{4000};
 
-class OversizeFixture {
+class OversizeWaitFixture {
  protected:
-  OversizeFixture() {
+  OversizeWaitFixture() {
     service_.engine.emplace();
     service_.engine->prefill_tokens_per_ms = 10;
     request_.service = &service_;
@@ -29,14 +29,14 @@
   PlacementRequest request_;
 };
 
-TEST_CASE_METHOD(OversizeFixture,
+TEST_CASE_METHOD(OversizeWaitFixture,
                  "The largest prompts wait beyond their target for engines") {
   CHECK(WaitEnd(Millis(60000)) == kArrived + 3 * kTarget);
   policy_.oversize_wait_share = 0.25;
   CHECK(WaitEnd(Millis(60000)) == kArrived + kTarget / 4);
 }
 
-TEST_CASE_METHOD(OversizeFixture,
+TEST_CASE_METHOD(OversizeWaitFixture,
                  "What can no longer be read before its deadline is told so") {
   CHECK(WaitEnd(Millis(9000)) == kArrived + Millis(7000));
 }
--- a/src/core/segment_plan.cc
+++ b/src/core/segment_plan.cc
@@ -7,49 +7,52 @@
 namespace {
 
 // Returns the room for prompt tokens at member `index` of `count`.
-std::int64_t Room(const std::vector<SegmentCandidate>& members,
-                  std::size_t index, std::size_t count, Tokens answer) {
-  const std::int64_t room = members[index].free_memory.value;
-  return index + 1 == count ? room - answer.value : room;
+std::int64_t Capacity(const std::vector<SegmentCandidate>& members,
+                      std::size_t index, std::size_t count, Tokens answer) {
+  const std::int64_t capacity = members[index].free_memory.value;
+  return index + 1 == count ? capacity - answer.value : capacity;
 }
 
 // Spreads `prompt` evenly under each member's room. Returns nothing if the
 // rooms together are too small.
-std::optional<std::vector<std::int64_t>> Spread(
-    std::int64_t prompt, const std::vector<std::int64_t>& rooms) {
-  std::vector<std::int64_t> parts(rooms.size(), 0);
-  std::vector<std::size_t> by_room(rooms.size());
-  for (std::size_t i = 0; i < rooms.size(); ++i) {
-    by_room[i] = i;
+std::optional<std::vector<std::int64_t>> SplitEvenly(
+    std::int64_t prompt, const std::vector<std::int64_t>& capacities) {
+  std::vector<std::int64_t> lengths(capacities.size(), 0);
+  std::vector<std::size_t> by_capacity(capacities.size());
+  for (std::size_t i = 0; i < capacities.size(); ++i) {
+    by_capacity[i] = i;
   }
-  std::sort(by_room.begin(), by_room.end(),
-            [&](std::size_t a, std::size_t b) { return rooms[a] < rooms[b]; });
+  std::sort(by_capacity.begin(), by_capacity.end(),
+            [&](std::size_t a, std::size_t b) {
+              return capacities[a] < capacities[b];
+            });
   // The smallest room is filled first; what it cannot take falls to the rest.
-  std::int64_t left = prompt;
-  for (std::size_t i = 0; i < by_room.size(); ++i) {
-    const auto sharers = static_cast<std::int64_t>(by_room.size() - i);
-    const std::int64_t even = (left + sharers - 1) / sharers;
-    const std::int64_t part = std::min(even, rooms[by_room[i]]);
-    if (part <= 0) {
+  std::int64_t remaining = prompt;
+  for (std::size_t i = 0; i < by_capacity.size(); ++i) {
+    const auto members_left = static_cast<std::int64_t>(by_capacity.size() - i);
+    const std::int64_t even_part =
+        (remaining + members_left - 1) / members_left;
+    const std::int64_t length = std::min(even_part, capacities[by_capacity[i]]);
+    if (length <= 0) {
       return std::nullopt;
     }
-    parts[by_room[i]] = part;
-    left -= part;
+    lengths[by_capacity[i]] = length;
+    remaining -= length;
   }
-  if (left > 0) {
+  if (remaining > 0) {
     return std::nullopt;
   }
-  return parts;
+  return lengths;
 }
 
 std::vector<Segment> ToSegments(const std::vector<SegmentCandidate>& members,
-                                const std::vector<std::int64_t>& parts,
+                                const std::vector<std::int64_t>& lengths,
                                 Tokens answer) {
   std::vector<Segment> segments;
   Tokens begin;
-  for (std::size_t i = 0; i < parts.size(); ++i) {
-    const Tokens length{parts[i]};
-    const bool last = i + 1 == parts.size();
+  for (std::size_t i = 0; i < lengths.size(); ++i) {
+    const Tokens length{lengths[i]};
+    const bool last = i + 1 == lengths.size();
     segments.push_back(
         Segment{members[i].id, begin, length, last ? length + answer : length});
     begin = begin + length;
@@ -72,13 +75,13 @@
       std::min(std::max<std::size_t>(min_members, 1), candidates.size());
   for (std::size_t count = std::max<std::size_t>(first, 1);
        count <= candidates.size(); ++count) {
-    std::vector<std::int64_t> rooms;
+    std::vector<std::int64_t> capacities;
     for (std::size_t i = 0; i < count; ++i) {
-      rooms.push_back(Room(candidates, i, count, answer));
+      capacities.push_back(Capacity(candidates, i, count, answer));
     }
-    const auto parts = Spread(prompt.value, rooms);
-    if (parts) {
-      return ToSegments(candidates, *parts, answer);
+    const auto lengths = SplitEvenly(prompt.value, capacities);
+    if (lengths) {
+      return ToSegments(candidates, *lengths, answer);
     }
   }
   return std::nullopt;
