--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -1,9 +1,11 @@
-// Which endpoint takes a request, and which others help to read its prompt.
+// Chooses the endpoint of a request and the helpers that share its prefill.
 //
-// Short prompts are packed onto as few engines as keep them in time, from one
-// end of an order that all hosts share. Long ones are read in parts, each as
-// large as the streams of its engine bear (prefill_group.h), and wait while
-// there are too few such engines. docs/DECISIONS.md gives the figures.
+// Short prompts are packed onto as few engines as can meet their latency
+// target, starting at the front of an engine order that all hosts share. Long
+// prompts are split into parts that several engines prefill in parallel. A part
+// is no larger than the streams on its engine tolerate (prefill_group.h); a
+// long prompt waits while too few engines are available. docs/DECISIONS.md
+// explains the values.
 
 #ifndef HARECRANK_CORE_PLACEMENT_H_
 #define HARECRANK_CORE_PLACEMENT_H_
@@ -28,143 +30,164 @@
 
 namespace harecrank {
 
-// Short requests that arrive in some time.
+// Short requests that are expected within a period.
 struct ShortDemand {
   double requests = 0;
-  // How long one engine reads them all.
+  // Time that one engine needs to prefill all of them.
   FractionalMillis prefill_time{0};
 };
 
-// What a decision needs to know of a request.
+// Input of a placement decision.
 struct PlacementRequest {
   const ServiceProfile* service = nullptr;
-  // Within this the first event is in time, and the longest pause between
-  // events that still is.
+  // Latency target of the first event, and the longest gap between events that
+  // is still within the target.
   Millis target_latency{0};
   Millis target_gap{0};
-  // Zero where the request tells no tokens.
+  // Zero if the request does not state its token count.
   Tokens prompt;
-  // The likely length of the answer.
+  // Expected length of the answer.
   Tokens answer;
-  // The shortest pause between events that any route to the service allows.
+  // Shortest gap that any route to the service allows.
   Millis tightest_gap{0};
-  // What is left until the first event is late.
+  // Time left until the first event is late; negative once it is late.
   FractionalMillis until_late{0};
-  // What is left until its caller, or its route, gives it up.
+  // Time left until the caller or the route gives up the request.
   FractionalMillis until_deadline{0};
   RequestOrigin origin;
-  // Endpoints that this request has been sent to, which are not asked again.
+  // Endpoints that this request was sent to before. They are not chosen again.
   std::set<EndpointId> tried;
-  // Cold endpoints that may not be sent anything just now.
+  // Endpoints at which the host has no start quota left. They are not chosen
+  // now.
   std::set<EndpointId> withheld;
-  // An endpoint may have run it: it is placed even where others become late.
+  // An endpoint may already have run the request. It is then placed even if
+  // that makes other requests late.
   bool may_have_run = false;
-  // Short requests that are expected at all engines while a target's time
-  // passes.
+  // Short requests expected at all engines within the latency target.
   ShortDemand demand;
 };
 
-// An endpoint that reads a part of a prompt.
+// An endpoint that prefills a part of the prompt for the endpoint that decodes.
 struct PrefillHelper {
   EndpointRecord record;
-  // How much of the prompt's memory lies there; zero in most cases.
+  // Part of the request's KV memory that is kept on the helper. Zero unless the
+  // decoding engine is too small.
   Tokens held;
 };
 
-// Where a request goes.
+// Result of a placement decision.
 struct Placement {
+  // Decodes the answer, and prefills one part of the prompt.
   EndpointRecord endpoint;
-  // Each reads an even part of the prompt.
+  // The prompt is split evenly among the endpoint and these helpers.
   std::vector<PrefillHelper> helpers;
   WorkClass work_class = WorkClass::kShort;
-  // How long each of them reads.
+  // Prefill time of each part.
   FractionalMillis prefill_time{0};
-  // Until the first event, as predicted.
+  // Predicted time to the first event.
   FractionalMillis first_event{0};
-  // How many endpoints there were to choose from.
+  // Number of endpoints that were considered.
   std::size_t candidates = 0;
 };
 
-// All engines that could read the prompt have enough to read for now, or all
-// endpoints are withheld.
+// All suitable engines have too much to prefill at present, or all endpoints
+// are withheld.
 struct EnginesBusy {};
 using PlacementResult = std::variant<Placement, NoEndpoint, EnginesBusy>;
 
-// Returns whether the memory of one engine of `service` cannot hold a request
-// that needs `needed` tokens, even if it holds nothing else.
+// Returns whether a request of `needed` tokens exceeds the memory of an idle
+// engine of `service`.
 bool IsOversize(const ServiceProfile& service, Tokens needed);
 
-// Returns whether an engine reads the prompt so quickly that it may join any
-// stream.
+// Returns whether the prompt's prefill fits between two events of any stream.
+// The request's service must have an engine.
 bool IsShortPrompt(const PlacementRequest& request,
                    const PlacementPolicy& policy);
 
-// Returns what `request` takes of its account's share; its service must have an
-// engine. With `by_account` off all requests are of one account.
+// Returns the engine time that `request` takes from its account's fair share.
+// The request's service must have an engine. If `by_account` is false, all
+// requests count for one account.
 ShareClaim ClaimOf(const PlacementRequest& request, bool by_account);
 
-// Returns what `placement` puts under way, the endpoint's part first.
+// Returns the work that `placement` starts at each endpoint, beginning with the
+// endpoint that decodes.
 std::vector<WorkPart> PartsOf(const Placement& placement,
                               const PlacementRequest& request);
 
-// Whose work the loads tell.
+// The set of hosts whose work is included in the known loads.
 enum class LoadScope {
-  // All hosts' work: engines are packed from one end of a shared order.
+  // All hosts. Short requests are packed from the front of a shared engine
+  // order.
   kAllHosts,
-  // This host's alone. Hosts that see the same empty engines would all choose
-  // the same, so each has an order of its own and packs nothing.
+  // Only this host. Hosts that see the same idle engines would all choose the
+  // same one, so each uses an order of its own and does not pack requests.
   kThisHost
 };
 
-// Chooses endpoints. Not thread-safe; reads what it was built on.
+// Chooses endpoints for requests. Not thread-safe.
 class Placer {
  public:
-  // All of them must outlive this. `self` is this host's data centre. `hosts`
-  // returns how many hosts place requests without knowing of each other's, this
-  // one among them.
+  // All pointers must outlive the placer. `self` is this host's data centre.
+  // `placing_hosts` returns the number of hosts, including this one, that place
+  // requests without knowing each other's placements.
   Placer(const EndpointDirectory* directory, const EndpointLoads* loads,
          const EndpointHealth* health, DataCentreId self, LoadScope scope,
          std::function<int()> placing_hosts, const PlacementPolicy& policy,
          RandomSource random);
 
+  // Returns a placement, EnginesBusy if the request should wait, or NoEndpoint
+  // if no endpoint of the service can be used.
   PlacementResult Choose(const PlacementRequest& request) const;
 
  private:
+  // Returns the usable endpoints. Suspect ones are included only if there are
+  // no others.
   std::vector<EngineCandidate> CandidatesFor(
       const PlacementRequest& request) const;
-  // Whether an endpoint that has not been tried is withheld.
+  // Returns whether an endpoint is withheld that the request has not tried yet.
   bool HasWithheldEndpoint(const PlacementRequest& request) const;
+  // Sorts by descending rank in the engine order.
   void SortByRank(std::vector<EngineCandidate>* candidates) const;
+  // For services without an engine profile: takes the endpoint with the least
+  // requests, preferring this data centre.
   Placement ChoosePlain(const std::vector<EngineCandidate>& candidates) const;
-  // Whether the first event of `request` can be in time on an idle engine.
+  // Returns whether an idle engine can deliver the first event within the
+  // target.
   static bool CanMeetTargetWhenIdle(const PlacementRequest& request);
+  // Takes the engine with the earliest predicted first event, even if it is
+  // late.
   Placement ChooseShort(const PlacementRequest& request,
                         const std::vector<EngineCandidate>& ranked) const;
-  // Takes an engine on which the request is in time and makes nobody late.
+  // Takes an engine that meets the request's target and makes no other request
+  // late. Returns EnginesBusy if there is none.
   PlacementResult ChooseShortWithinTarget(
       const PlacementRequest& request,
       const std::vector<EngineCandidate>& ranked) const;
-  // Returns until when `candidate` would bring the first event, or nothing if
-  // it has no room or others there would be late.
+  // Returns the predicted time to the first event on `candidate`. Returns
+  // nothing if the engine has no free slot or memory, or if the request would
+  // be late or make others late there. `reserve` is capacity to leave free for
+  // expected short requests.
   std::optional<FractionalMillis> PredictShortFirstEvent(
       const PlacementRequest& request, const EngineCandidate& candidate,
       const ShortDemand& reserve) const;
   PlacementResult ChooseLong(const PlacementRequest& request,
                              std::vector<EngineCandidate> ranked) const;
-  // Returns nothing if the memory of `group` does not hold the request.
+  // Returns nothing if the group's memory cannot hold the request.
   std::optional<Placement> PlaceOn(const PlacementRequest& request,
                                    const PrefillGroup& group) const;
-  // Lays `beyond` tokens on the placement's helpers. Returns false if they do
-  // not hold it.
+  // Assigns `overflow` tokens of KV memory to the placement's helpers. Returns
+  // false if they cannot hold it.
   static bool DistributeMemory(const EngineProfile& engine,
                                const PrefillGroup& group, Tokens overflow,
                                Placement* placement);
+  // Returns how many engines at the front of the order are reserved for short
+  // requests, out of `engines`.
   std::size_t EnginesForShort(const EngineProfile& engine,
                               std::size_t engines) const;
-  // Returns a random number from 0 to 1.
+  // Returns a random number between 0 and 1.
   double UniformRandom() const;
-  // Returns how widely predicted times are spread for `request`, so that hosts
-  // that know the same do not all choose the same engine.
+  // Returns the width of the random jitter added to predicted times, so that
+  // hosts with the same knowledge do not all choose the same engine.
   FractionalMillis TimeJitter(const PlacementRequest& request) const;
 
   const EndpointDirectory* directory_;
@@ -172,7 +195,7 @@
   const EndpointHealth* health_;
   DataCentreId self_;
   LoadScope scope_;
-  // The key of the order of engines: of all hosts, or of this one.
+  // Hash key of the engine order: shared by all hosts, or random for this host.
   std::string order_key_;
   std::function<int()> placing_hosts_;
   PlacementPolicy policy_;
