--- a/include/harecrank/core/placement_policy.h
+++ b/include/harecrank/core/placement_policy.h
@@ -1,7 +1,7 @@
-// The figures and switches by which engines are chosen.
+// Parameters of engine selection.
 //
-// docs/DECISIONS.md tells what each of them was measured to be worth. They are
-// settings so that an operator can try another value on a fleet of their own.
+// docs/DECISIONS.md gives the effect of each. They are settings, so that an
+// operator can try other values on a fleet.
 
 #ifndef HARECRANK_CORE_PLACEMENT_POLICY_H_
 #define HARECRANK_CORE_PLACEMENT_POLICY_H_
@@ -12,93 +12,102 @@
 
 namespace harecrank {
 
-// A gap is the longest pause between two events that still keeps a stream in
-// time; the tightest gap is the shortest of any route to the service.
+// The gap of a stream is the longest pause between two events that is within
+// its target. The tightest gap is the shortest gap of any route to the service.
 struct PlacementPolicy {
-  // A prompt is short if an engine reads it in less than this share of the
-  // tightest gap: then it may be read between two events of any stream.
+  // A prompt is short if its prefill takes at most this share of the tightest
+  // gap. It can then be prefilled between two events of any stream.
   double short_share_of_gap = 0.45;
-  // A part of a long prompt takes this share of the tightest gap where engines
-  // suffice.
+  // Preferred prefill time of a part of a long prompt, as a share of the
+  // tightest gap. Parts get longer if too few engines are available.
   double part_share_of_gap = 0.6;
-  // With the pass that it is read in, a part that is laid beside short requests
-  // may make them pause for this share of the tightest gap.
+  // A pass that prefills may take this share of the shortest gap of the
+  // engine's streams, its decoding included.
   double pause_share_of_gap = 0.85;
-  // An engine is open for a further long prompt while what it has yet to read
-  // takes at most this share of a wanted part. A part is read before older ones
-  // of other engines' prompts, which parts that overlap hold up for seconds.
+  // An engine can take a part of another long prompt while its prefill backlog
+  // is at most this share of a preferred part. Engines prefill a new part
+  // before older parts of prompts that other engines decode, so overlapping
+  // parts delay those prompts by seconds.
   double open_share_of_part = 0.15;
-  // A part may grow by this factor where few engines are open, rather than
-  // wait.
+  // If few engines are available, a part may exceed its preferred size by this
+  // factor instead of waiting.
   double part_stretch = 2;
-  // A part may take this share of the request's target.
+  // A part may also take this share of the request's latency target.
   double part_share_of_target = 0.25;
-  // A request hurries when less than this share of its target is left: then a
-  // part may take `time_share_used` of what is left.
+  // A request is urgent if less than `hurry_share` of its latency target is
+  // left. Its parts may then take `time_share_used` of the time left.
   double hurry_share = 0.65;
   double time_share_used = 0.8;
-  // Streams of long prompts are packed up to this many on an engine.
+  // Up to this many long streams are packed onto one engine.
   double packed_writers = 8;
-  // The share of an engine's slots that short requests are packed into. A
-  // fuller batch writes more slowly and leaves no room for what peers place
-  // unseen.
+  // Share of an engine's slots that is filled with short requests. A fuller
+  // batch decodes more slowly and leaves no slots for the placements of other
+  // hosts that this host does not know yet.
   double short_share_of_slots = 0.8;
-  // Engines kept for short requests beyond those that their count needs.
+  // Engines reserved for short requests in addition to those that the current
+  // number of requests needs.
   double spare_short = 1;
-  // An engine kept for short requests reads for this share of its time, at the
-  // rate at which they arrive just now.
+  // Target utilisation, by prefill at the current arrival rate, of the engines
+  // that are reserved for short requests.
   double short_reading_share = 1;
-  // How widely predicted times are spread, in multiples of what peers have
-  // begun to read for short requests since they last told.
+  // Width of the jitter on predicted times, as a multiple of the prefill work
+  // that other hosts are expected to have started for short requests since
+  // their last heartbeat.
   double unseen_factor = 1;
-  // A short request goes to another engine where that saves more than this
-  // share of its target.
+  // A short request leaves the reserved engines only if that saves more than
+  // this share of its latency target.
   double beyond_short_share = 0.8;
-  // A short prompt waits at the planner while no engine can bring it in time
-  // without making another one late or its streams pause for too long. Without
-  // that all of a wave are late together: of 68 that came in half a second 49
-  // were, on a recorded day.
+  // If set, a short prompt waits at the planner while every engine would either
+  // deliver its first event late, make another request late, or stall its
+  // streams for too long. Without waiting, about 70% of a burst of short
+  // prompts miss their target.
   bool short_waits = true;
-  // In which order short and long prompts that wait are tried.
+  // Order in which queued short and long prompts are tried.
   QueueOrder short_order = LeastSlackFirst{};
   QueueOrder long_order = LeastSlackFirst{};
-  // A short prompt that cannot be in time any more waits until it is late by
-  // this share of its target, and is refused then.
+  // A short prompt that can no longer meet its target waits until it is late by
+  // this share of the target, and is then rejected.
   double late_wait_share = 1;
-  // Its caller may come back after this share of its target.
+  // Retry delay for a rejected short prompt, as a share of its latency target.
   double short_retry_after_share = 1;
-  // Late short prompts leave room for those that arrive within this share of a
-  // target: served as soon as there is room, they would make those late.
+  // A short prompt that is already late leaves capacity for the short prompts
+  // expected to arrive within this share of the latency target. Taking all free
+  // capacity would make those late too.
   double late_reserve_share = 1;
-  // A prompt that is late already is cut into parts like others. Read whole by
-  // one engine, it holds the others up for seconds.
+  // If set, the size of a part is limited even if the prompt is already late. A
+  // late prompt that is prefilled by one engine as a whole blocks other prompts
+  // for seconds.
   bool bound_late_parts = true;
-  // A prompt that no engine holds waits for several to be idle for this part of
-  // its target. Told to come again sooner, it meets the same engines, and those
-  // that are told twice are lost.
+  // A prompt that is larger than any engine's memory waits for several idle
+  // engines for this share of its latency target. If it were rejected sooner,
+  // its retry would meet the same engines, and a prompt that is rejected twice
+  // is lost.
   double oversize_wait_share = 3;
-  // A prompt that has to wait is refused at once where another that takes no
-  // longer to read can no longer be in time. Of 100 of the longest prompts on
-  // loaded days, those held until their caller left fell from 15 to 8.
+  // If set, a long prompt that would have to wait is rejected at once if a
+  // queued prompt that needs no more prefill time can no longer meet its
+  // target. Under overload this reduces the share of the longest prompts that
+  // wait until their callers leave from 15% to 8%.
   bool refuses_by_precedent = true;
-  // Such a caller may come back after this share of its target.
+  // Retry delay for a rejected long prompt, as a share of its latency target.
   double retry_after_share = 1;
-  // Where the configuration has several accounts, those that wait and have had
-  // their share of engine time go after the others (account_shares.h).
+  // If set and the configuration has several accounts, queued requests of
+  // accounts that are over their fair share of engine time go last
+  // (account_shares.h).
   bool shares_by_account = false;
-  // Who finds no engine waits, is refused or is told when to return by when
-  // room is foreseen (capacity_forecast.h), in place of precedent and of fixed
-  // shares of a target.
+  // If set, a capacity forecast (capacity_forecast.h) decides whether a request
+  // that finds no engine waits, is rejected, or is given a time for its retry.
+  // It replaces `refuses_by_precedent` and the fixed shares of a target.
   bool foresees_room = false;
-  // Callers of streams that hear nothing for the longest of these leave: so
-  // many targets, so many gaps, and a time in milliseconds.
+  // Callers of a stream time out if they receive no event for the longest of:
+  // this many latency targets, this many gaps, this many milliseconds.
   double patience_targets = 4;
   double patience_gaps = 8;
   double patience_ms = 2000;
-  // A caller that is told to return does so within this share of the time that
-  // it has left, however late it is told to.
+  // Upper limit of the retry delay of a rejected caller, as a share of the time
+  // left until its deadline.
   double return_share = 0.33;
-  // Of the prompts that wait in a host, so many are tried at a time.
+  // Number of queued prompts that may fail to start before the rest of the
+  // queue is skipped for the current run.
   std::size_t tried = 8;
 };
 
