--- a/include/harecrank/core/prefill_group.h
+++ b/include/harecrank/core/prefill_group.h
@@ -1,9 +1,10 @@
-// Which engines read a long prompt together, and which of them writes.
+// Chooses the engines that prefill a long prompt together, and the one of them
+// that decodes.
 //
-// An engine reads a part of a prompt between two events of its streams, which
-// all pause for as long. So each engine has a largest part that is harmless
-// there, by the streams that it has under way; a prompt is cut into parts that
-// are harmless at as many engines as it is cut for.
+// An engine prefills a part between two events of its streams, and all of its
+// streams pause for that time. The streams on an engine therefore limit the
+// size of a part there. A prompt is split into so many parts that enough
+// engines can take one each without a stream exceeding its gap.
 
 #ifndef HARECRANK_CORE_PREFILL_GROUP_H_
 #define HARECRANK_CORE_PREFILL_GROUP_H_
@@ -19,58 +20,64 @@
 
 namespace harecrank {
 
-// The most helpers that engines take for one request.
+// Most helpers per request.
 inline constexpr std::size_t kMaxHelpers = 16;
 
-// An engine that may be chosen.
+// An engine that is considered for a request.
 struct EngineCandidate {
   const EndpointRecord* record = nullptr;
   EndpointLoad load;
-  // How much slower than published it is; one or more.
+  // Observed slowdown: the factor by which the engine is slower than its
+  // published profile, at least 1.
   double pace = 1;
-  // The place in the order that all hosts share.
+  // Position in the engine order, highest first.
   std::uint64_t rank = 0;
-  // Kept for short requests: streams with the tightest gap may join any time.
+  // Reserved for short requests: a stream with the tightest gap may start here
+  // at any time.
   bool reserved_for_short = false;
 };
 
-// The prompt that is to be read.
+// A prompt that is split among several engines.
 struct LongPrompt {
-  // How long one engine alone reads it.
+  // Prefill time of the whole prompt on a single engine.
   FractionalMillis prefill_time{0};
-  // KV memory that it needs up to its expected end.
+  // KV memory needed at the expected end of the answer.
   Tokens needed;
+  // Latency target of the first event.
   FractionalMillis target{0};
-  // What is left until the first event is late; negative if it is.
+  // Time left until the first event is late; negative once it is late.
   FractionalMillis until_late{0};
-  // The longest pause that keeps its own stream in time, and the shortest that
-  // any stream of the service allows.
+  // Longest pause within the target of the prompt's own stream, and the
+  // shortest such pause of any route to the service.
   FractionalMillis gap{0};
   FractionalMillis tightest_gap{0};
 };
 
-// The engines that read a prompt in even parts.
+// Engines that each prefill an equal part of a prompt.
 struct PrefillGroup {
+  // Prefills a part as well.
   EngineCandidate decode_engine;
   std::vector<EngineCandidate> helpers;
+  // Prefill time of one part.
   FractionalMillis part{0};
 };
 
-// Returns whether a stream with `gap` counts as one with the tightest gap of
-// its service.
+// Returns whether a stream with `gap` is treated as one with the tightest gap
+// of its service.
 bool IsTightGap(FractionalMillis gap, FractionalMillis tightest_gap);
 
-// Returns how much of an engine's memory may still be given away.
+// Returns the memory of an engine that can still be assigned.
 Tokens FreeMemory(const EngineProfile& engine, const EndpointLoad& load);
 
-// Returns how long `candidate` may read without a stream there being late by
-// the pause. Negative where any part is too much.
+// Returns the longest prefill that `candidate` can take without one of its
+// streams exceeding its gap. Negative if no prefill fits; the maximum value if
+// the engine has no streams.
 FractionalMillis MaxPrefillPart(const EngineProfile& engine,
                                 const PlacementPolicy& policy,
                                 const EngineCandidate& candidate,
                                 FractionalMillis tightest_gap);
 
-// Returns the engines that read `prompt`, or nothing if it has to wait.
+// Returns the engines that prefill `prompt`, or nothing if it has to wait.
 std::optional<PrefillGroup> ChoosePrefillGroup(
     const EngineProfile& engine, const PlacementPolicy& policy,
     const LongPrompt& prompt, const std::vector<EngineCandidate>& candidates);
