--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -1,7 +1,7 @@
-// What is under way at each endpoint, as far as its owner knows.
+// Work in progress at each endpoint.
 //
-// A host knows its own requests, a planner those of all hosts. Reports of the
-// endpoints themselves are older than that and cost a call each.
+// A host tracks its own requests, a planner those of all hosts. The endpoints'
+// own load reports are not used: they are older and cost a call each.
 
 #ifndef HARECRANK_CORE_ENDPOINT_LOADS_H_
 #define HARECRANK_CORE_ENDPOINT_LOADS_H_
@@ -21,80 +21,82 @@
 
 namespace harecrank {
 
-// Names one piece of work of this host at one endpoint.
+// Identifies one piece of work at one endpoint.
 using WorkId = StrongNumber<struct WorkTag, std::uint64_t>;
 
-// How a request weighs on those beside it.
+// Kind of work, by its effect on other requests of the engine.
 enum class WorkClass { kShort, kLong, kHelper };
 
-// What is under way at one endpoint.
+// Work in progress at one endpoint.
 struct EndpointLoad {
-  // Until prompts that were given to it are read, if it does nothing else.
+  // Time until all prompts sent to the endpoint are prefilled, if it does
+  // nothing else.
   FractionalMillis prefill_backlog{0};
-  // Prompts or parts of them that take long and have not been followed by a
-  // first event. Where a prediction fails they are still there when the
-  // backlog has run out.
+  // Prompts or parts of at least kLongPart whose first event has not come. They
+  // still count if the predicted backlog has run out, since predictions may be
+  // too short.
   int pending_prefills = 0;
-  // Requests that read or write, by class.
+  // Requests in prefill or decode, by class. Helper parts are not counted.
   int short_requests = 0;
   int long_requests = 0;
-  // KV memory that they need up to their expected end.
+  // KV memory that the requests need at their expected ends.
   Tokens memory;
-  // The shortest pause that keeps all of its streams in time; zero if no
-  // stream is under way.
+  // Shortest gap of the active streams; zero if there are none.
   FractionalMillis tightest_gap{0};
 
+  // Number of requests that share a decoding step.
   int BatchSize() const { return short_requests + long_requests; }
 };
 
-// What one request has under way at one endpoint.
+// Work of one request at one endpoint.
 struct WorkPart {
   EndpointId endpoint;
   WorkClass work_class = WorkClass::kShort;
-  // How long the prompt, or its part, takes to read.
+  // Prefill time of the prompt or part.
   FractionalMillis prefill_time{0};
-  // Needed until it ends.
+  // KV memory held until the work ends.
   Tokens memory;
-  // The longest pause that keeps its stream in time; zero if it has none there.
+  // Longest pause within the target of its stream; zero if it has no stream
+  // here.
   Millis gap{0};
 };
 
-// Keeps the loads. Not thread-safe.
+// Tracks the loads of all endpoints. Not thread-safe.
 class EndpointLoads {
  public:
   explicit EndpointLoads(MonotonicClock clock);
 
-  // Notes that work was sent to its endpoint. Its first event is late at
-  // `late_at`, if that is known.
+  // Adds work that was sent to its endpoint. `first_event_due` is the time from
+  // which its first event is late, if known.
   WorkId Begin(const WorkPart& part,
                std::optional<TimePoint> first_event_due = std::nullopt);
 
-  // Notes that the work's prompt has been read: its first event came.
+  // Records that the prefill of the work is done. Unknown ids are ignored.
   void OnPrefillDone(WorkId id);
 
-  // Notes that the work has ended, however. Unknown ids are passed over.
+  // Removes work that has ended for any reason. Unknown ids are ignored.
   void End(WorkId id);
 
-  // Returns the load of one endpoint.
+  // Returns the current load of one endpoint.
   EndpointLoad Of(const EndpointId& endpoint) const;
 
-  // Returns what a prompt meets that is sent there now. `bare_pass` is how long
-  // the engine's pass takes that reads nothing.
+  // Returns the pass forecast for a prompt that is sent to `endpoint` now.
+  // `decode_pass` is the duration of a pass without prefill.
   PassForecast ForecastOf(const EndpointId& endpoint,
                           FractionalMillis decode_pass) const;
 
-  // Returns how many short requests are under way at all endpoints.
-  int ShortRequests() const { return short_members_; }
+  // Returns the number of short requests at all endpoints.
+  int ShortRequests() const { return short_requests_; }
 
-  // Returns how much reading has lately been begun for short requests, in
-  // engine time for each time: 1 keeps one engine reading all the time.
+  // Returns the rate at which prefill work for short requests is started, in
+  // engines: 1 keeps one engine busy.
   double ShortPrefillRate() const;
 
-  // Over how long the rate of short requests is taken: short, so that a wave of
-  // them is seen while it arrives.
+  // Window of ShortPrefillRate(). It is short, so that a burst shows in the
+  // rate while it arrives.
   static constexpr Millis kRateWindow{200};
-  // What takes this long to read counts as a part: about as long as the parts
-  // that prompts are cut into.
+  // Prefill time from which work counts as a pending prefill. Parts of long
+  // prompts usually take about this long.
   static constexpr FractionalMillis kLongPart{100};
 
  private:
@@ -105,13 +107,15 @@
   };
   struct EndpointState {
     EndpointLoad load;
-    // When the prompts given so far will be read.
+    // Predicted end of the prefill of all work sent so far.
     TimePoint prefill_until{};
+    // Work whose prefill is not done.
     int pending = 0;
-    // Of its streams.
+    // Gaps of the active streams.
     std::multiset<Millis> gaps;
     EnginePasses passes;
   };
+  // Prefill work started for a short request.
   struct ShortPrefill {
     TimePoint started_at;
     FractionalMillis prefill_time{0};
@@ -124,9 +128,11 @@
   MonotonicClock clock_;
   std::uint64_t next_id_ = 1;
   std::unordered_map<WorkId, Work> work_;
+  // Endpoints with work in progress.
   std::unordered_map<EndpointId, EndpointState> endpoints_;
-  int short_members_ = 0;
-  // Of the last kRateWindow, and older ones until the next short request.
+  int short_requests_ = 0;
+  // Entries of the last kRateWindow. Older ones are removed when a new short
+  // request is added.
   std::deque<ShortPrefill> short_prefills_;
 };
 
--- a/include/harecrank/core/pass_forecast.h
+++ b/include/harecrank/core/pass_forecast.h
@@ -1,12 +1,12 @@
-// When an engine's passes end, and what each of them reads.
+// Predicts when an engine's forward passes end and how much prefill each
+// includes.
 //
-// An engine works in passes over all that it has: what was sent before a pass
-// began is read in it, and every first event of the pass comes at its end. So
-// a prompt that enters a pass late delays all others of that pass, and one that
-// came a moment after it began waits for the whole of it. Of 548 short prompts
-// of a flood (first events seen against predicted, one recorded day) the middle
-// half came within -3 to 6 ms of this forecast, and within -6 to 40 ms of a sum
-// of what was yet to be read.
+// An engine runs one pass after another over its whole batch. A pass prefills
+// all prompts that arrived before it began, and their first events all come at
+// its end. A prompt that just catches a pass therefore delays all other prompts
+// of that pass, and a prompt that just misses it waits for the whole pass. Half
+// of the observed first events of short prompts come within -3 to +6 ms of this
+// forecast; for a plain sum of the pending prefill the range is -6 to +40 ms.
 
 #ifndef HARECRANK_CORE_PASS_FORECAST_H_
 #define HARECRANK_CORE_PASS_FORECAST_H_
@@ -19,45 +19,47 @@
 
 namespace harecrank {
 
-// What a prompt meets that is sent to an engine now.
+// Forecast for a prompt that is sent to an engine now.
 struct PassForecast {
-  // Until the next pass begins, which is the first to read it.
+  // Time until the next pass begins. It is the first one that can prefill the
+  // prompt.
   FractionalMillis until_next_pass{0};
-  // What that pass reads already.
+  // Prefill time already assigned to that pass.
   FractionalMillis next_pass_prefill{0};
-  // Until the first of those that it reads, and that will be in time as it
-  // stands, would be late.
+  // Time until the earliest due time among the prompts of that pass. Only
+  // prompts that meet their target without the new prompt count.
   std::optional<FractionalMillis> next_pass_deadline;
 };
 
-// The passes of one engine. Not thread-safe.
+// Tracks the passes of one engine. Not thread-safe.
 class EnginePasses {
  public:
-  // A prompt, or a part of one.
+  // A prompt or a part of one.
   struct Prompt {
     TimePoint sent{};
     FractionalMillis prefill_time{0};
-    // When its first event is late; nothing where that is not known.
+    // Time from which the first event is late, if known.
     std::optional<TimePoint> first_event_due;
   };
 
+  // Adds a prompt that was sent to the engine.
   void OnSent(const Prompt& prompt);
 
-  // The first event of `prompt` came: a pass has ended. Prompts are told apart
-  // by their time of sending and their size.
+  // Records that the first event of `prompt` came at `now`, which means that a
+  // pass has ended. Prompts are identified by their send time and prefill time.
   void OnPrefillDone(const Prompt& prompt, TimePoint now);
 
-  // `prompt` is not read any more.
+  // Removes a prompt that is no longer waiting for its prefill.
   void Remove(const Prompt& prompt);
 
-  // Returns what a prompt meets that is sent at `now`, if a pass that reads
-  // nothing takes `bare_pass`.
+  // Returns the forecast for a prompt sent at `now`. `decode_pass` is the
+  // duration of a pass without prefill.
   PassForecast Forecast(TimePoint now, FractionalMillis decode_pass) const;
 
  private:
-  // Of those that have not been read, in the order of sending.
+  // Prompts whose prefill is not done, in the order of sending.
   std::vector<Prompt> pending_;
-  // When the last pass began that is known by its first events.
+  // Estimated start of the latest pass that is known from a first event.
   TimePoint pass_start_{};
 };
 
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -46,7 +46,7 @@
     ++*count;
   }
   if (part.work_class == WorkClass::kShort) {
-    ++short_members_;
+    ++short_requests_;
     RecordShortPrefill(part.prefill_time);
   }
   return id;
@@ -97,7 +97,7 @@
     --*count;
   }
   if (part.work_class == WorkClass::kShort) {
-    --short_members_;
+    --short_requests_;
   }
   if (state.pending == 0 && state.load.BatchSize() == 0) {
     endpoints_.erase(part.endpoint);
