--- a/include/harecrank/core/engine_estimate.h
+++ b/include/harecrank/core/engine_estimate.h
@@ -1,4 +1,5 @@
-// How long a model engine takes, by the costs that its operator publishes.
+// Estimates of engine time, from the cost parameters that the operator
+// publishes.
 
 #ifndef HARECRANK_CORE_ENGINE_ESTIMATE_H_
 #define HARECRANK_CORE_ENGINE_ESTIMATE_H_
@@ -8,17 +9,18 @@
 
 namespace harecrank {
 
-// Returns how long one engine alone reads a prompt of `prompt` tokens. The
-// pairs make it grow with the square of long prompts.
+// Returns the time that one engine needs to prefill `prompt` tokens. Attention
+// over token pairs makes it grow quadratically for long prompts.
 FractionalMillis PrefillTime(const EngineProfile& engine, Tokens prompt);
 
-// Returns how long one pass over `members` requests takes that hold `context`
-// tokens in all and read no prompt.
+// Returns the duration of one forward pass without prefill over a batch of
+// `members` requests that hold `context` tokens in total.
 FractionalMillis PassTime(const EngineProfile& engine, int members,
                           Tokens context);
 
-// Returns what the answer to one request adds to the passes that it is written
-// in: its members' cost, not that of the passes, which others share.
+// Returns the engine time that decoding one answer adds to the passes it takes
+// part in. The fixed cost of a pass is excluded, since all requests of the
+// batch share it.
 FractionalMillis DecodeTime(const EngineProfile& engine, Tokens prompt,
                             Tokens answer);
 
--- a/include/harecrank/core/group_reservation.h
+++ b/include/harecrank/core/group_reservation.h
@@ -1,10 +1,10 @@
-// All-or-nothing reservation of a group of engines.
+// All-or-nothing reservation of memory on a group of engines.
 //
-// Every member is asked at once and none waits for another: a member that has
-// no room refuses at once, and then all that was got is given back before the
-// next round. Nobody holds while waiting, so groups cannot deadlock; rounds
-// that collide are spread by random pauses. What a coordinator that died held
-// ends with its leases.
+// All members are asked at once. A member without capacity refuses at once, and
+// all reservations of the round are then released before the next round begins.
+// No reservation is held while the group waits for another, so groups cannot
+// deadlock. Random pauses separate the rounds of groups that compete. The
+// reservations of a coordinator that fails end with their leases.
 
 #ifndef HARECRANK_CORE_GROUP_RESERVATION_H_
 #define HARECRANK_CORE_GROUP_RESERVATION_H_
@@ -19,37 +19,43 @@
 
 namespace harecrank {
 
-// What the owner of a group must do next.
+// Ask each member to reserve its segment.
 struct ReserveMembers {
   std::vector<Segment> segments;
 };
+// Wait for further replies of this round.
 struct WaitForMembers {};
+// Release these reservations, pause, and begin the next round.
 struct ReleaseMembers {
   std::vector<EndpointId> members;
-  // How long to pause before the next round.
+  // Time to wait before the next round.
   Millis pause;
 };
+// All members have reserved their segments.
 struct GroupReserved {};
+// The deadline leaves no time for another round. Release these reservations.
 struct GroupRefused {
   std::vector<EndpointId> release;
 };
+// The next step that the group's coordinator must take.
 using GroupStep = std::variant<ReserveMembers, WaitForMembers, ReleaseMembers,
                                GroupReserved, GroupRefused>;
 
-// The state of one group's reservation. Events in, steps out. Not thread-safe.
+// State machine of one group's reservation: takes events and returns the next
+// step. Not thread-safe.
 class GroupReservation {
  public:
-  // Gives up at `deadline`.
+  // No round is begun that could not start before `deadline`.
   GroupReservation(TimePoint deadline, MonotonicClock clock,
                    RandomSource random);
 
-  // Begins a round with the given members.
+  // Begins a round with the given segments.
   GroupStep Begin(std::vector<Segment> segments);
 
-  // A member reserved its part.
+  // `member` has reserved its segment.
   GroupStep OnReserved(const EndpointId& member);
 
-  // A member refused, or its link was lost.
+  // `member` has refused, or the connection to it was lost.
   GroupStep OnRefused(const EndpointId& member);
 
  private:
--- a/include/harecrank/core/oversize_wait.h
+++ b/include/harecrank/core/oversize_wait.h
@@ -1,8 +1,9 @@
-// How long a prompt that no engine holds waits for several to be idle.
+// Computes how long a prompt that is larger than any engine's memory waits for
+// several idle engines.
 //
-// The load that it answers: the largest prompts among many long ones. Sent away
-// after a part of their target they come again to the same engines, and are
-// lost the second time; held to the end they leave their callers no time.
+// If such a prompt were rejected after a fraction of its latency target, its
+// retry would meet the same busy engines and would be lost. If it waited until
+// its deadline, its caller would have no time left for a retry.
 
 #ifndef HARECRANK_CORE_OVERSIZE_WAIT_H_
 #define HARECRANK_CORE_OVERSIZE_WAIT_H_
@@ -11,9 +12,11 @@
 
 namespace harecrank {
 
-// Returns when waiting ends for `request`, which an engine's memory cannot
-// hold: after the policy's share of its target, and no later than its prompt
-// can still be read before `deadline`. It is in time until `late_at`.
+// Returns the end of the wait of `request`, which must not fit into one
+// engine's memory. This is `PlacementPolicy::oversize_wait_share` latency
+// targets after the request's arrival, but early enough that its prompt can
+// still be prefilled before `deadline`. `first_event_due` is the time from
+// which its first event is late.
 TimePoint OversizeWaitEnd(const PlacementRequest& request,
                           const PlacementPolicy& policy,
                           TimePoint first_event_due, TimePoint deadline);
--- a/include/harecrank/core/recent_prefixes.h
+++ b/include/harecrank/core/recent_prefixes.h
@@ -1,4 +1,4 @@
-// Which beginnings of prompts this host has seen of late.
+// Tracks which prompt prefixes this host has seen recently.
 
 #ifndef HARECRANK_CORE_RECENT_PREFIXES_H_
 #define HARECRANK_CORE_RECENT_PREFIXES_H_
@@ -9,25 +9,25 @@
 
 namespace harecrank {
 
-// Remembers digests in a fixed table in which a new one replaces whatever had
-// its place. Thread-safe and lock-free.
+// A fixed-size set of prefix digests. A new digest replaces the one in its
+// slot. Thread-safe and lock-free.
 //
-// Only a beginning that came before can be in an engine's prefix cache. One
-// that is new goes wherever there is least work.
+// Only a prefix that was seen before can be in an engine's prefix cache.
+// Requests with a new prefix are sent to the least loaded engine.
 class RecentPrefixes {
  public:
-  // Returns whether `digest` was noted before and not replaced since, and notes
-  // it. A digest of zero is never seen.
+  // Inserts `digest` and returns whether it was in the set before. Zero means
+  // that there is no digest, and always returns false.
   bool TestAndInsert(std::uint64_t digest) {
-    std::atomic<std::uint64_t>& place = places_[digest % kPlaces];
-    return place.exchange(digest, std::memory_order_relaxed) == digest &&
+    std::atomic<std::uint64_t>& slot = slots_[digest % kSlots];
+    return slot.exchange(digest, std::memory_order_relaxed) == digest &&
            digest != 0;
   }
 
  private:
-  static constexpr std::size_t kPlaces = 8191;
+  static constexpr std::size_t kSlots = 8191;
 
-  std::array<std::atomic<std::uint64_t>, kPlaces> places_{};
+  std::array<std::atomic<std::uint64_t>, kSlots> slots_{};
 };
 
 }  // namespace harecrank
--- a/include/harecrank/core/segment_plan.h
+++ b/include/harecrank/core/segment_plan.h
@@ -1,4 +1,4 @@
-// How a prompt that is larger than any one engine is cut among several.
+// Splits a prompt that is larger than any single engine among several engines.
 
 #ifndef HARECRANK_CORE_SEGMENT_PLAN_H_
 #define HARECRANK_CORE_SEGMENT_PLAN_H_
@@ -10,29 +10,29 @@
 
 namespace harecrank {
 
-// An engine that may take part.
+// An engine that may become a member of the group.
 struct SegmentCandidate {
   EndpointId id;
   Tokens free_memory;
   Tokens memory;
 };
 
-// One member's part of a prompt.
+// The part of the prompt that one member holds.
 struct Segment {
   EndpointId member;
   Tokens begin;
   Tokens length;
-  // What the member must reserve: its segment, and on the last member, which
-  // generates, the answer as well.
+  // KV memory that the member must reserve: its segment, and on the last
+  // member, which generates the answer, the answer as well.
   Tokens reserve;
 };
 
-// Cuts `prompt` plus `answer` tokens among as few of `candidates` as hold them
-// by their free memory, those with the most free memory first, but among at
-// least `min_members` if there are as many. Segments are even, as far as
-// memory allows, since the slowest member sets the time to the first token.
-// The answer belongs to the last member. Returns nothing if all candidates
-// together are too small.
+// Splits `prompt` tokens among the smallest number of candidates whose free
+// memory holds the prompt and the `answer`, but among at least `min_members` if
+// there are that many. Candidates with the most free memory are taken first.
+// Segments are of equal length as far as memory allows, since the slowest
+// member determines the time to the first token. The answer is stored on the
+// last member. Returns nothing if all candidates together are too small.
 std::optional<std::vector<Segment>> PlanSegments(
     Tokens prompt, Tokens answer, std::vector<SegmentCandidate> candidates,
     std::size_t min_members = 1);
