--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -87,7 +87,8 @@
     return QueryQueued{};
   }
   const ShareRank share_rank = ShareRankOf(entry, request);
-  // It does not take what others wait for that have had less.
+  // An account over its fair share leaves free engines to the queued requests
+  // of accounts below theirs.
   const bool yields = share_rank == ShareRank::kAfter && !query.may_have_run;
   if (auto decision = yields ? std::nullopt : TryPlace(&entry)) {
     if (!entry.placed.has_value()) {
@@ -133,7 +134,7 @@
                                           const ServiceProfile& service) const {
   std::set<EndpointId> withheld =
       start_quotas_->Withheld(granted_starts_, entry.query.host, service);
-  // What the host had begun when it asked, also by places of other planners.
+  // These also include starts that other planners have granted to the host.
   if (clock_() - entry.arrived_at < kWithheldLifetime) {
     withheld.insert(entry.query.withheld.begin(), entry.query.withheld.end());
   }
@@ -170,22 +171,22 @@
 
 void Planner::OnProgressReport(const ProgressReport& report) {
   Host* host = FindOrAddHost(report.host, report.incarnation);
-  for (const PrefillDone& read : report.read) {
-    const auto found = host->queries.find(read.id);
+  for (const PrefillDone& done : report.read) {
+    const auto found = host->queries.find(done.id);
     if (found == host->queries.end()) {
       continue;
     }
     for (const WorkId work : found->second.work) {
       loads_.OnPrefillDone(work);
     }
-    health_->OnSuccess(found->second.endpoint, read.pace);
+    health_->OnSuccess(found->second.endpoint, done.pace);
   }
-  for (const RequestDone& ended : report.ended) {
-    const auto found = host->queries.find(ended.id);
+  for (const RequestDone& done : report.ended) {
+    const auto found = host->queries.find(done.id);
     if (found == host->queries.end()) {
       continue;
     }
-    if (ended.failed) {
+    if (done.failed) {
       health_->OnErrorAnswer(found->second.endpoint);
     }
     RemoveEntry(&found->second);
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -1,5 +1,4 @@
-// Who waits at the planner, in which order, and for how long. The rest of the
-// class is in planner.cc.
+// The part of Planner that handles the wait queues. The rest is in planner.cc.
 
 #include <algorithm>
 #include <utility>
@@ -52,7 +51,8 @@
         candidate,
         WorkAhead{queue.WorkInTime(), queue.LateWork(), queue.LeastLateWork()});
   }
-  // Late prompts of an account that goes after it are no precedent.
+  // Accounts below their fair share go before the late prompts of other
+  // accounts, so those prompts do not predict the wait.
   const bool has_precedent = policy_.refuses_by_precedent && !entry.is_short &&
                              share_rank != ShareRank::kBefore &&
                              HasLatePrecedent(entry.query, request);
@@ -121,6 +121,8 @@
   const FractionalMillis work =
       PrefillTime(*request.service->engine, entry->query.prompt);
   const QueryKey key{entry->query.host, entry->query.id};
+  // A caller with a reservation goes first from the time after which it could
+  // no longer be served.
   const TimePoint urgent_from =
       entry->has_reservation
           ? admission_control_.UrgentFrom(CandidateOf(*entry, request))
@@ -133,6 +135,8 @@
     short_query_keys_[*entry->queue_id] = key;
     return;
   }
+  // A long prompt is split among the maximum number of helpers if they are
+  // available.
   entry->queue_id = long_queue_.Add(WaitingRequest{
       entry->first_event_due, work / static_cast<double>(kMaxHelpers + 1), work,
       entry->has_reservation, urgent_from, claim});
@@ -162,7 +166,8 @@
   if (IsLearning()) {
     return replies;
   }
-  // After that all that came meanwhile is max_failed, not the first few alone.
+  // When the learning period ends, all queries that arrived during it are
+  // tried, not only the first few.
   const bool learning_ended =
       !unreported_hosts_.empty() || learning_until_ != TimePoint{};
   const std::size_t max_failed =
@@ -196,6 +201,7 @@
       decision = RejectionWhileQueued(entry, ahead);
     }
     if (!decision.has_value()) {
+      // The query stays in the queue, ahead of those that follow.
       const WaitingRequest& waiting_request = queue->Find(id);
       (CanMeetTarget(waiting_request, clock_()) ? ahead.in_time : ahead.late) +=
           waiting_request.work;
