--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -11,31 +11,35 @@
 namespace harecrank {
 namespace {
 
-// Short requests never push long ones off more engines than this share.
+// Largest share of the engines that is reserved for short requests.
 constexpr double kMaxShortShare = 0.9;
-// The spread of the random part of a plain endpoint's load, in requests, so
-// that hosts that know the same do not all choose the same.
+// Width of the random jitter on a plain endpoint's load, in requests. It keeps
+// hosts with the same knowledge from choosing the same endpoint.
 constexpr double kPlainJitter = 0.5;
-// The spread of the random part of a predicted time, for each peer: what peers
-// place between two of their words is not known here. Too narrow and they all
-// choose the engine that looks free first.
+// Width of the jitter on predicted times per other host that places requests.
+// Placements that other hosts have made since their last heartbeat are not
+// known here. If the jitter is too small, all hosts choose the engine that
+// looks idle first.
 constexpr FractionalMillis kJitterPerPeer{3};
-// How often peers tell.
+// Interval between heartbeats.
 constexpr Millis kHeartbeatInterval{100};
-// The spread stays below this share of the target, however many peers there
-// are: with more, a late engine would be as good as one in time.
+// Upper limit of the jitter as a share of the latency target, for any number of
+// hosts. With more jitter a late engine would be chosen as readily as one that
+// meets the target.
 constexpr double kMaxJitterShare = 0.25;
-// What another data centre costs in the choice among equals.
+// Cost of an endpoint in another data centre, in requests. It only decides
+// between endpoints of about equal load.
 constexpr double kRemotePenalty = 0.25;
-// From the end of a pass to the caller, with what a prediction may be off by.
+// Time from the end of a pass to the caller, including the error of the
+// prediction.
 constexpr FractionalMillis kReplyMargin{10};
-// The key of the order of engines that all hosts share.
+// Hash key of the engine order that all hosts share.
 constexpr char kSharedOrderKey[] = "short-first";
 
 FractionalMillis PredictFirstEvent(const EngineProfile& engine,
                                    const EndpointLoad& load, double pace,
                                    FractionalMillis prefill_time) {
-  // On average half of a pass under way, then the request's own first.
+  // Half of the current pass on average, then the first pass of the request.
   constexpr double kPassesUntilFirstEvent = 1.5;
   const FractionalMillis pass =
       PassTime(engine, load.BatchSize() + 1, load.memory);
@@ -119,7 +123,8 @@
   } else {
     SortByRank(&candidates);
     const bool is_short = IsShortPrompt(request, policy_);
-    // Where other hosts place unseen, a forecast of passes is worth little.
+    // A forecast of passes is of little use if other hosts place requests that
+    // this host does not see.
     const bool sees_all_loads =
         scope_ == LoadScope::kAllHosts && placing_hosts_() <= 1;
     const bool may_wait =
@@ -178,7 +183,7 @@
 
 Placement Placer::ChoosePlain(
     const std::vector<EngineCandidate>& candidates) const {
-  // There is one at least.
+  // There is at least one candidate.
   const EngineCandidate* best = &candidates.front();
   double best_cost = std::numeric_limits<double>::max();
   for (const EngineCandidate& candidate : candidates) {
@@ -205,7 +210,7 @@
   const FractionalMillis prefill_time = PrefillTime(engine, request.prompt);
   const std::size_t short_engines = EnginesForShort(engine, ranked.size());
   const FractionalMillis jitter = TimeJitter(request);
-  // There is one at least.
+  // There is at least one candidate.
   const EngineCandidate* best = &ranked.front();
   FractionalMillis best_time = FractionalMillis::max();
   for (std::size_t i = 0; i < ranked.size(); ++i) {
@@ -214,12 +219,14 @@
                                               candidate.pace, prefill_time) +
                             UniformRandom() * jitter;
     if (i >= short_engines) {
-      // Beyond the engines that short requests need: only if those are late.
+      // Engines that are not reserved for short requests are used only if the
+      // reserved ones are late.
       time +=
           policy_.beyond_short_share * FractionalMillis(request.target_latency);
     }
     if (candidate.load.BatchSize() >= engine.slots ||
         FreeMemory(engine, candidate.load) < request.prompt + request.answer) {
+      // The request would have to wait for a slot or for memory.
       time += FractionalMillis(request.target_latency);
     }
     if (time < best_time) {
@@ -252,6 +259,8 @@
   if (!CanMeetTargetWhenIdle(request)) {
     const double share =
         policy_.late_reserve_share / static_cast<double>(ranked.size());
+    // The request is late in any case, so it leaves capacity for expected
+    // requests that can meet their target.
     reserve.requests = std::ceil(share * request.demand.requests);
     reserve.prefill_time = share * request.demand.prefill_time;
   }
@@ -311,7 +320,7 @@
   if (CanMeetTargetWhenIdle(request) && !in_time) {
     return std::nullopt;
   }
-  // The streams there pause while the pass lasts.
+  // All streams on the engine pause for the duration of the pass.
   const bool stalls = load.tightest_gap > FractionalMillis(0) &&
                       next_pass + reserve.prefill_time >
                           policy_.pause_share_of_gap * load.tightest_gap;
@@ -406,7 +415,7 @@
   const double per_engine = std::max(
       1.0, policy_.short_share_of_slots * static_cast<double>(engine.slots));
   const double by_slots = loads_->ShortRequests() / per_engine;
-  // Peers see about as many arrive as this host does.
+  // Other hosts receive about as many short requests as this host.
   const double prefill_load = loads_->ShortPrefillRate() * placing_hosts_();
   const double by_arrivals = prefill_load / policy_.short_reading_share;
   const auto needed =
