--- a/src/core/prefill_group.cc
+++ b/src/core/prefill_group.cc
@@ -8,16 +8,17 @@
 namespace harecrank {
 namespace {
 
-// The share of an engine's memory that is given away. Answers grow longer than
-// the callers guess.
+// Share of an engine's memory that may be assigned. The rest is reserved for
+// answers that grow longer than expected.
 constexpr double kMemoryShare = 0.92;
-// From this pace on an engine counts as slow among readers: a part on it takes
-// as much longer, and the first token follows the last part.
+// Slowdown from which an engine is avoided for prefill. The first token comes
+// after the slowest part, so a slow engine delays the whole prompt.
 constexpr double kSlowPace = 1.5;
-// Gaps of at most this multiple of the tightest count as tight.
+// Gaps of up to this multiple of the tightest gap are treated as tight.
 constexpr double kTightFactor = 1.5;
 
-// Where a part is laid, the best first.
+// What an engine is used for at present. Engines are preferred in this order
+// for parts of long prompts.
 enum class EngineUse { kIdle, kBesideLong, kBesideShort };
 
 EngineUse EngineUseOf(const EngineCandidate& candidate) {
@@ -28,7 +29,7 @@
                                           : EngineUse::kIdle;
 }
 
-// Chooses for one prompt.
+// Chooses the prefill group of one prompt.
 class PrefillGroupChooser {
  public:
   PrefillGroupChooser(const EngineProfile& engine,
@@ -39,6 +40,8 @@
         wanted_part_(std::max(FractionalMillis(1), policy.part_share_of_gap *
                                                        prompt.tightest_gap)) {}
 
+  // Returns the largest group, up to the preferred number of parts, for which
+  // enough engines tolerate the resulting part.
   std::optional<PrefillGroup> Choose(
       const std::vector<EngineCandidate>& candidates) const {
     const std::vector<OpenEngine> open_engines = OpenEngines(candidates);
@@ -62,15 +65,22 @@
   }
 
  private:
+  // An engine that can take a part, and the longest prefill that its streams
+  // tolerate.
   struct OpenEngine {
     FractionalMillis part;
     const EngineCandidate* candidate;
   };
 
+  // Returns the prefill time of each of `count` equal parts.
   FractionalMillis PartTime(std::size_t count) const {
     return prompt_.prefill_time / static_cast<double>(count);
   }
 
+  // Returns the engines that can take a part. Skips engines that have a long
+  // prefill pending or, unless they serve short requests, a prefill backlog. On
+  // engines with short requests a backlog only reduces the part that they
+  // tolerate.
   std::vector<OpenEngine> OpenEngines(
       const std::vector<EngineCandidate>& candidates) const {
     std::vector<OpenEngine> open_engines;
@@ -100,7 +110,7 @@
     return pool;
   }
 
-  // Returns how long a part may take to read, given how much time is left.
+  // Returns the longest prefill time of a part, given the time that is left.
   FractionalMillis MaxPartTime() const {
     if (!policy_.bound_late_parts && prompt_.until_late < FractionalMillis(0)) {
       return prompt_.prefill_time;
@@ -117,10 +127,12 @@
                      : relaxed_limit;
   }
 
+  // Selects `count` engines of `pool`.
   PrefillGroup GroupOf(std::vector<EngineCandidate> pool,
                        std::size_t count) const {
-    // Short requests that peers have just placed are not known yet. They come
-    // from the front of the shared order, so parts are laid from its end.
+    // Short requests that other hosts have just placed are not known yet. They
+    // are placed from the front of the shared engine order, so parts are placed
+    // from its end.
     std::sort(pool.begin(), pool.end(),
               [](const EngineCandidate& a, const EngineCandidate& b) {
                 const auto cost = [](const EngineCandidate& c) {
@@ -143,9 +155,10 @@
     return group;
   }
 
-  // The least is best. One of the readers holds the memory, as far as it can,
-  // and writes the answer. Writers are packed, so that other engines stay free
-  // of streams that a large part would hold up.
+  // Returns the sort key of the engine that decodes, the lowest first. That
+  // engine also holds the KV memory as far as it fits. Long streams are packed
+  // onto few engines, so that the other engines have no streams that a large
+  // part would stall.
   std::tuple<bool, bool, double, std::int64_t> DecodeEngineCost(
       const EngineCandidate& candidate) const {
     const EndpointLoad& load = candidate.load;
