--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -140,6 +140,7 @@
   --state.pending;
   state.load.pending_prefills -= work->part.prefill_time >= kLongPart ? 1 : 0;
   if (state.pending == 0) {
+    // Nothing is left to prefill, whatever was predicted.
     state.prefill_until = clock_();
   }
 }
--- a/src/core/pass_forecast.cc
+++ b/src/core/pass_forecast.cc
@@ -6,12 +6,13 @@
 namespace harecrank {
 namespace {
 
-// From the planner over the host to the engine: a prompt is not read in a pass
-// that begins sooner after its place was given.
+// Delay from the planner through the host to the engine. A prompt misses passes
+// that begin earlier than this after its placement.
 constexpr FractionalMillis kDispatchDelay{1.5};
-// From the end of a pass over the host to the planner, notes included.
+// Delay from the end of a pass through the host back to the planner, including
+// the progress report.
 constexpr FractionalMillis kReplyDelay{4};
-// A pass that was known so long ago tells nothing of the ones now.
+// Age from which the last known pass is not used for the forecast.
 constexpr FractionalMillis kMaxAge{5000};
 
 TimePoint After(TimePoint time, FractionalMillis wait) {
@@ -45,11 +46,11 @@
   PassForecast forecast;
   TimePoint pass_start = pass_start_;
   if (FractionalMillis(now - pass_start) > kMaxAge) {
-    // Somewhere in a pass: half of one is left on average.
+    // The position within the current pass is unknown; assume the middle.
     pass_start = After(now, -decode_pass / 2);
   }
-  // Passes that read nothing follow each other up to the one under way, or up
-  // to the one that has begun to read.
+  // Passes without prefill follow one another until the current pass, or until
+  // the first pass that includes a pending prompt.
   const auto first_sent = pending_.empty() ? now : pending_.front().sent;
   const FractionalMillis elapsed =
       std::min(now, After(first_sent, kDispatchDelay)) - pass_start;
