--- a/src/core/engine_estimate.cc
+++ b/src/core/engine_estimate.cc
@@ -11,7 +11,7 @@
 FractionalMillis PrefillTime(const EngineProfile& engine, Tokens prompt) {
   const auto tokens = static_cast<double>(prompt.value);
   const double linear = tokens / engine.prefill_tokens_per_ms;
-  // A token is paired with each one before it.
+  // Causal attention pairs each token with all preceding ones.
   const double pairs = tokens * tokens / 2;
   return FractionalMillis(linear + pairs / kMillion *
                                        engine.prefill_ms_per_million_pairs);
--- a/src/core/group_reservation.cc
+++ b/src/core/group_reservation.cc
@@ -37,8 +37,8 @@
 }
 
 GroupStep GroupReservation::FinishRound() {
-  // A round ends only when every member has answered, so that no reservation
-  // of this round can come in after the give-back.
+  // A round ends only when every member has replied, so that no reservation of
+  // this round can arrive after the others were released.
   std::vector<EndpointId> reserved;
   bool refused = false;
   for (const auto& reply : replies_) {
--- a/src/core/segment_plan.cc
+++ b/src/core/segment_plan.cc
@@ -6,15 +6,16 @@
 namespace harecrank {
 namespace {
 
-// Returns the room for prompt tokens at member `index` of `count`.
+// Returns how many prompt tokens member `index` of `count` can hold. The last
+// member also holds the answer.
 std::int64_t Capacity(const std::vector<SegmentCandidate>& members,
                       std::size_t index, std::size_t count, Tokens answer) {
   const std::int64_t capacity = members[index].free_memory.value;
   return index + 1 == count ? capacity - answer.value : capacity;
 }
 
-// Spreads `prompt` evenly under each member's room. Returns nothing if the
-// rooms together are too small.
+// Splits `prompt` as evenly as the capacities allow. Returns nothing if they
+// are too small in total, or if a member would get no tokens.
 std::optional<std::vector<std::int64_t>> SplitEvenly(
     std::int64_t prompt, const std::vector<std::int64_t>& capacities) {
   std::vector<std::int64_t> lengths(capacities.size(), 0);
@@ -26,7 +27,8 @@
             [&](std::size_t a, std::size_t b) {
               return capacities[a] < capacities[b];
             });
-  // The smallest room is filled first; what it cannot take falls to the rest.
+  // Members are filled in ascending order of capacity; the rest is split evenly
+  // among those that follow.
   std::int64_t remaining = prompt;
   for (std::size_t i = 0; i < by_capacity.size(); ++i) {
     const auto members_left = static_cast<std::int64_t>(by_capacity.size() - i);
