--- a/src/core/prefill_group.cc
+++ b/src/core/prefill_group.cc
@@ -8,49 +8,55 @@
 namespace harecrank {
 namespace {
 
-// The share of an engine's memory that is given away. Answers grow longer than
-// the callers guess.
+// Share of an engine's memory that may be assigned. The rest is reserved for
+// answers that grow longer than expected.
 constexpr double kMemoryShare = 0.92;
-// From this pace on an engine counts as slow among readers: a part on it takes
-// as much longer, and the first token follows the last part.
+// Slowdown from which an engine is avoided for prefill. The first token comes
+// after the slowest part, so a slow engine delays the whole prompt.
 constexpr double kSlowPace = 1.5;
-// Gaps of at most this multiple of the tightest count as tight.
+// Gaps of up to this multiple of the tightest gap are treated as tight.
 constexpr double kTightFactor = 1.5;
 
-// Where a part is laid, the best first.
-enum class Place { kIdle, kBesideLong, kBesideShort };
+// What an engine is used for at present. Engines are preferred in this order
+// for parts of long prompts.
+enum class EngineUse { kIdle, kBesideLong, kBesideShort };
 
-Place PlaceOf(const EngineCandidate& candidate) {
+EngineUse EngineUseOf(const EngineCandidate& candidate) {
   if (candidate.reserved_for_short || candidate.load.short_requests > 0) {
-    return Place::kBesideShort;
+    return EngineUse::kBesideShort;
   }
-  return candidate.load.long_requests > 0 ? Place::kBesideLong : Place::kIdle;
+  return candidate.load.long_requests > 0 ? EngineUse::kBesideLong
+                                          : EngineUse::kIdle;
 }
 
-// Chooses for one prompt.
-class ReaderChooser {
+// Chooses the prefill group of one prompt.
+class PrefillGroupChooser {
  public:
-  ReaderChooser(const EngineProfile& engine, const PlacementPolicy& policy,
-                const LongPrompt& prompt)
+  PrefillGroupChooser(const EngineProfile& engine,
+                      const PlacementPolicy& policy, const LongPrompt& prompt)
       : engine_(engine),
         policy_(policy),
         prompt_(prompt),
         wanted_part_(std::max(FractionalMillis(1), policy.part_share_of_gap *
                                                        prompt.tightest_gap)) {}
 
+  // Returns the largest group, up to the preferred number of parts, for which
+  // enough engines tolerate the resulting part.
   std::optional<PrefillGroup> Choose(
       const std::vector<EngineCandidate>& candidates) const {
-    const std::vector<Room> rooms = OpenRooms(candidates);
-    const std::size_t most = std::min(rooms.size(), kMaxHelpers + 1);
-    const auto wanted =
-        static_cast<std::size_t>(std::ceil(prompt_.whole / wanted_part_));
-    const FractionalMillis allowed = PartAllowed();
-    for (std::size_t count = std::min(wanted, most); count > 0; --count) {
-      const FractionalMillis part = PartOf(count);
-      if (part > std::max(allowed, wanted_part_)) {
+    const std::vector<OpenEngine> open_engines = OpenEngines(candidates);
+    const std::size_t max_count =
+        std::min(open_engines.size(), kMaxHelpers + 1);
+    const auto wanted_count = static_cast<std::size_t>(
+        std::ceil(prompt_.prefill_time / wanted_part_));
+    const FractionalMillis max_part = MaxPartTime();
+    for (std::size_t count = std::min(wanted_count, max_count); count > 0;
+         --count) {
+      const FractionalMillis part = PartTime(count);
+      if (part > std::max(max_part, wanted_part_)) {
         break;
       }
-      std::vector<EngineCandidate> pool = Harmless(rooms, part);
+      std::vector<EngineCandidate> pool = EnginesThatAllow(open_engines, part);
       if (pool.size() >= count) {
         return GroupOf(std::move(pool), count);
       }
@@ -59,67 +65,78 @@
   }
 
  private:
-  struct Room {
+  // An engine that can take a part, and the longest prefill that its streams
+  // tolerate.
+  struct OpenEngine {
     FractionalMillis part;
     const EngineCandidate* candidate;
   };
 
-  FractionalMillis PartOf(std::size_t count) const {
-    return prompt_.whole / static_cast<double>(count);
+  // Returns the prefill time of each of `count` equal parts.
+  FractionalMillis PartTime(std::size_t count) const {
+    return prompt_.prefill_time / static_cast<double>(count);
   }
 
-  std::vector<Room> OpenRooms(
+  // Returns the engines that can take a part. Skips engines that have a long
+  // prefill pending or, unless they serve short requests, a prefill backlog. On
+  // engines with short requests a backlog only reduces the part that they
+  // tolerate.
+  std::vector<OpenEngine> OpenEngines(
       const std::vector<EngineCandidate>& candidates) const {
-    std::vector<Room> rooms;
+    std::vector<OpenEngine> open_engines;
     for (const EngineCandidate& candidate : candidates) {
-      const bool reads = candidate.load.pending_prefills > 0;
-      const bool behind = candidate.load.prefill_backlog >
-                          policy_.open_share_of_part * wanted_part_;
-      if (reads || (behind && PlaceOf(candidate) != Place::kBesideShort)) {
+      const bool is_prefilling = candidate.load.pending_prefills > 0;
+      const bool has_backlog = candidate.load.prefill_backlog >
+                               policy_.open_share_of_part * wanted_part_;
+      if (is_prefilling ||
+          (has_backlog && EngineUseOf(candidate) != EngineUse::kBesideShort)) {
         continue;
       }
       const FractionalMillis part =
           MaxPrefillPart(engine_, policy_, candidate, prompt_.tightest_gap);
-      rooms.push_back(Room{part, &candidate});
+      open_engines.push_back(OpenEngine{part, &candidate});
     }
-    return rooms;
+    return open_engines;
   }
 
-  static std::vector<EngineCandidate> Harmless(const std::vector<Room>& rooms,
-                                               FractionalMillis part) {
+  static std::vector<EngineCandidate> EnginesThatAllow(
+      const std::vector<OpenEngine>& open_engines, FractionalMillis part) {
     std::vector<EngineCandidate> pool;
-    for (const Room& room : rooms) {
-      if (room.part >= part) {
-        pool.push_back(*room.candidate);
+    for (const OpenEngine& open_engine : open_engines) {
+      if (open_engine.part >= part) {
+        pool.push_back(*open_engine.candidate);
       }
     }
     return pool;
   }
 
-  // Returns how long a part may take to read, given how much time is left.
-  FractionalMillis PartAllowed() const {
+  // Returns the longest prefill time of a part, given the time that is left.
+  FractionalMillis MaxPartTime() const {
     if (!policy_.bound_late_parts && prompt_.until_late < FractionalMillis(0)) {
-      return prompt_.whole;
+      return prompt_.prefill_time;
     }
-    const FractionalMillis calm = std::max(
+    const FractionalMillis relaxed_limit = std::max(
         {policy_.part_stretch * wanted_part_,
-         policy_.part_stretch * PartOf(kMaxHelpers + 1),
+         policy_.part_stretch * PartTime(kMaxHelpers + 1),
          FractionalMillis(policy_.part_share_of_target * prompt_.target)});
-    const bool hurries =
+    const bool is_urgent =
         prompt_.until_late < policy_.hurry_share * prompt_.target;
-    return hurries ? std::max(calm, FractionalMillis(policy_.time_share_used *
-                                                     prompt_.until_late))
-                   : calm;
+    return is_urgent ? std::max(relaxed_limit,
+                                FractionalMillis(policy_.time_share_used *
+                                                 prompt_.until_late))
+                     : relaxed_limit;
   }
 
+  // Selects `count` engines of `pool`.
   PrefillGroup GroupOf(std::vector<EngineCandidate> pool,
                        std::size_t count) const {
-    // Short requests that peers have just placed are not known yet. They come
-    // from the front of the shared order, so parts are laid from its end.
+    // Short requests that other hosts have just placed are not known yet. They
+    // are placed from the front of the shared engine order, so parts are placed
+    // from its end.
     std::sort(pool.begin(), pool.end(),
               [](const EngineCandidate& a, const EngineCandidate& b) {
                 const auto cost = [](const EngineCandidate& c) {
-                  return std::make_tuple(PlaceOf(c), c.load.short_requests,
+                  return std::make_tuple(EngineUseOf(c), c.load.short_requests,
                                          c.pace >= kSlowPace, c.rank);
                 };
                 return cost(a) < cost(b);
@@ -127,26 +144,27 @@
     const auto decode_engine = std::min_element(
         pool.begin(), pool.end(),
         [this](const EngineCandidate& a, const EngineCandidate& b) {
-          return WriterCost(a) < WriterCost(b);
+          return DecodeEngineCost(a) < DecodeEngineCost(b);
         });
     PrefillGroup group;
     group.decode_engine = *decode_engine;
-    group.part = PartOf(count);
+    group.part = PartTime(count);
     pool.erase(decode_engine);
     pool.resize(count - 1);
     group.helpers = std::move(pool);
     return group;
   }
 
-  // The least is best. One of the readers holds the memory, as far as it can,
-  // and writes the answer. Writers are packed, so that other engines stay free
-  // of streams that a large part would hold up.
-  std::tuple<bool, bool, double, std::int64_t> WriterCost(
+  // Returns the sort key of the engine that decodes, the lowest first. That
+  // engine also holds the KV memory as far as it fits. Long streams are packed
+  // onto few engines, so that the other engines have no streams that a large
+  // part would stall.
+  std::tuple<bool, bool, double, std::int64_t> DecodeEngineCost(
       const EngineCandidate& candidate) const {
     const EndpointLoad& load = candidate.load;
     const bool fits = !(FreeMemory(engine_, load) < prompt_.needed);
     const bool tight = IsTightGap(prompt_.gap, prompt_.tightest_gap);
-    const bool beside_short = PlaceOf(candidate) == Place::kBesideShort;
+    const bool beside_short = EngineUseOf(candidate) == EngineUse::kBesideShort;
     const bool full = load.long_requests >= policy_.packed_writers;
     const double packed = fits && !full ? load.long_requests : 0;
     return {!fits, tight != beside_short, -packed, load.memory.value};
@@ -165,9 +183,9 @@
 }
 
 Tokens FreeMemory(const EngineProfile& engine, const EndpointLoad& load) {
-  const auto most = static_cast<std::int64_t>(
+  const auto usable = static_cast<std::int64_t>(
       kMemoryShare * static_cast<double>(engine.memory.value));
-  return Tokens{std::max<std::int64_t>(0, most - load.memory.value)};
+  return Tokens{std::max<std::int64_t>(0, usable - load.memory.value)};
 }
 
 FractionalMillis MaxPrefillPart(const EngineProfile& engine,
@@ -191,7 +209,7 @@
 std::optional<PrefillGroup> ChoosePrefillGroup(
     const EngineProfile& engine, const PlacementPolicy& policy,
     const LongPrompt& prompt, const std::vector<EngineCandidate>& candidates) {
-  return ReaderChooser(engine, policy, prompt).Choose(candidates);
+  return PrefillGroupChooser(engine, policy, prompt).Choose(candidates);
 }
 
 }  // namespace harecrank
