--- a/include/harecrank/core/wait_queue.h
+++ b/include/harecrank/core/wait_queue.h
@@ -1,4 +1,4 @@
-// The order in which long prompts that wait for engines are tried.
+// Queue of requests that wait for an engine with free capacity.
 
 #ifndef HARECRANK_CORE_WAIT_QUEUE_H_
 #define HARECRANK_CORE_WAIT_QUEUE_H_
@@ -16,107 +16,122 @@
 
 namespace harecrank {
 
-// Orders requests that wait, over all hosts: the least first. While a request
-// can still be in time this is the time that it has to spare.
+// Sort key of waiting requests, smallest first. For a request that can still
+// meet its latency target this is its slack: the time left before its prefill
+// must begin. Requests that cannot meet it have larger values than any slack.
 using Urgency = FractionalMillis;
 
-// Names one request that waits.
+// Identifies one request in a WaitQueue.
 using WaitingRequestId = StrongNumber<struct WaitingRequestTag, std::uint64_t>;
 
-// What the order depends on.
+// The properties of a request that determine its position in the queue.
 struct WaitingRequest {
-  // Its first event is in time until then.
+  // Latest time of the first event that meets the latency target.
   TimePoint first_event_due{};
-  // How long its prompt takes to read, with the helpers that it wants.
-  FractionalMillis service{0};
-  // How long one engine alone reads it.
+  // Prefill time of the prompt when all requested helpers take part.
+  FractionalMillis prefill_time{0};
+  // Prefill time of the prompt on a single engine.
   FractionalMillis work{0};
-  // It was turned away before and told to come now: it goes before its like.
+  // The request was rejected earlier and has returned at the time it was given.
+  // Among requests past their target it goes before those without a
+  // reservation.
   bool has_reservation = false;
-  // From then on it goes before all: it cannot be served at all much later.
+  // From this time on the request goes before all others: one latency target
+  // later it would be too late to serve it at all.
   TimePoint urgent_from = TimePoint::max();
-  // What it takes of its account's share.
+  // The engine time that is charged to the account's fair share.
   ShareClaim claim{};
 };
 
-// Returns whether `waiter` can still be in time at `now`.
-bool CanMeetTarget(const WaitingRequest& waiter, TimePoint now);
+// Returns whether `request` can still meet its latency target if its prefill
+// starts at `now`.
+bool CanMeetTarget(const WaitingRequest& request, TimePoint now);
 
-// Returns how urgent `waiter` is at `now`.
-Urgency UrgencyOf(const WaitingRequest& waiter, TimePoint now);
+// Returns the urgency of `request` at `now`.
+Urgency UrgencyOf(const WaitingRequest& request, TimePoint now);
 
-// In which order those that can still be in time are tried.
+// Orders for requests that can still meet their latency targets.
 //
-// The one with the least time to spare: right while all can be served in time.
+// Least slack first. Best while the engines can serve all requests within their
+// targets.
 struct LeastSlackFirst {};
-// The one with the most, which is the newest of its like: in a flood whoever
-// has the least to spare is late at the smallest error of a prediction.
+// Most slack first; of requests with equal targets this is the newest. Under
+// overload the request with the least slack misses its target at the smallest
+// prediction error.
 struct MostSlackFirst {};
-// The one that takes the least engine time. The pairs of a long prompt make its
-// engine time grow with the square of its size, so that in a flood more of the
-// smaller ones are served, and fewer of the largest.
+// Least engine time first. The attention cost of a prompt grows with the square
+// of its length, so under overload this serves more of the smaller prompts and
+// fewer of the largest.
 struct LeastWorkFirst {};
 using QueueOrder =
     std::variant<LeastSlackFirst, MostSlackFirst, LeastWorkFirst>;
 
-// After those that can wait no longer, requests that can still be in time go
-// first, in the order given; those that cannot follow, who was told to return
-// before the others, and among their like the quickest first. With shares by
-// account, among either of them those of accounts that have had their share go
-// last. Not thread-safe.
+// Priority queue of waiting requests, in this order:
+//   1. requests past their `urgent_from`, oldest first;
+//   2. requests that can still meet their latency target, by the QueueOrder;
+//   3. the others: those with a reservation before those without, and the
+//      shortest prefill time first within each group.
+// With `shares_by_account`, requests of accounts that are over their fair share
+// go last within groups 2 and 3. Not thread-safe.
 class WaitQueue {
  public:
   explicit WaitQueue(MonotonicClock clock, QueueOrder order = {},
                      bool shares_by_account = false);
 
-  WaitingRequestId Add(const WaitingRequest& waiter);
+  WaitingRequestId Add(const WaitingRequest& request);
+  // Does nothing if `id` is not in the queue.
   void Remove(WaitingRequestId id);
 
-  // Engines have been given to a request, whether it waited or not.
+  // Charges engine time that was granted to a request, whether or not it waited
+  // here.
   void OnGranted(const ShareClaim& claim);
 
-  // Returns how one that does not wait yet stands towards those that do.
+  // Returns the rank of a claim that is not in the queue against those that
+  // are. Always kEqual without `shares_by_account`.
   ShareRank ShareRankOf(const ShareClaim& claim) const;
 
-  // How many accounts wait, and how many of them have had their share; zero
-  // without shares.
+  // Number of accounts with waiting requests, and of those among them that are
+  // over their fair share. Both are zero without `shares_by_account`.
   std::size_t WaitingAccounts() const;
   std::size_t OverShareAccounts() const;
 
-  // Another host has given places: what was given here tells nothing more.
+  // Clears the record of granted engine time. Called when another host has made
+  // the placements meanwhile, so that the local record is out of date.
   void ForgetGrants();
 
-  // Returns at most `most` of those that wait, first to last.
-  std::vector<WaitingRequestId> InOrder(std::size_t most) const;
+  // Returns the first `limit` requests in queue order, or all if there are
+  // fewer.
+  std::vector<WaitingRequestId> InOrder(std::size_t limit) const;
 
-  // `id` must wait.
+  // `id` must be in the queue.
   const WaitingRequest& Find(WaitingRequestId id) const {
-    return waiters_.at(id);
+    return requests_.at(id);
   }
 
-  // Returns the work of all that can still be in time, and of all others.
+  // Returns the total work of the requests that can still meet their latency
+  // targets, and of those that cannot.
   FractionalMillis WorkInTime() const;
   FractionalMillis LateWork() const;
 
-  // Returns the urgency of the first that waits, if any does.
+  // Returns the urgency of the first request, or nothing if the queue is empty.
   std::optional<Urgency> MostUrgent() const;
 
-  // Returns the least work among those that can no longer be in time; nothing
-  // if there is none.
+  // Returns the least work among the requests that can no longer meet their
+  // latency targets, or nothing if there are none.
   std::optional<FractionalMillis> LeastLateWork() const;
 
-  bool IsEmpty() const { return waiters_.empty(); }
-  std::size_t Count() const { return waiters_.size(); }
+  bool IsEmpty() const { return requests_.empty(); }
+  std::size_t Count() const { return requests_.size(); }
 
  private:
-  FractionalMillis WorkOf(bool in_time) const;
+  FractionalMillis TotalWork(bool in_time) const;
 
   MonotonicClock clock_;
   QueueOrder order_;
-  // Absent: accounts are not told apart.
+  // Unset if requests are not ordered by account.
   std::optional<AccountShares> shares_;
   std::uint64_t next_id_ = 1;
-  std::map<WaitingRequestId, WaitingRequest> waiters_;
+  std::map<WaitingRequestId, WaitingRequest> requests_;
 };
 
 }  // namespace harecrank
--- a/src/core/wait_queue.cc
+++ b/src/core/wait_queue.cc
@@ -9,55 +9,57 @@
 
 namespace {
 
-Urgency SpareOf(const WaitingRequest& waiter, TimePoint now) {
-  return Urgency(waiter.first_event_due - now) - waiter.service;
+Urgency SlackOf(const WaitingRequest& request, TimePoint now) {
+  return Urgency(request.first_event_due - now) - request.prefill_time;
 }
 
-// What a waiter is sorted by, the least first: the order's own figure, and the
-// urgency of those that are equal in it.
+// Sort key under a QueueOrder, smallest first: the value that defines the
+// order, then the urgency.
 using SortKey = std::pair<FractionalMillis, Urgency>;
 
-// What goes before that: whether a waiter is late, and whether its account has
-// had its share. The same for all while no account has.
+// Sorts before the SortKey: whether the request is late, and whether its
+// account is over its share. Equal for all requests while no account is over
+// its share.
 using Rank = std::pair<bool, bool>;
-// Less than any other key.
-constexpr SortKey kBeforeAll{-1e9, -1e9};
+// Smaller than any other key.
+constexpr SortKey kFirst{-1e9, -1e9};
 
 struct KeyOf {
-  const WaitingRequest& waiter;
+  const WaitingRequest& request;
   TimePoint now;
 
   SortKey operator()(LeastSlackFirst /*order*/) const {
-    return {UrgencyOf(waiter, now), Urgency(0)};
+    return {UrgencyOf(request, now), Urgency(0)};
   }
   SortKey operator()(MostSlackFirst /*order*/) const {
-    const Urgency spare = SpareOf(waiter, now);
-    const bool late = spare < Urgency(0);
-    return {late ? UrgencyOf(waiter, now) : -spare, Urgency(0)};
+    const Urgency slack = SlackOf(request, now);
+    const bool late = slack < Urgency(0);
+    return {late ? UrgencyOf(request, now) : -slack, Urgency(0)};
   }
   SortKey operator()(LeastWorkFirst /*order*/) const {
-    const Urgency urgency = UrgencyOf(waiter, now);
-    const bool late = SpareOf(waiter, now) < Urgency(0);
-    return {late ? urgency : waiter.work, urgency};
+    const Urgency urgency = UrgencyOf(request, now);
+    const bool late = SlackOf(request, now) < Urgency(0);
+    return {late ? urgency : request.work, urgency};
   }
 };
 
 }  // namespace
 
-bool CanMeetTarget(const WaitingRequest& waiter, TimePoint now) {
-  return SpareOf(waiter, now) >= Urgency(0);
+bool CanMeetTarget(const WaitingRequest& request, TimePoint now) {
+  return SlackOf(request, now) >= Urgency(0);
 }
 
-Urgency UrgencyOf(const WaitingRequest& waiter, TimePoint now) {
-  // More than any request has to spare, so that those which cannot be in time
-  // follow, the quickest first.
-  constexpr Urgency kLate{1e7};
-  constexpr Urgency kLateStranger{2e7};
-  const Urgency spare = SpareOf(waiter, now);
-  if (spare >= Urgency(0)) {
-    return spare;
+Urgency UrgencyOf(const WaitingRequest& request, TimePoint now) {
+  // Larger than any slack, so that requests that cannot meet their target sort
+  // last, shortest prefill time first.
+  constexpr Urgency kLateReserved{1e7};
+  constexpr Urgency kLateUnreserved{2e7};
+  const Urgency slack = SlackOf(request, now);
+  if (slack >= Urgency(0)) {
+    return slack;
   }
-  return (waiter.has_reservation ? kLate : kLateStranger) + waiter.service;
+  return (request.has_reservation ? kLateReserved : kLateUnreserved) +
+         request.prefill_time;
 }
 
 WaitQueue::WaitQueue(MonotonicClock clock, QueueOrder order,
@@ -68,24 +70,24 @@
   }
 }
 
-WaitingRequestId WaitQueue::Add(const WaitingRequest& waiter) {
+WaitingRequestId WaitQueue::Add(const WaitingRequest& request) {
   const WaitingRequestId id{next_id_++};
-  waiters_.emplace(id, waiter);
+  requests_.emplace(id, request);
   if (shares_.has_value()) {
-    shares_->OnQueued(waiter.claim);
+    shares_->OnQueued(request.claim);
   }
   return id;
 }
 
 void WaitQueue::Remove(WaitingRequestId id) {
-  const auto found = waiters_.find(id);
-  if (found == waiters_.end()) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) {
     return;
   }
   if (shares_.has_value()) {
     shares_->OnDequeued(found->second.claim);
   }
-  waiters_.erase(found);
+  requests_.erase(found);
 }
 
 void WaitQueue::OnGranted(const ShareClaim& claim) {
@@ -112,29 +114,29 @@
   }
 }
 
-std::vector<WaitingRequestId> WaitQueue::InOrder(std::size_t most) const {
+std::vector<WaitingRequestId> WaitQueue::InOrder(std::size_t limit) const {
   using Key = std::tuple<Rank, SortKey, WaitingRequestId>;
   const TimePoint now = clock_();
-  const std::set<AccountId> sated = shares_.has_value()
-                                        ? shares_->AccountsOverShare()
-                                        : std::set<AccountId>();
+  const std::set<AccountId> over_share = shares_.has_value()
+                                             ? shares_->AccountsOverShare()
+                                             : std::set<AccountId>();
   std::vector<Key> keys;
-  keys.reserve(waiters_.size());
-  for (const auto& [id, waiter] : waiters_) {
+  keys.reserve(requests_.size());
+  for (const auto& [id, request] : requests_) {
     Rank rank;
-    if (!sated.empty()) {
-      rank = {SpareOf(waiter, now) < Urgency(0),
-              sated.count(waiter.claim.account) > 0};
+    if (!over_share.empty()) {
+      rank = {SlackOf(request, now) < Urgency(0),
+              over_share.count(request.claim.account) > 0};
     }
-    SortKey key = std::visit(KeyOf{waiter, now}, order_);
-    if (now >= waiter.urgent_from) {
+    SortKey key = std::visit(KeyOf{request, now}, order_);
+    if (now >= request.urgent_from) {
       rank = Rank{};
-      key = kBeforeAll;
+      key = kFirst;
     }
     keys.emplace_back(rank, key, id);
   }
   std::sort(keys.begin(), keys.end());
-  keys.resize(std::min(most, keys.size()));
+  keys.resize(std::min(limit, keys.size()));
   std::vector<WaitingRequestId> order;
   order.reserve(keys.size());
   for (const Key& key : keys) {
@@ -143,27 +145,27 @@
   return order;
 }
 
-FractionalMillis WaitQueue::WorkOf(bool in_time) const {
+FractionalMillis WaitQueue::TotalWork(bool in_time) const {
   const TimePoint now = clock_();
   FractionalMillis sum(0);
-  for (const auto& [id, waiter] : waiters_) {
-    if (CanMeetTarget(waiter, now) == in_time) {
-      sum += waiter.work;
+  for (const auto& [id, request] : requests_) {
+    if (CanMeetTarget(request, now) == in_time) {
+      sum += request.work;
     }
   }
   return sum;
 }
 
-FractionalMillis WaitQueue::WorkInTime() const { return WorkOf(true); }
+FractionalMillis WaitQueue::WorkInTime() const { return TotalWork(true); }
 
-FractionalMillis WaitQueue::LateWork() const { return WorkOf(false); }
+FractionalMillis WaitQueue::LateWork() const { return TotalWork(false); }
 
 std::optional<FractionalMillis> WaitQueue::LeastLateWork() const {
   const TimePoint now = clock_();
   std::optional<FractionalMillis> least;
-  for (const auto& [id, waiter] : waiters_) {
-    if (SpareOf(waiter, now) < Urgency(0)) {
-      least = std::min(waiter.work, least.value_or(waiter.work));
+  for (const auto& [id, request] : requests_) {
+    if (SlackOf(request, now) < Urgency(0)) {
+      least = std::min(request.work, least.value_or(request.work));
     }
   }
   return least;
@@ -174,7 +176,7 @@
   if (first.empty()) {
     return std::nullopt;
   }
-  return UrgencyOf(waiters_.at(first.front()), clock_());
+  return UrgencyOf(requests_.at(first.front()), clock_());
 }
 
 }  // namespace harecrank
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -347,7 +347,7 @@
       PrefillTime(*sought_.request.service->engine, sought_.request.prompt);
   WaitingRequest waiter;
   waiter.first_event_due = sought_.late_at;
-  waiter.service = work / static_cast<double>(kMaxHelpers + 1);
+  waiter.prefill_time = work / static_cast<double>(kMaxHelpers + 1);
   waiter.work = work;
   waiter.claim = Claim().value_or(ShareClaim{});
   return waiter;
