--- a/include/harecrank/core/admission_control.h
+++ b/include/harecrank/core/admission_control.h
@@ -1,9 +1,12 @@
-// Who waits for engines, who is turned away, and when they are to return.
+// Admission control for prompts that find no free engine.
 //
-// The load that it answers: more prompts than the engines read. Those that can
-// be in time wait in order; those that will be late but still of use wait for
-// what the others leave over; the rest are told at once, truly not run, when
-// room is foreseen, and find it when they return.
+// When more prompts arrive than the engines can prefill, each prompt without a
+// placement is either queued or rejected. Prompts that can meet their latency
+// target wait in queue order. Prompts that will miss it, but will still finish
+// before their caller gives up, wait for the capacity that the others leave
+// unused. All others are rejected at once. A rejection guarantees that the
+// prompt has not run. It names the time at which capacity is forecast, and the
+// caller's retry has that capacity reserved.
 
 #ifndef HARECRANK_CORE_ADMISSION_CONTROL_H_
 #define HARECRANK_CORE_ADMISSION_CONTROL_H_
@@ -22,98 +25,109 @@
 
 namespace harecrank {
 
-// Prompts of which kind compete with each other.
+// Short and long prompts have separate queues and forecasts: a prompt competes
+// for capacity only with prompts of its own kind.
 enum class PromptKind { kShort, kLong };
 
-// One that has no place.
+// A prompt that has no placement.
 struct AdmissionCandidate {
   const PlacementRequest* request = nullptr;
-  // How long one engine alone reads its prompt.
+  // Prefill time of the prompt on a single engine.
   FractionalMillis work{0};
   PromptKind kind = PromptKind::kLong;
-  // Since it came, this time.
+  // Time since the request arrived. A retry after a rejection starts at zero.
   FractionalMillis age{0};
-  // It waits already: it is turned away only where that is beyond doubt.
+  // The request is in the wait queue. A waiting request is rejected only if the
+  // forecast leaves no doubt.
   bool waits = false;
-  // It was turned away before and came at the time that it was told.
+  // The request was rejected earlier and has returned at the time it was given.
   bool has_reservation = false;
-  // Engines that may be used.
+  // Number of usable engines of the service.
   std::size_t engines = 0;
 };
 
-// What waits before it.
+// The work of the requests that are ahead in the queue.
 struct WorkAhead {
+  // Work of those that can meet their latency target, and of the others.
   FractionalMillis in_time{0};
   FractionalMillis late{0};
-  // The least work of those that wait and cannot be in time any more: one that
-  // comes now and takes longer fares no better, whatever was foreseen.
+  // Least work among waiting requests that can no longer meet their target. A
+  // new prompt with at least that much work will miss its target too, whatever
+  // the forecast says.
   std::optional<FractionalMillis> least_late;
 };
 
-// What became of promises since the start.
+// Counts of reservations since the process started.
 struct ReservationCounts {
   std::uint64_t made = 0;
-  // Who returned got a place, or was turned away again.
+  // Retries with a reservation that got a placement, and those that were
+  // rejected again.
   std::uint64_t kept = 0;
   std::uint64_t broken = 0;
 };
 
-// Returns how long a caller of `request` waits for a first event.
+// Returns how long the caller of `request` waits for a first event before it
+// gives up.
 FractionalMillis FirstEventTimeout(const PlacementRequest& request,
                                    const PlacementPolicy& policy);
 
-// Not thread-safe.
+// Decides which prompts wait, which are rejected, and when rejected callers
+// return. Not thread-safe.
 class AdmissionControl {
  public:
   AdmissionControl(const PlacementPolicy& policy, const MonotonicClock& clock);
 
-  // Returns whether `seeker` tells enough to decide by.
-  bool CanDecide(const AdmissionCandidate& seeker) const;
+  // Returns whether admission control is enabled and the candidate carries a
+  // deadline and a request fingerprint.
+  bool CanDecide(const AdmissionCandidate& candidate) const;
 
-  // Notes one that came. If it was promised room, returns until when it is in
-  // time, counted from its first coming.
-  std::optional<TimePoint> OnArrival(const AdmissionCandidate& seeker);
-  // Notes one that was given a place.
-  void OnStarted(const AdmissionCandidate& seeker);
-  // Notes whether any of `kind` waits.
+  // Records an arriving prompt. If it redeems a reservation, returns the time
+  // at which its first event is due, counted from its first arrival.
+  std::optional<TimePoint> OnArrival(const AdmissionCandidate& candidate);
+  // Records that the prompt got a placement.
+  void OnStarted(const AdmissionCandidate& candidate);
+  // Records whether any prompt of `kind` waits.
   void OnWaiting(PromptKind kind, bool any) { ForecastOf(kind).OnWaiting(any); }
 
-  // Returns whether one that can no longer be in time may start. It leaves room
-  // for those that can, which wait or are about to come, unless it was told to
-  // return. Short ones leave it on each engine (PlacementPolicy).
-  bool MayStart(const WaitingRequest& waiter, PromptKind kind, TimePoint now,
+  // Returns whether `request`, which waits behind `ahead`, may start at `now`.
+  // A long prompt that has missed its latency target and has no reservation
+  // leaves capacity to prompts that can meet theirs, both those in the queue
+  // and those that are expected to arrive. For short prompts the placement
+  // policy reserves that capacity on each engine instead.
+  bool MayStart(const WaitingRequest& request, PromptKind kind, TimePoint now,
                 const WorkAhead& ahead) const;
 
-  // Returns from when on one that was promised room goes before all others: a
-  // target before it could not be served any more.
-  TimePoint UrgentFrom(const AdmissionCandidate& seeker) const;
+  // Returns the time from which a candidate with a reservation goes before all
+  // others: one latency target before the last moment at which it can start
+  // and still finish.
+  TimePoint UrgentFrom(const AdmissionCandidate& candidate) const;
 
-  // Returns nothing if `seeker` should wait, or else its refusal, with the
-  // promise made. CanDecide(seeker) must hold.
-  std::optional<QueryRejected> RejectionOf(const AdmissionCandidate& seeker,
+  // Returns nothing if `candidate` should wait. Otherwise makes a reservation
+  // for its retry and returns the rejection. CanDecide(candidate) must be true.
+  std::optional<QueryRejected> RejectionOf(const AdmissionCandidate& candidate,
                                            const WorkAhead& ahead);
 
-  // Forgets what it promised.
-  void Clear() { promises_.Clear(); }
-  std::size_t ReservationCount() const { return promises_.Count(); }
+  // Drops all reservations.
+  void Clear() { reservations_.Clear(); }
+  std::size_t ReservationCount() const { return reservations_.Count(); }
   const ReservationCounts& Counts() const { return counts_; }
 
-  // No caller is told to return sooner.
+  // Shortest time after which a rejected caller is told to return.
   static constexpr Millis kMinRetryAfter{100};
 
  private:
   CapacityForecast& ForecastOf(PromptKind kind) {
-    return kind == PromptKind::kShort ? short_ : long_;
+    return kind == PromptKind::kShort ? short_forecast_ : long_forecast_;
   }
-  PromptTiming TimeOf(const AdmissionCandidate& seeker) const;
-  QueryRejected Refuse(const AdmissionCandidate& seeker,
+  PromptTiming TimingOf(const AdmissionCandidate& candidate) const;
+  QueryRejected Reject(const AdmissionCandidate& candidate,
                        const WorkAhead& ahead);
 
   PlacementPolicy policy_;
   MonotonicClock clock_;
-  CapacityForecast short_;
-  CapacityForecast long_;
-  RetryReservations promises_;
+  CapacityForecast short_forecast_;
+  CapacityForecast long_forecast_;
+  RetryReservations reservations_;
   ReservationCounts counts_;
 };
 
--- a/include/harecrank/core/capacity_forecast.h
+++ b/include/harecrank/core/capacity_forecast.h
@@ -1,10 +1,10 @@
-// Foresees when prompts that wait find engines.
+// Forecasts when waiting prompts find a free engine.
 //
-// The load that it answers: more prompts than the engines read for some
-// seconds, because a wave of them arrives or because many engines are gone.
-// Whether one that waits is served in time, late but still of use, or not at
-// all follows from what waits before it and from how fast engine time has
-// lately become free.
+// For some seconds more prompts can arrive than the engines can prefill,
+// because of a burst or because many engines are down. Whether a waiting prompt
+// is then served within its latency target, past it but before its caller gives
+// up, or not at all follows from the work that is ahead of it and from the rate
+// at which engine time has recently become free.
 
 #ifndef HARECRANK_CORE_CAPACITY_FORECAST_H_
 #define HARECRANK_CORE_CAPACITY_FORECAST_H_
@@ -18,91 +18,106 @@
 
 namespace harecrank {
 
-// How a kind of prompt is foreseen.
+// Forecast parameters for one kind of prompt.
 struct CapacityForecastOptions {
-  // Over how long starts are counted.
+  // Length of the sliding window over which arrivals and starts are counted.
   Millis window{0};
-  // The share of its time that an engine gives to this kind of prompt, as long
-  // as none has waited for a whole window: until then what starts tells how
-  // many ask, not how many could start.
-  double usual_share = 0;
-  // Of what can be given away this share is left over, however many come.
-  double least_left_over = 0;
+  // Assumed share of an engine's time for this kind of prompt, 0 to 1, used as
+  // a lower limit until prompts have waited for a whole window. Before that,
+  // the rate of starts shows the demand and not the capacity.
+  double default_share = 0;
+  // Share of the capacity, 0 to 1, that is forecast to remain for prompts past
+  // their target, however many others arrive.
+  double min_spare_share = 0;
 };
 
-// Long prompts start one at a time on many engines, so that a few seconds are
-// needed to tell a rate. Short ones start by the dozen; a wave of them is over
-// within a second where engines suffice, and nobody is turned away meanwhile.
+// Long prompts start one at a time on many engines, so a rate can only be told
+// over a few seconds.
 constexpr CapacityForecastOptions kLongPromptForecast{Millis(3000), 0.5, 0};
+// Short prompts start by the dozen. A burst of them is over within a second if
+// the engines suffice, and no prompt is rejected in that time.
 constexpr CapacityForecastOptions kShortPromptForecast{Millis(1000), 1, 0.1};
 
-// Foresees for one kind of prompt. Work is engine time: how long one engine
-// alone reads a prompt. Not thread-safe.
+// Forecasts capacity for one kind of prompt. Work is measured in engine time:
+// the prefill time of a prompt on a single engine. `engines` is the number of
+// usable engines at the time of the call. Not thread-safe.
 class CapacityForecast {
  public:
-  CapacityForecast(MonotonicClock clock, const CapacityForecastOptions& traits);
+  CapacityForecast(MonotonicClock clock,
+                   const CapacityForecastOptions& options);
 
-  // Notes a prompt that came, and one that was given its place, while so many
-  // engines could be used.
+  // Records a prompt of `work` that arrived, or that got a placement.
   void OnArrival(FractionalMillis work, std::size_t engines);
   void OnStarted(FractionalMillis work, std::size_t engines);
 
-  // Notes whether any prompt waits.
+  // Records whether any prompt waits.
   void OnWaiting(bool any);
 
-  // Returns until a prompt starts that `ahead` goes before.
+  // Returns the time until a prompt starts that has `ahead` before it.
   FractionalMillis TimeUntilStart(FractionalMillis ahead,
                                   std::size_t engines) const;
 
-  // Returns whether less comes than can be given away, so that one that is late
-  // already may start without making others late.
+  // Returns whether arrivals use less than the capacity, so that a prompt past
+  // its latency target may start without making others miss theirs.
   bool HasSpareCapacity() const;
 
-  // Returns until a prompt of `work` starts on what is left over by others
-  // that will come and go before it, as many as came lately.
+  // Returns the time until a prompt of `work` that has `ahead` before it starts
+  // on capacity that new prompts leave unused. Assumes that new prompts, all of
+  // which go before it, keep arriving at the recent rate. Returns the maximum
+  // if they leave none.
   FractionalMillis TimeUntilSpareCapacity(FractionalMillis ahead,
                                           FractionalMillis work,
                                           std::size_t engines) const;
 
  private:
-  // Work divided by the engines that there were.
-  struct Noted {
+  struct Sample {
     TimePoint at;
+    // Work divided by the number of usable engines at that time.
     FractionalMillis per_engine{0};
   };
-  using Notes = std::deque<Noted>;
+  using Samples = std::deque<Sample>;
 
-  void Note(FractionalMillis work, std::size_t engines, Notes* notes);
-  // Returns the share of an engine's time that `notes` took.
-  double ShareOf(const Notes& notes) const;
-  // Returns the share of an engine's time that can be given away.
-  double Share() const;
+  void AddSample(FractionalMillis work, std::size_t engines, Samples* samples);
+  // Returns the share of an engine's time that `samples` took in the window.
+  double UsedShare(const Samples& samples) const;
+  // Returns the share of an engine's time that is available to this kind of
+  // prompt.
+  double Capacity() const;
 
   MonotonicClock clock_;
-  CapacityForecastOptions traits_;
-  Notes asked_;
-  Notes started_;
-  std::optional<TimePoint> waits_since_;
+  CapacityForecastOptions options_;
+  Samples arrivals_;
+  Samples starts_;
+  std::optional<TimePoint> waiting_since_;
 };
 
-// What is left to a prompt that has no place yet.
+// Times of a prompt that has no placement yet.
 struct PromptTiming {
-  // Until its first event is late; negative if it is.
+  // Time left until the first event is late; negative once it is late.
   FractionalMillis until_late{0};
-  // Until its caller gives it up.
-  FractionalMillis until_end{0};
-  // How long it takes to read with all helpers, and to answer.
-  FractionalMillis read{0};
-  FractionalMillis answer{0};
+  // Time left until the caller gives the request up.
+  FractionalMillis until_abandoned{0};
+  // Prefill time with all helpers.
+  FractionalMillis prefill{0};
+  // Decode time of the whole answer.
+  FractionalMillis decode{0};
 };
 
-enum class PredictedOutcome { kInTime, kLate, kNone };
+// Outcomes of a prompt that waits for a free engine.
+enum class PredictedOutcome {
+  // The first event meets the latency target.
+  kInTime,
+  // The first event is late, but the answer ends before the caller gives up.
+  kLate,
+  // The caller gives up before the answer ends.
+  kNone,
+};
 
-// Returns what becomes of a prompt that starts after `until_start` if it goes
-// by its turn, and after `until_left_over` once it is late.
-PredictedOutcome PredictOutcome(const PromptTiming& time,
+// Returns the outcome of a prompt that starts after `until_start` in queue
+// order, or after `until_spare` if its first event is late before that.
+PredictedOutcome PredictOutcome(const PromptTiming& timing,
                                 FractionalMillis until_start,
-                                FractionalMillis until_left_over);
+                                FractionalMillis until_spare);
 
 }  // namespace harecrank
 
--- a/src/core/admission_control.cc
+++ b/src/core/admission_control.cc
@@ -5,13 +5,14 @@
 namespace harecrank {
 namespace {
 
-// One that waits goes on waiting until twice as much room as is foreseen would
-// not do: what it has waited is lost if it is sent away.
-constexpr double kDoubt = 0.5;
-// One that comes is let in as in time only if its turn is foreseen within this
-// share of its time: a queue as long as a target makes everybody late at the
-// smallest error.
-constexpr double kSureShare = 0.6;
+// Factor on the forecast wait of a waiting request: it is rejected only if
+// twice the forecast capacity would not suffice, since the time it has waited
+// is lost if it is rejected.
+constexpr double kWaitingFactor = 0.5;
+// A new request counts as in time only if its forecast wait is within this
+// share of the time it has left. With a queue as long as the latency target,
+// the smallest error makes all requests in it late.
+constexpr double kMaxWaitShare = 0.6;
 
 bool HasFingerprint(const PlacementRequest& request) {
   return request.origin.request.high != 0 || request.origin.request.low != 0;
@@ -31,120 +32,127 @@
                                    const MonotonicClock& clock)
     : policy_(policy),
       clock_(clock),
-      short_(clock, kShortPromptForecast),
-      long_(clock, kLongPromptForecast),
-      promises_(clock) {}
+      short_forecast_(clock, kShortPromptForecast),
+      long_forecast_(clock, kLongPromptForecast),
+      reservations_(clock) {}
 
-bool AdmissionControl::CanDecide(const AdmissionCandidate& seeker) const {
-  const PlacementRequest& request = *seeker.request;
-  // Zero where its host tells no deadline.
+bool AdmissionControl::CanDecide(const AdmissionCandidate& candidate) const {
+  const PlacementRequest& request = *candidate.request;
+  // The deadline is zero if the host did not send one.
   return policy_.foresees_room &&
          request.until_deadline > FractionalMillis(0) &&
          HasFingerprint(request);
 }
 
 std::optional<TimePoint> AdmissionControl::OnArrival(
-    const AdmissionCandidate& seeker) {
+    const AdmissionCandidate& candidate) {
   std::optional<TimePoint> late_at;
-  if (CanDecide(seeker)) {
-    late_at = promises_.Redeem(seeker.request->origin.request);
+  if (CanDecide(candidate)) {
+    late_at = reservations_.Redeem(candidate.request->origin.request);
   }
   if (!late_at.has_value()) {
-    ForecastOf(seeker.kind).OnArrival(seeker.work, seeker.engines);
+    ForecastOf(candidate.kind).OnArrival(candidate.work, candidate.engines);
   }
   return late_at;
 }
 
-void AdmissionControl::OnStarted(const AdmissionCandidate& seeker) {
-  ForecastOf(seeker.kind).OnStarted(seeker.work, seeker.engines);
-  counts_.kept += seeker.has_reservation ? 1 : 0;
-  promises_.Cancel(seeker.request->origin.request);
+void AdmissionControl::OnStarted(const AdmissionCandidate& candidate) {
+  ForecastOf(candidate.kind).OnStarted(candidate.work, candidate.engines);
+  counts_.kept += candidate.has_reservation ? 1 : 0;
+  reservations_.Cancel(candidate.request->origin.request);
 }
 
-bool AdmissionControl::MayStart(const WaitingRequest& waiter, PromptKind kind,
+bool AdmissionControl::MayStart(const WaitingRequest& request, PromptKind kind,
                                 TimePoint now, const WorkAhead& ahead) const {
   if (!policy_.foresees_room || kind == PromptKind::kShort ||
-      waiter.has_reservation || CanMeetTarget(waiter, now)) {
+      request.has_reservation || CanMeetTarget(request, now)) {
     return true;
   }
-  return ahead.in_time == FractionalMillis(0) && long_.HasSpareCapacity();
+  return ahead.in_time == FractionalMillis(0) &&
+         long_forecast_.HasSpareCapacity();
 }
 
-TimePoint AdmissionControl::UrgentFrom(const AdmissionCandidate& seeker) const {
-  const PromptTiming time = TimeOf(seeker);
+TimePoint AdmissionControl::UrgentFrom(
+    const AdmissionCandidate& candidate) const {
+  const PromptTiming timing = TimingOf(candidate);
   const FractionalMillis left =
-      time.until_end - time.read - time.answer -
-      FractionalMillis(seeker.request->target_latency);
+      timing.until_abandoned - timing.prefill - timing.decode -
+      FractionalMillis(candidate.request->target_latency);
   return clock_() + std::chrono::duration_cast<TimePoint::duration>(left);
 }
 
 std::optional<QueryRejected> AdmissionControl::RejectionOf(
-    const AdmissionCandidate& seeker, const WorkAhead& ahead) {
-  if (seeker.request->may_have_run) {
+    const AdmissionCandidate& candidate, const WorkAhead& ahead) {
+  if (candidate.request->may_have_run) {
     return std::nullopt;
   }
-  const PromptTiming time = TimeOf(seeker);
-  const bool too_late = time.read + time.answer > time.until_end;
+  const PromptTiming timing = TimingOf(candidate);
+  const bool too_late = timing.prefill + timing.decode > timing.until_abandoned;
   if (too_late) {
-    return Refuse(seeker, ahead);
+    return Reject(candidate, ahead);
   }
-  if (seeker.has_reservation) {
+  if (candidate.has_reservation) {
     return std::nullopt;
   }
-  const double doubt = seeker.waits ? kDoubt : 1 / kSureShare;
-  const CapacityForecast& forecast = ForecastOf(seeker.kind);
-  const bool has_precedent =
-      !seeker.waits && seeker.kind == PromptKind::kLong &&
-      ahead.least_late.has_value() && *ahead.least_late <= seeker.work;
+  const double wait_factor =
+      candidate.waits ? kWaitingFactor : 1 / kMaxWaitShare;
+  const CapacityForecast& forecast = ForecastOf(candidate.kind);
+  const bool misses_target =
+      !candidate.waits && candidate.kind == PromptKind::kLong &&
+      ahead.least_late.has_value() && *ahead.least_late <= candidate.work;
   const FractionalMillis until_start =
-      has_precedent
-          ? FractionalMillis::max()
-          : doubt * forecast.TimeUntilStart(ahead.in_time, seeker.engines);
-  const FractionalMillis until_left_over =
-      std::min(doubt, 1.0) *
-      forecast.TimeUntilSpareCapacity(ahead.in_time + ahead.late, seeker.work,
-                                      seeker.engines);
-  if (PredictOutcome(time, until_start, until_left_over) ==
+      misses_target ? FractionalMillis::max()
+                    : wait_factor * forecast.TimeUntilStart(ahead.in_time,
+                                                            candidate.engines);
+  const FractionalMillis until_spare =
+      std::min(wait_factor, 1.0) *
+      forecast.TimeUntilSpareCapacity(ahead.in_time + ahead.late,
+                                      candidate.work, candidate.engines);
+  if (PredictOutcome(timing, until_start, until_spare) ==
       PredictedOutcome::kNone) {
-    return Refuse(seeker, ahead);
+    return Reject(candidate, ahead);
   }
   return std::nullopt;
 }
 
-PromptTiming AdmissionControl::TimeOf(const AdmissionCandidate& seeker) const {
-  const PlacementRequest& request = *seeker.request;
-  PromptTiming time;
-  time.until_late = request.until_late;
-  time.read = seeker.kind == PromptKind::kShort
-                  ? seeker.work
-                  : seeker.work / static_cast<double>(kMaxHelpers + 1);
-  const FractionalMillis step(request.service->engine->step_ms);
-  time.answer = static_cast<double>(request.answer.value) * step;
-  // Until the caller hears something its patience counts, and until it has
-  // heard all its deadline.
-  time.until_end =
-      std::min(request.until_deadline,
-               FirstEventTimeout(request, policy_) - seeker.age + time.answer);
-  return time;
+PromptTiming AdmissionControl::TimingOf(
+    const AdmissionCandidate& candidate) const {
+  const PlacementRequest& request = *candidate.request;
+  PromptTiming timing;
+  timing.until_late = request.until_late;
+  timing.prefill = candidate.kind == PromptKind::kShort
+                       ? candidate.work
+                       : candidate.work / static_cast<double>(kMaxHelpers + 1);
+  const FractionalMillis step_time(request.service->engine->step_ms);
+  timing.decode = static_cast<double>(request.answer.value) * step_time;
+  // The first-event time-out applies until the first event, and the deadline
+  // until the end of the answer.
+  timing.until_abandoned =
+      std::min(request.until_deadline, FirstEventTimeout(request, policy_) -
+                                           candidate.age + timing.decode);
+  return timing;
 }
 
-QueryRejected AdmissionControl::Refuse(const AdmissionCandidate& seeker,
+QueryRejected AdmissionControl::Reject(const AdmissionCandidate& candidate,
                                        const WorkAhead& ahead) {
-  const PlacementRequest& request = *seeker.request;
+  const PlacementRequest& request = *candidate.request;
   ++counts_.made;
-  counts_.broken += seeker.has_reservation ? 1 : 0;
-  const FractionalMillis before =
-      ahead.in_time + ahead.late + promises_.ReservedWork();
-  const FractionalMillis foreseen =
-      ForecastOf(seeker.kind).TimeUntilStart(before, seeker.engines);
-  const FractionalMillis latest = policy_.return_share * request.until_deadline;
-  const FractionalMillis after =
-      std::max(std::min(foreseen, latest), FractionalMillis(kMinRetryAfter));
-  return QueryRejected{promises_.Reserve(
-      request.origin.request, seeker.work,
+  counts_.broken += candidate.has_reservation ? 1 : 0;
+  const FractionalMillis ahead_of_retry =
+      ahead.in_time + ahead.late + reservations_.ReservedWork();
+  const FractionalMillis forecast_start =
+      ForecastOf(candidate.kind)
+          .TimeUntilStart(ahead_of_retry, candidate.engines);
+  const FractionalMillis latest_return =
+      policy_.return_share * request.until_deadline;
+  const FractionalMillis delay =
+      std::max(std::min(forecast_start, latest_return),
+               FractionalMillis(kMinRetryAfter));
+  return QueryRejected{reservations_.Reserve(
+      request.origin.request, candidate.work,
       clock_() +
           std::chrono::duration_cast<TimePoint::duration>(request.until_late),
-      std::chrono::duration_cast<Millis>(after))};
+      std::chrono::duration_cast<Millis>(delay))};
 }
 
 }  // namespace harecrank
--- a/src/core/capacity_forecast.cc
+++ b/src/core/capacity_forecast.cc
@@ -6,97 +6,99 @@
 namespace harecrank {
 namespace {
 
-// However little starts, as much of an engine's time is foreseen: engines that
-// are gone for a moment would otherwise turn everybody away.
-constexpr double kLeastShare = 0.02;
+// Lower limit of the forecast capacity, as a share of an engine's time. Without
+// it, a brief outage of the engines would cause all prompts to be rejected.
+constexpr double kMinCapacity = 0.02;
 
 }  // namespace
 
 CapacityForecast::CapacityForecast(MonotonicClock clock,
-                                   const CapacityForecastOptions& traits)
-    : clock_(std::move(clock)), traits_(traits) {}
+                                   const CapacityForecastOptions& options)
+    : clock_(std::move(clock)), options_(options) {}
 
 void CapacityForecast::OnArrival(FractionalMillis work, std::size_t engines) {
-  Note(work, engines, &asked_);
+  AddSample(work, engines, &arrivals_);
 }
 
 void CapacityForecast::OnStarted(FractionalMillis work, std::size_t engines) {
-  Note(work, engines, &started_);
+  AddSample(work, engines, &starts_);
 }
 
 void CapacityForecast::OnWaiting(bool any) {
   if (!any) {
-    waits_since_.reset();
-  } else if (!waits_since_.has_value()) {
-    waits_since_ = clock_();
+    waiting_since_.reset();
+  } else if (!waiting_since_.has_value()) {
+    waiting_since_ = clock_();
   }
 }
 
 FractionalMillis CapacityForecast::TimeUntilStart(FractionalMillis ahead,
                                                   std::size_t engines) const {
   const double rate =
-      Share() * static_cast<double>(std::max<std::size_t>(engines, 1));
+      Capacity() * static_cast<double>(std::max<std::size_t>(engines, 1));
   return ahead / rate;
 }
 
 FractionalMillis CapacityForecast::TimeUntilSpareCapacity(
     FractionalMillis ahead, FractionalMillis work, std::size_t engines) const {
-  const double share = Share();
-  const double left =
-      std::max(share - ShareOf(asked_), traits_.least_left_over * share);
-  if (left <= 0) {
+  const double capacity = Capacity();
+  const double spare = std::max(capacity - UsedShare(arrivals_),
+                                options_.min_spare_share * capacity);
+  if (spare <= 0) {
     return FractionalMillis::max();
   }
   const double rate =
-      left * static_cast<double>(std::max<std::size_t>(engines, 1));
+      spare * static_cast<double>(std::max<std::size_t>(engines, 1));
   return (ahead + work) / rate;
 }
 
 bool CapacityForecast::HasSpareCapacity() const {
-  return ShareOf(asked_) < Share();
+  return UsedShare(arrivals_) < Capacity();
 }
 
-void CapacityForecast::Note(FractionalMillis work, std::size_t engines,
-                            Notes* notes) {
+void CapacityForecast::AddSample(FractionalMillis work, std::size_t engines,
+                                 Samples* samples) {
   const TimePoint now = clock_();
-  const auto among = static_cast<double>(std::max<std::size_t>(engines, 1));
-  notes->push_back(Noted{now, work / among});
-  while (now - notes->front().at > traits_.window) {
-    notes->pop_front();
+  const auto engine_count =
+      static_cast<double>(std::max<std::size_t>(engines, 1));
+  samples->push_back(Sample{now, work / engine_count});
+  while (now - samples->front().at > options_.window) {
+    samples->pop_front();
   }
 }
 
-double CapacityForecast::ShareOf(const Notes& notes) const {
+double CapacityForecast::UsedShare(const Samples& samples) const {
   const TimePoint now = clock_();
   FractionalMillis sum(0);
-  for (const Noted& one : notes) {
-    if (now - one.at <= traits_.window) {
-      sum += one.per_engine;
+  for (const Sample& sample : samples) {
+    if (now - sample.at <= options_.window) {
+      sum += sample.per_engine;
     }
   }
-  return sum / FractionalMillis(traits_.window);
+  return sum / FractionalMillis(options_.window);
 }
 
-double CapacityForecast::Share() const {
-  const double started = ShareOf(started_);
-  const bool is_known =
-      waits_since_.has_value() && clock_() - *waits_since_ >= traits_.window;
-  return is_known ? std::max(started, kLeastShare)
-                  : std::max(started, traits_.usual_share);
+double CapacityForecast::Capacity() const {
+  const double started = UsedShare(starts_);
+  const bool is_known = waiting_since_.has_value() &&
+                        clock_() - *waiting_since_ >= options_.window;
+  return is_known ? std::max(started, kMinCapacity)
+                  : std::max(started, options_.default_share);
 }
 
-PredictedOutcome PredictOutcome(const PromptTiming& time,
+PredictedOutcome PredictOutcome(const PromptTiming& timing,
                                 FractionalMillis until_start,
-                                FractionalMillis until_left_over) {
-  if (until_start <= time.until_late - time.read) {
+                                FractionalMillis until_spare) {
+  if (until_start <= timing.until_late - timing.prefill) {
     return PredictedOutcome::kInTime;
   }
-  const FractionalMillis taken = time.read + time.answer;
-  // One that is not late yet goes by its turn until it is.
-  const FractionalMillis until_turn =
-      until_start <= time.until_late ? until_start : until_left_over;
-  return until_turn <= time.until_end - taken ? PredictedOutcome::kLate
-                                              : PredictedOutcome::kNone;
+  const FractionalMillis service_time = timing.prefill + timing.decode;
+  // The prompt keeps its place in queue order until its first event is late.
+  const FractionalMillis wait =
+      until_start <= timing.until_late ? until_start : until_spare;
+  return wait <= timing.until_abandoned - service_time
+             ? PredictedOutcome::kLate
+             : PredictedOutcome::kNone;
 }
 
 }  // namespace harecrank
--- a/src/core/capacity_forecast_test.cc
+++ b/src/core/capacity_forecast_test.cc
@@ -61,9 +61,9 @@
 TEST_CASE("Prompts are in time, late but of use, or neither") {
   PromptTiming time;
   time.until_late = FractionalMillis(1000);
-  time.until_end = FractionalMillis(5000);
-  time.read = FractionalMillis(300);
-  time.answer = FractionalMillis(700);
+  time.until_abandoned = FractionalMillis(5000);
+  time.prefill = FractionalMillis(300);
+  time.decode = FractionalMillis(700);
   const FractionalMillis soon(500);
   const FractionalMillis later(900);
   const FractionalMillis last(4000);
