--- a/include/harecrank/core/retry_reservations.h
+++ b/include/harecrank/core/retry_reservations.h
@@ -1,11 +1,11 @@
-// Who was turned away and told when to return.
+// Capacity that is reserved for the retries of rejected prompts.
 //
-// The load that it answers: prompts that find no room, are told to come later,
-// and meet the same queue as a stranger then. Whoever returns at the time that
-// it was told goes before its like and is not turned away again.
+// Without a reservation, a rejected prompt that returns at the time it was
+// given finds the same queue as a new request. With one, it goes before
+// requests of its kind that have none, and is not rejected again.
 //
-// All of it is soft: a planner that dies takes its promises along, and whoever
-// returns to the next one is a stranger there.
+// Reservations are soft state. They are lost when the planner fails, and the
+// next planner treats the retries as new requests.
 
 #ifndef HARECRANK_CORE_RETRY_RESERVATIONS_H_
 #define HARECRANK_CORE_RETRY_RESERVATIONS_H_
@@ -23,54 +23,58 @@
 
 namespace harecrank {
 
-// Not thread-safe.
+// Reservations by request fingerprint. Not thread-safe.
 class RetryReservations {
  public:
   explicit RetryReservations(MonotonicClock clock);
 
-  // Promises room for a prompt of `work`, late at `late_at`, from `after` on,
-  // for kGracePeriod. Returns when its caller should come: who has a promise
-  // already is told the same time again, so that repeating at once gains
-  // nothing.
+  // Reserves capacity for a prompt of `work` whose first event is late at
+  // `late_at`. The reservation is due after `delay` and is held for
+  // kGracePeriod longer. Returns the time after which the caller is to return.
+  // For a request that has a reservation already, that is the time left until
+  // it is due, so that an early retry gains nothing.
   Millis Reserve(const RequestFingerprint& request, FractionalMillis work,
-                 TimePoint late_at, Millis after);
+                 TimePoint late_at, Millis delay);
 
-  // Takes the promise that `request` has come back for, if it holds now.
-  // Returns until when it is in time: its caller counts from its first coming.
+  // Removes the reservation of `request` if it is due and has not expired.
+  // Returns the time at which the first event is late, counted from the first
+  // arrival of the request, or nothing if there is no such reservation.
   std::optional<TimePoint> Redeem(const RequestFingerprint& request);
 
-  // Drops the promise to a request that was served before it came due.
+  // Removes the reservation of a request that was served before it was due.
   void Cancel(const RequestFingerprint& request);
 
-  // Returns the work of all that have not come back yet.
+  // Returns the total work of all reservations.
   FractionalMillis ReservedWork();
 
   void Clear();
-  std::size_t Count() const { return promises_.size(); }
+  std::size_t Count() const { return reservations_.size(); }
 
-  // How long room is kept for who was told to return: callers are on their way
-  // for some milliseconds, and busy ones take longer to come.
+  // How long a reservation is held after it is due. The retry travels for some
+  // milliseconds, and a busy caller takes longer to send it.
   static constexpr Millis kGracePeriod{1500};
-  // Callers round the time that they are told.
+  // How much before its due time a reservation can be redeemed, since callers
+  // round the time that they are given.
   static constexpr Millis kEarlyTolerance{20};
-  // What is remembered at once; the promise that ends first goes beyond it.
+  // Beyond this number the reservation with the earliest due time is dropped.
   static constexpr std::size_t kMaxReservations = 4096;
 
  private:
-  struct Held {
+  struct Reservation {
     TimePoint due{};
     FractionalMillis work{0};
     TimePoint late_at{};
   };
-  using Ending = std::pair<TimePoint, RequestFingerprint>;
+  using DueEntry = std::pair<TimePoint, RequestFingerprint>;
 
   void DropExpired();
-  void Erase(std::map<RequestFingerprint, Held>::iterator found);
+  void Erase(std::map<RequestFingerprint, Reservation>::iterator found);
 
   MonotonicClock clock_;
-  std::map<RequestFingerprint, Held> promises_;
-  // The same by the time that they come due.
-  std::set<Ending> by_due_;
+  std::map<RequestFingerprint, Reservation> reservations_;
+  // The same reservations ordered by due time.
+  std::set<DueEntry> by_due_;
+  // Sum over all reservations.
   FractionalMillis work_{0};
 };
 
--- a/src/core/retry_reservations.cc
+++ b/src/core/retry_reservations.cc
@@ -9,11 +9,11 @@
 
 Millis RetryReservations::Reserve(const RequestFingerprint& request,
                                   FractionalMillis work, TimePoint late_at,
-                                  Millis after) {
+                                  Millis delay) {
   DropExpired();
   const TimePoint now = clock_();
-  const auto found = promises_.find(request);
-  if (found != promises_.end()) {
+  const auto found = reservations_.find(request);
+  if (found != reservations_.end()) {
     const Millis left =
         std::chrono::duration_cast<Millis>(found->second.due - now);
     if (left > kEarlyTolerance) {
@@ -22,20 +22,20 @@
     late_at = found->second.late_at;
     Erase(found);
   }
-  if (promises_.size() >= kMaxReservations) {
-    Erase(promises_.find(by_due_.begin()->second));
+  if (reservations_.size() >= kMaxReservations) {
+    Erase(reservations_.find(by_due_.begin()->second));
   }
-  promises_.emplace(request, Held{now + after, work, late_at});
-  by_due_.emplace(now + after, request);
+  reservations_.emplace(request, Reservation{now + delay, work, late_at});
+  by_due_.emplace(now + delay, request);
   work_ += work;
-  return after;
+  return delay;
 }
 
 std::optional<TimePoint> RetryReservations::Redeem(
     const RequestFingerprint& request) {
   DropExpired();
-  const auto found = promises_.find(request);
-  if (found == promises_.end() ||
+  const auto found = reservations_.find(request);
+  if (found == reservations_.end() ||
       clock_() + kEarlyTolerance < found->second.due) {
     return std::nullopt;
   }
@@ -45,19 +45,19 @@
 }
 
 void RetryReservations::Cancel(const RequestFingerprint& request) {
-  const auto found = promises_.find(request);
-  if (found != promises_.end()) {
+  const auto found = reservations_.find(request);
+  if (found != reservations_.end()) {
     Erase(found);
   }
 }
 
 FractionalMillis RetryReservations::ReservedWork() {
   DropExpired();
-  return promises_.empty() ? FractionalMillis(0) : work_;
+  return reservations_.empty() ? FractionalMillis(0) : work_;
 }
 
 void RetryReservations::Clear() {
-  promises_.clear();
+  reservations_.clear();
   by_due_.clear();
   work_ = FractionalMillis(0);
 }
@@ -65,15 +65,15 @@
 void RetryReservations::DropExpired() {
   const TimePoint now = clock_();
   while (!by_due_.empty() && now - by_due_.begin()->first > kGracePeriod) {
-    Erase(promises_.find(by_due_.begin()->second));
+    Erase(reservations_.find(by_due_.begin()->second));
   }
 }
 
 void RetryReservations::Erase(
-    std::map<RequestFingerprint, Held>::iterator found) {
+    std::map<RequestFingerprint, Reservation>::iterator found) {
   by_due_.erase({found->second.due, found->first});
   work_ -= found->second.work;
-  promises_.erase(found);
+  reservations_.erase(found);
 }
 
 }  // namespace harecrank
