--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -1,9 +1,9 @@
-// What each client account has lately been given of engines that are contended.
+// Fair shares of engine time among client accounts.
 //
-// The load that it answers: one account sends ten times its share, or its
-// callers repeat at once, and what all wait for goes to whoever asks most.
-// Engine time is shared out instead, so that no account gets more by asking
-// more, and each gets all that the others leave over.
+// Without shares, an account that sends ten times its share, or whose callers
+// retry at once, gets most of the engine time for which all accounts wait.
+// Here engine time is divided by max-min fairness: no account gets more by
+// asking for more, and each gets all that the others leave unused.
 
 #ifndef HARECRANK_CORE_ACCOUNT_SHARES_H_
 #define HARECRANK_CORE_ACCOUNT_SHARES_H_
@@ -18,92 +18,103 @@
 
 namespace harecrank {
 
-// What one request takes of its account's share.
+// The charge of one request against its account's share.
 struct ShareClaim {
   AccountId account;
   FractionalMillis engine_time{0};
-  // Zero is the most urgent. Each step counts engine time twice: an account of
+  // Zero is the most urgent. Each step doubles the charge: an account of
   // priority 1 has half the share of one of priority 0.
   int priority = 0;
 };
 
-// How a claim stands towards those that wait.
+// How a claim ranks against the claims that wait.
 enum class ShareRank {
-  // Nobody waits, or all have had as much of their share.
+  // No claims wait, or the accounts are equally far from their shares.
   kEqual,
-  // Its account has had less than its share, and one that waits has had more.
+  // The account of the claim is not over its share, and a waiting one is.
   kBefore,
-  // Its account has had more than its share, and one that waits has had less.
+  // The account of the claim is over its share, and a waiting one is not.
   kAfter,
 };
 
-// Of the accounts that wait, each may have as much as it wants up to a level
-// that is the same for all, and at which all that was lately given is used. One
-// that wants no more than about the level, or has had less, goes before the
-// others. It
-// only orders: where one account waits alone, nobody goes after anybody.
+// Orders waiting accounts by max-min fairness over recently granted engine
+// time.
 //
-// Keeps one number for each account. Not thread-safe.
+// The fair level is the amount of engine time at which the demands of all
+// waiting accounts, each capped at the level, add up to what they were recently
+// granted. An account is over its share if its grants reach about that level
+// and its demand exceeds it; all other accounts go before it. The shares only
+// order the accounts: an account that waits alone is never held back.
+//
+// Keeps a constant amount of state per account. Not thread-safe.
 class AccountShares {
  public:
   explicit AccountShares(MonotonicClock clock) : clock_(std::move(clock)) {}
 
+  // Charges engine time that was granted to a request.
   void OnGranted(const ShareClaim& claim);
-  // Each claim that waits must be taken back by OnDequeued when it waits no
-  // more.
+  // Records a waiting claim. Each call must be matched by a call of OnDequeued
+  // with an equal claim once it no longer waits.
   void OnQueued(const ShareClaim& claim);
   void OnDequeued(const ShareClaim& claim);
 
-  // Returns the accounts that wait and go after the others, because they have
-  // had their share.
+  // Returns the waiting accounts that are over their fair share and so go after
+  // the others.
   std::set<AccountId> AccountsOverShare() const;
 
-  // Returns how `claim`, which does not wait yet, would stand if it did.
+  // Returns the rank that `claim`, which does not wait yet, would have if it
+  // did.
   ShareRank ShareRankOf(const ShareClaim& claim) const;
 
-  // Forgets what was given; who waits still waits.
+  // Clears all grants. Waiting claims stay.
   void ForgetGrants();
 
   std::size_t WaitingAccounts() const;
   std::size_t Count() const { return accounts_.size(); }
 
-  // What was given counts for less and less: after this time for a 2.7th. Long
-  // enough for several of the largest prompts, short enough that an account is
-  // not held to a flood of the minute before.
+  // Time constant of the exponential decay of grants: after this time a grant
+  // counts for 1/e. It covers several of the largest prompts, and still does
+  // not hold an account to a burst that it sent a minute ago.
   static constexpr Millis kWindow{10000};
-  // Beyond that those that do not wait and were given the least are forgotten.
+  // Beyond this number the account with the smallest grants among those that do
+  // not wait is evicted.
   static constexpr std::size_t kMaxAccounts = 512;
-  // An account has had its share from this part of the level on. Those that are
-  // about even do not change places at each prompt that starts.
+  // An account is over its share if its grants reach this part of the fair
+  // level. Being below 1, it keeps accounts that are about even from changing
+  // places whenever a prompt starts.
   static constexpr double kOverShareFrom = 0.8;
-  // And only if it wants more than so many levels, of what it was given and
-  // what waits: a queue that is shorter soon passes, and holding a prompt back
-  // in it costs more than it helps others.
+  // In addition, its demand (grants plus waiting claims) must exceed this
+  // multiple of the fair level. A shorter queue soon empties, and holding back
+  // a prompt in it costs that account more than it helps the others.
   static constexpr double kMinDemand = 1.2;
 
  private:
-  // Weighted engine time.
+  // Engine times are weighted by priority.
   struct Account {
-    FractionalMillis given{0};
-    TimePoint given_at{};
+    // Decayed sum of the grants as of `granted_at`.
+    FractionalMillis granted{0};
+    TimePoint granted_at{};
+    // Sum and number of the waiting claims.
     FractionalMillis waiting{0};
-    int waiters = 0;
+    int claims = 0;
   };
-  // An account that competes.
-  struct Standing {
+  // A waiting account.
+  struct Competitor {
     AccountId account;
-    FractionalMillis given{0};
-    FractionalMillis wanted{0};
+    FractionalMillis granted{0};
+    // Grants plus waiting claims.
+    FractionalMillis demand{0};
   };
 
   static FractionalMillis Weighted(const ShareClaim& claim);
-  static FractionalMillis LevelOf(const std::vector<Standing>& standings);
+  static FractionalMillis FairLevel(const std::vector<Competitor>& competitors);
   static std::set<AccountId> OverShareOf(
-      const std::vector<Standing>& standings);
-  FractionalMillis GivenOf(const Account& account) const;
-  std::vector<Standing> Standings() const;
-  Account* Find(const AccountId& id);
-  void ForgetLeast();
+      const std::vector<Competitor>& competitors);
+  // Returns the grants of `account`, decayed to the present.
+  FractionalMillis GrantsOf(const Account& account) const;
+  std::vector<Competitor> Competitors() const;
+  Account* FindOrAdd(const AccountId& id);
+  void EvictSmallest();
 
   MonotonicClock clock_;
   std::map<AccountId, Account> accounts_;
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -7,149 +7,152 @@
 namespace harecrank {
 
 FractionalMillis AccountShares::Weighted(const ShareClaim& claim) {
-  // An account is never worth less than a 128th of the most urgent.
-  constexpr int kLeastUrgent = 7;
+  // Lower priorities count as this one, so that no account has less than 1/128
+  // of the share of the most urgent.
+  constexpr int kLowestPriority = 7;
   return claim.engine_time *
-         std::exp2(std::clamp(claim.priority, 0, kLeastUrgent));
+         std::exp2(std::clamp(claim.priority, 0, kLowestPriority));
 }
 
-FractionalMillis AccountShares::GivenOf(const Account& account) const {
-  const FractionalMillis age = clock_() - account.given_at;
-  return account.given * std::exp(-(age / FractionalMillis(kWindow)));
+FractionalMillis AccountShares::GrantsOf(const Account& account) const {
+  const FractionalMillis age = clock_() - account.granted_at;
+  return account.granted * std::exp(-(age / FractionalMillis(kWindow)));
 }
 
-AccountShares::Account* AccountShares::Find(const AccountId& id) {
+AccountShares::Account* AccountShares::FindOrAdd(const AccountId& id) {
   const auto found = accounts_.find(id);
   if (found != accounts_.end()) {
     return &found->second;
   }
   if (accounts_.size() >= kMaxAccounts) {
-    ForgetLeast();
+    EvictSmallest();
   }
   return &accounts_[id];
 }
 
-void AccountShares::ForgetLeast() {
-  auto least = accounts_.end();
+void AccountShares::EvictSmallest() {
+  auto smallest = accounts_.end();
   for (auto it = accounts_.begin(); it != accounts_.end(); ++it) {
-    const bool less = least == accounts_.end() ||
-                      GivenOf(it->second) < GivenOf(least->second);
-    if (it->second.waiters == 0 && less) {
-      least = it;
+    const bool is_smaller = smallest == accounts_.end() ||
+                            GrantsOf(it->second) < GrantsOf(smallest->second);
+    if (it->second.claims == 0 && is_smaller) {
+      smallest = it;
     }
   }
-  if (least != accounts_.end()) {
-    accounts_.erase(least);
+  if (smallest != accounts_.end()) {
+    accounts_.erase(smallest);
   }
 }
 
 void AccountShares::OnGranted(const ShareClaim& claim) {
-  Account* account = Find(claim.account);
-  account->given = GivenOf(*account) + Weighted(claim);
-  account->given_at = clock_();
+  Account* account = FindOrAdd(claim.account);
+  account->granted = GrantsOf(*account) + Weighted(claim);
+  account->granted_at = clock_();
 }
 
 void AccountShares::OnQueued(const ShareClaim& claim) {
-  Account* account = Find(claim.account);
+  Account* account = FindOrAdd(claim.account);
   account->waiting += Weighted(claim);
-  ++account->waiters;
+  ++account->claims;
 }
 
 void AccountShares::OnDequeued(const ShareClaim& claim) {
-  Account* account = Find(claim.account);
+  Account* account = FindOrAdd(claim.account);
   account->waiting -= Weighted(claim);
-  --account->waiters;
-  if (account->waiters <= 0) {
-    // Sums of fractions leave a rest.
+  --account->claims;
+  if (account->claims <= 0) {
+    // Discards the accumulated rounding error.
     account->waiting = FractionalMillis(0);
-    account->waiters = 0;
+    account->claims = 0;
   }
 }
 
 void AccountShares::ForgetGrants() {
   for (auto& [id, account] : accounts_) {
-    account.given = FractionalMillis(0);
+    account.granted = FractionalMillis(0);
   }
 }
 
 std::size_t AccountShares::WaitingAccounts() const {
   return static_cast<std::size_t>(
       std::count_if(accounts_.begin(), accounts_.end(),
-                    [](const auto& one) { return one.second.waiters > 0; }));
+                    [](const auto& one) { return one.second.claims > 0; }));
 }
 
-std::vector<AccountShares::Standing> AccountShares::Standings() const {
-  std::vector<Standing> standings;
+std::vector<AccountShares::Competitor> AccountShares::Competitors() const {
+  std::vector<Competitor> competitors;
   for (const auto& [id, account] : accounts_) {
-    if (account.waiters > 0) {
-      const FractionalMillis given = GivenOf(account);
-      standings.push_back(Standing{id, given, given + account.waiting});
+    if (account.claims > 0) {
+      const FractionalMillis granted = GrantsOf(account);
+      competitors.push_back(Competitor{id, granted, granted + account.waiting});
     }
   }
-  return standings;
+  return competitors;
 }
 
-FractionalMillis AccountShares::LevelOf(
-    const std::vector<Standing>& standings) {
-  FractionalMillis left(0);
-  std::vector<FractionalMillis> wanted;
-  for (const Standing& standing : standings) {
-    left += standing.given;
-    wanted.push_back(standing.wanted);
+FractionalMillis AccountShares::FairLevel(
+    const std::vector<Competitor>& competitors) {
+  FractionalMillis remaining(0);
+  std::vector<FractionalMillis> demand;
+  for (const Competitor& competitor : competitors) {
+    remaining += competitor.granted;
+    demand.push_back(competitor.demand);
   }
-  std::sort(wanted.begin(), wanted.end());
-  auto sharers = static_cast<double>(wanted.size());
-  for (const FractionalMillis want : wanted) {
-    if (want * sharers > left) {
+  std::sort(demand.begin(), demand.end());
+  auto remaining_accounts = static_cast<double>(demand.size());
+  for (const FractionalMillis one_demand : demand) {
+    if (one_demand * remaining_accounts > remaining) {
       break;
     }
-    left -= want;
-    --sharers;
+    remaining -= one_demand;
+    --remaining_accounts;
   }
-  return sharers > 0 ? left / sharers : FractionalMillis::max();
+  return remaining_accounts > 0 ? remaining / remaining_accounts
+                                : FractionalMillis::max();
 }
 
 std::set<AccountId> AccountShares::OverShareOf(
-    const std::vector<Standing>& standings) {
-  std::set<AccountId> sated;
-  if (standings.size() < 2) {
-    return sated;
+    const std::vector<Competitor>& competitors) {
+  std::set<AccountId> over_share;
+  if (competitors.size() < 2) {
+    return over_share;
   }
-  const FractionalMillis level = LevelOf(standings);
-  for (const Standing& standing : standings) {
-    if (standing.wanted > kMinDemand * level &&
-        standing.given >= kOverShareFrom * level) {
-      sated.insert(standing.account);
+  const FractionalMillis level = FairLevel(competitors);
+  for (const Competitor& competitor : competitors) {
+    if (competitor.demand > kMinDemand * level &&
+        competitor.granted >= kOverShareFrom * level) {
+      over_share.insert(competitor.account);
     }
   }
-  return sated;
+  return over_share;
 }
 
 std::set<AccountId> AccountShares::AccountsOverShare() const {
-  return OverShareOf(Standings());
+  return OverShareOf(Competitors());
 }
 
 ShareRank AccountShares::ShareRankOf(const ShareClaim& claim) const {
-  std::vector<Standing> standings = Standings();
-  const auto own = std::find_if(standings.begin(), standings.end(),
-                                [&claim](const Standing& standing) {
-                                  return standing.account == claim.account;
+  std::vector<Competitor> competitors = Competitors();
+  const auto own = std::find_if(competitors.begin(), competitors.end(),
+                                [&claim](const Competitor& competitor) {
+                                  return competitor.account == claim.account;
                                 });
-  if (own != standings.end()) {
-    own->wanted += Weighted(claim);
+  if (own != competitors.end()) {
+    own->demand += Weighted(claim);
   } else {
     const auto found = accounts_.find(claim.account);
-    const FractionalMillis given =
-        found == accounts_.end() ? FractionalMillis(0) : GivenOf(found->second);
-    standings.push_back(
-        Standing{claim.account, given, given + Weighted(claim)});
+    const FractionalMillis granted = found == accounts_.end()
+                                         ? FractionalMillis(0)
+                                         : GrantsOf(found->second);
+    competitors.push_back(
+        Competitor{claim.account, granted, granted + Weighted(claim)});
   }
-  const std::set<AccountId> sated = OverShareOf(standings);
-  if (sated.empty() || sated.size() == standings.size()) {
+  const std::set<AccountId> over_share = OverShareOf(competitors);
+  if (over_share.empty() || over_share.size() == competitors.size()) {
     return ShareRank::kEqual;
   }
-  return sated.count(claim.account) > 0 ? ShareRank::kAfter
-                                        : ShareRank::kBefore;
+  return over_share.count(claim.account) > 0 ? ShareRank::kAfter
+                                             : ShareRank::kBefore;
 }
 
 }  // namespace harecrank
