--- a/include/harecrank/core/account_limiter.h
+++ b/include/harecrank/core/account_limiter.h
@@ -1,10 +1,11 @@
-// Limits of client accounts, kept without shared state.
+// Rate limits of client accounts without shared state.
 //
-// Each entry host lets through its even part of an account's limit. With N
-// entry hosts and a limit of L tokens a second the fleet lets through at most
-// L tokens a second plus, at once, N bursts of the greater of one second's
-// part and one request. An account whose calls reach only some of the hosts
-// gets only their parts: the error is to the side of refusing.
+// Each entry host admits an equal part of an account's limit. With N entry
+// hosts and a limit of L tokens per second, the fleet admits at most L tokens
+// per second, plus one burst per host. A burst is the larger of one second's
+// part and one request. An account whose calls reach only some of the entry
+// hosts gets only the parts of those: it may be limited too early, never too
+// late.
 
 #ifndef HARECRANK_CORE_ACCOUNT_LIMITER_H_
 #define HARECRANK_CORE_ACCOUNT_LIMITER_H_
@@ -17,22 +18,23 @@
 
 namespace harecrank {
 
-// One entry host's parts of the accounts' limits, as token buckets that may go
-// into debt by one request.
+// One entry host's parts of the account limits. Each account has a token bucket
+// whose level may become negative by one request.
 //
-// Not thread-safe; its owner serialises calls.
+// Not thread-safe; the owner serialises calls.
 class AccountLimiter {
  public:
   explicit AccountLimiter(MonotonicClock clock);
 
   // Charges `cost` to `account`, whose limit over the whole fleet is
-  // `fleet_rate` tokens a second, shared by `entries` hosts (at least 1).
-  // Returns nothing if the call may go on, or else after how long to come
-  // back. A `fleet_rate` of zero limits nothing.
+  // `fleet_rate` tokens per second, shared by `entries` entry hosts (at least
+  // 1). Returns nothing if the call is admitted. Otherwise charges nothing and
+  // returns the time after which to retry. A `fleet_rate` of zero means no
+  // limit.
   std::optional<Millis> Charge(const AccountId& account, Tokens fleet_rate,
                                int entries, Tokens cost);
 
-  // Gives back what was charged for a request that did not run.
+  // Refunds the charge of a request that did not run.
   void Refund(const AccountId& account, Tokens cost);
 
   std::size_t Count() const { return buckets_.size(); }
