--- a/include/harecrank/core/cold_limit.h
+++ b/include/harecrank/core/cold_limit.h
@@ -1,16 +1,15 @@
-// The bound on requests at cold endpoints, as settings give it.
+// The configured limit on requests to cold endpoints.
 
 #ifndef HARECRANK_CORE_COLD_LIMIT_H_
 #define HARECRANK_CORE_COLD_LIMIT_H_
 
 namespace harecrank {
 
-// What all hosts together may send to a cold endpoint in any second.
+// All hosts together may send a cold endpoint, in any second, `overage` times
+// the rate that its service declares for cold endpoints, plus `slack` requests.
 struct ColdLimit {
-  // In multiples of what its service says that a cold endpoint takes. Zero: no
-  // bound.
+  // Zero means no limit.
   double overage = 0;
-  // Requests beyond that.
   double slack = 0;
 };
 
--- a/include/harecrank/core/start_limit.h
+++ b/include/harecrank/core/start_limit.h
@@ -1,4 +1,4 @@
-// A bound on what all hosts together begin at one endpoint.
+// A limit on the requests that all hosts together start at one endpoint.
 
 #ifndef HARECRANK_CORE_START_LIMIT_H_
 #define HARECRANK_CORE_START_LIMIT_H_
@@ -10,28 +10,30 @@
 
 namespace harecrank {
 
-// What a request does at an endpoint.
+// What a request is started for at an endpoint.
 enum class StartKind {
-  // The endpoint answers it.
+  // The endpoint answers the request.
   kRequest,
-  // The endpoint reads a part of its prompt for another one.
+  // The endpoint prefills a part of the prompt for another endpoint.
   kPrefillPart
 };
 
+// All hosts together keep to `max_starts` and `per_second`, each scaled by
+// `multiplier`.
 struct StartLimit {
-  // Starts within `window`.
+  // Maximum number of starts within `window`.
   double max_starts = 0;
-  // Two that are decided on this far apart do not count together.
+  // Two starts that are decided on at least this far apart do not count
+  // together.
   Millis window{0};
-  // Starts a second in the long run; unset where `max_starts` alone bounds
-  // them.
+  // Long-term rate of starts per second; unset if only `max_starts` applies.
   std::optional<double> per_second;
-  // How many times as many are allowed by now: 1, and more once the cause of
-  // the bound is over.
+  // Factor by which the limit is raised: 1 while its cause lasts, growing
+  // afterwards until the limit is lifted.
   double multiplier = 1;
-  // Since when there has been a bound.
+  // Time at which the limit came into force.
   TimePoint since{};
-  // Nothing begins before; unset where the bound lets some through at once.
+  // No request starts before this time. Unset if the limit admits some at once.
   TimePoint not_before{};
 };
 
--- a/include/harecrank/core/start_quotas.h
+++ b/include/harecrank/core/start_quotas.h
@@ -1,22 +1,22 @@
-// Bounds the requests that all hosts together begin at an endpoint.
+// Limits the requests that all hosts together start at an endpoint.
 //
-// The load that it answers: endpoints that have just started, or have turned
-// cold while they served, take a few requests a second and fall over above
-// that; endpoints in need name how many they take. No host sees what all hosts
-// send: links are cut, two planners each take themselves for the only one, a
-// new one does not know what its predecessor gave. So each host keeps to a part
-// of the bound that is its own, whoever chose the endpoint, and the parts add
-// up to the bound at max_starts:
+// An endpoint that has just started, or has turned cold while it served, takes
+// only a few requests per second and fails above that. An overloaded endpoint
+// names the rate that it takes. No host sees what all hosts send: links fail,
+// two planners may each take themselves for the only one, and a new planner
+// does not know which placements its predecessor made. So each host keeps to a
+// quota of its own, no matter who chose the endpoint, and the quotas add up to
+// at most the limit:
 //
-//   bound 53 requests a second, 24 hosts: 2 from each, 48 in all
-//   bound 53, 300 hosts: 1 from each of about 27 hosts, whom a hash of host and
-//   endpoint names
+//   limit of 53 requests per second, 24 hosts: 2 from each, 48 in all
+//   limit of 53, 300 hosts: 1 from each of about 27 hosts, which are chosen by
+//   a hash of host and endpoint
 //
-// The planner counts what it gives to each host by the same rule, so that
-// places are seldom given in vain.
+// The planner applies the same rule to the placements that it makes for each
+// host, so that a host seldom has to refuse one.
 //
-// An endpoint that has asked one host for rest binds that host alone, and then
-// bounds its return in the same way.
+// A back-off hint from an endpoint applies only to the host that received it,
+// and limits the return of that host in the same way.
 
 #ifndef HARECRANK_CORE_START_QUOTAS_H_
 #define HARECRANK_CORE_START_QUOTAS_H_
@@ -43,118 +43,122 @@
 
 namespace harecrank {
 
-// Remembers what hosts have begun at endpoints lately. Not thread-safe.
+// Recent request starts by host and endpoint. Not thread-safe.
 class StartHistory {
  public:
   explicit StartHistory(MonotonicClock clock);
 
   void Add(const HostAddress& host, const EndpointId& endpoint);
 
-  // Returns how many `host` has begun at `endpoint` within `window`, at
-  // max_starts kWindow.
+  // Returns how many requests `host` has started at `endpoint` within `window`,
+  // which must not exceed kWindow.
   std::size_t CountWithin(const HostAddress& host, const EndpointId& endpoint,
                           Millis window) const;
 
-  // Returns when `host` began the one there that `others` more have followed;
-  // nothing if so many are not remembered.
+  // Returns the time of the n-th latest start of `host` at `endpoint`, counted
+  // from zero, or nothing if it is not remembered.
   std::optional<TimePoint> NthLatest(const HostAddress& host,
                                      const EndpointId& endpoint,
-                                     std::size_t others) const;
+                                     std::size_t n) const;
 
-  // All of this time are remembered: the longest window of any bound.
+  // All starts within this time are remembered. It is the longest window of any
+  // limit.
   static constexpr Millis kWindow = EndpointRateLimits::kWindow;
-  // The last one is remembered for this long.
+  // The latest start of a host at an endpoint is remembered for this long.
   static constexpr Millis kLastRemembered{60000};
 
  private:
   using Key = std::pair<HostAddress, EndpointId>;
 
-  // Drops what no longer counts.
+  // Drops the starts that no longer need to be remembered.
   void Sweep();
 
   MonotonicClock clock_;
-  TimePoint swept_;
-  // The oldest first.
+  TimePoint last_sweep_;
+  // Oldest first.
   std::map<Key, std::deque<TimePoint>> starts_;
 };
 
-// What a host may begin of a service's requests.
+// When and how fast a host may start requests of a service.
 struct StartAvailability {
-  // When it may begin one, at the earliest of the endpoints that were looked
-  // at; now or earlier if it may at once.
+  // Earliest time at which any of the endpoints admits a request; not in the
+  // future if one admits it at once.
   TimePoint next{};
-  // Requests a second at all of them together.
+  // Requests per second, summed over the endpoints.
   double per_second = 0;
-  // Until when all of them rest; in the past if one does not.
+  // Time until which all endpoints have asked the host to back off; in the past
+  // if one of them has not.
   TimePoint backoff_until{};
 };
 
-// The rests that endpoints have asked of one host.
+// The back-off hints that one host has received.
 struct HostBackoffs {
   HostAddress host;
-  const EndpointBackoffs* rests = nullptr;
+  const EndpointBackoffs* backoffs = nullptr;
 };
 
-// The parts of the bounds. Not thread-safe.
+// Computes each host's quotas under the limits of all endpoints. Not
+// thread-safe.
 class StartQuotas {
  public:
-  // `cold_endpoints`, `limits` and the rests of `own_rests`, if there are any,
-  // must outlive this. `hosts` returns how many hosts the fleet may have, or
-  // nothing while that is not known.
+  // `cold_endpoints`, `rate_limits` and the `backoffs` of `own_backoffs`, which
+  // may be null, must outlive this object. `hosts` returns the largest number
+  // of hosts that the fleet may have, or nothing while that is unknown.
   StartQuotas(ColdLimit cold_limit, const ColdEndpoints* cold_endpoints,
-              const EndpointRateLimits* limits, HostBackoffs own_rests,
+              const EndpointRateLimits* rate_limits, HostBackoffs own_backoffs,
               std::function<std::optional<int>()> hosts, MonotonicClock clock);
 
-  // Returns how many requests `host` may begin at `endpoint` within the window
-  // of the bound that leaves it the fewest, a whole number until the bound's
-  // cause is over; nothing where there is no bound now.
+  // Returns how many requests `host` may start at `endpoint` within the window
+  // of the strictest limit, or nothing if no limit applies now. A whole number
+  // until the limit is being lifted.
   std::optional<double> QuotaOf(const HostAddress& host,
                                 const EndpointId& endpoint,
                                 const ServiceProfile& service) const;
 
-  // Returns when `host`, which has begun `starts`, may begin one more. They are
-  // begun evenly, and each host begins at a time of its own: a window's part
-  // taken at once, by all hosts together, is a wave and then a pause. Where it
-  // may not begin any, the time at which to look again.
+  // Returns when `host`, with the history `starts`, may start its next request.
+  // The starts are spread evenly over time, with a different phase for each
+  // host: if all hosts used their quotas at the start of a window, the endpoint
+  // would get a burst and then nothing. If the quota is zero, returns the time
+  // at which to check again.
   TimePoint NextStart(const StartHistory& starts, const HostAddress& host,
                       const EndpointId& endpoint, const ServiceProfile& service,
                       StartKind kind = StartKind::kRequest) const;
 
-  // Returns whether `host` may begin one more now.
+  // Returns whether `host` may start one more request now.
   bool MayStart(const StartHistory& starts, const HostAddress& host,
                 const EndpointId& endpoint, const ServiceProfile& service,
                 StartKind kind = StartKind::kRequest) const;
 
-  // Likewise for all that `placement` begins, at its helpers too.
+  // Likewise for all parts of `placement`, including those at its helpers.
   bool MayStart(const StartHistory& starts, const HostAddress& host,
                 const Placement& placement,
                 const ServiceProfile& service) const;
 
-  // Adds all that `placement` begins to `starts` that counts for a bound.
+  // Adds the parts of `placement` that count toward a limit to `starts`.
   void Add(const Placement& placement, const ServiceProfile& service,
            const HostAddress& host, StartHistory* starts) const;
 
-  // Returns the endpoints at which `host` may begin nothing now.
+  // Returns the endpoints at which `host` may not start a request now.
   std::set<EndpointId> Withheld(const StartHistory& starts,
                                 const HostAddress& host,
                                 const ServiceProfile& service) const;
 
-  // Returns when `host` may begin a request at one of `endpoints` that is not
-  // among `tried`, and how many a second; nothing if one of them has no bound,
-  // or if none is left.
+  // Returns when and how fast `host` may start requests at those of `endpoints`
+  // that are not in `tried`. Returns nothing if one of them has no limit, or if
+  // all have been tried.
   std::optional<StartAvailability> StartAvailabilityOf(
       const StartHistory& starts, const HostAddress& host,
       const std::vector<const EndpointRecord*>& endpoints,
       const std::set<EndpointId>& tried, const ServiceProfile& service) const;
 
  private:
-  // What one host may begin by one bound.
-  struct Part {
-    // Within the bound's window.
+  // The quota of one host under one limit.
+  struct HostQuota {
+    // Maximum number of starts within the limit's window.
     double max_starts = 0;
-    // From one to the next, on average.
-    FractionalMillis pause{0};
-    // The first one.
+    // Average time between two starts.
+    FractionalMillis interval{0};
+    // Time of the first start.
     TimePoint first{};
   };
 
@@ -162,29 +166,32 @@
                                         const ServiceProfile& service) const;
   std::optional<StartLimit> BackoffLimitOf(const HostAddress& host,
                                            const EndpointId& endpoint) const;
-  // Returns the bounds that hold for what `host` begins.
+  // Returns the limits that apply to the starts of `host` at `endpoint`.
   std::vector<StartLimit> LimitsOf(const HostAddress& host,
                                    const EndpointId& endpoint,
                                    const ServiceProfile& service,
                                    StartKind kind) const;
-  Part PartOf(const StartLimit& bound, const HostAddress& host,
-              const EndpointId& endpoint) const;
-  // Returns how many `host` may begin a second at `endpoint` under `bounds`.
-  double PerSecond(const std::vector<StartLimit>& bounds,
-                   const HostAddress& host, const EndpointId& endpoint) const;
-  TimePoint NextStartUnder(const StartLimit& bound, const StartHistory& starts,
+  HostQuota HostQuotaOf(const StartLimit& limit, const HostAddress& host,
+                        const EndpointId& endpoint) const;
+  // Returns how many requests `host` may start per second at `endpoint` under
+  // `limits`.
+  double RatePerSecond(const std::vector<StartLimit>& limits,
+                       const HostAddress& host,
+                       const EndpointId& endpoint) const;
+  TimePoint NextStartUnder(const StartLimit& limit, const StartHistory& starts,
                            const HostAddress& host,
                            const EndpointId& endpoint) const;
-  // Whether endpoints of `service` have a bound while they are cold.
+  // Returns whether cold endpoints of `service` have a limit.
   bool LimitsColdStarts(const ServiceProfile& service) const;
-  // Whether what begins at `endpoint` counts for a bound, of now or of later.
-  bool Counts(const HostAddress& host, const EndpointId& endpoint,
-              const ServiceProfile& service, StartKind kind) const;
+  // Returns whether starts at `endpoint` count toward a limit that applies now
+  // or may apply soon.
+  bool CountsTowardLimit(const HostAddress& host, const EndpointId& endpoint,
+                         const ServiceProfile& service, StartKind kind) const;
 
-  ColdLimit cold_bound_;
+  ColdLimit cold_limit_;
   const ColdEndpoints* cold_endpoints_;
-  const EndpointRateLimits* limits_;
-  HostBackoffs own_rests_;
+  const EndpointRateLimits* rate_limits_;
+  HostBackoffs own_backoffs_;
   std::function<std::optional<int>()> hosts_;
   MonotonicClock clock_;
 };
--- a/src/core/start_quotas.cc
+++ b/src/core/start_quotas.cc
@@ -9,21 +9,23 @@
 namespace harecrank {
 namespace {
 
-// How far a sum of hosts that a hash names may lie above its mean, in standard
-// deviations, without passing the bound.
-constexpr double kSpread = 5;
-// Where starts follow each other faster than this, a few may come together:
-// requests do not arrive evenly, and each that is held back waits or goes
-// elsewhere.
-constexpr FractionalMillis kLump{100};
-// No pause is longer: the last start must still be remembered.
-constexpr FractionalMillis kLongestPause{StartHistory::kLastRemembered};
+// The number of hosts that the hash chooses may exceed its mean by this many
+// standard deviations without exceeding the limit.
+constexpr double kDeviations = 5;
+// At intervals shorter than this, all starts of this time may come as one
+// burst. Requests do not arrive evenly, and one that is held back has to wait
+// or go to another endpoint.
+constexpr FractionalMillis kBurstTime{100};
+// The previous start must still be remembered when the next one is due.
+constexpr FractionalMillis kMaxInterval{StartHistory::kLastRemembered};
 constexpr double kMillisPerSecond = 1000;
 
-// Returns how many hosts may be named on average, so that `bound` holds for the
-// sum: the mean m of a Poisson distribution with m + kSpread * sqrt(m) = bound.
-double NamedOnAverage(double bound) {
-  const double root = (std::sqrt(kSpread * kSpread + 4 * bound) - kSpread) / 2;
+// Returns the mean number of hosts to choose so that the actual number stays
+// within `limit`: the mean m of a Poisson distribution with m + kDeviations *
+// sqrt(m) = limit.
+double MeanChosenHosts(double limit) {
+  const double root =
+      (std::sqrt(kDeviations * kDeviations + 4 * limit) - kDeviations) / 2;
   return root * root;
 }
 
@@ -32,26 +34,26 @@
   return static_cast<double>(hash) / kRange;
 }
 
-// Return numbers from 0 to 1 that all hosts derive alike: by which hosts are
-// named, and when each of them begins.
-double Lot(const HostAddress& host, const EndpointId& endpoint) {
+// Return numbers from 0 to 1 that are the same on all hosts. SelectionHash
+// decides which hosts are chosen, and PhaseHash when each of them starts.
+double SelectionHash(const HostAddress& host, const EndpointId& endpoint) {
   return ToUnit(RendezvousWeight(endpoint.value, host.value));
 }
-double Phase(const HostAddress& host, const EndpointId& endpoint) {
+double PhaseHash(const HostAddress& host, const EndpointId& endpoint) {
   return ToUnit(RendezvousWeight(host.value, endpoint.value));
 }
 
-TimePoint After(TimePoint time, FractionalMillis pause) {
-  return time + std::chrono::duration_cast<TimePoint::duration>(pause);
+TimePoint After(TimePoint time, FractionalMillis interval) {
+  return time + std::chrono::duration_cast<TimePoint::duration>(interval);
 }
 
 }  // namespace
 
 StartHistory::StartHistory(MonotonicClock clock)
-    : clock_(std::move(clock)), swept_(clock_()) {}
+    : clock_(std::move(clock)), last_sweep_(clock_()) {}
 
 void StartHistory::Add(const HostAddress& host, const EndpointId& endpoint) {
-  if (clock_() - swept_ > kWindow) {
+  if (clock_() - last_sweep_ > kWindow) {
     Sweep();
   }
   starts_[Key(host, endpoint)].push_back(clock_());
@@ -72,41 +74,41 @@
 
 std::optional<TimePoint> StartHistory::NthLatest(const HostAddress& host,
                                                  const EndpointId& endpoint,
-                                                 std::size_t others) const {
+                                                 std::size_t n) const {
   const auto found = starts_.find(Key(host, endpoint));
-  if (found == starts_.end() || found->second.size() <= others) {
+  if (found == starts_.end() || found->second.size() <= n) {
     return std::nullopt;
   }
-  return found->second[found->second.size() - 1 - others];
+  return found->second[found->second.size() - 1 - n];
 }
 
 void StartHistory::Sweep() {
-  swept_ = clock_();
+  last_sweep_ = clock_();
   for (auto it = starts_.begin(); it != starts_.end();) {
-    std::deque<TimePoint>& times = it->second;
-    while (times.size() > 1 && times.front() <= swept_ - kWindow) {
-      times.pop_front();
+    std::deque<TimePoint>& history = it->second;
+    while (history.size() > 1 && history.front() <= last_sweep_ - kWindow) {
+      history.pop_front();
     }
-    const bool is_forgotten = times.back() <= swept_ - kLastRemembered;
-    it = is_forgotten ? starts_.erase(it) : std::next(it);
+    const bool is_expired = history.back() <= last_sweep_ - kLastRemembered;
+    it = is_expired ? starts_.erase(it) : std::next(it);
   }
 }
 
 StartQuotas::StartQuotas(ColdLimit cold_limit,
                          const ColdEndpoints* cold_endpoints,
-                         const EndpointRateLimits* limits,
-                         HostBackoffs own_rests,
+                         const EndpointRateLimits* rate_limits,
+                         HostBackoffs own_backoffs,
                          std::function<std::optional<int>()> hosts,
                          MonotonicClock clock)
-    : cold_bound_(cold_limit),
+    : cold_limit_(cold_limit),
       cold_endpoints_(cold_endpoints),
-      limits_(limits),
-      own_rests_(std::move(own_rests)),
+      rate_limits_(rate_limits),
+      own_backoffs_(std::move(own_backoffs)),
       hosts_(std::move(hosts)),
       clock_(std::move(clock)) {}
 
 bool StartQuotas::LimitsColdStarts(const ServiceProfile& service) const {
-  return cold_bound_.overage > 0 && service.cold_requests_per_s > 0;
+  return cold_limit_.overage > 0 && service.cold_requests_per_s > 0;
 }
 
 std::optional<StartLimit> StartQuotas::ColdLimitOf(
@@ -115,104 +117,107 @@
   if (!multiplier.has_value() || !LimitsColdStarts(service)) {
     return std::nullopt;
   }
-  StartLimit bound;
-  bound.max_starts =
-      service.cold_requests_per_s * cold_bound_.overage + cold_bound_.slack;
-  bound.window = ColdEndpoints::kWindow;
-  bound.multiplier = *multiplier;
-  bound.since = cold_endpoints_->LimitedSince(endpoint);
-  return bound;
+  StartLimit limit;
+  limit.max_starts =
+      service.cold_requests_per_s * cold_limit_.overage + cold_limit_.slack;
+  limit.window = ColdEndpoints::kWindow;
+  limit.multiplier = *multiplier;
+  limit.since = cold_endpoints_->LimitedSince(endpoint);
+  return limit;
 }
 
 std::optional<StartLimit> StartQuotas::BackoffLimitOf(
     const HostAddress& host, const EndpointId& endpoint) const {
-  const bool is_own = own_rests_.rests != nullptr && own_rests_.host == host;
-  return is_own ? own_rests_.rests->StartLimitOf(endpoint) : std::nullopt;
+  const bool is_own =
+      own_backoffs_.backoffs != nullptr && own_backoffs_.host == host;
+  return is_own ? own_backoffs_.backoffs->StartLimitOf(endpoint) : std::nullopt;
 }
 
 std::vector<StartLimit> StartQuotas::LimitsOf(const HostAddress& host,
                                               const EndpointId& endpoint,
                                               const ServiceProfile& service,
                                               StartKind kind) const {
-  std::vector<StartLimit> bounds;
-  // A cold endpoint's bound does not count the parts that it reads.
+  std::vector<StartLimit> limits;
+  // The limit of a cold endpoint does not count the parts of prompts that it
+  // prefills for other endpoints.
   if (kind == StartKind::kRequest) {
     if (const auto cold = ColdLimitOf(endpoint, service)) {
-      bounds.push_back(*cold);
+      limits.push_back(*cold);
     }
   }
-  if (const auto limit = limits_->StartLimitOf(endpoint)) {
-    bounds.push_back(*limit);
+  if (const auto rate_limit = rate_limits_->StartLimitOf(endpoint)) {
+    limits.push_back(*rate_limit);
   }
-  if (const auto rest = BackoffLimitOf(host, endpoint)) {
-    bounds.push_back(*rest);
+  if (const auto backoff = BackoffLimitOf(host, endpoint)) {
+    limits.push_back(*backoff);
   }
-  return bounds;
+  return limits;
 }
 
-StartQuotas::Part StartQuotas::PartOf(const StartLimit& bound,
-                                      const HostAddress& host,
-                                      const EndpointId& endpoint) const {
+StartQuotas::HostQuota StartQuotas::HostQuotaOf(
+    const StartLimit& limit, const HostAddress& host,
+    const EndpointId& endpoint) const {
   const auto hosts = hosts_();
-  Part part;
+  HostQuota quota;
   if (!hosts.has_value()) {
-    return part;
+    return quota;
   }
-  // How many hosts share the bound.
+  // Number of hosts that share the limit.
   double sharers = *hosts;
-  const double even = bound.max_starts / *hosts;
-  if (even >= 1) {
-    part.max_starts = bound.multiplier * std::floor(even);
+  const double equal_part = limit.max_starts / *hosts;
+  if (equal_part >= 1) {
+    quota.max_starts = limit.multiplier * std::floor(equal_part);
   } else {
-    const double named = bound.multiplier * NamedOnAverage(bound.max_starts);
-    const bool is_named = Lot(host, endpoint) * *hosts < named;
-    part.max_starts = is_named ? std::max(1.0, named / *hosts) : 0;
-    sharers = std::min(sharers, named);
+    const double chosen = limit.multiplier * MeanChosenHosts(limit.max_starts);
+    const bool is_chosen = SelectionHash(host, endpoint) * *hosts < chosen;
+    quota.max_starts = is_chosen ? std::max(1.0, chosen / *hosts) : 0;
+    sharers = std::min(sharers, chosen);
   }
-  if (part.max_starts < 1 || bound.per_second == 0.0) {
-    part.max_starts = 0;
-    return part;
+  if (quota.max_starts < 1 || limit.per_second == 0.0) {
+    quota.max_starts = 0;
+    return quota;
   }
-  part.pause = FractionalMillis(bound.window) / part.max_starts;
-  if (bound.per_second.has_value()) {
-    const double own = bound.multiplier * *bound.per_second / sharers;
-    part.pause = std::max(part.pause, FractionalMillis(kMillisPerSecond / own));
+  quota.interval = FractionalMillis(limit.window) / quota.max_starts;
+  if (limit.per_second.has_value()) {
+    const double own_rate = limit.multiplier * *limit.per_second / sharers;
+    quota.interval =
+        std::max(quota.interval, FractionalMillis(kMillisPerSecond / own_rate));
   }
-  part.pause = std::min(part.pause, kLongestPause);
-  part.first = After(bound.since, Phase(host, endpoint) * part.pause);
-  return part;
+  quota.interval = std::min(quota.interval, kMaxInterval);
+  quota.first = After(limit.since, PhaseHash(host, endpoint) * quota.interval);
+  return quota;
 }
 
 std::optional<double> StartQuotas::QuotaOf(
     const HostAddress& host, const EndpointId& endpoint,
     const ServiceProfile& service) const {
   std::optional<double> least;
-  for (const StartLimit& bound :
+  for (const StartLimit& limit :
        LimitsOf(host, endpoint, service, StartKind::kRequest)) {
-    const double max_starts = PartOf(bound, host, endpoint).max_starts;
+    const double max_starts = HostQuotaOf(limit, host, endpoint).max_starts;
     least = std::min(least.value_or(max_starts), max_starts);
   }
   return least;
 }
 
-TimePoint StartQuotas::NextStartUnder(const StartLimit& bound,
+TimePoint StartQuotas::NextStartUnder(const StartLimit& limit,
                                       const StartHistory& starts,
                                       const HostAddress& host,
                                       const EndpointId& endpoint) const {
-  const Part part = PartOf(bound, host, endpoint);
-  if (part.max_starts < 1) {
-    return std::max(bound.not_before, clock_() + bound.window);
+  const HostQuota quota = HostQuotaOf(limit, host, endpoint);
+  if (quota.max_starts < 1) {
+    return std::max(limit.not_before, clock_() + limit.window);
   }
-  TimePoint next = part.first;
-  const auto max_starts = static_cast<std::size_t>(std::ceil(part.max_starts));
-  if (const auto full = starts.NthLatest(host, endpoint, max_starts - 1)) {
-    next = std::max(next, *full + bound.window);
+  TimePoint next = quota.first;
+  const auto max_starts = static_cast<std::size_t>(std::ceil(quota.max_starts));
+  if (const auto oldest = starts.NthLatest(host, endpoint, max_starts - 1)) {
+    next = std::max(next, *oldest + limit.window);
   }
-  const auto together =
-      std::max(std::size_t{1}, static_cast<std::size_t>(kLump / part.pause));
-  if (const auto last = starts.NthLatest(host, endpoint, together - 1)) {
-    next = std::max(next,
-                    After(*last, static_cast<double>(together) * part.pause));
+  const auto burst = std::max(
+      std::size_t{1}, static_cast<std::size_t>(kBurstTime / quota.interval));
+  if (const auto burst_start = starts.NthLatest(host, endpoint, burst - 1)) {
+    next = std::max(
+        next, After(*burst_start, static_cast<double>(burst) * quota.interval));
   }
   return next;
 }
@@ -223,8 +228,8 @@
                                  const ServiceProfile& service,
                                  StartKind kind) const {
   TimePoint next{};
-  for (const StartLimit& bound : LimitsOf(host, endpoint, service, kind)) {
-    next = std::max(next, NextStartUnder(bound, starts, host, endpoint));
+  for (const StartLimit& limit : LimitsOf(host, endpoint, service, kind)) {
+    next = std::max(next, NextStartUnder(limit, starts, host, endpoint));
   }
   return next;
 }
@@ -247,22 +252,27 @@
                      });
 }
 
-bool StartQuotas::Counts(const HostAddress& host, const EndpointId& endpoint,
-                         const ServiceProfile& service, StartKind kind) const {
-  // Endpoints turn cold unheard: what has begun there by then counts, too.
+bool StartQuotas::CountsTowardLimit(const HostAddress& host,
+                                    const EndpointId& endpoint,
+                                    const ServiceProfile& service,
+                                    StartKind kind) const {
+  // An endpoint may turn cold before this host learns of it, so starts count
+  // even while it is not known to be cold.
   const bool may_turn_cold =
       kind == StartKind::kRequest && LimitsColdStarts(service);
-  return may_turn_cold || limits_->StartLimitOf(endpoint).has_value() ||
+  return may_turn_cold || rate_limits_->StartLimitOf(endpoint).has_value() ||
          BackoffLimitOf(host, endpoint).has_value();
 }
 
 void StartQuotas::Add(const Placement& placement, const ServiceProfile& service,
                       const HostAddress& host, StartHistory* starts) const {
-  if (Counts(host, placement.endpoint.id, service, StartKind::kRequest)) {
+  if (CountsTowardLimit(host, placement.endpoint.id, service,
+                        StartKind::kRequest)) {
     starts->Add(host, placement.endpoint.id);
   }
   for (const PrefillHelper& helper : placement.helpers) {
-    if (Counts(host, helper.record.id, service, StartKind::kPrefillPart)) {
+    if (CountsTowardLimit(host, helper.record.id, service,
+                          StartKind::kPrefillPart)) {
       starts->Add(host, helper.record.id);
     }
   }
@@ -272,8 +282,8 @@
     const StartHistory& starts, const HostAddress& host,
     const ServiceProfile& service) const {
   std::set<EndpointId> withheld;
-  const auto withhold = [&](const std::vector<EndpointId>& bounded) {
-    for (const EndpointId& endpoint : bounded) {
+  const auto withhold = [&](const std::vector<EndpointId>& limited) {
+    for (const EndpointId& endpoint : limited) {
       if (!MayStart(starts, host, endpoint, service)) {
         withheld.insert(endpoint);
       }
@@ -282,23 +292,23 @@
   if (LimitsColdStarts(service)) {
     withhold(cold_endpoints_->LimitedEndpoints());
   }
-  withhold(limits_->LimitedEndpoints());
-  if (own_rests_.rests != nullptr && own_rests_.host == host) {
-    withhold(own_rests_.rests->LimitedEndpoints());
+  withhold(rate_limits_->LimitedEndpoints());
+  if (own_backoffs_.backoffs != nullptr && own_backoffs_.host == host) {
+    withhold(own_backoffs_.backoffs->LimitedEndpoints());
   }
   return withheld;
 }
 
-double StartQuotas::PerSecond(const std::vector<StartLimit>& bounds,
-                              const HostAddress& host,
-                              const EndpointId& endpoint) const {
+double StartQuotas::RatePerSecond(const std::vector<StartLimit>& limits,
+                                  const HostAddress& host,
+                                  const EndpointId& endpoint) const {
   FractionalMillis longest{0};
-  for (const StartLimit& bound : bounds) {
-    const Part part = PartOf(bound, host, endpoint);
-    if (part.max_starts < 1) {
+  for (const StartLimit& limit : limits) {
+    const HostQuota quota = HostQuotaOf(limit, host, endpoint);
+    if (quota.max_starts < 1) {
       return 0;
     }
-    longest = std::max(longest, part.pause);
+    longest = std::max(longest, quota.interval);
   }
   return kMillisPerSecond / longest.count();
 }
@@ -307,29 +317,30 @@
     const StartHistory& starts, const HostAddress& host,
     const std::vector<const EndpointRecord*>& endpoints,
     const std::set<EndpointId>& tried, const ServiceProfile& service) const {
-  std::optional<StartAvailability> outlook;
+  std::optional<StartAvailability> availability;
   for (const EndpointRecord* record : endpoints) {
     if (tried.count(record->id) != 0) {
       continue;
     }
-    const std::vector<StartLimit> bounds =
+    const std::vector<StartLimit> limits =
         LimitsOf(host, record->id, service, StartKind::kRequest);
-    if (bounds.empty()) {
+    if (limits.empty()) {
       return std::nullopt;
     }
     const TimePoint next = NextStart(starts, host, record->id, service);
     TimePoint backoff_until{};
-    for (const StartLimit& bound : bounds) {
-      backoff_until = std::max(backoff_until, bound.not_before);
+    for (const StartLimit& limit : limits) {
+      backoff_until = std::max(backoff_until, limit.not_before);
     }
-    if (!outlook.has_value()) {
-      outlook = StartAvailability{next, 0, backoff_until};
+    if (!availability.has_value()) {
+      availability = StartAvailability{next, 0, backoff_until};
     }
-    outlook->next = std::min(outlook->next, next);
-    outlook->backoff_until = std::min(outlook->backoff_until, backoff_until);
-    outlook->per_second += PerSecond(bounds, host, record->id);
+    availability->next = std::min(availability->next, next);
+    availability->backoff_until =
+        std::min(availability->backoff_until, backoff_until);
+    availability->per_second += RatePerSecond(limits, host, record->id);
   }
-  return outlook;
+  return availability;
 }
 
 }  // namespace harecrank
