--- a/include/harecrank/core/endpoint_scheduler.h
+++ b/include/harecrank/core/endpoint_scheduler.h
@@ -1,5 +1,4 @@
-// What one sidecar does with the requests for its endpoint: take, refuse,
-// start, drop.
+// Scheduler of the requests at one sidecar's endpoint.
 
 #ifndef HARECRANK_CORE_ENDPOINT_SCHEDULER_H_
 #define HARECRANK_CORE_ENDPOINT_SCHEDULER_H_
@@ -16,7 +15,7 @@
 
 namespace harecrank {
 
-// Why a request was not taken. None of these ran.
+// Reasons for rejecting a request. A rejected request has not run.
 struct QueueFull {
   Millis retry_after;
 };
@@ -31,62 +30,68 @@
 using SubmitError = std::variant<QueueFull, WouldStartTooLate, LargerThanEngine,
                                  EndpointDraining, DeadlinePassed>;
 
-// The stable word for `error` that callers see.
+// Returns the error code that callers see. The codes are stable.
 const char* SubmitErrorCode(const SubmitError& error);
 
-// When to come back, where that makes sense.
+// Returns the time after which a retry may succeed, or nothing if a retry at
+// this endpoint would fail.
 std::optional<Millis> RetryAfterOf(const SubmitError& error);
 
-// How a scheduler is set.
 struct SchedulerOptions {
+  // KV memory of the engine.
   Tokens memory;
+  // Maximum number of waiting requests, and of running ones.
   std::size_t queue_limit = 512;
   std::size_t max_running = 64;
+  // Weight of long requests relative to short ones, 1 to 100.
   int long_weight_percent = 50;
+  // Percentage of the memory that long requests leave free for short ones.
   int short_headroom_percent = 10;
 };
 
-// Decides which requests run at one endpoint, and when.
-//
-// Events in, decisions out. Not thread-safe; its owner serialises calls.
+// Decides which requests run at one endpoint, and when. Performs no I/O: the
+// owner reports events and carries out the returned decisions. Not thread-safe;
+// the owner serialises calls.
 class EndpointScheduler {
  public:
   EndpointScheduler(SchedulerOptions options, MonotonicClock clock);
 
-  // Changes the policy, and the memory as the engine reports it.
+  // Replaces the options, including the memory that the engine reports.
   void Reconfigure(const SchedulerOptions& options);
 
-  // Takes a request to wait for its start. On an error it will never start.
+  // Queues a request. Fails with SubmitError; the request then never starts.
   boost::leaf::result<void> Submit(const QueuedRequest& request);
 
-  // Returns the keys of the requests to start now, with their memory leased
-  // until `start_by` plus kLeaseGrace. Each is started once.
+  // Returns the keys of the requests to start now and leases their memory until
+  // `start_by` plus kLeaseGrace. Each key is returned once.
   std::vector<std::uint64_t> TakeStarts();
 
-  // Withdraws a request. Returns true if it had not started; then it never
-  // will.
+  // Removes a request from the queue. Returns true if it had not started; it
+  // then never will.
   bool Revoke(std::uint64_t key);
 
-  // Gives back what a started request or a reservation held.
+  // Releases the memory of a started request or of a reservation.
   void Finish(std::uint64_t key);
 
-  // Reserves memory under `key` for a part of a group's prompt, without
-  // waiting. Fails with OutOfMemory as LeaseError.
+  // Reserves memory under `key` for a part of a prompt that a group of
+  // endpoints prefills. Does not wait for free memory: fails with LeaseError
+  // OutOfMemory.
   boost::leaf::result<void> Reserve(std::uint64_t key, Tokens amount,
                                     Millis duration);
 
-  // Moves the end of what `key` holds to `duration` from now. Fails with
-  // UnknownLease if it has ended: the holder must stop.
+  // Extends the lease of `key` to `duration` from now. Fails with LeaseError
+  // UnknownLease if the lease has expired; the holder must then stop its work.
   boost::leaf::result<void> Renew(std::uint64_t key, Millis duration);
 
-  // Drops the requests that can no longer start in time and returns them. They
-  // did not run.
+  // Removes and returns the requests whose latest start has passed. They have
+  // not run.
   std::vector<QueuedRequest> DropOverdue();
 
-  // Returns the keys whose lease has ended. Their work must be cancelled.
+  // Removes and returns the keys whose leases have expired. The caller must
+  // cancel their work.
   std::vector<std::uint64_t> DropExpiredLeases();
 
-  // From now on nothing new is taken; what was taken goes on.
+  // Rejects new requests from now on. Queued and running ones continue.
   void Drain() { draining_ = true; }
   bool IsDraining() const { return draining_; }
   bool IsIdle() const { return running_.empty() && queue_.Size() == 0; }
@@ -95,8 +100,8 @@
   std::size_t QueueSize() const { return queue_.Size(); }
   std::size_t LeaseCount() const { return leases_.Count(); }
 
-  // How long past its deadline a run keeps its memory, so that the engine's
-  // cancel is done before the memory counts as free.
+  // How long a running request keeps its memory past its deadline, so that the
+  // engine has completed the cancellation before the memory counts as free.
   static constexpr Millis kLeaseGrace{2000};
 
  private:
@@ -109,7 +114,7 @@
 
   Tokens HeadroomFor(LengthClass length) const;
   std::optional<Millis> EstimatedWait() const;
-  void LearnRate(const Running& run);
+  void UpdateRate(const Running& finished);
   std::size_t RunningStreams() const;
 
   SchedulerOptions options_;
@@ -117,9 +122,9 @@
   FairQueue queue_;
   LeaseTable leases_;
   std::unordered_map<std::uint64_t, Running> running_;
-  // Tokens of work that the endpoint can end a second. Zero until known.
+  // Estimated throughput in tokens per second. Zero until the first estimate.
   double rate_ = 0;
-  TimePoint rate_window_began_{};
+  TimePoint rate_window_start_{};
   double rate_window_tokens_ = 0;
   bool draining_ = false;
 };
--- a/include/harecrank/core/fair_queue.h
+++ b/include/harecrank/core/fair_queue.h
@@ -1,4 +1,4 @@
-// The order in which waiting requests start at one endpoint.
+// Weighted fair queue of the requests that wait to start at one endpoint.
 
 #ifndef HARECRANK_CORE_FAIR_QUEUE_H_
 #define HARECRANK_CORE_FAIR_QUEUE_H_
@@ -15,62 +15,66 @@
 
 namespace harecrank {
 
-// How long a request's prompt is, as far as scheduling cares.
+// Scheduling class of a request by the length of its prompt.
 enum class LengthClass { kShort, kLong };
 
 // Returns "short" or "long".
 const char* LengthClassName(LengthClass length);
 
-// A request that waits for its start.
+// A request that waits to start.
 struct QueuedRequest {
-  // Unique among the requests of one queue.
+  // Unique within one queue.
   std::uint64_t key = 0;
   AccountId account;
-  // The account's share relative to other accounts. At least 1.
+  // The weight of the account relative to other accounts. At least 1.
   int account_weight = 1;
   LengthClass length = LengthClass::kShort;
-  // The work it brings: prompt tokens plus answer tokens.
+  // Prompt tokens plus answer tokens.
   Tokens cost;
-  // When it must have started, or it is answered as not run.
+  // Latest start. A request that has not started by then is reported as not
+  // run.
   TimePoint start_by;
 };
 
-// Start-time fair queueing over flows of one account and one length class.
+// Start-time fair queueing (SFQ). A flow is the requests of one account in one
+// length class.
 //
 // Each flow gets service in proportion to its weight, measured in tokens, so a
-// flood from one account, or a long prompt, delays others by its share only.
-// Not thread-safe; its owner serialises calls.
+// burst from one account, or a long prompt, delays other flows only by its fair
+// share. Not thread-safe; the owner serialises calls.
 class FairQueue {
  public:
   // Holds at most `limit` requests. `long_weight_percent`, 1 to 100, is the
   // weight of long requests relative to short ones.
   FairQueue(std::size_t limit, int long_weight_percent);
 
-  // Changes the weight of long requests that are added from now on.
+  // Changes the weight of long requests that are added after this call.
   void SetLongWeightPercent(int percent);
 
-  // Changes how many requests may wait. Those that wait already stay.
+  // Changes how many requests the queue holds. Requests in excess of a smaller
+  // limit stay.
   void SetLimit(std::size_t limit) { limit_ = limit; }
 
-  // Adds a request. Returns false, and adds nothing, if the queue is full.
+  // Adds a request. Returns false and adds nothing if the queue is full.
   bool Push(const QueuedRequest& request);
 
-  // Removes and returns the next request that `fits`, or nothing.
+  // Removes and returns the first request for which `fits` returns true, or
+  // nothing if there is none.
   //
-  // A request that does not fit may be passed kMaxBypasses times; then nothing
-  // behind it starts before it does, so that a stream of small requests cannot
-  // starve a large one.
+  // A request that does not fit may be bypassed kMaxBypasses times. After that
+  // no request behind it is returned before it, so that a stream of small
+  // requests cannot starve a large one.
   std::optional<QueuedRequest> PopFirst(
       const std::function<bool(const QueuedRequest&)>& fits);
 
-  // Removes a request. Returns whether it was still waiting.
+  // Removes a request. Returns false if it is not in the queue.
   bool Remove(std::uint64_t key);
 
-  // Removes and returns the requests whose start is overdue at `now`.
+  // Removes and returns the requests whose latest start has passed at `now`.
   std::vector<QueuedRequest> DropOverdue(TimePoint now);
 
   std::size_t Size() const { return waiting_.size(); }
-  // Returns the work that waits in one class.
+  // Returns the total cost of the waiting requests of one class.
   Tokens Backlog(LengthClass length) const;
 
   static constexpr int kMaxBypasses = 16;
@@ -79,7 +83,7 @@
   struct Waiting {
     QueuedRequest request;
     double start_tag = 0;
-    int passed = 0;
+    int bypasses = 0;
   };
   struct FlowKey {
     AccountId account;
@@ -87,12 +91,12 @@
     bool operator<(const FlowKey& other) const;
   };
 
-  void ForgetIdleFlows();
+  void ResetIfIdle();
 
   std::size_t limit_;
   int long_weight_percent_;
   double virtual_time_ = 0;
-  // Ordered by start tag; equal tags keep their order of arrival.
+  // Ordered by start tag, then by arrival.
   std::list<Waiting> waiting_;
   std::map<FlowKey, double> finish_tags_;
 };
--- a/include/harecrank/core/lease_table.h
+++ b/include/harecrank/core/lease_table.h
@@ -1,7 +1,7 @@
 // Leases on the KV memory of one engine.
 //
-// A lease ends by itself: memory that its holder forgot, or that belonged to a
-// holder that died, comes back without anyone having to ask for it.
+// Leases expire, so that memory is freed even if its holder fails or does not
+// release it.
 
 #ifndef HARECRANK_CORE_LEASE_TABLE_H_
 #define HARECRANK_CORE_LEASE_TABLE_H_
@@ -18,10 +18,10 @@
 
 namespace harecrank {
 
-// Names one lease. Never reused within one incarnation of a process.
+// Identifies one lease. Not reused within one incarnation of a process.
 using LeaseId = StrongNumber<struct LeaseTag, std::uint64_t>;
 
-// Why the table refused to act.
+// Reasons for a failed operation.
 struct OutOfMemory {
   Tokens available;
 };
@@ -30,39 +30,38 @@
 };
 using LeaseError = std::variant<OutOfMemory, UnknownLease>;
 
-// Accounts for the memory of one engine as leases that end by themselves.
-//
-// Not thread-safe; its owner serialises calls.
+// Accounts for the memory of one engine. Not thread-safe; the owner serialises
+// calls.
 class LeaseTable {
  public:
   // `capacity` must not be negative. `clock` is called on every operation.
   LeaseTable(Tokens capacity, MonotonicClock clock);
 
-  // Takes `amount` until `duration` has passed, unless renewed or released
-  // before, and leaves `headroom` free for others. Fails with OutOfMemory if
-  // too little is free; then nothing is taken.
+  // Leases `amount` for `duration`, unless the lease is renewed or released
+  // before. Fails with OutOfMemory and leases nothing if less than `headroom`
+  // would then remain free.
   boost::leaf::result<LeaseId> Acquire(Tokens amount, Millis duration,
                                        Tokens headroom = Tokens{0});
 
-  // Moves the end of a live lease to `duration` from now. Fails with
-  // UnknownLease if the lease has ended: the holder must not use the memory.
+  // Extends a live lease to `duration` from now. Fails with UnknownLease if the
+  // lease has expired; the holder must then no longer use the memory.
   boost::leaf::result<void> Renew(LeaseId id, Millis duration);
 
-  // Gives a lease back. Releasing one that has ended does nothing.
+  // Releases a lease. Does nothing if it has expired.
   void Release(LeaseId id);
 
-  // Drops the leases that have ended and returns their ids.
+  // Removes the expired leases and returns their ids.
   std::vector<LeaseId> DropExpired();
 
-  // Returns whether a lease is still in the table. DropExpired comes first
-  // where it matters that its end has not passed.
+  // Returns whether a lease is in the table. Expired leases are included until
+  // DropExpired removes them.
   bool Holds(LeaseId id) const { return leases_.count(id) > 0; }
 
-  // Changes the capacity. Live leases keep what they hold.
+  // Changes the capacity. Live leases keep their memory.
   void SetCapacity(Tokens capacity);
 
-  // Returns the memory that no live lease holds. Negative after the capacity
-  // shrank below what is held.
+  // Returns the memory that no live lease holds. Negative if the capacity was
+  // reduced below the leased amount.
   Tokens Available();
   Tokens Capacity() const { return capacity_; }
   std::size_t Count() const { return leases_.size(); }
--- a/src/core/endpoint_scheduler.cc
+++ b/src/core/endpoint_scheduler.cc
@@ -12,8 +12,8 @@
 constexpr double kMillisPerSecond = 1000.0;
 constexpr Millis kRetryAfterFull{1000};
 constexpr Millis kRateWindow{500};
-// Weight of the newest window where it is below the rate so far.
-constexpr double kRateFall = 0.05;
+// Weight of a new measurement that is below the estimated rate.
+constexpr double kRateDecay = 0.05;
 
 struct CodeOf {
   const char* operator()(const QueueFull&) const { return "overloaded"; }
@@ -71,8 +71,8 @@
   if (draining_) {
     return leaf::new_error(SubmitError{EndpointDraining{}});
   }
-  // Checked on arrival as well as before the start: a message can have sat in
-  // the socket of a frozen process.
+  // The deadline is checked on arrival as well as before the start, because a
+  // message may have waited in the socket buffer of a suspended process.
   if (request.start_by <= now) {
     return leaf::new_error(SubmitError{DeadlinePassed{}});
   }
@@ -110,8 +110,8 @@
       break;
     }
     if (running_.empty()) {
-      // An idle endpoint says nothing of its speed.
-      rate_window_began_ = now;
+      // Idle time does not count toward the throughput estimate.
+      rate_window_start_ = now;
       rate_window_tokens_ = 0;
     }
     running_.emplace(next->key,
@@ -130,7 +130,7 @@
   }
   leases_.Release(found->second.lease);
   if (!found->second.reservation) {
-    LearnRate(found->second);
+    UpdateRate(found->second);
   }
   running_.erase(found);
 }
@@ -163,7 +163,8 @@
   std::vector<std::uint64_t> ended;
   leases_.DropExpired();
   for (auto run = running_.begin(); run != running_.end();) {
-    // A lease that cannot be renewed is gone, whoever dropped it.
+    // Other LeaseTable operations also drop expired leases, so the return value
+    // of DropExpired is not complete.
     if (leases_.Holds(run->second.lease)) {
       ++run;
       continue;
@@ -209,21 +210,22 @@
   return Millis(static_cast<std::int64_t>(millis));
 }
 
-void EndpointScheduler::LearnRate(const Running& run) {
+void EndpointScheduler::UpdateRate(const Running& run) {
   const TimePoint now = clock_();
   rate_window_tokens_ += static_cast<double>(run.cost.value);
-  const std::chrono::duration<double> window = now - rate_window_began_;
-  if (now - rate_window_began_ < kRateWindow) {
+  const std::chrono::duration<double> window = now - rate_window_start_;
+  if (now - rate_window_start_ < kRateWindow) {
     return;
   }
   const double measured = rate_window_tokens_ / window.count();
-  // What ends in a window understates what an endpoint can do whenever little
-  // runs on it. So the rate rises at once and falls slowly: refusing work that
-  // could have been done is the worse error, since what cannot is still dropped
-  // at its deadline.
-  rate_ = measured > rate_ ? measured : rate_ + kRateFall * (measured - rate_);
+  // The measured throughput underestimates the capacity of the endpoint when it
+  // has little work. So the estimate rises at once and falls slowly. An
+  // estimate that is too low rejects work that could have been done, which is
+  // the worse error: work that cannot be done in time is still dropped at its
+  // deadline.
+  rate_ = measured > rate_ ? measured : rate_ + kRateDecay * (measured - rate_);
   rate_window_tokens_ = 0;
-  rate_window_began_ = now;
+  rate_window_start_ = now;
 }
 
 std::size_t EndpointScheduler::RunningStreams() const {
--- a/src/core/fair_queue.cc
+++ b/src/core/fair_queue.cc
@@ -36,27 +36,27 @@
   const FlowKey flow{request.account, request.length};
   const double start = std::max(virtual_time_, finish_tags_[flow]);
   finish_tags_[flow] = start + static_cast<double>(request.cost.value) / weight;
-  const auto place = std::find_if(
+  const auto it = std::find_if(
       waiting_.begin(), waiting_.end(),
       [start](const Waiting& other) { return other.start_tag > start; });
-  waiting_.insert(place, Waiting{request, start, 0});
+  waiting_.insert(it, Waiting{request, start, 0});
   return true;
 }
 
 std::optional<QueuedRequest> FairQueue::PopFirst(
     const std::function<bool(const QueuedRequest&)>& fits) {
-  for (auto place = waiting_.begin(); place != waiting_.end(); ++place) {
-    if (fits(place->request)) {
-      const QueuedRequest request = place->request;
-      virtual_time_ = std::max(virtual_time_, place->start_tag);
-      for (auto ahead = waiting_.begin(); ahead != place; ++ahead) {
-        ++ahead->passed;
+  for (auto it = waiting_.begin(); it != waiting_.end(); ++it) {
+    if (fits(it->request)) {
+      const QueuedRequest request = it->request;
+      virtual_time_ = std::max(virtual_time_, it->start_tag);
+      for (auto ahead = waiting_.begin(); ahead != it; ++ahead) {
+        ++ahead->bypasses;
       }
-      waiting_.erase(place);
-      ForgetIdleFlows();
+      waiting_.erase(it);
+      ResetIfIdle();
       return request;
     }
-    if (place->passed >= kMaxBypasses) {
+    if (it->bypasses >= kMaxBypasses) {
       return std::nullopt;
     }
   }
@@ -64,25 +64,25 @@
 }
 
 bool FairQueue::Remove(std::uint64_t key) {
-  const auto place = std::find_if(
+  const auto it = std::find_if(
       waiting_.begin(), waiting_.end(),
       [key](const Waiting& other) { return other.request.key == key; });
-  if (place == waiting_.end()) {
+  if (it == waiting_.end()) {
     return false;
   }
-  waiting_.erase(place);
+  waiting_.erase(it);
   return true;
 }
 
 std::vector<QueuedRequest> FairQueue::DropOverdue(TimePoint now) {
   std::vector<QueuedRequest> overdue;
-  for (auto place = waiting_.begin(); place != waiting_.end();) {
-    if (place->request.start_by > now) {
-      ++place;
+  for (auto it = waiting_.begin(); it != waiting_.end();) {
+    if (it->request.start_by > now) {
+      ++it;
       continue;
     }
-    overdue.push_back(place->request);
-    place = waiting_.erase(place);
+    overdue.push_back(it->request);
+    it = waiting_.erase(it);
   }
   return overdue;
 }
@@ -97,12 +97,12 @@
   return backlog;
 }
 
-void FairQueue::ForgetIdleFlows() {
+void FairQueue::ResetIfIdle() {
   if (!waiting_.empty()) {
     return;
   }
-  // An idle queue owes nobody: a flow that was served while alone is not made
-  // to pay for it when others come.
+  // Clears the tags of an idle queue, so that a flow that was served while no
+  // other waited is not delayed for it when others arrive.
   finish_tags_.clear();
   virtual_time_ = 0;
 }
--- a/src/core/lease_table.cc
+++ b/src/core/lease_table.cc
@@ -20,7 +20,8 @@
 }
 
 boost::leaf::result<void> LeaseTable::Renew(LeaseId id, Millis duration) {
-  // A holder that was paused past its end must learn so here, before it acts.
+  // A holder that was suspended past the end of its lease must learn so here,
+  // before it uses the memory.
   DropExpired();
   const auto found = leases_.find(id);
   if (found == leases_.end()) {
