--- a/include/harecrank/core/repeat_budget.h
+++ b/include/harecrank/core/repeat_budget.h
@@ -1,8 +1,8 @@
-// How often a service may be sent a request once more.
+// Limit on repeated requests to a service.
 //
-// The bound holds for all hosts together, and no host counts for all of them.
-// So each keeps to its own part: a share of its own requests of the last
-// window, and an even part of the fixed allowance.
+// The limit applies to all hosts together, and no host counts the requests of
+// all. So each host keeps to a part of its own: the configured ratio of its own
+// requests in the last window, plus an equal part of the fixed allowance.
 
 #ifndef HARECRANK_CORE_REPEAT_BUDGET_H_
 #define HARECRANK_CORE_REPEAT_BUDGET_H_
@@ -14,41 +14,42 @@
 
 namespace harecrank {
 
-// The bound on repeats, for all hosts together.
+// The limit on the repeats of all hosts together.
 struct RepeatLimit {
-  // Repeats for each request of a window.
+  // Repeats per first request in a window.
   double ratio = 0.2;
-  // Repeats in a window beyond those.
+  // Additional repeats per window.
   double allowance = 0;
   Millis window{10000};
 };
 
-// One host's part of one service's bound. Not thread-safe.
+// One host's part of the limit for one service. Not thread-safe.
 class RepeatBudget {
  public:
-  RepeatBudget(RepeatLimit bound, MonotonicClock clock);
+  RepeatBudget(RepeatLimit limit, MonotonicClock clock);
 
-  // Notes the first sending of a request.
+  // Records that a request was sent for the first time.
   void OnFirstAttempt();
 
-  // Takes one repeat, where `hosts` hosts (at least 1) share the allowance.
-  // Returns false, and takes nothing, if that would exceed this host's part.
+  // Spends one repeat, where `hosts` hosts (at least 1) share the allowance.
+  // Returns false and spends nothing if that would exceed this host's part.
   bool TryRepeat(int hosts);
 
-  // What is left unused of the bound, since hosts' parts are cut at different
-  // moments and their number is known late.
+  // Share of the limit that is used. The rest is a margin: the windows of
+  // different hosts are not aligned, and a change in the number of hosts
+  // becomes known late.
   static constexpr double kUsedShare = 0.7;
 
  private:
   struct Slice {
     TimePoint start;
-    int firsts = 0;
+    int first_attempts = 0;
     int repeats = 0;
   };
 
   Slice* Current();
 
-  RepeatLimit bound_;
+  RepeatLimit limit_;
   MonotonicClock clock_;
   std::deque<Slice> slices_;
 };
--- a/include/harecrank/core/retry_budget.h
+++ b/include/harecrank/core/retry_budget.h
@@ -1,4 +1,4 @@
-// The budget that keeps retries from feeding an overload.
+// Retry budget that keeps retries from amplifying an overload.
 
 #ifndef HARECRANK_CORE_RETRY_BUDGET_H_
 #define HARECRANK_CORE_RETRY_BUDGET_H_
@@ -8,24 +8,25 @@
 
 namespace harecrank {
 
-// Lets through a fixed share of retries per first attempt.
+// Limits retries to a fixed percentage of first attempts.
 //
-// Each first attempt pays in `percent` hundredths; each retry takes out one
-// whole. A small reserve lets a quiet host retry at all. Thread-safe.
+// Each first attempt earns `percent` hundredths of a retry, and each retry
+// costs a whole one. An initial reserve allows a host with little traffic to
+// retry. Thread-safe.
 class RetryBudget {
  public:
   explicit RetryBudget(int percent);
 
-  // Changes the share for the attempts that follow.
+  // Changes the percentage for later attempts.
   void SetPercent(int percent);
 
-  // Notes a first attempt.
+  // Records a first attempt.
   void OnFirstAttempt();
 
   // Returns how many retries are left.
   std::int64_t Left() const { return hundredths_.load() / 100; }
 
-  // Takes one retry out of the budget. Returns false if there is none left.
+  // Spends one retry. Returns false if none is left.
   bool TryRetry();
 
  private:
--- a/include/harecrank/core/ticket_registry.h
+++ b/include/harecrank/core/ticket_registry.h
@@ -1,10 +1,9 @@
-// Tickets: the one place where a request that may not be repeated can run.
+// Tickets give at-most-once execution to requests that must not be repeated.
 //
-// A ticket names one endpoint and one incarnation of its sidecar. It is spent
-// in the memory of that process and nowhere else, so it can be spent once at
-// most: a sidecar that restarted draws a new incarnation and refuses every
-// ticket of the incarnation before it. docs/DESIGN.md weighs this against the
-// other ways.
+// A ticket names one endpoint and one incarnation of its sidecar. Only the
+// memory of that process records whether it has been spent, so it can be spent
+// at most once: a restarted sidecar has a new incarnation and grants none of
+// the tickets of earlier ones. docs/DESIGN.md compares the alternatives.
 
 #ifndef HARECRANK_CORE_TICKET_REGISTRY_H_
 #define HARECRANK_CORE_TICKET_REGISTRY_H_
@@ -19,53 +18,54 @@
 
 namespace harecrank {
 
-// Names the one place where a request may run.
+// Permission to run one request at one incarnation of an endpoint.
 struct Ticket {
   EndpointId endpoint;
   Incarnation incarnation;
-  // Drawn at random, so that one caller cannot guess another's.
+  // Random, so that a caller cannot guess the tickets of others.
   std::uint64_t nonce = 0;
 };
 
-// Returns the form in which callers carry a ticket. Letters, digits, '.', '-'
-// and '_' only, provided the endpoint's id has no others.
+// Returns the text form of a ticket that is given to callers. It consists of
+// letters, digits, '.', '-' and '_' if the endpoint's id does.
 std::string FormatTicket(const Ticket& ticket);
 
-// Reads what FormatTicket wrote. Returns nothing if `text` is no ticket.
+// Parses the output of FormatTicket. Returns nothing if `text` is not a ticket.
 std::optional<Ticket> ParseTicket(const std::string& text);
 
-// What became of an attempt to spend a ticket.
+// Result of redeeming or revoking a ticket.
 enum class Redemption {
-  // The ticket is spent now, by this call: the holder may run the request.
+  // This call has spent the ticket. The holder may run the request.
   kGranted,
-  // It was spent before. The request may have run.
+  // The ticket was spent before. The request may have run.
   kAlreadySpent,
-  // It ended or was revoked unspent: the request did not run.
+  // The ticket expired or was revoked before it was spent. The request has not
+  // run.
   kEndedUnspent,
-  // It is of another incarnation or endpoint, or of another account, or was
-  // forgotten. Nothing is known here of whether the request ran.
+  // The ticket belongs to another incarnation, endpoint or account, or its
+  // record has been dropped. Whether the request has run is not known here.
   kUnknownTicket,
 };
 
-// The tickets that one incarnation of a sidecar has issued.
-//
-// Not thread-safe; its owner serialises calls.
+// The tickets that one incarnation of a sidecar has issued. Not thread-safe;
+// the owner serialises calls.
 class TicketRegistry {
  public:
-  // At most `limit` tickets are remembered at once.
+  // Holds at most `limit` tickets.
   TicketRegistry(EndpointId endpoint, Incarnation incarnation,
                  std::size_t limit, MonotonicClock clock, RandomSource random);
 
   // Issues a ticket that `account` may spend within `ttl`. Returns nothing if
-  // the book is full.
+  // the registry is full.
   std::optional<Ticket> Issue(const AccountId& account, Millis ttl);
 
-  // Spends a ticket. Grants it once at most, whatever is called in between.
+  // Spends a ticket. A ticket is granted at most once, whatever other calls are
+  // made.
   Redemption Redeem(const Ticket& ticket, const AccountId& account);
 
-  // Ends an unspent ticket. Returns kEndedUnspent if it is now certain that
-  // the request did not and will not run; otherwise as Redeem, spending
-  // nothing.
+  // Revokes an unspent ticket. Returns kEndedUnspent if the request certainly
+  // has not run and will not run, and kAlreadySpent or kUnknownTicket
+  // otherwise.
   Redemption Revoke(const Ticket& ticket, const AccountId& account);
 
   std::size_t Count() const { return entries_.size(); }
@@ -75,12 +75,13 @@
   struct Entry {
     AccountId account;
     State state = State::kUnspent;
-    TimePoint end;
-    TimePoint forget_at;
+    TimePoint expires_at;
+    // When the record is dropped.
+    TimePoint drop_at;
   };
 
   Entry* Find(const Ticket& ticket, const AccountId& account);
-  void ForgetOld(TimePoint now);
+  void DropOld(TimePoint now);
 
   EndpointId endpoint_;
   Incarnation incarnation_;
--- a/src/core/repeat_budget.cc
+++ b/src/core/repeat_budget.cc
@@ -5,27 +5,27 @@
 namespace harecrank {
 namespace {
 
-// A window is counted in this many slices.
-constexpr int kSlices = 20;
+// Number of slices in which a window is counted.
+constexpr int kSlicesPerWindow = 20;
 
 }  // namespace
 
-RepeatBudget::RepeatBudget(RepeatLimit bound, MonotonicClock clock)
-    : bound_(bound), clock_(std::move(clock)) {}
+RepeatBudget::RepeatBudget(RepeatLimit limit, MonotonicClock clock)
+    : limit_(limit), clock_(std::move(clock)) {}
 
-void RepeatBudget::OnFirstAttempt() { ++Current()->firsts; }
+void RepeatBudget::OnFirstAttempt() { ++Current()->first_attempts; }
 
 bool RepeatBudget::TryRepeat(int hosts) {
   Slice* current = Current();
-  int firsts = 0;
+  int first_attempts = 0;
   int repeats = 0;
   for (const Slice& slice : slices_) {
-    firsts += slice.firsts;
+    first_attempts += slice.first_attempts;
     repeats += slice.repeats;
   }
-  const double most =
-      kUsedShare * (bound_.ratio * firsts + bound_.allowance / hosts);
-  if (repeats + 1 > most) {
+  const double max_repeats =
+      kUsedShare * (limit_.ratio * first_attempts + limit_.allowance / hosts);
+  if (repeats + 1 > max_repeats) {
     return false;
   }
   ++current->repeats;
@@ -34,11 +34,11 @@
 
 RepeatBudget::Slice* RepeatBudget::Current() {
   const TimePoint now = clock_();
-  while (!slices_.empty() && now - slices_.front().start >= bound_.window) {
+  while (!slices_.empty() && now - slices_.front().start >= limit_.window) {
     slices_.pop_front();
   }
   if (slices_.empty() ||
-      now - slices_.back().start >= bound_.window / kSlices) {
+      now - slices_.back().start >= limit_.window / kSlicesPerWindow) {
     slices_.push_back(Slice{now, 0, 0});
   }
   return &slices_.back();
--- a/src/core/retry_budget.cc
+++ b/src/core/retry_budget.cc
@@ -4,19 +4,20 @@
 namespace {
 
 constexpr std::int64_t kOneRetry = 100;
-// What a quiet host may spend before it has earned anything.
-constexpr std::int64_t kReserve = 10 * kOneRetry;
-constexpr std::int64_t kMost = 100 * kOneRetry;
+// Initial balance, which a host may spend before its first attempts have earned
+// any.
+constexpr std::int64_t kInitialBalance = 10 * kOneRetry;
+constexpr std::int64_t kMaxBalance = 100 * kOneRetry;
 
 }  // namespace
 
 RetryBudget::RetryBudget(int percent)
-    : percent_(percent), hundredths_(kReserve) {}
+    : percent_(percent), hundredths_(kInitialBalance) {}
 
 void RetryBudget::SetPercent(int percent) { percent_.store(percent); }
 
 void RetryBudget::OnFirstAttempt() {
-  if (hundredths_.load() < kMost) {
+  if (hundredths_.load() < kMaxBalance) {
     hundredths_.fetch_add(percent_.load());
   }
 }
--- a/src/core/ticket_registry.cc
+++ b/src/core/ticket_registry.cc
@@ -66,7 +66,7 @@
 std::optional<Ticket> TicketRegistry::Issue(const AccountId& account,
                                             Millis ttl) {
   const TimePoint now = clock_();
-  ForgetOld(now);
+  DropOld(now);
   if (entries_.size() >= limit_) {
     return std::nullopt;
   }
@@ -74,8 +74,8 @@
   while (entries_.count(nonce) > 0) {
     nonce = random_();
   }
-  // An entry outlives its ticket by as much again, so that a late caller still
-  // hears what became of it.
+  // The record is kept for a second `ttl` after the ticket expires, so that a
+  // late caller still learns what became of the ticket.
   entries_.emplace(nonce,
                    Entry{account, State::kUnspent, now + ttl, now + ttl + ttl});
   return Ticket{endpoint_, incarnation_, nonce};
@@ -90,7 +90,7 @@
   if (entry->state == State::kSpent) {
     return Redemption::kAlreadySpent;
   }
-  if (entry->state == State::kEnded || entry->end <= clock_()) {
+  if (entry->state == State::kEnded || entry->expires_at <= clock_()) {
     entry->state = State::kEnded;
     return Redemption::kEndedUnspent;
   }
@@ -123,14 +123,14 @@
   return &found->second;
 }
 
-void TicketRegistry::ForgetOld(TimePoint now) {
+void TicketRegistry::DropOld(TimePoint now) {
   if (now < next_sweep_) {
     return;
   }
   next_sweep_ = now + kSweepInterval;
   for (auto entry = entries_.begin(); entry != entries_.end();) {
-    entry = entry->second.forget_at <= now ? entries_.erase(entry)
-                                           : std::next(entry);
+    entry =
+        entry->second.drop_at <= now ? entries_.erase(entry) : std::next(entry);
   }
 }
 
