--- a/include/harecrank/core/capacity_forecast.h
+++ b/include/harecrank/core/capacity_forecast.h
@@ -110,7 +110,7 @@
   // The first event is late, but the answer ends before the caller gives up.
   kLate,
   // The caller gives up before the answer ends.
-  kNone,
+  kNone
 };
 
 // Returns the outcome of a prompt that starts after `until_start` in queue
