--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -29,7 +29,8 @@
 
 // How a claim ranks against the claims that wait.
 enum class ShareRank {
-  // No claims wait, or the accounts are equally far from their shares.
+  // No claims wait, or either none or all of the accounts are over their
+  // shares.
   kEqual,
   // The account of the claim is not over its share, and a waiting one is.
   kBefore,
@@ -41,10 +42,11 @@
 // time.
 //
 // The fair level is the amount of engine time at which the demands of all
-// waiting accounts, each capped at the level, add up to what they were recently
-// granted. An account is over its share if its grants reach about that level
-// and its demand exceeds it; all other accounts go before it. The shares only
-// order the accounts: an account that waits alone is never held back.
+// waiting accounts, each capped at the level, add up to the engine time that
+// they were recently granted. An account is over its share if its grants reach
+// about that level and its demand exceeds it; all other accounts go before it.
+// The shares only order the accounts: an account that waits alone is never held
+// back.
 //
 // Keeps a constant amount of state per account. Not thread-safe.
 class AccountShares {
@@ -80,8 +82,8 @@
   // not wait is evicted.
   static constexpr std::size_t kMaxAccounts = 512;
   // An account is over its share if its grants reach this part of the fair
-  // level. Being below 1, it keeps accounts that are about even from changing
-  // places whenever a prompt starts.
+  // level, so that accounts that are about even do not change places whenever a
+  // prompt starts.
   static constexpr double kOverShareFrom = 0.8;
   // In addition, its demand (grants plus waiting claims) must exceed this
   // multiple of the fair level. A shorter queue soon empties, and holding back
--- a/include/harecrank/core/start_quotas.h
+++ b/include/harecrank/core/start_quotas.h
@@ -108,9 +108,10 @@
               const EndpointRateLimits* rate_limits, HostBackoffs own_backoffs,
               std::function<std::optional<int>()> hosts, MonotonicClock clock);
 
-  // Returns how many requests `host` may start at `endpoint` within the window
-  // of the strictest limit, or nothing if no limit applies now. A whole number
-  // until the limit is being lifted.
+  // Returns the smallest quota of `host` under the limits that apply at
+  // `endpoint`: the number of requests that it may start within the window of
+  // that limit. It is a whole number unless the limit is being lifted. Returns
+  // nothing if no limit applies now.
   std::optional<double> QuotaOf(const HostAddress& host,
                                 const EndpointId& endpoint,
                                 const ServiceProfile& service) const;
