--- a/src/core/capacity_forecast_test.cc
+++ b/src/core/capacity_forecast_test.cc
@@ -9,7 +9,7 @@
 
 class ForecastFixture {
  protected:
-  // Starts `rate` of engine time for each time, for as long as a window.
+  // Starts prompts at `rate` times the elapsed timing, for one window.
   void StartFor(double rate) {
     constexpr Millis kStep{100};
     for (Millis passed(0); passed < kLongPromptForecast.window;
@@ -24,7 +24,7 @@
 };
 
 TEST_CASE_METHOD(ForecastFixture,
-                 "While some wait the rate is that of starts") {
+                 "While prompts wait the capacity is the rate of starts") {
   forecast_.OnWaiting(true);
   StartFor(10);
   CHECK(forecast_.TimeUntilStart(FractionalMillis(20000), kEngines).count() ==
@@ -32,7 +32,7 @@
 }
 
 TEST_CASE_METHOD(ForecastFixture,
-                 "A lost half of the engines halves the rate") {
+                 "Losing half of the engines halves the capacity") {
   forecast_.OnWaiting(true);
   StartFor(10);
   CHECK(
@@ -41,14 +41,14 @@
 }
 
 TEST_CASE_METHOD(ForecastFixture,
-                 "Few starts mean nothing while nobody waits") {
+                 "Few starts do not lower the capacity while no prompt waits") {
   StartFor(1);
   CHECK(forecast_.TimeUntilStart(FractionalMillis(25000), kEngines).count() ==
         Approx(1000).epsilon(0.05));
 }
 
 TEST_CASE_METHOD(ForecastFixture,
-                 "Who goes after all others gets what those that come leave") {
+                 "Spare capacity is the capacity that arrivals leave unused") {
   forecast_.OnWaiting(true);
   forecast_.OnArrival(FractionalMillis(24000), kEngines);
   StartFor(10);
@@ -58,20 +58,20 @@
             .count() == Approx(2000).epsilon(0.05));
 }
 
-TEST_CASE("Prompts are in time, late but of use, or neither") {
-  PromptTiming time;
-  time.until_late = FractionalMillis(1000);
-  time.until_abandoned = FractionalMillis(5000);
-  time.prefill = FractionalMillis(300);
-  time.decode = FractionalMillis(700);
+TEST_CASE("The outcome follows from the forecast start") {
+  PromptTiming timing;
+  timing.until_late = FractionalMillis(1000);
+  timing.until_abandoned = FractionalMillis(5000);
+  timing.prefill = FractionalMillis(300);
+  timing.decode = FractionalMillis(700);
   const FractionalMillis soon(500);
   const FractionalMillis later(900);
   const FractionalMillis last(4000);
   const FractionalMillis never(4001);
-  CHECK(PredictOutcome(time, soon, never) == PredictedOutcome::kInTime);
-  CHECK(PredictOutcome(time, later, never) == PredictedOutcome::kLate);
-  CHECK(PredictOutcome(time, last, last) == PredictedOutcome::kLate);
-  CHECK(PredictOutcome(time, last, never) == PredictedOutcome::kNone);
+  CHECK(PredictOutcome(timing, soon, never) == PredictedOutcome::kInTime);
+  CHECK(PredictOutcome(timing, later, never) == PredictedOutcome::kLate);
+  CHECK(PredictOutcome(timing, last, last) == PredictedOutcome::kLate);
+  CHECK(PredictOutcome(timing, last, never) == PredictedOutcome::kNone);
 }
 
 }  // namespace
--- a/src/core/overload_admission_test.cc
+++ b/src/core/overload_admission_test.cc
@@ -1,6 +1,6 @@
-// Replays loads that the engines cannot read in time, against the planner. What
-// engines do is taken from what was predicted: a first event comes when it was
-// foreseen to, and the answer ends a while later.
+// Simulates loads that the engines cannot prefill within the latency targets,
+// against the planner. The simulated engines behave as predicted: the first
+// event comes at the predicted time, and the answer ends a fixed time later.
 
 #include <catch2/catch.hpp>
 #include <functional>
@@ -18,31 +18,31 @@
 constexpr int kEngines = 54;
 constexpr Millis kStep{10};
 
-// A kind of prompt and who sends it.
+// A kind of prompt and the behaviour of its callers.
 struct Traffic {
   std::int64_t prompt = 0;
   Millis target{0};
   Millis gap{0};
   Millis deadline{0};
-  Millis writes{0};
+  Millis decode_time{0};
   double per_second = 0;
-  // How often its callers come again, and whether they wait until they are
-  // told to.
-  int returns = 1;
-  bool waits_to_return = true;
+  // Maximum number of retries per request, and whether callers wait for the
+  // time they are given before they retry.
+  int max_retries = 1;
+  bool waits_before_retry = true;
 };
 
 struct Tally {
-  int asked = 0;
+  int sent = 0;
   int in_time = 0;
   int late = 0;
-  int refused_again = 0;
-  int lost = 0;
+  int rejected_again = 0;
+  int unserved = 0;
 };
 
-class TooLittleRoom {
+class OverloadSimulation {
  public:
-  explicit TooLittleRoom(bool foresees_room) {
+  explicit OverloadSimulation(bool foresees_room) {
     policy_.foresees_room = foresees_room;
     for (int i = 0; i < kEngines; ++i) {
       SetEngine(i, true);
@@ -66,7 +66,7 @@
     planner_ = std::make_unique<Planner>(
         &directory_, &health_, &start_shares_, DataCentreId{"a"},
         [this] { return table_; }, policy_, [this] { return now_; },
-        [this] { return drawn_ += 77; });
+        [this] { return last_random_ += 77; });
   }
 
   void SetEngine(int number, bool alive) {
@@ -78,21 +78,22 @@
     directory_.Upsert(record);
   }
 
-  // Sends `traffic` for `time`, then waits until all is over.
-  std::vector<Tally> Play(const std::vector<Traffic>& traffic, Millis time,
-                          const std::function<void(Millis)>& on_step) {
+  // Sends `traffic` for `time`, then runs until all requests have ended.
+  // Returns the tallies in the order of `traffic`.
+  std::vector<Tally> Run(const std::vector<Traffic>& traffic, Millis time,
+                         const std::function<void(Millis)>& on_step) {
     tallies_.assign(traffic.size(), Tally{});
-    std::vector<double> owed(traffic.size(), 0);
-    constexpr Millis kAfter{16000};
-    for (Millis passed(0); passed < time + kAfter; passed += kStep) {
+    std::vector<double> due_requests(traffic.size(), 0);
+    constexpr Millis kDrainTime{16000};
+    for (Millis passed(0); passed < time + kDrainTime; passed += kStep) {
       on_step(passed);
       for (std::size_t i = 0; passed < time && i < traffic.size(); ++i) {
-        owed[i] +=
+        due_requests[i] +=
             traffic[i].per_second * FractionalMillis(kStep).count() / 1000;
-        for (; owed[i] >= 1; owed[i] -= 1) {
-          ++tallies_[i].asked;
+        for (; due_requests[i] >= 1; due_requests[i] -= 1) {
+          ++tallies_[i].sent;
           Caller caller{&traffic[i], i, now_, ++callers_, 0};
-          Ask(caller);
+          Send(caller);
         }
       }
       now_ += kStep;
@@ -108,45 +109,45 @@
   struct Caller {
     const Traffic* traffic;
     std::size_t kind;
-    TimePoint came;
+    TimePoint arrived_at;
     std::uint64_t number;
-    int refusals;
+    int rejections;
   };
 
-  void Ask(const Caller& caller) {
+  void Send(const Caller& caller) {
     const Traffic& traffic = *caller.traffic;
-    PlacementQuery ask;
-    ask.host = HostAddress{"h"};
-    ask.incarnation = Incarnation{1};
-    ask.id = QueryId{++last_id_};
-    ask.service = kWriters;
-    ask.target_latency = traffic.target;
-    ask.target_gap = traffic.gap;
-    ask.prompt = Tokens{traffic.prompt};
-    ask.answer = Tokens{900};
-    ask.until_late = traffic.target;
-    ask.until_deadline = caller.came + traffic.deadline - now_;
-    ask.origin.request =
+    PlacementQuery query;
+    query.host = HostAddress{"h"};
+    query.incarnation = Incarnation{1};
+    query.id = QueryId{++last_id_};
+    query.service = kWriters;
+    query.target_latency = traffic.target;
+    query.target_gap = traffic.gap;
+    query.prompt = Tokens{traffic.prompt};
+    query.answer = Tokens{900};
+    query.until_late = traffic.target;
+    query.until_deadline = caller.arrived_at + traffic.deadline - now_;
+    query.origin.request =
         RequestFingerprint{AccountId{"press"}, caller.number, 1};
-    waiting_.emplace(ask.id, caller);
-    const QueryId id = ask.id;
-    const FractionalMillis patience = std::max(
-        {FractionalMillis(2000), 4.0 * FractionalMillis(ask.target_latency),
-         8.0 * FractionalMillis(ask.target_gap)});
-    After(std::min(ask.until_deadline, patience), [this, id] { Leave(id); });
-    OnDecision(id, planner_->OnQuery(ask));
+    waiting_.emplace(query.id, caller);
+    const QueryId id = query.id;
+    const FractionalMillis timeout = std::max(
+        {FractionalMillis(2000), 4.0 * FractionalMillis(query.target_latency),
+         8.0 * FractionalMillis(query.target_gap)});
+    After(std::min(query.until_deadline, timeout), [this, id] { GiveUp(id); });
+    OnDecision(id, planner_->OnQuery(query));
   }
 
-  void Leave(QueryId id) {
+  void GiveUp(QueryId id) {
     const auto found = waiting_.find(id);
     if (found != waiting_.end()) {
-      ++tallies_[found->second.kind].lost;
+      ++tallies_[found->second.kind].unserved;
       waiting_.erase(found);
-      Tell(id, true);
+      Report(id, true);
     }
   }
 
-  void Tell(QueryId id, bool ended) {
+  void Report(QueryId id, bool ended) {
     ProgressReport note{HostAddress{"h"}, Incarnation{1}, {}, {}};
     if (ended) {
       note.ended.push_back(RequestDone{id, false});
@@ -166,34 +167,34 @@
       Serve(caller, id, *placed);
     } else {
       const auto* refused = std::get_if<QueryRejected>(&decision);
-      Refuse(caller, refused == nullptr ? std::nullopt : refused->retry_after);
+      Reject(caller, refused == nullptr ? std::nullopt : refused->retry_after);
     }
   }
 
   void Serve(const Caller& caller, QueryId id, const PlannedPlacement& placed) {
-    const FractionalMillis age = now_ - caller.came;
+    const FractionalMillis age = now_ - caller.arrived_at;
     const bool in_time =
         age + placed.first_event <= FractionalMillis(caller.traffic->target);
     ++(in_time ? tallies_[caller.kind].in_time : tallies_[caller.kind].late);
-    After(placed.first_event, [this, id] { Tell(id, false); });
-    After(placed.first_event + FractionalMillis(caller.traffic->writes),
-          [this, id] { Tell(id, true); });
+    After(placed.first_event, [this, id] { Report(id, false); });
+    After(placed.first_event + FractionalMillis(caller.traffic->decode_time),
+          [this, id] { Report(id, true); });
   }
 
-  void Refuse(Caller caller, std::optional<Millis> after) {
+  void Reject(Caller caller, std::optional<Millis> after) {
     Tally& tally = tallies_[caller.kind];
     const Traffic& traffic = *caller.traffic;
-    const FractionalMillis left = caller.came + traffic.deadline - now_;
-    ++caller.refusals;
-    if (caller.refusals > traffic.returns || left < FractionalMillis(0)) {
-      tally.refused_again += caller.refusals > 1 ? 1 : 0;
-      ++tally.lost;
+    const FractionalMillis left = caller.arrived_at + traffic.deadline - now_;
+    ++caller.rejections;
+    if (caller.rejections > traffic.max_retries || left < FractionalMillis(0)) {
+      tally.rejected_again += caller.rejections > 1 ? 1 : 0;
+      ++tally.unserved;
       return;
     }
-    const FractionalMillis told =
+    const FractionalMillis retry_delay =
         std::min(FractionalMillis(after.value_or(traffic.target)), left / 3);
-    After(traffic.waits_to_return ? told : FractionalMillis(20),
-          [this, caller] { Ask(caller); });
+    After(traffic.waits_before_retry ? retry_delay : FractionalMillis(20),
+          [this, caller] { Send(caller); });
   }
 
   void After(FractionalMillis time, std::function<void()> action) {
@@ -210,7 +211,7 @@
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  std::uint64_t drawn_ = 0;
+  std::uint64_t last_random_ = 0;
   std::uint64_t last_id_ = 0;
   std::uint64_t callers_ = 0;
   PlacementPolicy policy_;
@@ -228,20 +229,20 @@
   std::vector<Tally> tallies_;
 };
 
-class Foreseeing : public TooLittleRoom {
+class WithAdmissionControl : public OverloadSimulation {
  public:
-  Foreseeing() : TooLittleRoom(true) {}
+  WithAdmissionControl() : OverloadSimulation(true) {}
 };
-class Unforeseeing : public TooLittleRoom {
+class WithoutAdmissionControl : public OverloadSimulation {
  public:
-  Unforeseeing() : TooLittleRoom(false) {}
+  WithoutAdmissionControl() : OverloadSimulation(false) {}
 };
 
-const Traffic kExplain{5000,         Millis(300), Millis(250), Millis(10000),
-                       Millis(1600), 120,         1,           true};
+const Traffic kShortPrompts{
+    5000, Millis(300), Millis(250), Millis(10000), Millis(1600), 120, 1, true};
 
-// Digests of `prompt` tokens.
-Traffic Digests(std::int64_t prompt, double per_second) {
+// Long prompts of `prompt` tokens.
+Traffic LongPrompts(std::int64_t prompt, double per_second) {
   return Traffic{prompt,
                  Millis(4000),
                  Millis(1000),
@@ -252,76 +253,79 @@
                  true};
 }
 
-// The peak of a wave of short prompts beside 2.8 times the usual long ones,
-// a third of which no single engine holds.
-std::vector<Tally> PlayFlood(TooLittleRoom* room) {
-  return room->Play(
-      {kExplain, Digests(160000, 2), Digests(220000, 2), Digests(400000, 1.9)},
-      Millis(12000), [](Millis /*passed*/) {});
+// The peak of a burst of short prompts, together with 2.8 times the usual
+// number of long ones. A third of the long ones do not fit into the memory of
+// any single engine.
+std::vector<Tally> RunLongPromptOverload(OverloadSimulation* simulation) {
+  return simulation->Run({kShortPrompts, LongPrompts(160000, 2),
+                          LongPrompts(220000, 2), LongPrompts(400000, 1.9)},
+                         Millis(12000), [](Millis /*passed*/) {});
 }
 
-// A quarter of the engines is gone for 16 s while as many short prompts come as
-// all of them could read. Half of the callers wait until they are told to
-// return; the others repeat at once, four times.
-std::vector<Tally> PlayLoss(TooLittleRoom* room) {
-  constexpr int kLost = 13;
-  constexpr Millis kLostAt{4000};
-  constexpr Millis kBackAt{20000};
-  Traffic patient = kExplain;
+// A quarter of the engines is down for 16 s while short prompts arrive at the
+// rate that all engines together could prefill. Half of the callers wait for
+// the time they are given; the others retry at once, up to four times.
+std::vector<Tally> RunEngineOutage(OverloadSimulation* simulation) {
+  constexpr int kDownEngines = 13;
+  constexpr Millis kDownAt{4000};
+  constexpr Millis kUpAt{20000};
+  Traffic patient = kShortPrompts;
   patient.per_second = 160;
-  Traffic hasty = patient;
-  hasty.returns = 4;
-  hasty.waits_to_return = false;
-  return room->Play({patient, hasty}, Millis(24000), [=](Millis passed) {
-    for (int i = 0; i < kLost && passed == kLostAt; ++i) {
-      room->SetEngine(i, false);
-    }
-    for (int i = 0; i < kLost && passed == kBackAt; ++i) {
-      room->SetEngine(i, true);
-    }
-  });
+  Traffic impatient = patient;
+  impatient.max_retries = 4;
+  impatient.waits_before_retry = false;
+  return simulation->Run(
+      {patient, impatient}, Millis(24000), [=](Millis passed) {
+        for (int i = 0; i < kDownEngines && passed == kDownAt; ++i) {
+          simulation->SetEngine(i, false);
+        }
+        for (int i = 0; i < kDownEngines && passed == kUpAt; ++i) {
+          simulation->SetEngine(i, true);
+        }
+      });
 }
 
 Tally Sum(const std::vector<Tally>& tallies) {
   Tally sum;
   for (const Tally& one : tallies) {
-    sum.asked += one.asked;
+    sum.sent += one.sent;
     sum.in_time += one.in_time;
     sum.late += one.late;
-    sum.refused_again += one.refused_again;
-    sum.lost += one.lost;
+    sum.rejected_again += one.rejected_again;
+    sum.unserved += one.unserved;
   }
   return sum;
 }
 
 TEST_CASE(
-    "In a flood of long prompts nobody who returns is refused again, and "
-    "the short ones stay in time") {
-  Foreseeing with;
-  Unforeseeing without;
-  const std::vector<Tally> foreseen = PlayFlood(&with);
-  const std::vector<Tally> unforeseen = PlayFlood(&without);
-  CHECK(foreseen.front().in_time == foreseen.front().asked);
-  CHECK(Sum(foreseen).refused_again < Sum(unforeseen).refused_again / 2);
-  CHECK(Sum(foreseen).lost < Sum(unforeseen).lost / 2);
-  // The largest tenth does not starve: it comes late, but it comes.
-  CHECK(foreseen.back().in_time + foreseen.back().late >
-        unforeseen.back().in_time + unforeseen.back().late);
+    "With too many long prompts fewer retries are rejected, and short "
+    "prompts meet their target") {
+  WithAdmissionControl with;
+  WithoutAdmissionControl without;
+  const std::vector<Tally> with_tallies = RunLongPromptOverload(&with);
+  const std::vector<Tally> without_tallies = RunLongPromptOverload(&without);
+  CHECK(with_tallies.front().in_time == with_tallies.front().sent);
+  CHECK(Sum(with_tallies).rejected_again <
+        Sum(without_tallies).rejected_again / 2);
+  CHECK(Sum(with_tallies).unserved < Sum(without_tallies).unserved / 2);
+  // The largest prompts do not starve: they are served, if late.
+  CHECK(with_tallies.back().in_time + with_tallies.back().late >
+        without_tallies.back().in_time + without_tallies.back().late);
 }
 
 TEST_CASE(
-    "With a quarter of the engines gone more short prompts are in time, "
-    "and who repeats at once gains nothing over who waits") {
-  Foreseeing with;
-  Unforeseeing without;
-  const std::vector<Tally> foreseen = PlayLoss(&with);
-  const std::vector<Tally> unforeseen = PlayLoss(&without);
-  CHECK(Sum(foreseen).in_time > Sum(unforeseen).in_time * 3 / 2);
-  const Tally& patient = foreseen.front();
-  const Tally& hasty = foreseen.back();
-  CAPTURE(patient.in_time, patient.late, patient.lost);
-  CAPTURE(hasty.in_time, hasty.late, hasty.lost);
-  CHECK(hasty.in_time <= patient.in_time);
+    "With a quarter of the engines down more short prompts meet their "
+    "target, and retrying at once gains nothing over waiting") {
+  WithAdmissionControl with;
+  WithoutAdmissionControl without;
+  const std::vector<Tally> with_tallies = RunEngineOutage(&with);
+  const std::vector<Tally> without_tallies = RunEngineOutage(&without);
+  CHECK(Sum(with_tallies).in_time > Sum(without_tallies).in_time * 3 / 2);
+  const Tally& patient = with_tallies.front();
+  const Tally& impatient = with_tallies.back();
+  CAPTURE(patient.in_time, patient.late, patient.unserved);
+  CAPTURE(impatient.in_time, impatient.late, impatient.unserved);
+  CHECK(impatient.in_time <= patient.in_time);
 }
 
 }  // namespace
--- a/src/core/wait_queue_test.cc
+++ b/src/core/wait_queue_test.cc
@@ -8,56 +8,61 @@
 constexpr FractionalMillis kWork{4000};
 
 TEST_CASE(
-    "Requests with little time to spare go first, and those that are "
-    "late after all others, the quickest first") {
+    "Requests with the least slack go first, and late ones go last by "
+    "prefill time") {
   TimePoint now{std::chrono::hours(1)};
-  WaitQueue room([&now] { return now; });
+  WaitQueue queue([&now] { return now; });
   const FractionalMillis quick(50);
   const FractionalMillis slow(500);
-  const WaitingRequestId late_slow = room.Add({now - Millis(1), slow, kWork});
-  const WaitingRequestId late_quick = room.Add({now - Millis(9), quick, kWork});
-  const WaitingRequestId relaxed = room.Add({now + Millis(3000), slow, kWork});
-  const WaitingRequestId pressed = room.Add({now + Millis(700), slow, kWork});
-  const std::vector<WaitingRequestId> order = room.InOrder(9);
-  CHECK(order ==
-        std::vector<WaitingRequestId>{pressed, relaxed, late_quick, late_slow});
-  CHECK(room.MostUrgent() == Urgency(200));
-  room.Remove(pressed);
-  CHECK(room.InOrder(1) == std::vector<WaitingRequestId>{relaxed});
+  const WaitingRequestId late_slow = queue.Add({now - Millis(1), slow, kWork});
+  const WaitingRequestId late_quick =
+      queue.Add({now - Millis(9), quick, kWork});
+  const WaitingRequestId more_slack =
+      queue.Add({now + Millis(3000), slow, kWork});
+  const WaitingRequestId less_slack =
+      queue.Add({now + Millis(700), slow, kWork});
+  const std::vector<WaitingRequestId> order = queue.InOrder(9);
+  CHECK(order == std::vector<WaitingRequestId>{less_slack, more_slack,
+                                               late_quick, late_slow});
+  CHECK(queue.MostUrgent() == Urgency(200));
+  queue.Remove(less_slack);
+  CHECK(queue.InOrder(1) == std::vector<WaitingRequestId>{more_slack});
 }
 
-TEST_CASE("The least late work is that of requests that cannot be in time") {
+TEST_CASE(
+    "The least late work counts only requests that cannot meet their "
+    "target") {
   TimePoint now{std::chrono::hours(1)};
-  WaitQueue room([&now] { return now; });
-  room.Add({now + Millis(1000), FractionalMillis(50), FractionalMillis(500)});
-  CHECK_FALSE(room.LeastLateWork().has_value());
-  room.Add({now + Millis(100), FractionalMillis(200), FractionalMillis(3000)});
-  room.Add({now - Millis(100), FractionalMillis(20), FractionalMillis(2000)});
-  CHECK(room.LeastLateWork() == FractionalMillis(2000));
+  WaitQueue queue([&now] { return now; });
+  queue.Add({now + Millis(1000), FractionalMillis(50), FractionalMillis(500)});
+  CHECK_FALSE(queue.LeastLateWork().has_value());
+  queue.Add({now + Millis(100), FractionalMillis(200), FractionalMillis(3000)});
+  queue.Add({now - Millis(100), FractionalMillis(20), FractionalMillis(2000)});
+  CHECK(queue.LeastLateWork() == FractionalMillis(2000));
   now += Millis(960);
-  CHECK(room.LeastLateWork() == FractionalMillis(500));
+  CHECK(queue.LeastLateWork() == FractionalMillis(500));
 }
 
-TEST_CASE("An empty waiting room has nothing urgent") {
-  const WaitQueue room([] { return TimePoint{}; });
-  CHECK_FALSE(room.MostUrgent().has_value());
+TEST_CASE("An empty queue has no most urgent request") {
+  const WaitQueue queue([] { return TimePoint{}; });
+  CHECK_FALSE(queue.MostUrgent().has_value());
 }
 
-// A flood of prompts that want twice the engine time that there is.
-TEST_CASE("In a flood the order decides who is served in time") {
+// Prompts that need twice the available engine time.
+TEST_CASE("Under overload the queue order decides which request goes first") {
   TimePoint now{std::chrono::hours(1)};
   const FractionalMillis quick(50);
   const auto order_of = [&now, quick](QueueOrder order) {
-    WaitQueue room([&now] { return now; }, order);
+    WaitQueue queue([&now] { return now; }, order);
     const WaitingRequest old_small{now + Millis(100), quick,
                                    FractionalMillis(900)};
     const WaitingRequest new_large{now + Millis(900), quick,
                                    FractionalMillis(4000)};
     const WaitingRequest late{now - Millis(1), quick, FractionalMillis(10)};
-    const WaitingRequestId large = room.Add(new_large);
-    room.Add(late);
-    const WaitingRequestId small = room.Add(old_small);
-    const std::vector<WaitingRequestId> ids = room.InOrder(3);
+    const WaitingRequestId large = queue.Add(new_large);
+    queue.Add(late);
+    const WaitingRequestId small = queue.Add(old_small);
+    const std::vector<WaitingRequestId> ids = queue.InOrder(3);
     return std::make_pair(ids[0] == small && ids[1] == large,
                           ids[0] == large && ids[1] == small);
   };
@@ -66,62 +71,66 @@
   CHECK(order_of(LeastWorkFirst{}).first);
 }
 
-TEST_CASE("Of prompts of the same work the one with less to spare goes first") {
+TEST_CASE("Of prompts with equal work the one with less slack goes first") {
   TimePoint now{std::chrono::hours(1)};
-  WaitQueue room([&now] { return now; }, LeastWorkFirst{});
+  WaitQueue queue([&now] { return now; }, LeastWorkFirst{});
   const FractionalMillis quick(50);
-  room.Add({now + Millis(900), quick, kWork});
-  const WaitingRequestId pressed = room.Add({now + Millis(300), quick, kWork});
-  CHECK(room.InOrder(1) == std::vector<WaitingRequestId>{pressed});
+  queue.Add({now + Millis(900), quick, kWork});
+  const WaitingRequestId less_slack =
+      queue.Add({now + Millis(300), quick, kWork});
+  CHECK(queue.InOrder(1) == std::vector<WaitingRequestId>{less_slack});
 }
 
 TEST_CASE(
-    "With shares, an account that has had its own goes after the others that "
-    "can be in time, and before those that cannot") {
+    "With shares, requests of an account over its share go after "
+    "other requests that can meet their target and before late ones") {
   TimePoint now{std::chrono::hours(1)};
   const FractionalMillis quick(50);
   const auto order_of = [&now, quick](bool shares) {
-    WaitQueue room([&now] { return now; }, LeastSlackFirst{}, shares);
+    WaitQueue queue([&now] { return now; }, LeastSlackFirst{}, shares);
     const auto claim = [](const char* account) {
       return ShareClaim{AccountId{account}, kWork, 0};
     };
-    room.OnGranted(claim("large"));
-    room.OnGranted(claim("large"));
+    queue.OnGranted(claim("large"));
+    queue.OnGranted(claim("large"));
     const TimePoint soon = now + Millis(100);
-    const WaitingRequestId sated =
-        room.Add({soon, quick, kWork, false, TimePoint::max(), claim("large")});
+    const WaitingRequestId over_share = queue.Add(
+        {soon, quick, kWork, false, TimePoint::max(), claim("large")});
     const WaitingRequestId next =
-        room.Add({soon + Millis(50), quick, kWork, false, TimePoint::max(),
-                  claim("large")});
-    const WaitingRequestId owed =
-        room.Add({now + Millis(900), quick, kWork, false, TimePoint::max(),
-                  claim("small")});
+        queue.Add({soon + Millis(50), quick, kWork, false, TimePoint::max(),
+                   claim("large")});
+    const WaitingRequestId under_share =
+        queue.Add({now + Millis(900), quick, kWork, false, TimePoint::max(),
+                   claim("small")});
     const WaitingRequestId late =
-        room.Add({now - Millis(1), quick, kWork, false, TimePoint::max(),
-                  claim("small")});
-    const std::vector<WaitingRequestId> order = room.InOrder(4);
-    if (order == std::vector<WaitingRequestId>{owed, sated, next, late}) {
+        queue.Add({now - Millis(1), quick, kWork, false, TimePoint::max(),
+                   claim("small")});
+    const std::vector<WaitingRequestId> order = queue.InOrder(4);
+    if (order ==
+        std::vector<WaitingRequestId>{under_share, over_share, next, late}) {
       return 1;
     }
-    return order == std::vector<WaitingRequestId>{sated, next, owed, late} ? 0
-                                                                           : -1;
+    return order == std::vector<WaitingRequestId>{over_share, next, under_share,
+                                                  late}
+               ? 0
+               : -1;
   };
   CHECK(order_of(true) == 1);
   CHECK(order_of(false) == 0);
 }
 
-TEST_CASE("With shares, one that leaves the room no longer counts") {
-  WaitQueue room([] { return TimePoint{}; }, LeastSlackFirst{}, true);
+TEST_CASE("With shares, a removed request no longer counts") {
+  WaitQueue queue([] { return TimePoint{}; }, LeastSlackFirst{}, true);
   const ShareClaim large{AccountId{"large"}, kWork, 0};
   const ShareClaim small{AccountId{"small"}, kWork, 0};
-  room.OnGranted(large);
+  queue.OnGranted(large);
   const WaitingRequestId id =
-      room.Add({TimePoint{}, kWork, kWork, false, TimePoint::max(), small});
-  CHECK(room.ShareRankOf(large) == ShareRank::kAfter);
-  room.Remove(id);
-  room.Remove(id);
-  CHECK(room.WaitingAccounts() == 0);
-  CHECK(room.ShareRankOf(large) == ShareRank::kEqual);
+      queue.Add({TimePoint{}, kWork, kWork, false, TimePoint::max(), small});
+  CHECK(queue.ShareRankOf(large) == ShareRank::kAfter);
+  queue.Remove(id);
+  queue.Remove(id);
+  CHECK(queue.WaitingAccounts() == 0);
+  CHECK(queue.ShareRankOf(large) == ShareRank::kEqual);
 }
 
 }  // namespace
