--- a/src/core/account_limiter_test.cc
+++ b/src/core/account_limiter_test.cc
@@ -12,13 +12,13 @@
   AccountLimiter limiter{[this] { return now; }};
 };
 
-TEST_CASE_METHOD(Fixture, "An account without a limit is never refused") {
+TEST_CASE_METHOD(Fixture, "An account without a limit is never rejected") {
   for (int i = 0; i < 100; ++i) {
     CHECK_FALSE(limiter.Charge(kTinta, Tokens{0}, 1, Tokens{1000000}));
   }
 }
 
-TEST_CASE_METHOD(Fixture, "A refusal says after how long to come back") {
+TEST_CASE_METHOD(Fixture, "A call is admitted after the returned wait") {
   CHECK_FALSE(limiter.Charge(kTinta, Tokens{1000}, 1, Tokens{3000}));
   const auto wait = limiter.Charge(kTinta, Tokens{1000}, 1, Tokens{10});
   REQUIRE(wait);
@@ -26,7 +26,7 @@
   CHECK_FALSE(limiter.Charge(kTinta, Tokens{1000}, 1, Tokens{10}));
 }
 
-TEST_CASE_METHOD(Fixture, "Hosts together hold to the limit over time") {
+TEST_CASE_METHOD(Fixture, "All hosts together keep to the limit over time") {
   constexpr int kHosts = 8;
   constexpr std::int64_t kLimit = 8000;
   std::vector<AccountLimiter> hosts(kHosts,
@@ -48,7 +48,7 @@
   CHECK(passed >= kLimit * kSeconds * 95 / 100);
 }
 
-TEST_CASE_METHOD(Fixture, "A request that did not run costs nothing") {
+TEST_CASE_METHOD(Fixture, "A refunded request costs nothing") {
   CHECK_FALSE(limiter.Charge(kTinta, Tokens{1000}, 1, Tokens{5000}));
   limiter.Refund(kTinta, Tokens{5000});
   CHECK_FALSE(limiter.Charge(kTinta, Tokens{1000}, 1, Tokens{10}));
--- a/src/core/account_shares_test.cc
+++ b/src/core/account_shares_test.cc
@@ -20,7 +20,7 @@
 };
 
 TEST_CASE_METHOD(SharesFixture,
-                 "An account that wants less than its share goes first") {
+                 "An account that demands less than its share goes first") {
   shares_.OnGranted(ClaimFor(kLarge, 10000));
   for (int i = 0; i < 10; ++i) {
     shares_.OnQueued(ClaimFor(kLarge, 1000));
@@ -32,14 +32,15 @@
 }
 
 TEST_CASE_METHOD(SharesFixture,
-                 "An account that waits alone goes after nobody") {
+                 "An account that waits alone is not held back") {
   shares_.OnGranted(ClaimFor(kLarge, 90000));
   shares_.OnQueued(ClaimFor(kLarge, 9000));
   CHECK(shares_.AccountsOverShare().empty());
   CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kEqual);
 }
 
-TEST_CASE_METHOD(SharesFixture, "Asking for more gains an account nothing") {
+TEST_CASE_METHOD(SharesFixture,
+                 "A larger demand does not improve the rank of an account") {
   shares_.OnGranted(ClaimFor(kLarge, 10000));
   shares_.OnGranted(ClaimFor(kSmall, 4000));
   shares_.OnQueued(ClaimFor(kSmall, 90000));
@@ -49,8 +50,7 @@
   }
 }
 
-TEST_CASE_METHOD(SharesFixture,
-                 "Accounts that have had about as much do not change places") {
+TEST_CASE_METHOD(SharesFixture, "Accounts with about equal grants rank equal") {
   shares_.OnGranted(ClaimFor(kLarge, 10000));
   shares_.OnGranted(ClaimFor(kSmall, 9000));
   shares_.OnQueued(ClaimFor(kLarge, 9000));
@@ -58,17 +58,17 @@
   CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 9000)) == ShareRank::kEqual);
 }
 
-TEST_CASE_METHOD(SharesFixture,
-                 "An account that wants little more than its share is not "
-                 "held back") {
+TEST_CASE_METHOD(
+    SharesFixture,
+    "An account that demands little more than its share is not held "
+    "back") {
   shares_.OnGranted(ClaimFor(kLarge, 10000));
   shares_.OnQueued(ClaimFor(kSmall, 500));
   CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 500)) == ShareRank::kEqual);
   CHECK(shares_.ShareRankOf(ClaimFor(kLarge, 5000)) == ShareRank::kAfter);
 }
 
-TEST_CASE_METHOD(SharesFixture,
-                 "A step of priority is worth twice the engine time") {
+TEST_CASE_METHOD(SharesFixture, "Each step of priority doubles the charge") {
   shares_.OnGranted(ClaimFor(kLarge, 10000, 0));
   shares_.OnGranted(ClaimFor(kSmall, 5000, 1));
   shares_.OnQueued(ClaimFor(kLarge, 90000, 0));
@@ -78,7 +78,7 @@
   CHECK(shares_.AccountsOverShare() == std::set<AccountId>{kSmall});
 }
 
-TEST_CASE_METHOD(SharesFixture, "What was given long ago is forgotten") {
+TEST_CASE_METHOD(SharesFixture, "Old grants decay") {
   shares_.OnGranted(ClaimFor(kLarge, 10000));
   now_ += 10 * AccountShares::kWindow;
   shares_.OnGranted(ClaimFor(kSmall, 1000));
@@ -88,8 +88,8 @@
 }
 
 TEST_CASE_METHOD(SharesFixture,
-                 "However many accounts come, those that wait and those that "
-                 "had most are kept") {
+                 "Eviction spares waiting accounts and those with the largest "
+                 "grants") {
   shares_.OnQueued(ClaimFor(kSmall, 1000));
   shares_.OnGranted(ClaimFor(kLarge, 50000));
   for (int i = 0; i < 3000; ++i) {
@@ -100,7 +100,8 @@
   CHECK(shares_.WaitingAccounts() == 1);
 }
 
-TEST_CASE_METHOD(SharesFixture, "Forgetting what was given makes all even") {
+TEST_CASE_METHOD(SharesFixture,
+                 "Clearing the grants makes all accounts equal") {
   shares_.OnGranted(ClaimFor(kLarge, 50000));
   shares_.OnQueued(ClaimFor(kLarge, 9000));
   shares_.OnQueued(ClaimFor(kSmall, 9000));
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -1,6 +1,6 @@
-// Hosts with work without end before one endpoint that names a limit in its
-// answers. What each host knows comes from its own answers and, where links
-// hold, from words between hosts.
+// Simulates hosts with unlimited work and one endpoint that names a rate limit
+// in its responses. Each host learns of the limit from the responses to its own
+// requests and, while the links work, from reports of other hosts.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -20,22 +20,23 @@
 
 const EndpointId kEndpoint{"e0"};
 constexpr Millis kStep{10};
-// From the endpoint's bound: hosts that were told so long ago are bound.
-constexpr Millis kTold{500};
+// A host must keep to the limit from this time after it first heard of it.
+constexpr Millis kAdjustTime{500};
 
 struct FleetOptions {
   int hosts = 3;
   bool links_hold = true;
-  // Returns what the endpoint names, `time` after the start; nothing if none.
-  std::function<std::optional<RequestRate>(Millis time)> named;
+  // Returns the limit that the endpoint names `time` after the start, or
+  // nothing.
+  std::function<std::optional<RequestRate>(Millis time)> limit_at;
   std::uint64_t seed = 1;
 };
 
-// One arrival at the endpoint.
+// A request that arrives at the endpoint.
 struct Arrival {
   TimePoint at{};
-  // Since when its host has been told a limit by the endpoint itself.
-  std::optional<TimePoint> told;
+  // When its host first heard of a limit from the endpoint itself.
+  std::optional<TimePoint> heard_at;
 };
 
 class LimitedFleet {
@@ -48,18 +49,18 @@
     }
   }
 
-  void Play(Millis time) {
+  void Run(Millis time) {
     const TimePoint end = now_ + time;
     while (now_ < end) {
-      TakeAnswers();
+      ReceiveResponses();
       for (const auto& host : hosts_) {
-        // Some of them have nothing to send at times.
+        // Each host has nothing to send in a quarter of the steps.
         if (random_() % 4 != 0) {
           TrySend(host.get());
         }
       }
-      if (options_.links_hold && now_ - told_ >= kWordInterval) {
-        TellEachOther();
+      if (options_.links_hold && now_ - last_exchange_ >= kReportInterval) {
+        ExchangeReports();
       }
       now_ += kStep;
     }
@@ -68,26 +69,28 @@
   const std::vector<Arrival>& Arrivals() const { return arrivals_; }
   TimePoint Started() const { return started_; }
 
-  // Returns the most arrivals in any window of the platform's bound that counts
-  // from hosts that are bound.
-  std::size_t MostBound(Millis from) const {
-    std::vector<TimePoint> bound;
+  // Returns the largest number of arrivals within
+  // EndpointRateLimits::kLimitPeriod, from hosts that must keep to the limit.
+  std::size_t MaxArrivalsUnderLimit(Millis from) const {
+    std::vector<TimePoint> arrivals;
     for (const Arrival& arrival : arrivals_) {
-      if (arrival.told.has_value() && arrival.at - *arrival.told >= kTold &&
+      if (arrival.heard_at.has_value() &&
+          arrival.at - *arrival.heard_at >= kAdjustTime &&
           arrival.at >= started_ + from) {
-        bound.push_back(arrival.at);
+        arrivals.push_back(arrival.at);
       }
     }
-    std::sort(bound.begin(), bound.end());
-    std::size_t most = 0;
+    std::sort(arrivals.begin(), arrivals.end());
+    std::size_t largest = 0;
     std::size_t first = 0;
-    for (std::size_t last = 0; last < bound.size(); ++last) {
-      while (bound[last] - bound[first] >= EndpointRateLimits::kLimitPeriod) {
+    for (std::size_t last = 0; last < arrivals.size(); ++last) {
+      while (arrivals[last] - arrivals[first] >=
+             EndpointRateLimits::kLimitPeriod) {
         ++first;
       }
-      most = std::max(most, last - first + 1);
+      largest = std::max(largest, last - first + 1);
     }
-    return most;
+    return largest;
   }
 
   std::size_t ArrivedWithin(Millis from, Millis to) const {
@@ -99,7 +102,7 @@
   }
 
  private:
-  static constexpr Millis kWordInterval{300};
+  static constexpr Millis kReportInterval{300};
 
   struct Host {
     Host(HostAddress host, int fleet, const MonotonicClock& clock)
@@ -116,15 +119,15 @@
     ColdEndpoints cold;
     StartQuotas shares;
     StartHistory starts;
-    std::optional<TimePoint> told;
+    std::optional<TimePoint> heard_at;
   };
 
-  struct Answer {
+  struct Response {
     TimePoint at{};
     Host* host = nullptr;
     std::optional<RequestRate> rate;
     TimePoint sent_at{};
-    bool operator<(const Answer& other) const { return at > other.at; }
+    bool operator<(const Response& other) const { return at > other.at; }
   };
 
   void TrySend(Host* host) {
@@ -135,32 +138,35 @@
     Placement placement;
     placement.endpoint.id = kEndpoint;
     host->shares.Add(placement, ServiceProfile{}, host->address, &host->starts);
-    const auto way = Millis(static_cast<std::int64_t>(random_() % 100));
-    const auto work = Millis(100 + static_cast<std::int64_t>(random_() % 400));
-    arrivals_.push_back(Arrival{now_ + way, host->told});
-    const TimePoint answered = now_ + way + work;
-    answers_.push(Answer{
-        answered, host,
-        options_.named(std::chrono::duration_cast<Millis>(answered - started_)),
+    const auto travel_time = Millis(static_cast<std::int64_t>(random_() % 100));
+    const auto service_time =
+        Millis(100 + static_cast<std::int64_t>(random_() % 400));
+    arrivals_.push_back(Arrival{now_ + travel_time, host->heard_at});
+    const TimePoint responded_at = now_ + travel_time + service_time;
+    responses_.push(Response{
+        responded_at, host,
+        options_.limit_at(
+            std::chrono::duration_cast<Millis>(responded_at - started_)),
         now_});
   }
 
-  void TakeAnswers() {
-    while (!answers_.empty() && answers_.top().at <= now_) {
-      const Answer answer = answers_.top();
-      answers_.pop();
+  void ReceiveResponses() {
+    while (!responses_.empty() && responses_.top().at <= now_) {
+      const Response response = responses_.top();
+      responses_.pop();
       RateLimitHint word = NoRateLimit{};
-      if (answer.rate.has_value()) {
-        word = *answer.rate;
-        answer.host->told = answer.host->told.value_or(now_);
+      if (response.rate.has_value()) {
+        word = *response.rate;
+        response.host->heard_at = response.host->heard_at.value_or(now_);
       }
-      answer.host->limits.OnAnswer(kEndpoint, word, answer.sent_at);
+      response.host->limits.OnAnswer(kEndpoint, word, response.sent_at);
     }
   }
 
-  // The first one plans: it hears from all, and answers.
-  void TellEachOther() {
-    told_ = now_;
+  // The first host is the planner. It collects the reports of all hosts and
+  // sends them back.
+  void ExchangeReports() {
+    last_exchange_ = now_;
     for (const auto& host : hosts_) {
       for (const RateLimitReport& report : host->limits.Reports()) {
         hosts_.front()->limits.MergeFromPeer(report);
@@ -176,11 +182,11 @@
   FleetOptions options_;
   TimePoint now_{std::chrono::hours(1)};
   TimePoint started_ = now_;
-  TimePoint told_{};
+  TimePoint last_exchange_{};
   MonotonicClock clock_ = [this] { return now_; };
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<Host>> hosts_;
-  std::priority_queue<Answer> answers_;
+  std::priority_queue<Response> responses_;
   std::vector<Arrival> arrivals_;
 };
 
@@ -189,7 +195,7 @@
                                   EndpointRateLimits::kBurstAllowance);
 }
 
-TEST_CASE("Hosts together keep to a limit, with links and without") {
+TEST_CASE("All hosts together keep to a limit, with and without links") {
   const int hosts = GENERATE(1, 2, 3, 11, 27, 100);
   const double rate = GENERATE(0.0, 0.05, 0.4, 1.6, 7.0, 40.0);
   const bool links_hold = GENERATE(true, false);
@@ -199,12 +205,12 @@
     options.hosts = hosts;
     options.links_hold = links_hold;
     options.seed = seed;
-    options.named = [rate](Millis) { return RequestRate{rate}; };
+    options.limit_at = [rate](Millis) { return RequestRate{rate}; };
     LimitedFleet fleet(options);
-    fleet.Play(Millis(40000));
+    fleet.Run(Millis(40000));
     CAPTURE(seed);
-    CHECK(fleet.MostBound(Millis(0)) <= Allowed(rate));
-    // In the long run, where all hosts know of it, no more than it names.
+    CHECK(fleet.MaxArrivalsUnderLimit(Millis(0)) <= Allowed(rate));
+    // If all hosts know the limit, the long-term rate does not exceed it.
     if (links_hold && rate > EndpointRateLimits::kProbesPerSecond) {
       const auto arrived = fleet.ArrivedWithin(Millis(5000), Millis(40000));
       CHECK(static_cast<double>(arrived) <= 1.1 * rate * 35 + 5);
@@ -212,44 +218,47 @@
   }
 }
 
-TEST_CASE("A limit that changes is kept to as it is named last") {
+TEST_CASE("Hosts keep to the limit that was named last") {
   FleetOptions options;
   options.hosts = GENERATE(3, 24);
-  options.named = [](Millis time) {
+  options.limit_at = [](Millis time) {
     return RequestRate{time < Millis(10000) ? 20.0 : 1.5};
   };
   LimitedFleet fleet(options);
-  fleet.Play(Millis(30000));
+  fleet.Run(Millis(30000));
   CHECK(fleet.ArrivedWithin(Millis(4000), Millis(10000)) > 30);
-  // Those that hosts were about to send when it changed have passed by then.
-  CHECK(fleet.MostBound(Millis(11000)) <= Allowed(1.5));
+  // Requests that were in flight when the limit changed have arrived by then.
+  CHECK(fleet.MaxArrivalsUnderLimit(Millis(11000)) <= Allowed(1.5));
 }
 
-TEST_CASE("A limit that ends lets work return without a wave") {
+TEST_CASE("Work returns gradually after a limit ends") {
   FleetOptions options;
   options.hosts = GENERATE(3, 24);
-  options.named = [](Millis time) {
+  options.limit_at = [](Millis time) {
     return time < Millis(10000) ? std::make_optional(RequestRate{2})
                                 : std::nullopt;
   };
   LimitedFleet fleet(options);
-  fleet.Play(Millis(30000));
+  fleet.Run(Millis(30000));
   CHECK(fleet.ArrivedWithin(Millis(10000), Millis(11000)) <= 10);
-  // Free again, each host sends three times in four steps.
+  // Without a limit each host sends in three of four steps.
   CHECK(fleet.ArrivedWithin(Millis(28000), Millis(29000)) > 100);
 }
 
-TEST_CASE("A limit that is named on and off is kept to while it is named") {
+TEST_CASE(
+    "Hosts keep to a limit that is named intermittently while it is "
+    "named") {
   FleetOptions options;
   options.hosts = 3;
-  options.named = [](Millis time) {
+  options.limit_at = [](Millis time) {
     return time.count() / 6000 % 2 == 0 ? std::make_optional(RequestRate{1.5})
                                         : std::nullopt;
   };
   LimitedFleet fleet(options);
-  fleet.Play(Millis(60000));
+  fleet.Run(Millis(60000));
   for (int from = 0; from < 60000; from += 12000) {
-    // Within a span that it is named in, once that is known.
+    // In each period in which the limit is named, after the hosts know of
+    // it.
     CHECK(fleet.ArrivedWithin(Millis(from + 2000), Millis(from + 6000)) <=
           Allowed(1.5));
   }
--- a/src/core/start_quotas_test.cc
+++ b/src/core/start_quotas_test.cc
@@ -13,8 +13,8 @@
 
 const ServiceName kService{"svc"};
 const EndpointId kEndpoint{"e0"};
-// 32 requests a second, times 1.5, and 5.
-constexpr ColdLimit kBound{1.5, 5};
+// 32 requests per second, times 1.5, plus 5.
+constexpr ColdLimit kLimit{1.5, 5};
 constexpr double kColdStartsPerS = 32;
 constexpr std::size_t kMostInASecond = 53;
 
@@ -48,11 +48,12 @@
   EndpointRateLimits limits_{clock_};
 };
 
-TEST_CASE_METHOD(SharesFixture,
-                 "Parts that an endpoint reads for another count for a limit "
-                 "that it names, and not while it is only cold") {
+TEST_CASE_METHOD(
+    SharesFixture,
+    "Prefill parts for another endpoint count toward a named limit "
+    "but not toward the limit of a cold endpoint") {
   const StartQuotas shares(
-      kBound, &endpoints_, &limits_, HostBackoffs{}, [] { return 1; }, clock_);
+      kLimit, &endpoints_, &limits_, HostBackoffs{}, [] { return 1; }, clock_);
   StartHistory starts(clock_);
   Placement placement;
   placement.endpoint.id = EndpointId{"writer"};
@@ -73,7 +74,8 @@
   CHECK_FALSE(shares.MayStart(starts, Host(0), kEndpoint, Service()));
 }
 
-TEST_CASE_METHOD(SharesFixture, "Two bursts never share a second") {
+TEST_CASE_METHOD(SharesFixture,
+                 "Starts at least a window apart do not count together") {
   StartHistory starts(clock_);
   starts.Add(Host(0), kEndpoint);
   starts.Add(Host(0), kEndpoint);
@@ -84,14 +86,15 @@
   CHECK(starts.CountWithin(Host(0), kEndpoint, ColdEndpoints::kWindow) == 0);
 }
 
-TEST_CASE_METHOD(SharesFixture, "The parts of all hosts add up to the bound") {
+TEST_CASE_METHOD(SharesFixture,
+                 "The quotas of all hosts add up to at most the limit") {
   endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
   const ServiceProfile service = Service();
   for (const int hosts : {1, 3, 24, 53, 54, 100, 300, 810}) {
     const StartQuotas shares(
-        kBound, &endpoints_, &limits_, HostBackoffs{},
+        kLimit, &endpoints_, &limits_, HostBackoffs{},
         [hosts] { return hosts; }, clock_);
-    // The hash names others for other endpoints.
+    // The hash chooses different hosts for each endpoint.
     for (int endpoint = 0; endpoint < 200; ++endpoint) {
       EndpointRecord record = ColdRecord(Millis(3000));
       record.id = EndpointId{"e" + std::to_string(endpoint)};
@@ -107,15 +110,15 @@
 }
 
 TEST_CASE_METHOD(SharesFixture,
-                 "A host that does not know the fleet begins nothing there") {
+                 "A host that does not know the fleet size has no quota") {
   endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
   const StartQuotas shares(
-      kBound, &endpoints_, &limits_, HostBackoffs{},
+      kLimit, &endpoints_, &limits_, HostBackoffs{},
       [] { return std::nullopt; }, clock_);
   CHECK(shares.QuotaOf(Host(0), kEndpoint, Service()) == 0.0);
 }
 
-TEST_CASE_METHOD(SharesFixture, "Without a bound nothing is withheld") {
+TEST_CASE_METHOD(SharesFixture, "Without a limit no endpoint is withheld") {
   endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
   const StartHistory starts(clock_);
   ServiceProfile unbounded = Service();
@@ -124,40 +127,41 @@
       ColdLimit{}, &endpoints_, &limits_, HostBackoffs{},
       [] { return std::nullopt; }, clock_);
   CHECK(none.Withheld(starts, Host(0), Service()).empty());
-  const StartQuotas bound(
-      kBound, &endpoints_, &limits_, HostBackoffs{},
+  const StartQuotas limit(
+      kLimit, &endpoints_, &limits_, HostBackoffs{},
       [] { return std::nullopt; }, clock_);
-  CHECK(bound.Withheld(starts, Host(0), unbounded).empty());
-  CHECK(bound.Withheld(starts, Host(0), Service()).size() == 1);
+  CHECK(limit.Withheld(starts, Host(0), unbounded).empty());
+  CHECK(limit.Withheld(starts, Host(0), Service()).size() == 1);
 }
 
-// Returns the most of `times` that lie within one second.
+// Returns the largest number of `times` within one second.
 std::size_t MostInASecond(std::vector<TimePoint> times) {
   std::sort(times.begin(), times.end());
-  std::size_t most = 0;
+  std::size_t largest = 0;
   std::size_t first = 0;
   for (std::size_t last = 0; last < times.size(); ++last) {
     while (times[last] - times[first] >= std::chrono::seconds(1)) {
       ++first;
     }
-    most = std::max(most, last - first + 1);
+    largest = std::max(largest, last - first + 1);
   }
-  return most;
+  return largest;
 }
 
-// Twenty-four hosts in three parts that do not hear of each other, each with a
-// planner that takes itself for the only one, and three hosts that place alone.
-// All of them know one endpoint, which is cold, and have far more work than it
-// takes. Halfway the first planner dies, and a new one follows it that knows
-// nothing of what it gave.
-class CutFleet {
+// A network partition of 24 hosts. Three of them place requests without a
+// planner. The others form three groups that do not communicate, each with a
+// planner that takes itself for the only one. All hosts know a single cold
+// endpoint and have far more work than it takes. Halfway through, the first
+// planner is replaced by a new one that does not know of the placements made
+// before.
+class PartitionedFleet {
  public:
-  CutFleet(ColdLimit bound, std::uint64_t seed)
+  PartitionedFleet(ColdLimit limit, std::uint64_t seed)
       : random_(seed),
         shares_(
-            bound, &endpoints_, &limits_, HostBackoffs{}, [] { return kHosts; },
+            limit, &endpoints_, &limits_, HostBackoffs{}, [] { return kHosts; },
             clock_) {
-    EndpointRecord record = ColdRecord(kPlayed + Millis(1000));
+    EndpointRecord record = ColdRecord(kDuration + Millis(1000));
     record.address = "e0:1";
     directory_.Upsert(record);
     endpoints_.OnRecord(record, Millis(0));
@@ -182,21 +186,21 @@
       planners_.push_back(MakePlanner());
     }
     for (int i = 0; i < kHosts; ++i) {
-      begun_.emplace_back(clock_);
+      starts_.emplace_back(clock_);
     }
   }
 
-  // Returns when requests reached the endpoint.
-  const std::vector<TimePoint>& Play() {
-    const TimePoint end = now_ + kPlayed;
-    const TimePoint halfway = now_ + kPlayed / 2;
-    bool has_followed = false;
+  // Returns the times at which requests reached the endpoint.
+  const std::vector<TimePoint>& Run() {
+    const TimePoint end = now_ + kDuration;
+    const TimePoint halfway = now_ + kDuration / 2;
+    bool is_replaced = false;
     while (now_ < end) {
-      if (!has_followed && now_ >= halfway) {
-        has_followed = true;
+      if (!is_replaced && now_ >= halfway) {
+        is_replaced = true;
         planners_[0] = MakePlanner();
       }
-      for (int i = 0; i < kRequestsInAStep; ++i) {
+      for (int i = 0; i < kRequestsPerStep; ++i) {
         StartRequest(static_cast<int>(random_() % kHosts));
       }
       for (const auto& planner : planners_) {
@@ -206,16 +210,16 @@
       }
       now_ += kStep;
     }
-    return arrived_;
+    return arrivals_;
   }
 
  private:
   static constexpr int kHosts = 24;
   static constexpr int kPlanners = 3;
-  static constexpr int kAlone = 3;
-  static constexpr int kRequestsInAStep = 3;
+  static constexpr int kHostsWithoutPlanner = 3;
+  static constexpr int kRequestsPerStep = 3;
   static constexpr Millis kStep{10};
-  static constexpr Millis kPlayed{6000};
+  static constexpr Millis kDuration{6000};
 
   std::unique_ptr<Planner> MakePlanner() {
     return std::make_unique<Planner>(
@@ -229,9 +233,9 @@
   }
 
   void StartRequest(int host) {
-    if (host < kAlone) {
-      if (MayBegin(host)) {
-        Begin(host);
+    if (host < kHostsWithoutPlanner) {
+      if (HostMayStart(host)) {
+        RecordStart(host);
       }
       return;
     }
@@ -245,7 +249,7 @@
     ask.prompt = Tokens{1000};
     ask.answer = Tokens{10};
     ask.until_late = Millis(500);
-    if (!MayBegin(host)) {
+    if (!HostMayStart(host)) {
       ask.withheld.insert(kEndpoint);
     }
     OnDecision(
@@ -254,25 +258,26 @@
   }
 
   void OnDecision(int host, const PlacementDecision& decision) {
-    if (std::holds_alternative<PlannedPlacement>(decision) && MayBegin(host)) {
-      Begin(host);
+    if (std::holds_alternative<PlannedPlacement>(decision) &&
+        HostMayStart(host)) {
+      RecordStart(host);
     }
   }
 
-  bool MayBegin(int host) {
-    return shares_.MayStart(begun_[static_cast<std::size_t>(host)], Host(host),
+  bool HostMayStart(int host) {
+    return shares_.MayStart(starts_[static_cast<std::size_t>(host)], Host(host),
                             kEndpoint, table_->Document().services.front());
   }
 
-  void Begin(int host) {
-    begun_[static_cast<std::size_t>(host)].Add(Host(host), kEndpoint);
-    // One in four needs a new connection, and the host is busy at times.
+  void RecordStart(int host) {
+    starts_[static_cast<std::size_t>(host)].Add(Host(host), kEndpoint);
+    // One request in four needs a new connection or is sent by a busy host.
     const bool is_slow = random_() % 4 == 0;
     const auto longest =
         is_slow ? EndpointDirectory::kMaxDispatchTime.count() : std::int64_t{5};
     const auto delay = static_cast<std::int64_t>(
         random_() % static_cast<std::uint64_t>(longest));
-    arrived_.push_back(now_ + Millis(delay));
+    arrivals_.push_back(now_ + Millis(delay));
   }
 
   TimePoint now_{std::chrono::hours(1)};
@@ -286,33 +291,38 @@
   StartQuotas shares_;
   std::shared_ptr<const RoutingTable> table_;
   std::vector<std::unique_ptr<Planner>> planners_;
-  // What each host has begun.
-  std::vector<StartHistory> begun_;
-  std::vector<TimePoint> arrived_;
+  // The starts of each host.
+  std::vector<StartHistory> starts_;
+  std::vector<TimePoint> arrivals_;
 };
 
-TEST_CASE("A fleet that is cut in three stays within a cold endpoint's bound") {
+TEST_CASE(
+    "A fleet in three partitions stays within the limit of a cold "
+    "endpoint") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    CutFleet fleet(kBound, seed);
-    const std::size_t most = MostInASecond(fleet.Play());
-    CHECK(most <= kMostInASecond);
-    // Far less would leave the endpoint idle.
-    CHECK(most >= kMostInASecond / 2);
+    PartitionedFleet fleet(kLimit, seed);
+    const std::size_t largest = MostInASecond(fleet.Run());
+    CHECK(largest <= kMostInASecond);
+    // Far fewer would leave the endpoint idle.
+    CHECK(largest >= kMostInASecond / 2);
   }
 }
 
-TEST_CASE("A fleet that is cut in three presses on a cold endpoint") {
-  CutFleet unbounded(ColdLimit{}, 1);
-  CHECK(MostInASecond(unbounded.Play()) > 2 * kMostInASecond);
+TEST_CASE(
+    "Without a limit a fleet in three partitions overloads a cold "
+    "endpoint") {
+  PartitionedFleet unbounded(ColdLimit{}, 1);
+  CHECK(MostInASecond(unbounded.Run()) > 2 * kMostInASecond);
 }
 
-// Three warm plain endpoints and a cold one, to which nobody has sent for a
-// while: as it is idle, all hosts choose it as soon as they may.
-std::vector<int> PlayRise(ColdLimit bound, int hosts) {
+// Three warm endpoints without an engine profile and a cold one, which has had
+// no requests for a while. Since it is idle, all hosts choose it as soon as
+// they may.
+std::vector<int> RunWarmUp(ColdLimit limit, int hosts) {
   constexpr Millis kStep{1};
   constexpr Millis kHalf{500};
   constexpr Millis kCold{3000};
-  constexpr Millis kPlayed{10000};
+  constexpr Millis kDuration{10000};
   TimePoint now{std::chrono::hours(1)};
   const MonotonicClock clock = [&now] { return now; };
   std::mt19937_64 random(7);
@@ -329,7 +339,7 @@
     record.cold_for = Millis(0);
   }
   const StartQuotas shares(
-      bound, &cold, &limits, HostBackoffs{}, [hosts] { return hosts; }, clock);
+      limit, &cold, &limits, HostBackoffs{}, [hosts] { return hosts; }, clock);
   EndpointLoads loads(clock);
   const Placer placer(
       &directory, &loads, &health, DataCentreId{}, LoadScope::kThisHost,
@@ -340,9 +350,9 @@
     WorkId work;
   };
   std::deque<Running> running;
-  std::vector<int> halves(kPlayed / kHalf);
+  std::vector<int> halves(kDuration / kHalf);
   const TimePoint began = now;
-  while (now - began < kPlayed) {
+  while (now - began < kDuration) {
     while (!running.empty() && running.front().ends <= now) {
       loads.End(running.front().work);
       running.pop_front();
@@ -365,29 +375,29 @@
   return halves;
 }
 
-// Returns by how much a half second's load is above one and a half times the
-// one before, at the most, and that of the first half second.
-double Wave(const std::vector<int>& halves) {
-  double most = 0;
+// Returns the largest excess of the load of a half second over 1.5 times that
+// of the half second before. The first two are not compared.
+double LargestRise(const std::vector<int>& halves) {
+  double largest = 0;
   for (std::size_t i = 2; i < halves.size(); ++i) {
-    most = std::max(most, halves[i] - 1.5 * halves[i - 1]);
+    largest = std::max(largest, halves[i] - 1.5 * halves[i - 1]);
   }
-  return most;
+  return largest;
 }
 
-TEST_CASE("Work returns to an endpoint that was cold without a wave") {
-  constexpr double kSmall = 6;
+TEST_CASE("Work returns gradually to an endpoint that was cold") {
+  constexpr double kMaxRise = 6;
   for (const int hosts : {3, 24, 100}) {
-    const std::vector<int> halves = PlayRise(kBound, hosts);
-    CHECK(Wave(halves) <= kSmall);
+    const std::vector<int> halves = RunWarmUp(kLimit, hosts);
+    CHECK(LargestRise(halves) <= kMaxRise);
     CHECK(halves.front() <= static_cast<int>(kMostInASecond) / 2);
-    // A quarter of a thousand a second, in the end.
+    // In the end the endpoint gets a quarter of 1000 requests per second.
     CHECK(halves.back() >= 110);
   }
 }
 
-TEST_CASE("Without a bound a cold endpoint gets all its work at once") {
-  CHECK(PlayRise(ColdLimit{}, 24).front() >
+TEST_CASE("Without a limit a cold endpoint gets all its work at once") {
+  CHECK(RunWarmUp(ColdLimit{}, 24).front() >
         2 * static_cast<int>(kMostInASecond));
 }
 
