--- a/src/core/endpoint_scheduler_test.cc
+++ b/src/core/endpoint_scheduler_test.cc
@@ -30,7 +30,7 @@
     request.start_by = now + Millis(1000);
     return request;
   }
-  // Returns the code of the error with which `request` is refused, or "".
+  // Returns the error code with which `request` is rejected, or "".
   std::string Submit(const QueuedRequest& request) {
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::string> {
@@ -45,7 +45,7 @@
 };
 
 TEST_CASE_METHOD(Fixture,
-                 "Memory bounds what starts and comes back at the end") {
+                 "Memory limits the starts and is freed when a request ends") {
   const QueuedRequest first = MakeRequest(700);
   const QueuedRequest second = MakeRequest(700);
   REQUIRE(Submit(first).empty());
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE_METHOD(Fixture,
-                 "A request that woke past its deadline never starts") {
+                 "A request that arrives past its deadline never starts") {
   QueuedRequest request = MakeRequest(10);
   now += Millis(5000);
   CHECK(Submit(request) == "deadline_exceeded");
@@ -93,8 +93,7 @@
   CHECK_FALSE(scheduler.Revoke(request.key));
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "A full queue refuses at once and says when to return") {
+TEST_CASE_METHOD(Fixture, "A full queue rejects at once") {
   std::string code;
   for (int i = 0; i < 11; ++i) {
     code = Submit(MakeRequest(900));
@@ -102,7 +101,7 @@
   CHECK(code == "overloaded");
 }
 
-TEST_CASE_METHOD(Fixture, "A smaller limit of the queue holds at once") {
+TEST_CASE_METHOD(Fixture, "A smaller queue limit applies at once") {
   SchedulerOptions options = MakeOptions();
   options.queue_limit = 1;
   scheduler.Reconfigure(options);
@@ -110,8 +109,9 @@
   CHECK(Submit(MakeRequest(900)) == "overloaded");
 }
 
-TEST_CASE_METHOD(Fixture, "What would start too late is refused early") {
-  // Learns a rate of 100 tokens a second, then has ten seconds' work waiting.
+TEST_CASE_METHOD(Fixture,
+                 "A request that would start too late is rejected on arrival") {
+  // Measures a rate of 100 tokens per second, then queues work for ten seconds.
   const QueuedRequest first = MakeRequest(100);
   REQUIRE(Submit(first).empty());
   scheduler.TakeStarts();
@@ -123,9 +123,10 @@
   CHECK(Submit(MakeRequest(10)) == "overloaded");
 }
 
-TEST_CASE_METHOD(Fixture, "A slow spell does not make work seem too late") {
-  // A thousand tokens end in a second, then only ten in the next: the endpoint
-  // had little to do.
+TEST_CASE_METHOD(Fixture,
+                 "A window with little work does not lower the rate much") {
+  // A thousand tokens end in one second and only ten in the next, because the
+  // endpoint had little work.
   const QueuedRequest much = MakeRequest(1000);
   REQUIRE(Submit(much).empty());
   scheduler.TakeStarts();
@@ -140,8 +141,8 @@
   CHECK(Submit(MakeRequest(10)).empty());
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "A draining endpoint takes nothing but ends its work") {
+TEST_CASE_METHOD(
+    Fixture, "A draining endpoint rejects requests and completes its work") {
   const QueuedRequest request = MakeRequest(10);
   REQUIRE(Submit(request).empty());
   scheduler.Drain();
@@ -151,7 +152,7 @@
   CHECK(scheduler.IsIdle());
 }
 
-TEST_CASE_METHOD(Fixture, "A reservation that is not renewed ends by itself") {
+TEST_CASE_METHOD(Fixture, "A reservation that is not renewed expires") {
   REQUIRE(scheduler.Reserve(7, Tokens{500}, Millis(100)));
   CHECK(scheduler.Report().free_memory.value == 500);
   now += Millis(100);
--- a/src/core/fair_queue_test.cc
+++ b/src/core/fair_queue_test.cc
@@ -24,7 +24,8 @@
   static bool Anything(const QueuedRequest&) { return true; }
 };
 
-TEST_CASE_METHOD(Fixture, "A flood of one account does not delay another") {
+TEST_CASE_METHOD(Fixture,
+                 "A burst from one account does not delay another account") {
   for (int i = 0; i < 100; ++i) {
     Push("flood", 1000);
   }
@@ -37,7 +38,7 @@
   CHECK(before <= 1);
 }
 
-TEST_CASE_METHOD(Fixture, "A short request does not queue behind a long one") {
+TEST_CASE_METHOD(Fixture, "A short request does not wait behind a long one") {
   Push("a", 1000000, LengthClass::kLong);
   Push("a", 1000000, LengthClass::kLong);
   const std::uint64_t quick = Push("a", 1000);
@@ -45,7 +46,8 @@
   CHECK(queue.PopFirst(Anything)->key == quick);
 }
 
-TEST_CASE_METHOD(Fixture, "An account of twice the weight gets twice as much") {
+TEST_CASE_METHOD(Fixture,
+                 "An account with twice the weight gets twice the service") {
   for (int i = 0; i < 100; ++i) {
     Push("single", 1000);
     Push("double", 1000, LengthClass::kShort, 2);
@@ -59,7 +61,9 @@
   CHECK(doubles <= 42);
 }
 
-TEST_CASE_METHOD(Fixture, "What does not fit is passed only so often") {
+TEST_CASE_METHOD(Fixture,
+                 "A request that does not fit is bypassed a limited number of "
+                 "times") {
   const std::uint64_t large = Push("a", 500);
   for (int i = 0; i < 100; ++i) {
     Push("b", 1);
@@ -74,14 +78,14 @@
   CHECK(passed == FairQueue::kMaxBypasses);
 }
 
-TEST_CASE_METHOD(Fixture, "A full queue takes nothing more") {
+TEST_CASE_METHOD(Fixture, "A full queue accepts no request") {
   FairQueue small(1, 50);
   QueuedRequest request;
   CHECK(small.Push(request));
   CHECK_FALSE(small.Push(request));
 }
 
-TEST_CASE_METHOD(Fixture, "Overdue requests are dropped and named") {
+TEST_CASE_METHOD(Fixture, "Overdue requests are removed and returned") {
   const std::uint64_t key = Push("a", 1);
   CHECK(queue.DropOverdue(TimePoint{} + Millis(999)).empty());
   const auto overdue = queue.DropOverdue(TimePoint{} + Millis(1000));
--- a/src/core/lease_table_test.cc
+++ b/src/core/lease_table_test.cc
@@ -10,14 +10,14 @@
   LeaseTable table{Tokens{100}, [this] { return now; }};
 };
 
-TEST_CASE_METHOD(Fixture, "Memory of a lease that was not renewed comes back") {
+TEST_CASE_METHOD(Fixture, "The memory of an expired lease is freed") {
   REQUIRE(table.Acquire(Tokens{80}, Millis(10)));
   CHECK(table.Available().value == 20);
   now += Millis(10);
   CHECK(table.Available().value == 100);
 }
 
-TEST_CASE_METHOD(Fixture, "A lease that has ended cannot be renewed") {
+TEST_CASE_METHOD(Fixture, "An expired lease cannot be renewed") {
   const LeaseId id = table.Acquire(Tokens{80}, Millis(10)).value();
   now += Millis(11);
   CHECK_FALSE(table.Renew(id, Millis(10)));
@@ -31,7 +31,7 @@
   CHECK(table.Available().value == 100);
 }
 
-TEST_CASE_METHOD(Fixture, "Headroom stays free for those who need it") {
+TEST_CASE_METHOD(Fixture, "Headroom stays free") {
   CHECK_FALSE(table.Acquire(Tokens{95}, Millis(10), Tokens{10}));
   CHECK(table.Acquire(Tokens{95}, Millis(10)));
 }
--- a/src/core/repeat_budget_test.cc
+++ b/src/core/repeat_budget_test.cc
@@ -5,14 +5,14 @@
 namespace harecrank {
 namespace {
 
-TEST_CASE("Hosts that each use their whole part stay within the bound") {
+TEST_CASE("Hosts that each use their whole part stay within the limit") {
   TimePoint now{};
-  const RepeatLimit bound{0.2, 100, Millis(10000)};
+  const RepeatLimit limit{0.2, 100, Millis(10000)};
   constexpr int kHosts = 3;
   constexpr int kFirsts = 400;
   int repeats = 0;
   for (int host = 0; host < kHosts; ++host) {
-    RepeatBudget budget(bound, [&now] { return now; });
+    RepeatBudget budget(limit, [&now] { return now; });
     for (int i = 0; i < kFirsts; ++i) {
       budget.OnFirstAttempt();
     }
@@ -24,7 +24,7 @@
   CHECK(repeats > 0.1 * kHosts * kFirsts);
 }
 
-TEST_CASE("A window's repeats are given back when it has passed") {
+TEST_CASE("Repeats become available again when the window has passed") {
   TimePoint now{};
   RepeatBudget budget({0, 10, Millis(1000)}, [&now] { return now; });
   while (budget.TryRepeat(1)) {
--- a/src/core/ticket_registry_test.cc
+++ b/src/core/ticket_registry_test.cc
@@ -13,76 +13,79 @@
 
 struct Fixture {
   TimePoint now{};
-  std::uint64_t drawn = 0;
+  std::uint64_t last_nonce = 0;
 
-  TicketRegistry MakeBook(std::uint64_t incarnation, std::size_t limit = 100) {
+  TicketRegistry MakeRegistry(std::uint64_t incarnation,
+                              std::size_t limit = 100) {
     return TicketRegistry(
         EndpointId{"e-1"}, Incarnation{incarnation}, limit,
-        [this] { return now; }, [this] { return ++drawn; });
+        [this] { return now; }, [this] { return ++last_nonce; });
   }
 };
 
-TEST_CASE_METHOD(Fixture, "A ticket is granted once and then known as spent") {
-  TicketRegistry book = MakeBook(1);
-  const Ticket ticket = *book.Issue(kTinta, kTtl);
-  CHECK(book.Redeem(ticket, kTinta) == Redemption::kGranted);
-  CHECK(book.Redeem(ticket, kTinta) == Redemption::kAlreadySpent);
+TEST_CASE_METHOD(Fixture, "A ticket is granted once and is spent afterwards") {
+  TicketRegistry registry = MakeRegistry(1);
+  const Ticket ticket = *registry.Issue(kTinta, kTtl);
+  CHECK(registry.Redeem(ticket, kTinta) == Redemption::kGranted);
+  CHECK(registry.Redeem(ticket, kTinta) == Redemption::kAlreadySpent);
 }
 
-TEST_CASE_METHOD(Fixture, "A new life of the sidecar grants no old ticket") {
-  TicketRegistry before = MakeBook(1);
+TEST_CASE_METHOD(Fixture,
+                 "A new incarnation of the sidecar grants no earlier ticket") {
+  TicketRegistry before = MakeRegistry(1);
   const Ticket ticket = *before.Issue(kTinta, kTtl);
-  // The new incarnation may draw the same number for a ticket of its own.
-  drawn = 0;
-  TicketRegistry after = MakeBook(2);
+  // The new incarnation issues a ticket with the same nonce.
+  last_nonce = 0;
+  TicketRegistry after = MakeRegistry(2);
   after.Issue(kTinta, kTtl);
   CHECK(after.Redeem(ticket, kTinta) == Redemption::kUnknownTicket);
 }
 
-TEST_CASE_METHOD(Fixture, "A ticket that ended unspent is never granted") {
-  TicketRegistry book = MakeBook(1);
-  const Ticket ticket = *book.Issue(kTinta, kTtl);
+TEST_CASE_METHOD(Fixture, "An expired ticket is never granted") {
+  TicketRegistry registry = MakeRegistry(1);
+  const Ticket ticket = *registry.Issue(kTinta, kTtl);
   now += kTtl;
-  CHECK(book.Redeem(ticket, kTinta) == Redemption::kEndedUnspent);
+  CHECK(registry.Redeem(ticket, kTinta) == Redemption::kEndedUnspent);
 }
 
 TEST_CASE_METHOD(Fixture, "A revoked ticket is never granted") {
-  TicketRegistry book = MakeBook(1);
-  const Ticket ticket = *book.Issue(kTinta, kTtl);
-  CHECK(book.Revoke(ticket, kTinta) == Redemption::kEndedUnspent);
-  CHECK(book.Redeem(ticket, kTinta) == Redemption::kEndedUnspent);
+  TicketRegistry registry = MakeRegistry(1);
+  const Ticket ticket = *registry.Issue(kTinta, kTtl);
+  CHECK(registry.Revoke(ticket, kTinta) == Redemption::kEndedUnspent);
+  CHECK(registry.Redeem(ticket, kTinta) == Redemption::kEndedUnspent);
 }
 
-TEST_CASE_METHOD(Fixture, "Revoking a spent ticket does not deny its run") {
-  TicketRegistry book = MakeBook(1);
-  const Ticket ticket = *book.Issue(kTinta, kTtl);
-  book.Redeem(ticket, kTinta);
-  CHECK(book.Revoke(ticket, kTinta) == Redemption::kAlreadySpent);
+TEST_CASE_METHOD(Fixture, "Revoking a spent ticket reports it as spent") {
+  TicketRegistry registry = MakeRegistry(1);
+  const Ticket ticket = *registry.Issue(kTinta, kTtl);
+  registry.Redeem(ticket, kTinta);
+  CHECK(registry.Revoke(ticket, kTinta) == Redemption::kAlreadySpent);
 }
 
 TEST_CASE_METHOD(Fixture, "Another account cannot spend a ticket") {
-  TicketRegistry book = MakeBook(1);
-  const Ticket ticket = *book.Issue(kTinta, kTtl);
-  CHECK(book.Redeem(ticket, kTan) == Redemption::kUnknownTicket);
-  CHECK(book.Redeem(ticket, kTinta) == Redemption::kGranted);
+  TicketRegistry registry = MakeRegistry(1);
+  const Ticket ticket = *registry.Issue(kTinta, kTtl);
+  CHECK(registry.Redeem(ticket, kTan) == Redemption::kUnknownTicket);
+  CHECK(registry.Redeem(ticket, kTinta) == Redemption::kGranted);
 }
 
-TEST_CASE_METHOD(Fixture, "A forgotten ticket is unknown and never not run") {
-  TicketRegistry book = MakeBook(1);
-  const Ticket ticket = *book.Issue(kTinta, kTtl);
-  book.Redeem(ticket, kTinta);
+TEST_CASE_METHOD(Fixture,
+                 "A dropped ticket is reported as unknown, not as unspent") {
+  TicketRegistry registry = MakeRegistry(1);
+  const Ticket ticket = *registry.Issue(kTinta, kTtl);
+  registry.Redeem(ticket, kTinta);
   now += Millis(10000);
-  book.Issue(kTinta, kTtl);
-  CHECK(book.Redeem(ticket, kTinta) == Redemption::kUnknownTicket);
+  registry.Issue(kTinta, kTtl);
+  CHECK(registry.Redeem(ticket, kTinta) == Redemption::kUnknownTicket);
 }
 
-TEST_CASE_METHOD(Fixture, "A full book issues nothing") {
-  TicketRegistry book = MakeBook(1, 1);
-  REQUIRE(book.Issue(kTinta, kTtl));
-  CHECK_FALSE(book.Issue(kTinta, kTtl));
+TEST_CASE_METHOD(Fixture, "A full registry issues no ticket") {
+  TicketRegistry registry = MakeRegistry(1, 1);
+  REQUIRE(registry.Issue(kTinta, kTtl));
+  CHECK_FALSE(registry.Issue(kTinta, kTtl));
 }
 
-TEST_CASE("A ticket survives being carried as text") {
+TEST_CASE("Formatting and parsing a ticket round-trips") {
   const Ticket ticket{EndpointId{"e-1_x"}, Incarnation{0xFFFFFFFFFFFFFFFFU}, 7};
   const auto read = ParseTicket(FormatTicket(ticket));
   REQUIRE(read);
@@ -91,7 +94,7 @@
   CHECK(read->nonce == ticket.nonce);
 }
 
-TEST_CASE("Text that is no ticket is refused") {
+TEST_CASE("Text that is not a ticket is rejected") {
   for (const char* text : {"", "hct1.", "hct1.12.34.e", "abc",
                            "hct1.000000000000000g.0000000000000001.e"}) {
     INFO("the text was '" << text << "'");
@@ -99,32 +102,33 @@
   }
 }
 
-// One sidecar's slot, whose process may be replaced, and what it ran.
-struct Slot {
-  std::unique_ptr<TicketRegistry> book;
+// A sidecar whose process may be replaced.
+struct Sidecar {
+  std::unique_ptr<TicketRegistry> registry;
   std::uint64_t incarnation = 0;
   std::uint64_t nonce = 0;
 };
 
-// Random interleavings of issue, submission through any entry host, delivery
-// late, twice or out of order, revocation, restart without memory, and time.
+// Random interleavings of issuing, submission through any entry host, late,
+// duplicate or out-of-order delivery, revocation, restart with loss of state,
+// and the passing of time.
 TEST_CASE("No interleaving of faults runs a ticketed request twice") {
   for (unsigned seed = 0; seed < 400; ++seed) {
     std::mt19937_64 random(seed);
     TimePoint now{};
     std::uint64_t next_incarnation = 1;
-    std::vector<Slot> slots(3);
+    std::vector<Sidecar> sidecars(3);
     const auto restart = [&](std::size_t i) {
-      slots[i].incarnation = next_incarnation++;
-      // Each incarnation draws the same numbers: only the incarnation tells
-      // them apart.
-      slots[i].nonce = 0;
-      slots[i].book = std::make_unique<TicketRegistry>(
+      sidecars[i].incarnation = next_incarnation++;
+      // All incarnations draw the same nonces, so that only the incarnation
+      // distinguishes their tickets.
+      sidecars[i].nonce = 0;
+      sidecars[i].registry = std::make_unique<TicketRegistry>(
           EndpointId{"e" + std::to_string(i)},
-          Incarnation{slots[i].incarnation}, 1000, [&] { return now; },
-          [&slots, i] { return ++slots[i].nonce; });
+          Incarnation{sidecars[i].incarnation}, 1000, [&] { return now; },
+          [&sidecars, i] { return ++sidecars[i].nonce; });
     };
-    for (std::size_t i = 0; i < slots.size(); ++i) {
+    for (std::size_t i = 0; i < sidecars.size(); ++i) {
       restart(i);
     }
     struct Request {
@@ -133,13 +137,13 @@
       bool told_not_run = false;
     };
     std::vector<Request> requests;
-    // Submissions that are on their way; one may be delivered many times.
-    std::vector<std::size_t> on_the_way;
+    // Submissions in flight. Each may be delivered many times.
+    std::vector<std::size_t> in_flight;
     for (int step = 0; step < 300; ++step) {
-      const std::size_t slot = random() % slots.size();
+      const std::size_t sidecar = random() % sidecars.size();
       switch (random() % 6) {
         case 0: {
-          const auto ticket = slots[slot].book->Issue(kTinta, kTtl);
+          const auto ticket = sidecars[sidecar].registry->Issue(kTinta, kTtl);
           if (ticket) {
             requests.push_back(Request{*ticket});
           }
@@ -147,33 +151,32 @@
         }
         case 1:
           if (!requests.empty()) {
-            on_the_way.push_back(random() % requests.size());
+            in_flight.push_back(random() % requests.size());
           }
           break;
         case 2:
         case 3:
-          if (!on_the_way.empty()) {
-            Request& request =
-                requests[on_the_way[random() % on_the_way.size()]];
+          if (!in_flight.empty()) {
+            Request& request = requests[in_flight[random() % in_flight.size()]];
             // Entry hosts with different configurations may send a ticket to
-            // any slot at all.
-            const Redemption got =
-                slots[slot].book->Redeem(request.ticket, kTinta);
-            request.runs += got == Redemption::kGranted ? 1 : 0;
-            request.told_not_run |= got == Redemption::kEndedUnspent;
+            // any sidecar.
+            const Redemption result =
+                sidecars[sidecar].registry->Redeem(request.ticket, kTinta);
+            request.runs += result == Redemption::kGranted ? 1 : 0;
+            request.told_not_run |= result == Redemption::kEndedUnspent;
           }
           break;
         case 4:
           if (!requests.empty()) {
             Request& request = requests[random() % requests.size()];
-            const Redemption got =
-                slots[slot].book->Revoke(request.ticket, kTinta);
-            request.told_not_run |= got == Redemption::kEndedUnspent;
+            const Redemption result =
+                sidecars[sidecar].registry->Revoke(request.ticket, kTinta);
+            request.told_not_run |= result == Redemption::kEndedUnspent;
           }
           break;
         default:
           if (random() % 8 == 0) {
-            restart(slot);
+            restart(sidecar);
           }
           now += Millis(static_cast<std::int64_t>(random() % 20));
           break;
