--- a/include/harecrank/core/retry_reservations.h
+++ b/include/harecrank/core/retry_reservations.h
@@ -1,8 +1,9 @@
 // Capacity that is reserved for the retries of rejected prompts.
 //
 // Without a reservation, a rejected prompt that returns at the time it was
-// given finds the same queue as a new request. With one, it goes before
-// requests of its kind that have none, and is not rejected again.
+// given finds the same queue as a new request. With one, it goes before prompts
+// past their latency target that have none, and it is rejected again only if it
+// can no longer finish before its caller gives up.
 //
 // Reservations are soft state. They are lost when the planner fails, and the
 // next planner treats the retries as new requests.
--- a/include/harecrank/core/ticket_registry.h
+++ b/include/harecrank/core/ticket_registry.h
@@ -56,7 +56,7 @@
                  std::size_t limit, MonotonicClock clock, RandomSource random);
 
   // Issues a ticket that `account` may spend within `ttl`. Returns nothing if
-  // the registry is full.
+  // the registry is full. Records of expired tickets are dropped here.
   std::optional<Ticket> Issue(const AccountId& account, Millis ttl);
 
   // Spends a ticket. A ticket is granted at most once, whatever other calls are
