--- a/src/core/capacity_forecast_test.cc
+++ b/src/core/capacity_forecast_test.cc
@@ -9,7 +9,7 @@
 
 class ForecastFixture {
  protected:
-  // Starts prompts at `rate` times the elapsed timing, for one window.
+  // Starts prompts at `rate` times the elapsed time, for one window.
   void StartFor(double rate) {
     constexpr Millis kStep{100};
     for (Millis passed(0); passed < kLongPromptForecast.window;
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -20,7 +20,7 @@
 
 const EndpointId kEndpoint{"e0"};
 constexpr Millis kStep{10};
-// A host must keep to the limit from this time after it first heard of it.
+// Time after which a host that has heard of a limit must keep to it.
 constexpr Millis kAdjustTime{500};
 
 struct FleetOptions {
@@ -36,7 +36,7 @@
 struct Arrival {
   TimePoint at{};
   // When its host first heard of a limit from the endpoint itself.
-  std::optional<TimePoint> heard_at;
+  std::optional<TimePoint> first_heard_at;
 };
 
 class LimitedFleet {
@@ -74,8 +74,8 @@
   std::size_t MaxArrivalsUnderLimit(Millis from) const {
     std::vector<TimePoint> arrivals;
     for (const Arrival& arrival : arrivals_) {
-      if (arrival.heard_at.has_value() &&
-          arrival.at - *arrival.heard_at >= kAdjustTime &&
+      if (arrival.first_heard_at.has_value() &&
+          arrival.at - *arrival.first_heard_at >= kAdjustTime &&
           arrival.at >= started_ + from) {
         arrivals.push_back(arrival.at);
       }
@@ -108,18 +108,18 @@
     Host(HostAddress host, int fleet, const MonotonicClock& clock)
         : address(std::move(host)),
           limits(clock),
-          cold(clock),
-          shares(
-              ColdLimit{}, &cold, &limits, HostBackoffs{},
+          cold_endpoints(clock),
+          quotas(
+              ColdLimit{}, &cold_endpoints, &limits, HostBackoffs{},
               [fleet] { return fleet; }, clock),
           starts(clock) {}
 
     HostAddress address;
     EndpointRateLimits limits;
-    ColdEndpoints cold;
-    StartQuotas shares;
+    ColdEndpoints cold_endpoints;
+    StartQuotas quotas;
     StartHistory starts;
-    std::optional<TimePoint> heard_at;
+    std::optional<TimePoint> first_heard_at;
   };
 
   struct Response {
@@ -131,17 +131,17 @@
   };
 
   void TrySend(Host* host) {
-    if (!host->shares.MayStart(host->starts, host->address, kEndpoint,
+    if (!host->quotas.MayStart(host->starts, host->address, kEndpoint,
                                ServiceProfile{})) {
       return;
     }
     Placement placement;
     placement.endpoint.id = kEndpoint;
-    host->shares.Add(placement, ServiceProfile{}, host->address, &host->starts);
+    host->quotas.Add(placement, ServiceProfile{}, host->address, &host->starts);
     const auto travel_time = Millis(static_cast<std::int64_t>(random_() % 100));
     const auto service_time =
         Millis(100 + static_cast<std::int64_t>(random_() % 400));
-    arrivals_.push_back(Arrival{now_ + travel_time, host->heard_at});
+    arrivals_.push_back(Arrival{now_ + travel_time, host->first_heard_at});
     const TimePoint responded_at = now_ + travel_time + service_time;
     responses_.push(Response{
         responded_at, host,
@@ -157,7 +157,8 @@
       RateLimitHint word = NoRateLimit{};
       if (response.rate.has_value()) {
         word = *response.rate;
-        response.host->heard_at = response.host->heard_at.value_or(now_);
+        response.host->first_heard_at =
+            response.host->first_heard_at.value_or(now_);
       }
       response.host->limits.OnAnswer(kEndpoint, word, response.sent_at);
     }
--- a/src/core/overload_admission_test.cc
+++ b/src/core/overload_admission_test.cc
@@ -64,7 +64,7 @@
     document.routes = {std::make_shared<const RouteRule>(route)};
     table_ = std::make_shared<const RoutingTable>(std::move(document));
     planner_ = std::make_unique<Planner>(
-        &directory_, &health_, &start_shares_, DataCentreId{"a"},
+        &directory_, &health_, &start_quotas_, DataCentreId{"a"},
         [this] { return table_; }, policy_, [this] { return now_; },
         [this] { return last_random_ += 77; });
   }
@@ -219,7 +219,7 @@
   EndpointHealth health_{[this] { return now_; }};
   ColdEndpoints cold_{[this] { return now_; }};
   EndpointRateLimits limits_{[this] { return now_; }};
-  StartQuotas start_shares_{ColdLimit{},      &cold_,
+  StartQuotas start_quotas_{ColdLimit{},      &cold_,
                             &limits_,         HostBackoffs{},
                             [] { return 1; }, [this] { return now_; }};
   std::shared_ptr<const RoutingTable> table_;
--- a/src/core/start_quotas_test.cc
+++ b/src/core/start_quotas_test.cc
@@ -16,7 +16,7 @@
 // 32 requests per second, times 1.5, plus 5.
 constexpr ColdLimit kLimit{1.5, 5};
 constexpr double kColdStartsPerS = 32;
-constexpr std::size_t kMostInASecond = 53;
+constexpr std::size_t kMaxPerSecond = 53;
 
 HostAddress Host(int number) {
   return HostAddress{"h" + std::to_string(number)};
@@ -38,104 +38,105 @@
   return service;
 }
 
-class SharesFixture {
+class QuotasFixture {
  protected:
-  void Pass(Millis time) { now_ += time; }
+  void Advance(Millis time) { now_ += time; }
 
   TimePoint now_{std::chrono::hours(1)};
   MonotonicClock clock_ = [this] { return now_; };
-  ColdEndpoints endpoints_{clock_};
-  EndpointRateLimits limits_{clock_};
+  ColdEndpoints cold_endpoints_{clock_};
+  EndpointRateLimits rate_limits_{clock_};
 };
 
 TEST_CASE_METHOD(
-    SharesFixture,
+    QuotasFixture,
     "Prefill parts for another endpoint count toward a named limit "
     "but not toward the limit of a cold endpoint") {
-  const StartQuotas shares(
-      kLimit, &endpoints_, &limits_, HostBackoffs{}, [] { return 1; }, clock_);
+  const StartQuotas quotas(
+      kLimit, &cold_endpoints_, &rate_limits_, HostBackoffs{}, [] { return 1; },
+      clock_);
   StartHistory starts(clock_);
   Placement placement;
   placement.endpoint.id = EndpointId{"writer"};
   PrefillHelper helper;
   helper.record.id = kEndpoint;
   placement.helpers = {helper};
-  endpoints_.OnRecord(ColdRecord(Millis(60000)), Millis(0));
-  Pass(Millis(1000));
+  cold_endpoints_.OnRecord(ColdRecord(Millis(60000)), Millis(0));
+  Advance(Millis(1000));
   for (int i = 0; i < 200; ++i) {
-    CHECK(shares.MayStart(starts, Host(0), placement, Service()));
-    shares.Add(placement, Service(), Host(0), &starts);
+    CHECK(quotas.MayStart(starts, Host(0), placement, Service()));
+    quotas.Add(placement, Service(), Host(0), &starts);
   }
-  limits_.OnAnswer(kEndpoint, RequestRate{2}, now_);
-  Pass(Millis(1000));
-  REQUIRE(shares.MayStart(starts, Host(0), placement, Service()));
-  shares.Add(placement, Service(), Host(0), &starts);
-  CHECK_FALSE(shares.MayStart(starts, Host(0), placement, Service()));
-  CHECK_FALSE(shares.MayStart(starts, Host(0), kEndpoint, Service()));
+  rate_limits_.OnAnswer(kEndpoint, RequestRate{2}, now_);
+  Advance(Millis(1000));
+  REQUIRE(quotas.MayStart(starts, Host(0), placement, Service()));
+  quotas.Add(placement, Service(), Host(0), &starts);
+  CHECK_FALSE(quotas.MayStart(starts, Host(0), placement, Service()));
+  CHECK_FALSE(quotas.MayStart(starts, Host(0), kEndpoint, Service()));
 }
 
-TEST_CASE_METHOD(SharesFixture,
+TEST_CASE_METHOD(QuotasFixture,
                  "Starts at least a window apart do not count together") {
   StartHistory starts(clock_);
   starts.Add(Host(0), kEndpoint);
   starts.Add(Host(0), kEndpoint);
-  Pass(ColdEndpoints::kWindow - Millis(1));
+  Advance(ColdEndpoints::kWindow - Millis(1));
   CHECK(starts.CountWithin(Host(0), kEndpoint, ColdEndpoints::kWindow) == 2);
   CHECK(starts.CountWithin(Host(1), kEndpoint, ColdEndpoints::kWindow) == 0);
-  Pass(Millis(1));
+  Advance(Millis(1));
   CHECK(starts.CountWithin(Host(0), kEndpoint, ColdEndpoints::kWindow) == 0);
 }
 
-TEST_CASE_METHOD(SharesFixture,
+TEST_CASE_METHOD(QuotasFixture,
                  "The quotas of all hosts add up to at most the limit") {
-  endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
+  cold_endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
   const ServiceProfile service = Service();
   for (const int hosts : {1, 3, 24, 53, 54, 100, 300, 810}) {
-    const StartQuotas shares(
-        kLimit, &endpoints_, &limits_, HostBackoffs{},
+    const StartQuotas quotas(
+        kLimit, &cold_endpoints_, &rate_limits_, HostBackoffs{},
         [hosts] { return hosts; }, clock_);
     // The hash chooses different hosts for each endpoint.
     for (int endpoint = 0; endpoint < 200; ++endpoint) {
       EndpointRecord record = ColdRecord(Millis(3000));
       record.id = EndpointId{"e" + std::to_string(endpoint)};
-      endpoints_.OnRecord(record, Millis(0));
+      cold_endpoints_.OnRecord(record, Millis(0));
       double sum = 0;
       for (int host = 0; host < hosts; ++host) {
-        sum += *shares.QuotaOf(Host(host), record.id, service);
+        sum += *quotas.QuotaOf(Host(host), record.id, service);
       }
-      CHECK(sum <= kMostInASecond);
+      CHECK(sum <= kMaxPerSecond);
       CHECK(sum >= 1);
     }
   }
 }
 
-TEST_CASE_METHOD(SharesFixture,
+TEST_CASE_METHOD(QuotasFixture,
                  "A host that does not know the fleet size has no quota") {
-  endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
-  const StartQuotas shares(
-      kLimit, &endpoints_, &limits_, HostBackoffs{},
+  cold_endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
+  const StartQuotas quotas(
+      kLimit, &cold_endpoints_, &rate_limits_, HostBackoffs{},
       [] { return std::nullopt; }, clock_);
-  CHECK(shares.QuotaOf(Host(0), kEndpoint, Service()) == 0.0);
+  CHECK(quotas.QuotaOf(Host(0), kEndpoint, Service()) == 0.0);
 }
 
-TEST_CASE_METHOD(SharesFixture, "Without a limit no endpoint is withheld") {
-  endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
+TEST_CASE_METHOD(QuotasFixture, "Without a limit no endpoint is withheld") {
+  cold_endpoints_.OnRecord(ColdRecord(Millis(3000)), Millis(0));
   const StartHistory starts(clock_);
   ServiceProfile unbounded = Service();
   unbounded.cold_requests_per_s = 0;
-  const StartQuotas none(
-      ColdLimit{}, &endpoints_, &limits_, HostBackoffs{},
+  const StartQuotas without_limit(
+      ColdLimit{}, &cold_endpoints_, &rate_limits_, HostBackoffs{},
       [] { return std::nullopt; }, clock_);
-  CHECK(none.Withheld(starts, Host(0), Service()).empty());
-  const StartQuotas limit(
-      kLimit, &endpoints_, &limits_, HostBackoffs{},
+  CHECK(without_limit.Withheld(starts, Host(0), Service()).empty());
+  const StartQuotas with_limit(
+      kLimit, &cold_endpoints_, &rate_limits_, HostBackoffs{},
       [] { return std::nullopt; }, clock_);
-  CHECK(limit.Withheld(starts, Host(0), unbounded).empty());
-  CHECK(limit.Withheld(starts, Host(0), Service()).size() == 1);
+  CHECK(with_limit.Withheld(starts, Host(0), unbounded).empty());
+  CHECK(with_limit.Withheld(starts, Host(0), Service()).size() == 1);
 }
 
 // Returns the largest number of `times` within one second.
-std::size_t MostInASecond(std::vector<TimePoint> times) {
+std::size_t MaxInOneSecond(std::vector<TimePoint> times) {
   std::sort(times.begin(), times.end());
   std::size_t largest = 0;
   std::size_t first = 0;
@@ -156,15 +157,15 @@
 // before.
 class PartitionedFleet {
  public:
-  PartitionedFleet(ColdLimit limit, std::uint64_t seed)
+  PartitionedFleet(ColdLimit cold_limit, std::uint64_t seed)
       : random_(seed),
-        shares_(
-            limit, &endpoints_, &limits_, HostBackoffs{}, [] { return kHosts; },
-            clock_) {
+        quotas_(
+            cold_limit, &cold_endpoints_, &rate_limits_, HostBackoffs{},
+            [] { return kHosts; }, clock_) {
     EndpointRecord record = ColdRecord(kDuration + Millis(1000));
     record.address = "e0:1";
     directory_.Upsert(record);
-    endpoints_.OnRecord(record, Millis(0));
+    cold_endpoints_.OnRecord(record, Millis(0));
     RoutingDocument document;
     document.version = RoutingVersion{1};
     ServiceProfile service = Service();
@@ -223,7 +224,7 @@
 
   std::unique_ptr<Planner> MakePlanner() {
     return std::make_unique<Planner>(
-        &directory_, &health_, &shares_, DataCentreId{"a"},
+        &directory_, &health_, &quotas_, DataCentreId{"a"},
         [this] { return table_; }, PlacementPolicy{}, clock_,
         [this] { return random_(); });
   }
@@ -265,7 +266,7 @@
   }
 
   bool HostMayStart(int host) {
-    return shares_.MayStart(starts_[static_cast<std::size_t>(host)], Host(host),
+    return quotas_.MayStart(starts_[static_cast<std::size_t>(host)], Host(host),
                             kEndpoint, table_->Document().services.front());
   }
 
@@ -286,9 +287,9 @@
   std::uint64_t last_id_ = 0;
   EndpointDirectory directory_{clock_};
   EndpointHealth health_{clock_};
-  ColdEndpoints endpoints_{clock_};
-  EndpointRateLimits limits_{clock_};
-  StartQuotas shares_;
+  ColdEndpoints cold_endpoints_{clock_};
+  EndpointRateLimits rate_limits_{clock_};
+  StartQuotas quotas_;
   std::shared_ptr<const RoutingTable> table_;
   std::vector<std::unique_ptr<Planner>> planners_;
   // The starts of each host.
@@ -301,10 +302,10 @@
     "endpoint") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     PartitionedFleet fleet(kLimit, seed);
-    const std::size_t largest = MostInASecond(fleet.Run());
-    CHECK(largest <= kMostInASecond);
+    const std::size_t largest = MaxInOneSecond(fleet.Run());
+    CHECK(largest <= kMaxPerSecond);
     // Far fewer would leave the endpoint idle.
-    CHECK(largest >= kMostInASecond / 2);
+    CHECK(largest >= kMaxPerSecond / 2);
   }
 }
 
@@ -312,13 +313,13 @@
     "Without a limit a fleet in three partitions overloads a cold "
     "endpoint") {
   PartitionedFleet unbounded(ColdLimit{}, 1);
-  CHECK(MostInASecond(unbounded.Run()) > 2 * kMostInASecond);
+  CHECK(MaxInOneSecond(unbounded.Run()) > 2 * kMaxPerSecond);
 }
 
 // Three warm endpoints without an engine profile and a cold one, which has had
 // no requests for a while. Since it is idle, all hosts choose it as soon as
 // they may.
-std::vector<int> RunWarmUp(ColdLimit limit, int hosts) {
+std::vector<int> RunWarmUp(ColdLimit cold_limit, int hosts) {
   constexpr Millis kStep{1};
   constexpr Millis kHalf{500};
   constexpr Millis kCold{3000};
@@ -338,8 +339,9 @@
     cold.OnRecord(record, Millis(0));
     record.cold_for = Millis(0);
   }
-  const StartQuotas shares(
-      limit, &cold, &limits, HostBackoffs{}, [hosts] { return hosts; }, clock);
+  const StartQuotas quotas(
+      cold_limit, &cold, &limits, HostBackoffs{}, [hosts] { return hosts; },
+      clock);
   EndpointLoads loads(clock);
   const Placer placer(
       &directory, &loads, &health, DataCentreId{}, LoadScope::kThisHost,
@@ -351,8 +353,8 @@
   };
   std::deque<Running> running;
   std::vector<int> halves(kDuration / kHalf);
-  const TimePoint began = now;
-  while (now - began < kDuration) {
+  const TimePoint started = now;
+  while (now - started < kDuration) {
     while (!running.empty() && running.front().ends <= now) {
       loads.End(running.front().work);
       running.pop_front();
@@ -361,14 +363,14 @@
         Host(static_cast<int>(random() % static_cast<std::uint64_t>(hosts)));
     PlacementRequest request;
     request.service = &service;
-    request.withheld = shares.Withheld(starts, host, service);
+    request.withheld = quotas.Withheld(starts, host, service);
     const auto placement = std::get<Placement>(placer.Choose(request));
     starts.Add(host, placement.endpoint.id);
     for (const WorkPart& part : PartsOf(placement, request)) {
       running.push_back(Running{now + Millis(50), loads.Begin(part)});
     }
     if (placement.endpoint.id == kEndpoint) {
-      ++halves[static_cast<std::size_t>((now - began) / kHalf)];
+      ++halves[static_cast<std::size_t>((now - started) / kHalf)];
     }
     now += kStep;
   }
@@ -390,7 +392,7 @@
   for (const int hosts : {3, 24, 100}) {
     const std::vector<int> halves = RunWarmUp(kLimit, hosts);
     CHECK(LargestRise(halves) <= kMaxRise);
-    CHECK(halves.front() <= static_cast<int>(kMostInASecond) / 2);
+    CHECK(halves.front() <= static_cast<int>(kMaxPerSecond) / 2);
     // In the end the endpoint gets a quarter of 1000 requests per second.
     CHECK(halves.back() >= 110);
   }
@@ -398,7 +400,7 @@
 
 TEST_CASE("Without a limit a cold endpoint gets all its work at once") {
   CHECK(RunWarmUp(ColdLimit{}, 24).front() >
-        2 * static_cast<int>(kMostInASecond));
+        2 * static_cast<int>(kMaxPerSecond));
 }
 
 }  // namespace
