--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -1,11 +1,13 @@
 // The endpoints that the platform publishes, and which of them may be used.
 //
-// An entry that vanishes means that its endpoint has left, and a request that
-// reaches it late is lost. Entries of living endpoints vanish too, while the
-// platform's service is down for longer than their leases, and are written
-// again soon after it is back. Only a host whose own reading failed for that
-// long takes a vanished entry for a lapse, and keeps it for a time that counts
-// from when it heard of it and that nothing makes longer.
+// An entry is normally removed from the store because its endpoint has left,
+// and a request that reaches the endpoint after that is lost. Entries of
+// running endpoints are removed too when the store is down for longer than
+// their leases; the endpoints write them again soon after the store has
+// recovered. The directory therefore keeps a removed entry only if the host's
+// own polling has failed for long enough that the lease may have lapsed. The
+// grace period starts when the host learns of the removal and is never
+// extended.
 
 #ifndef HARECRANK_CORE_ENDPOINT_DIRECTORY_H_
 #define HARECRANK_CORE_ENDPOINT_DIRECTORY_H_
@@ -23,171 +25,176 @@
 
 namespace harecrank {
 
-// When an endpoint's process started, in Unix ms by its own clock. Tells lives
-// of one id apart; clocks step, so it does not tell which came first.
+// Start time of an endpoint's process, in Unix milliseconds by the endpoint's
+// own clock. Distinguishes incarnations with the same id. Clocks are adjusted,
+// so a larger value does not mean a later start.
 using EndpointIncarnation =
     StrongNumber<struct EndpointIncarnationTag, std::int64_t>;
 
 // One incarnation of an endpoint, as published.
 struct EndpointRecord {
   EndpointId id;
-  // Unset where the platform does not tell it: then each id has one
+  // Unset on platforms that do not publish it; each id then has one
   // incarnation.
   std::optional<EndpointIncarnation> incarnation;
   ServiceName service;
-  // IP number and port.
+  // IP address and port.
   std::string address;
   DataCentreId data_centre;
-  // Requests that it works on at once.
+  // Maximum number of concurrent requests.
   int slots = 1;
-  // It leaves: no new work may go there.
+  // The endpoint is leaving and accepts no new work.
   bool draining = false;
   StoreRevision revision;
-  // How much longer it was cold when it wrote this; unset where that is not
-  // told.
+  // Remaining warm-up time when the endpoint wrote this entry; unset if the
+  // entry does not contain it.
   std::optional<Millis> cold_for;
 };
 
-// What is made of an entry that has vanished.
+// What EndpointDirectory did with an entry that was removed from the store.
 enum class RemovalResult {
-  // Nothing of it is held, or what is held is newer.
+  // The directory has no such entry, or a newer one.
   kIgnored,
-  // The endpoint is taken for gone.
+  // The endpoint has left; the entry was dropped.
   kDeparted,
-  // It may have lapsed while the source was away: it is kept for a while.
+  // The lease may have lapsed during a store outage; the entry is kept for the
+  // grace period.
   kMayHaveLapsed
 };
 
-// What a listing left out of what was held.
+// Counts the known entries that were missing from a listing.
 struct ListingChange {
   std::size_t departed = 0;
   std::size_t may_have_lapsed = 0;
 };
 
-// An entry that was kept while it was missing, and is not any more.
+// A missing entry whose grace period has expired.
 struct ExpiredEndpoint {
   EndpointId id;
-  // Since it was first heard to be missing.
+  // Time since the entry was first known to be missing.
   Millis kept{0};
 };
 
-// Holds the records and their state. Not thread-safe.
+// Holds the endpoint records and their state. Not thread-safe.
 class EndpointDirectory {
  public:
-  // A request may reach an endpoint for `leave_limit` after it has left.
+  // `leave_limit` is the longest time after an endpoint has left within which a
+  // request may still arrive there.
   explicit EndpointDirectory(MonotonicClock clock,
                              Millis leave_limit = kDefaultLeaveLimit);
 
-  // Takes over one record. Older revisions than the one held change nothing. A
-  // incarnation that has said that it leaves does not stay, whatever a word of
-  // it that comes late may say. Returns whether anything that matters for
-  // routing changed.
+  // Stores a record unless a newer revision is known. An incarnation that has
+  // announced that it leaves stays marked as leaving, whatever later or delayed
+  // records of it contain. Returns whether anything relevant to routing
+  // changed.
   bool Upsert(const EndpointRecord& record);
 
-  // Notes that `incarnation` of the endpoint has said itself that it leaves.
-  // Returns whether that is news. Its entry may go on to say that it is ready,
-  // or the source say nothing: only a new incarnation takes work again.
+  // Notes that `incarnation` of the endpoint has itself announced that it
+  // leaves. Returns false if that was known. The store may still publish the
+  // endpoint as ready; only a new incarnation receives work again.
   bool MarkLeaving(const EndpointId& id,
                    const std::optional<EndpointIncarnation>& incarnation);
 
-  // Whether `incarnation` of the endpoint has said that it leaves.
+  // Returns whether `incarnation` of the endpoint has announced that it leaves.
   bool HasAnnouncedLeave(
       const EndpointId& id,
       const std::optional<EndpointIncarnation>& incarnation) const;
 
-  // Returns those that are held and leave.
+  // Returns the known endpoints that are leaving.
   std::vector<EndpointId> Leaving() const;
 
-  // Notes that what stands at the record's place since `revision` names no
-  // endpoint. Returns whether one was held.
+  // Notes that the entry has not described a valid endpoint since `revision`.
+  // Returns whether a record was removed.
   bool Withdraw(const EndpointId& id, StoreRevision revision);
 
-  // Notes that the record has vanished at `revision`.
+  // Notes that the entry was removed from the store at `revision`.
   RemovalResult Remove(const EndpointId& id, StoreRevision revision);
 
-  // Takes a complete listing: what is held and not listed has vanished.
+  // Stores a complete listing. Known entries that are not in `records` and not
+  // newer than `at` count as removed.
   ListingChange ReplaceAll(const std::vector<EndpointRecord>& records,
                            StoreRevision at);
 
-  // Notes that the source does not answer this host, which last heard from it,
-  // itself or through others, `unheard` ago. That nobody tells this host is no
-  // such case: the source may be well.
-  void OnStoreUnreachable(Millis unheard = Millis(0));
+  // Notes that this host's own poll of the store failed and that its data,
+  // direct or from other hosts, is `unreachable_for` old. Not to be called if
+  // merely no other host has sent updates, since the store may be available.
+  void OnStoreUnreachable(Millis unreachable_for = Millis(0));
 
-  // Notes that what was told is complete as the source knew it `age` ago, when
-  // it was at `at`. To be called before the changes up to `at` are told. What
-  // vanishes at a later revision has left; what vanished before may have lapsed
-  // if the source was away for longer than kMinOutageForLapse.
+  // Notes that the directory's data is complete as of `age` ago, when the store
+  // was at revision `at`. To be called before the changes up to `at` are
+  // applied. Entries removed at a later revision have left; entries removed
+  // earlier may have lapsed if the store was unreachable for at least
+  // kMinOutageForLapse.
   void OnStoreSynced(StoreRevision at, Millis age = Millis(0));
 
-  // Drops entries that have been missing for as long as they may be used, and
-  // returns them.
+  // Removes missing entries whose grace period has expired and returns them.
   std::vector<ExpiredEndpoint> RemoveExpired();
 
-  // Takes an order that a data centre is to take nothing. Returns whether that
-  // is news.
+  // Drains a data centre: its endpoints receive no new work. Returns whether
+  // this changed its state.
   bool DrainDataCentre(const DrainedDataCentre& order);
 
-  // Takes it back. Returns whether that is news.
+  // Ends the drain of a data centre. Returns whether this changed its state.
   bool RestoreDataCentre(const DataCentreId& id, StoreRevision revision);
 
-  // Takes all orders that stood at `at`, and returns what they changed.
+  // Replaces all drain orders by those in force at `at`. Returns what changed.
   DrainChange ReplaceDrained(const std::vector<DrainedDataCentre>& orders,
                              StoreRevision at);
 
-  const DrainedDataCentres& Drained() const { return closed_; }
+  const DrainedDataCentres& Drained() const { return drained_; }
 
-  // Returns the endpoints of one data centre, usable or not.
+  // Returns the endpoints of a data centre, whether usable or not.
   std::vector<EndpointId> In(const DataCentreId& data_centre) const;
 
-  // Returns the usable endpoints of `service`, ordered by id: those that take
-  // new work and are worth choosing. Valid until the next change or call.
+  // Returns the endpoints of `service` that accept new work, ordered by id.
+  // Endpoints of a data centre that is ramping up are left out until their
+  // turn, unless the service has no others. The reference and the pointers are
+  // valid until the next change or call.
   const std::vector<const EndpointRecord*>& UsableOf(
       const ServiceName& service) const;
 
-  // Returns the record of `id`, or null if it is gone.
+  // Returns the record of `id`, or null if there is none.
   const EndpointRecord* Find(const EndpointId& id) const;
 
-  // Returns the record of `id` if it may be given new work of `service`, or
-  // null. Those that another host has chosen are asked for here: it may have
-  // heard later that they take none, or sooner that they do.
+  // Returns the record of `id` if it accepts new work of `service`, or null.
+  // Validates an endpoint that another host has chosen; that host may have
+  // older or newer data. Accepts endpoints of a data centre that is ramping up.
   const EndpointRecord* FindUsable(const EndpointId& id,
                                    const ServiceName& service) const;
 
-  // Returns for how long the entry of `id` has been missing; nothing if it is
-  // listed or not held.
+  // Returns how long the entry of `id` has been missing from the store; nothing
+  // if it is listed or unknown.
   std::optional<Millis> MissingFor(const EndpointId& id) const;
 
-  // Returns how many endpoints are kept whose entries are missing.
+  // Returns the number of kept entries that are missing from the store.
   std::size_t MissingCount() const;
 
-  // Returns every record that is held.
   std::vector<EndpointRecord> All() const;
 
   std::size_t Count() const { return entries_.size(); }
 
-  // What a request may take from the choice of its endpoint until it is there:
-  // a connection's set-up, at most 250 ms, the look for entries to drop, each
-  // 100 ms, and a busy host's event loop.
+  // Longest time from the choice of an endpoint to the arrival of the request
+  // there: connection set-up of at most 250 ms, the 100 ms interval at which
+  // expired entries are removed, and delays of the event loop on a busy host.
   static constexpr Millis kMaxDispatchTime{500};
-  // How long after an endpoint has left a request may still reach it, unless
-  // the platform's settings say otherwise: the platform's usual bound.
+  // Default of the longest time after an endpoint has left within which a
+  // request may still arrive there; the platform's usual limit.
   static constexpr Millis kDefaultLeaveLimit{2000};
-  // How long an entry that may have lapsed is kept, with that limit. Entries of
-  // living endpoints were back within 0.7 s of being heard gone in four outages
-  // of 3 and 4 s, since each is written anew every 1.2 s.
+  // How long an entry that may have lapsed is kept under the default limit.
+  // Endpoints rewrite their entries every 1.2 s: after a store outage of 3 to
+  // 4 s, entries of running endpoints reappear within 0.7 s of the notice of
+  // their removal.
   static constexpr Millis kLapseGracePeriod =
       kDefaultLeaveLimit - kMaxDispatchTime;
-  // The shortest absence of the source in which an entry can lapse: it takes
-  // three heartbeats of silence, 1.2 s each, and the last one may have been
-  // due.
+  // Shortest store outage in which a lease can lapse. A lease lapses three
+  // heartbeat intervals of 1.2 s after its last heartbeat, which may have been
+  // sent one interval before the outage began.
   static constexpr Millis kMinOutageForLapse{2400};
-  // How long after the return of the source a vanished entry may have lapsed
-  // while it was away: three heartbeats.
+  // Time after an outage during which removed entries may have lapsed in the
+  // outage: three heartbeats.
   static constexpr Millis kPostOutageWindow{3600};
-  // How long a incarnation that has said that it leaves is remembered once its
-  // entry is not held any more: longer than a late word of it may be on its
-  // way.
+  // How long an announced leave is remembered once the entry is no longer in
+  // the directory; longer than any message of that incarnation can be delayed.
   static constexpr Millis kLeavingRetention{60000};
 
  private:
@@ -197,44 +204,48 @@
   };
   struct Entry {
     EndpointRecord record;
-    // Set while the entry is missing at the source.
+    // Set while the entry is missing from the store.
     std::optional<Missing> missing;
   };
 
-  struct LeavingLife {
+  struct LeavingIncarnation {
     std::optional<EndpointIncarnation> incarnation;
-    // When it said so, or its entry was last held.
-    TimePoint noted;
+    // The time of the announcement, or the last time the entry was in the
+    // directory, whichever is later.
+    TimePoint last_seen;
   };
 
-  // Returns whether that is news.
-  bool RememberLeaving(const EndpointId& id,
-                       const std::optional<EndpointIncarnation>& incarnation);
-  // Forgets lives that have said that they leave and are long gone.
-  void SweepLeaving(TimePoint now);
-  // Returns whether an entry that is missing now may have lapsed.
+  // Returns false if the leave was already recorded.
+  bool RecordLeave(const EndpointId& id,
+                   const std::optional<EndpointIncarnation>& incarnation);
+  // Removes recorded leaves older than kLeavingRetention.
+  void RemoveOldLeaves(TimePoint now);
+  // Returns whether the lease of an entry that is missing at `now` may have
+  // lapsed during a store outage.
   bool MayHaveLapsed(TimePoint now) const;
-  // Keeps what may have lapsed until `use_until`, and drops the rest.
-  RemovalResult Drop(const EndpointId& id, std::optional<TimePoint> use_until);
+  // Keeps the entry until `use_until` if that is set, and removes it otherwise.
+  RemovalResult RemoveOrRetain(const EndpointId& id,
+                               std::optional<TimePoint> use_until);
   bool TakesWork(const EndpointRecord& record) const;
   void Rebuild() const;
 
   MonotonicClock clock_;
-  DrainedDataCentres closed_;
+  DrainedDataCentres drained_;
   std::map<EndpointId, Entry> entries_;
-  Millis lapse_grace_;
-  std::map<EndpointId, LeavingLife> leaving_;
-  // Since when the source has not answered; unset while it does.
-  std::optional<TimePoint> lost_since_;
-  // The last return of the source after an absence in which entries may have
-  // lapsed.
-  std::optional<TimePoint> back_at_;
-  StoreRevision back_revision_;
-  // When what is held was complete: now, and before the source was last heard.
-  TimePoint complete_at_{};
-  TimePoint complete_before_{};
+  Millis lapse_grace_period_;
+  std::map<EndpointId, LeavingIncarnation> leaving_;
+  // Start of the current store outage; unset if there is none.
+  std::optional<TimePoint> store_unreachable_since_;
+  // End of the last outage in which leases may have lapsed, and the store's
+  // revision at that time.
+  std::optional<TimePoint> store_recovered_at_;
+  StoreRevision recovery_revision_;
+  // Times of the last sync and of the sync before it.
+  TimePoint synced_at_{};
+  TimePoint previous_sync_at_{};
   mutable bool stale_index_ = true;
-  // When further endpoints of a data centre that was drained may be chosen.
+  // When the index is to be rebuilt because further endpoints of a restored
+  // data centre may be chosen.
   mutable TimePoint rebuild_at_ = TimePoint::max();
   mutable std::unordered_map<ServiceName, std::vector<const EndpointRecord*>>
       usable_;
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -8,19 +8,19 @@
 namespace harecrank {
 namespace {
 
-// A listing in which more than one entry in this many is missing at once is
-// taken for a lapse and not for departures, which come one by one.
-constexpr std::size_t kLapseShare = 3;
-// How often it is looked which endpoints of a data centre that was drained may
-// be chosen again.
-constexpr Millis kReturnLook{50};
+// If more than one entry in this many is missing from a listing, the entries
+// are assumed to have lapsed, since endpoints leave one at a time.
+constexpr std::size_t kLapseDivisor = 3;
+// Interval at which the index is rebuilt while a restored data centre ramps up.
+constexpr Millis kRampUpRebuildInterval{50};
 
 }  // namespace
 
 EndpointDirectory::EndpointDirectory(MonotonicClock clock, Millis leave_limit)
     : clock_(std::move(clock)),
-      closed_(clock_),
-      lapse_grace_(std::max(Millis(0), leave_limit - kMaxDispatchTime)) {}
+      drained_(clock_),
+      lapse_grace_period_(std::max(Millis(0), leave_limit - kMaxDispatchTime)) {
+}
 
 bool EndpointDirectory::Upsert(const EndpointRecord& record) {
   Entry& entry = entries_[record.id];
@@ -29,7 +29,7 @@
     return false;
   }
   if (record.draining) {
-    RememberLeaving(record.id, record.incarnation);
+    RecordLeave(record.id, record.incarnation);
   }
   const bool draining = HasAnnouncedLeave(record.id, record.incarnation);
   const bool changed = is_new || entry.missing.has_value() ||
@@ -52,20 +52,20 @@
   return found != leaving_.end() && found->second.incarnation == incarnation;
 }
 
-bool EndpointDirectory::RememberLeaving(
+bool EndpointDirectory::RecordLeave(
     const EndpointId& id,
     const std::optional<EndpointIncarnation>& incarnation) {
   if (HasAnnouncedLeave(id, incarnation)) {
     return false;
   }
-  leaving_[id] = LeavingLife{incarnation, clock_()};
+  leaving_[id] = LeavingIncarnation{incarnation, clock_()};
   return true;
 }
 
 bool EndpointDirectory::MarkLeaving(
     const EndpointId& id,
     const std::optional<EndpointIncarnation>& incarnation) {
-  if (!RememberLeaving(id, incarnation)) {
+  if (!RecordLeave(id, incarnation)) {
     return false;
   }
   const auto found = entries_.find(id);
@@ -92,7 +92,7 @@
   if (found == entries_.end() || revision < found->second.record.revision) {
     return false;
   }
-  return Drop(id, std::nullopt) == RemovalResult::kDeparted;
+  return RemoveOrRetain(id, std::nullopt) == RemovalResult::kDeparted;
 }
 
 RemovalResult EndpointDirectory::Remove(const EndpointId& id,
@@ -102,12 +102,12 @@
     return RemovalResult::kIgnored;
   }
   const TimePoint now = clock_();
-  const bool left_after_return =
-      !lost_since_.has_value() && back_revision_ < revision;
-  if (left_after_return || !MayHaveLapsed(now)) {
-    return Drop(id, std::nullopt);
+  const bool left_after_recovery =
+      !store_unreachable_since_.has_value() && recovery_revision_ < revision;
+  if (left_after_recovery || !MayHaveLapsed(now)) {
+    return RemoveOrRetain(id, std::nullopt);
   }
-  return Drop(id, now + lapse_grace_);
+  return RemoveOrRetain(id, now + lapse_grace_period_);
 }
 
 ListingChange EndpointDirectory::ReplaceAll(
@@ -126,48 +126,49 @@
   const TimePoint now = clock_();
   std::optional<TimePoint> use_until;
   if (MayHaveLapsed(now)) {
-    use_until = now + lapse_grace_;
-  } else if (missing.size() * kLapseShare > entries_.size()) {
-    // They may have gone at any time since the last that this host heard.
-    use_until = complete_before_ + lapse_grace_;
+    use_until = now + lapse_grace_period_;
+  } else if (missing.size() * kLapseDivisor > entries_.size()) {
+    // They may have been removed at any time since the previous sync.
+    use_until = previous_sync_at_ + lapse_grace_period_;
   }
   ListingChange change;
   for (const EndpointId& id : missing) {
-    const bool departed = Drop(id, use_until) == RemovalResult::kDeparted;
+    const bool departed =
+        RemoveOrRetain(id, use_until) == RemovalResult::kDeparted;
     ++(departed ? change.departed : change.may_have_lapsed);
   }
   return change;
 }
 
-void EndpointDirectory::OnStoreUnreachable(Millis unheard) {
-  if (!lost_since_.has_value()) {
-    lost_since_ = clock_() - unheard;
+void EndpointDirectory::OnStoreUnreachable(Millis unreachable_for) {
+  if (!store_unreachable_since_.has_value()) {
+    store_unreachable_since_ = clock_() - unreachable_for;
   }
 }
 
 void EndpointDirectory::OnStoreSynced(StoreRevision at, Millis age) {
   const TimePoint now = clock_();
-  complete_before_ = complete_at_;
-  complete_at_ = std::max(complete_at_, now - age);
-  if (!lost_since_.has_value()) {
+  previous_sync_at_ = synced_at_;
+  synced_at_ = std::max(synced_at_, now - age);
+  if (!store_unreachable_since_.has_value()) {
     return;
   }
-  if (now - *lost_since_ >= kMinOutageForLapse) {
-    back_at_ = now;
-    back_revision_ = at;
+  if (now - *store_unreachable_since_ >= kMinOutageForLapse) {
+    store_recovered_at_ = now;
+    recovery_revision_ = at;
   }
-  lost_since_.reset();
+  store_unreachable_since_.reset();
 }
 
 std::vector<ExpiredEndpoint> EndpointDirectory::RemoveExpired() {
-  std::vector<ExpiredEndpoint> dropped;
+  std::vector<ExpiredEndpoint> expired;
   const TimePoint now = clock_();
   for (auto it = entries_.begin(); it != entries_.end();) {
     const auto& missing = it->second.missing;
-    // Whatever the source does meanwhile: while it was lost, or came and went,
-    // endpoints that had left were used for as long as that lasted.
+    // Independent of the state of the store: otherwise endpoints that have left
+    // would stay in use for as long as the store is unreachable or flapping.
     if (missing.has_value() && now >= missing->use_until) {
-      dropped.push_back(ExpiredEndpoint{
+      expired.push_back(ExpiredEndpoint{
           it->first, std::chrono::duration_cast<Millis>(now - missing->since)});
       it = entries_.erase(it);
       stale_index_ = true;
@@ -175,35 +176,35 @@
       ++it;
     }
   }
-  SweepLeaving(now);
-  return dropped;
+  RemoveOldLeaves(now);
+  return expired;
 }
 
-void EndpointDirectory::SweepLeaving(TimePoint now) {
+void EndpointDirectory::RemoveOldLeaves(TimePoint now) {
   for (auto it = leaving_.begin(); it != leaving_.end();) {
     if (entries_.count(it->first) != 0) {
-      it->second.noted = now;
+      it->second.last_seen = now;
     }
-    const bool is_old = now - it->second.noted >= kLeavingRetention;
-    it = is_old ? leaving_.erase(it) : std::next(it);
+    const bool is_expired = now - it->second.last_seen >= kLeavingRetention;
+    it = is_expired ? leaving_.erase(it) : std::next(it);
   }
 }
 
 bool EndpointDirectory::DrainDataCentre(const DrainedDataCentre& order) {
   stale_index_ = true;
-  return closed_.Drain(order);
+  return drained_.Drain(order);
 }
 
 bool EndpointDirectory::RestoreDataCentre(const DataCentreId& id,
                                           StoreRevision revision) {
   stale_index_ = true;
-  return closed_.Restore(id, revision);
+  return drained_.Restore(id, revision);
 }
 
 DrainChange EndpointDirectory::ReplaceDrained(
     const std::vector<DrainedDataCentre>& orders, StoreRevision at) {
   stale_index_ = true;
-  return closed_.ReplaceAll(orders, at);
+  return drained_.ReplaceAll(orders, at);
 }
 
 std::vector<EndpointId> EndpointDirectory::In(
@@ -268,17 +269,19 @@
 }
 
 bool EndpointDirectory::MayHaveLapsed(TimePoint now) const {
-  // A host that nobody told for a moment, and that the source answers at its
-  // first call, has missed no lapse. Taken for one, a departure kept its
-  // endpoint in use for 3.0 s.
-  if (lost_since_.has_value() && now - *lost_since_ >= kMinOutageForLapse) {
+  // A host that received no updates for a moment, and gets an answer from the
+  // store at its first poll, has missed no lapse. Treating it as an outage
+  // would keep endpoints that have left in use for up to 3 s.
+  if (store_unreachable_since_.has_value() &&
+      now - *store_unreachable_since_ >= kMinOutageForLapse) {
     return true;
   }
-  return back_at_.has_value() && now < *back_at_ + kPostOutageWindow;
+  return store_recovered_at_.has_value() &&
+         now < *store_recovered_at_ + kPostOutageWindow;
 }
 
-RemovalResult EndpointDirectory::Drop(const EndpointId& id,
-                                      std::optional<TimePoint> use_until) {
+RemovalResult EndpointDirectory::RemoveOrRetain(
+    const EndpointId& id, std::optional<TimePoint> use_until) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
     return RemovalResult::kIgnored;
@@ -296,28 +299,29 @@
 }
 
 bool EndpointDirectory::TakesWork(const EndpointRecord& record) const {
-  return !record.draining && !closed_.IsDrained(record.data_centre);
+  return !record.draining && !drained_.IsDrained(record.data_centre);
 }
 
 void EndpointDirectory::Rebuild() const {
   usable_.clear();
-  std::unordered_map<ServiceName, std::vector<const EndpointRecord*>> returning;
+  std::unordered_map<ServiceName, std::vector<const EndpointRecord*>>
+      ramping_up;
   for (const auto& [id, entry] : entries_) {
     const EndpointRecord& record = entry.record;
     if (TakesWork(record)) {
-      const bool returns = closed_.IsRampingUp(record.data_centre, id);
-      (returns ? returning : usable_)[record.service].push_back(&record);
+      const bool is_ramping_up = drained_.IsRampingUp(record.data_centre, id);
+      (is_ramping_up ? ramping_up : usable_)[record.service].push_back(&record);
     }
   }
-  // Where a service has no others they are needed at once.
-  for (auto& [service, endpoints] : returning) {
+  // Services without other endpoints use these at once.
+  for (auto& [service, endpoints] : ramping_up) {
     if (usable_.count(service) == 0) {
       usable_[service] = std::move(endpoints);
     }
   }
   stale_index_ = false;
-  rebuild_at_ =
-      closed_.AnyRampingUp() ? clock_() + kReturnLook : TimePoint::max();
+  rebuild_at_ = drained_.AnyRampingUp() ? clock_() + kRampUpRebuildInterval
+                                        : TimePoint::max();
 }
 
 }  // namespace harecrank
