--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -1,4 +1,5 @@
-// Which endpoints have failed lately, seen from a host's own requests.
+// Tracks which endpoints have failed recently, from this host's own requests
+// and from reports of other hosts.
 
 #ifndef HARECRANK_CORE_ENDPOINT_HEALTH_H_
 #define HARECRANK_CORE_ENDPOINT_HEALTH_H_
@@ -11,95 +12,100 @@
 
 namespace harecrank {
 
-// An endpoint that is left alone, and for how much longer.
+// An endpoint that is avoided, and the remaining time.
 struct AvoidedEndpoint {
   EndpointId id;
   Millis left{0};
 };
 
-// A circuit for each endpoint: failures in a row open it for a time that
-// doubles, and a high share of failures makes it a last choice. Not
-// thread-safe.
+// A circuit breaker per endpoint. Consecutive failures open the circuit for a
+// time that doubles with each further failure. An endpoint with a high failure
+// ratio is used only if there is no other. Not thread-safe.
 class EndpointHealth {
  public:
   explicit EndpointHealth(MonotonicClock clock);
 
-  // Notes that an answer or a first event came, and how long that took in
-  // relation to what was expected: 1 is as expected.
-  void OnSuccess(const EndpointId& id, double pace);
+  // Notes a response or first event. `slowdown` is the ratio of the observed to
+  // the expected response time.
+  void OnSuccess(const EndpointId& id, double slowdown);
 
-  // Notes that bytes came from it: it is alive, however slow.
+  // Notes that bytes arrived from the endpoint: it is alive, if slow.
   void OnBytesReceived(const EndpointId& id);
 
-  // Notes that a request waited in vain since `since`. That tells of the
-  // endpoint only if nothing else was heard from it either.
+  // Notes that a request is overdue that has received nothing since `since`.
+  // Counts as a failure only if nothing else was received from the endpoint
+  // either.
   void OnOverdue(const EndpointId& id, TimePoint since);
 
-  // Notes an answer that came as expected in time but was a failure.
+  // Notes a response that arrived in time but reported a failure.
   void OnErrorAnswer(const EndpointId& id);
 
-  // Notes that it could not be reached, fell silent or broke off.
+  // Notes that the endpoint could not be reached, stopped sending, or closed
+  // the connection early.
   void OnUnreachable(const EndpointId& id);
 
-  // Notes that another endpoint named it as the one that a request failed by:
-  // it leaves, is gone, or takes no more. Its own answers do not change that,
-  // since one that leaves still ends what it has begun.
+  // Notes that another endpoint reported this one as the cause of a failed
+  // request: it is leaving, gone, or accepts no more work. Successful responses
+  // do not reset this, since a leaving endpoint still completes requests in
+  // progress.
   void OnReportedAtFault(const EndpointId& id);
 
-  // Notes that a peer leaves it alone for `left` more.
+  // Notes that another host avoids the endpoint for `left` more.
   void OnAvoidedByPeer(const EndpointId& id, Millis left);
 
-  // Returns the endpoints that this host leaves alone by what it has seen
-  // itself, and for how much longer.
+  // Returns the endpoints that this host avoids because of its own
+  // observations, without those reported by other hosts.
   std::vector<AvoidedEndpoint> Avoided() const;
 
-  // Returns whether bytes came from it clearly later than `time`.
+  // Returns whether bytes arrived at least kAliveMargin after `time`.
   bool ReceivedBytesAfter(const EndpointId& id, TimePoint time) const;
 
-  // Returns whether requests should go elsewhere if they can.
+  // Returns whether requests should go to another endpoint if possible.
   bool IsSuspect(const EndpointId& id) const;
 
-  // Returns how much slower than expected it has lately been; 1 if not known.
+  // Returns the running mean of observed over expected response time; 1 if
+  // unknown.
   double Slowdown(const EndpointId& id) const;
 
-  // Forgets endpoints that are gone.
+  // Removes the state of an endpoint.
   void Forget(const EndpointId& id) { states_.erase(id); }
 
-  // The first time that an unreachable endpoint is left alone: about as long
-  // as a host needs to be found dead by its heartbeats is too long, a
-  // connection's set-up too short.
+  // Time for which the first failure opens the circuit. The time until missing
+  // heartbeats show a host to be dead would be too long, and the time of a
+  // connection set-up too short.
   static constexpr Millis kInitialOpenTime{700};
   static constexpr Millis kMaxOpenTime{5600};
-  // How long an endpoint is left alone that another has named. One that leaves
-  // is gone, or published as leaving, after about this; with the platform
-  // silent it is named again, once for each host.
+  // How long an endpoint is avoided after another endpoint has reported it. A
+  // leaving endpoint is gone or published as leaving after about this time.
+  // While the store is unavailable it is reported again, once per host.
   static constexpr Millis kReportedOpenTime{3000};
-  // Share of failures above which an endpoint is a last choice. Plain services
-  // fail one in seven in ordinary running, and to leave a host that fails a
-  // third of its requests unused costs more than it saves while all are busy.
+  // Failure ratio above which an endpoint is used only if there is no other.
+  // Plain services fail one request in seven in normal operation, and avoiding
+  // a host that fails a third of its requests costs more than it saves when all
+  // hosts are busy.
   static constexpr double kSuspectFailureRatio = 0.5;
-  // How long after its last failure an endpoint with such a share is a last
-  // choice. Without an end it gets no request while others are sound, and so
-  // never shows that it is well.
+  // How long after its last failure an endpoint above kSuspectFailureRatio is
+  // avoided. Without this limit it would receive no requests while others are
+  // healthy, and could never recover.
   static constexpr Millis kProbeDelay{1400};
-  // An endpoint that was heard from this long after a request's last byte is
-  // slow and not silent.
+  // An endpoint from which bytes arrived this long after a request's last byte
+  // counts as slow, not as silent.
   static constexpr Millis kAliveMargin{300};
 
  private:
   struct State;
-  void NoteFailure(State* state);
+  void RecordFailure(State* state);
 
   struct State {
     int failures_in_a_row = 0;
-    TimePoint blocked_until{};
-    TimePoint named_until{};
-    // As peers say.
-    TimePoint avoided_until{};
-    TimePoint heard{};
-    double failure_share = 0;
-    TimePoint failed_at{};
-    double pace = 1;
+    TimePoint open_until{};
+    TimePoint reported_until{};
+    // As reported by other hosts.
+    TimePoint peer_avoids_until{};
+    TimePoint last_bytes_at{};
+    double failure_ratio = 0;
+    TimePoint last_failure_at{};
+    double slowdown = 1;
   };
 
   MonotonicClock clock_;
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -6,28 +6,30 @@
 namespace harecrank {
 namespace {
 
-// Weight of the newest answer in the running means.
-constexpr double kNewest = 0.15;
-// A single answer's pace is cut to this, so that one outlier cannot dominate.
-constexpr double kMostPace = 10;
+// Weight of the latest sample in the exponential moving averages.
+constexpr double kSmoothingFactor = 0.15;
+// Upper limit on a single sample, so that one outlier cannot dominate the mean.
+constexpr double kMaxSlowdown = 10;
 
-void Fold(double* mean, double newest) { *mean += kNewest * (newest - *mean); }
+void UpdateMean(double* mean, double newest) {
+  *mean += kSmoothingFactor * (newest - *mean);
+}
 
 }  // namespace
 
 EndpointHealth::EndpointHealth(MonotonicClock clock)
     : clock_(std::move(clock)) {}
 
-void EndpointHealth::OnSuccess(const EndpointId& id, double pace) {
+void EndpointHealth::OnSuccess(const EndpointId& id, double slowdown) {
   State& state = states_[id];
   state.failures_in_a_row = 0;
-  state.blocked_until = TimePoint{};
-  Fold(&state.failure_share, 0);
-  Fold(&state.pace, std::min(pace, kMostPace));
+  state.open_until = TimePoint{};
+  UpdateMean(&state.failure_ratio, 0);
+  UpdateMean(&state.slowdown, std::min(slowdown, kMaxSlowdown));
 }
 
 void EndpointHealth::OnBytesReceived(const EndpointId& id) {
-  states_[id].heard = clock_();
+  states_[id].last_bytes_at = clock_();
 }
 
 void EndpointHealth::OnOverdue(const EndpointId& id, TimePoint since) {
@@ -37,18 +39,18 @@
 }
 
 void EndpointHealth::OnReportedAtFault(const EndpointId& id) {
-  states_[id].named_until = clock_() + kReportedOpenTime;
+  states_[id].reported_until = clock_() + kReportedOpenTime;
 }
 
 void EndpointHealth::OnAvoidedByPeer(const EndpointId& id, Millis left) {
-  states_[id].avoided_until = clock_() + std::min(left, kMaxOpenTime);
+  states_[id].peer_avoids_until = clock_() + std::min(left, kMaxOpenTime);
 }
 
 std::vector<AvoidedEndpoint> EndpointHealth::Avoided() const {
   const TimePoint now = clock_();
   std::vector<AvoidedEndpoint> avoided;
   for (const auto& [id, state] : states_) {
-    const TimePoint until = std::max(state.blocked_until, state.named_until);
+    const TimePoint until = std::max(state.open_until, state.reported_until);
     if (now < until) {
       avoided.push_back(
           AvoidedEndpoint{id, std::chrono::duration_cast<Millis>(until - now)});
@@ -60,27 +62,29 @@
 bool EndpointHealth::ReceivedBytesAfter(const EndpointId& id,
                                         TimePoint time) const {
   const auto found = states_.find(id);
-  return found != states_.end() && found->second.heard >= time + kAliveMargin;
+  return found != states_.end() &&
+         found->second.last_bytes_at >= time + kAliveMargin;
 }
 
-void EndpointHealth::NoteFailure(State* state) {
-  Fold(&state->failure_share, 1);
-  state->failed_at = clock_();
+void EndpointHealth::RecordFailure(State* state) {
+  UpdateMean(&state->failure_ratio, 1);
+  state->last_failure_at = clock_();
 }
 
 void EndpointHealth::OnErrorAnswer(const EndpointId& id) {
-  NoteFailure(&states_[id]);
+  RecordFailure(&states_[id]);
 }
 
 void EndpointHealth::OnUnreachable(const EndpointId& id) {
   State& state = states_[id];
-  NoteFailure(&state);
-  Millis block = kInitialOpenTime;
-  for (int i = 0; i < state.failures_in_a_row && block < kMaxOpenTime; ++i) {
-    block *= 2;
+  RecordFailure(&state);
+  Millis open_time = kInitialOpenTime;
+  for (int i = 0; i < state.failures_in_a_row && open_time < kMaxOpenTime;
+       ++i) {
+    open_time *= 2;
   }
   ++state.failures_in_a_row;
-  state.blocked_until = clock_() + std::min(block, kMaxOpenTime);
+  state.open_until = clock_() + std::min(open_time, kMaxOpenTime);
 }
 
 bool EndpointHealth::IsSuspect(const EndpointId& id) const {
@@ -89,17 +93,17 @@
     return false;
   }
   const State& state = found->second;
-  const TimePoint until =
-      std::max({state.blocked_until, state.named_until, state.avoided_until});
+  const TimePoint until = std::max(
+      {state.open_until, state.reported_until, state.peer_avoids_until});
   const TimePoint now = clock_();
-  const bool fails = state.failure_share > kSuspectFailureRatio &&
-                     now < state.failed_at + kProbeDelay;
-  return now < until || fails;
+  const bool fails_often = state.failure_ratio > kSuspectFailureRatio &&
+                           now < state.last_failure_at + kProbeDelay;
+  return now < until || fails_often;
 }
 
 double EndpointHealth::Slowdown(const EndpointId& id) const {
   const auto found = states_.find(id);
-  return found == states_.end() ? 1 : found->second.pace;
+  return found == states_.end() ? 1 : found->second.slowdown;
 }
 
 }  // namespace harecrank
