--- a/include/harecrank/core/endpoint_rate_limits.h
+++ b/include/harecrank/core/endpoint_rate_limits.h
@@ -1,11 +1,12 @@
-// Which endpoints have named a limit to what they take from all hosts together.
+// Tracks the rate limits that endpoints advertise.
 //
-// The load that it answers: an endpoint in need names, in its answers, how many
-// requests a second it takes from all hosts. Each host hears that in the
-// answers to its own requests alone, so hosts tell each other what they have
-// heard, and how long ago. What is not named again for a while no longer holds
-// as it was: a few requests find out, and the bound is lifted step by step once
-// an answer names none, or once nobody has heard from the endpoint for long.
+// An overloaded endpoint advertises, in its responses, how many requests per
+// second it accepts from all hosts together. A host sees only the responses to
+// its own requests, so hosts exchange the limits and their ages. A limit that
+// has not been confirmed for some time is no longer valid: it stays in force,
+// but a few requests probe whether it still applies. It is raised step by step
+// and then removed once a response advertises no limit, or once no host has
+// received anything from the endpoint for kStaleRetention.
 
 #ifndef HARECRANK_CORE_ENDPOINT_RATE_LIMITS_H_
 #define HARECRANK_CORE_ENDPOINT_RATE_LIMITS_H_
@@ -24,122 +25,128 @@
 
 namespace harecrank {
 
-// Requests a second, from all hosts together.
+// Requests per second from all hosts together.
 using RequestRate = StrongNumber<struct RequestRateTag, double>;
 
-// What an answer says of its endpoint's limit.
 struct NoRateLimit {};
-// It names one that is no number of requests.
+// The value is not a valid number of requests.
 struct UnreadableRateLimit {};
+// What a response says about the endpoint's rate limit.
 using RateLimitHint =
     std::variant<NoRateLimit, RequestRate, UnreadableRateLimit>;
 
-// More is taken for this much: no bound on any fleet's requests.
+// Larger values are clamped to this, which exceeds the request rate of any
+// fleet.
 constexpr double kMaxRequestRate = 1e6;
 
-// Reads a limit as an endpoint names it: a decimal number, zero or more.
+// Parses an advertised limit: a non-negative decimal number.
 RateLimitHint ParseRateLimit(std::string_view text);
 
-// What one host tells another of an endpoint's limit. Times are told as ages,
-// since no two hosts share a clock.
+// A rate limit as one host reports it to another. Times are sent as ages
+// because hosts do not share a clock.
 struct RateLimitReport {
   EndpointId endpoint;
-  // Unset: the endpoint has ceased to name one.
+  // Unset if the endpoint no longer advertises a limit.
   std::optional<RequestRate> rate;
-  // Since the endpoint's answer.
+  // Time since the endpoint's response.
   Millis age{0};
 };
 
-// What news of an endpoint changed.
+// The effect of a response or report on the known limit.
 enum class RateLimitChange { kNone, kAdvertised, kChanged, kEnded };
 
-// Not thread-safe.
+// The rate limits of all endpoints, as known to this host. Not thread-safe.
 class EndpointRateLimits {
  public:
   explicit EndpointRateLimits(MonotonicClock clock);
 
-  // Takes what the answer to a request says that was sent at `sent_at`. One
-  // that names no limit ends one only if it was sent after the limit was last
-  // named: answers on different connections overtake each other. One that
-  // cannot be read stands for the limit that was known before, if there was
-  // one.
-  RateLimitChange OnAnswer(const EndpointId& id, const RateLimitHint& word,
+  // Processes the hint in the response to a request that was sent at `sent_at`.
+  // A response without a limit ends the limit only if its request was sent
+  // after the limit was last advertised, since responses on different
+  // connections can overtake each other. An unreadable value confirms the
+  // previous limit, if there is one.
+  RateLimitChange OnAnswer(const EndpointId& id, const RateLimitHint& hint,
                            TimePoint sent_at);
 
-  // Takes what another host tells, if it is newer than what is known here.
+  // Merges a report from another host if it is newer than the local data.
   RateLimitChange MergeFromPeer(const RateLimitReport& report);
 
-  // Returns the bound on what begins at `id`, or nothing if there is none.
+  // Returns the limit on starts at `id`, or nothing if there is none.
   std::optional<StartLimit> StartLimitOf(const EndpointId& id) const;
 
-  // Returns the limit that `id` names, as far as that is known.
+  // Returns the rate limit of `id` while it is valid.
   std::optional<RequestRate> AdvertisedRate(const EndpointId& id) const;
 
-  // Returns those that have a bound.
+  // Returns the endpoints that have a start limit.
   std::vector<EndpointId> LimitedEndpoints() const;
 
-  // Drops the bounds that are lifted by now, and returns whose they were.
+  // Removes expired limits and returns their endpoints.
   std::vector<EndpointId> TakeExpired();
 
-  // Returns what other hosts should hear, the newest first, kMaxReports at
-  // most.
+  // Returns the reports for other hosts, newest first, at most kMaxReports.
   std::vector<RateLimitReport> Reports() const;
 
-  // Returns how many name a limit, as far as that is known.
+  // Returns the number of endpoints with a valid rate limit.
   std::size_t Count() const;
 
-  // The platform's bound: in any kLimitPeriod an endpoint gets at most what its
-  // limit allows in that time, times kBurstFactor, and kBurstAllowance more.
+  // The platform's rule: in any period of kLimitPeriod an endpoint receives at
+  // most kBurstFactor times what its rate limit allows for that period, plus
+  // kBurstAllowance.
   static constexpr Millis kLimitPeriod{4000};
   static constexpr double kBurstFactor = 1.5;
   static constexpr double kBurstAllowance = 5;
-  // Two requests that are decided on this far apart never arrive within
+  // Two requests that are placed this far apart never arrive within the same
   // kLimitPeriod.
   static constexpr Millis kWindow =
       kLimitPeriod + EndpointDirectory::kMaxDispatchTime;
-  // A limit holds as named for as long as so many requests take by it, within
-  // these bounds: with one in ten seconds, three seconds of silence say
-  // nothing.
+  // A limit is valid for the time in which it allows this many requests,
+  // clamped to the range below. At one request in ten seconds, three seconds
+  // without a response carry no information.
   static constexpr double kValidityInRequests = 3;
   static constexpr Millis kMinValidity{3000};
   static constexpr Millis kMaxValidity{10000};
-  // After that, requests a second that find out whether the limit still holds,
-  // where it allows fewer.
+  // Minimum rate once the limit is no longer valid, so that requests probe
+  // whether it still applies.
   static constexpr double kProbesPerSecond = 0.5;
-  // The bound doubles in each of these: an answer, and the word of it to all
-  // hosts, is there sooner.
+  // Interval in which an expired limit doubles. A response, and its report to
+  // all hosts, arrives sooner than that.
   static constexpr Millis kDoublingPeriod{2000};
-  // How often it doubles before it is lifted.
+  // Number of doublings after which the limit is removed.
   static constexpr int kMaxDoublings = 5;
-  // How long a limit that nobody hears of any more bounds what is begun. An
-  // endpoint that nothing was sent to may still be in need; and hosts that are
-  // cut off from each other, and have no part of the limit, must not each try
-  // the endpoint every few seconds.
+  // How long a limit that is no longer valid stays in force. An endpoint that
+  // receives no requests may still be overloaded, and hosts that are
+  // partitioned from each other, and have no share of the limit, must not each
+  // probe it every few seconds.
   static constexpr Millis kStaleRetention{60000};
-  // How long a word between hosts may be on its way. Told ages count for that
-  // much more, so that a word which goes round and round grows old.
+  // Maximum delay of a message between hosts. It is added to reported ages, so
+  // that a report which circulates between hosts still grows old.
   static constexpr Millis kMaxMessageDelay{100};
-  // Reports that fit into a datagram beside what else hosts tell.
+  // Reports that fit into a datagram beside the other data that hosts exchange.
   static constexpr std::size_t kMaxReports = 64;
-  // Endpoints remembered at once; what hosts tell beyond that is dropped.
+  // Maximum number of endpoints with a limit; further ones are ignored.
   static constexpr std::size_t kMaxEndpoints = 4096;
 
  private:
   struct Entry {
     RequestRate rate;
-    // Since when it has had a bound.
-    TimePoint since{};
-    TimePoint named_at{};
-    // When an answer named none any more; unset while its limit holds.
+    // Since when there has been a start limit.
+    TimePoint limited_since{};
+    TimePoint advertised_at{};
+    // When a response advertised no limit; unset while the limit is advertised.
     std::optional<TimePoint> ended_at;
   };
 
-  static Millis FreshFor(RequestRate rate);
-  // Whether the limit holds as it was named.
-  static bool IsFresh(const Entry& entry, TimePoint now);
-  // Returns by what factor the bound is raised; nothing once it is lifted.
-  static std::optional<double> Raise(const Entry& entry, TimePoint now);
-  RateLimitChange Name(const EndpointId& id, RequestRate rate, TimePoint at);
+  // Returns how long an advertised limit is valid.
+  static Millis ValidityOf(RequestRate rate);
+  // Returns whether the limit was confirmed recently enough to apply as
+  // advertised.
+  static bool IsValid(const Entry& entry, TimePoint now);
+  // Returns the factor by which the limit is raised, or nothing once it has
+  // been removed.
+  static std::optional<double> Multiplier(const Entry& entry, TimePoint now);
+  // Stores the rate that was advertised at `at`.
+  RateLimitChange Advertise(const EndpointId& id, RequestRate rate,
+                            TimePoint at);
 
   MonotonicClock clock_;
   std::map<EndpointId, Entry> entries_;
--- a/src/core/endpoint_rate_limits.cc
+++ b/src/core/endpoint_rate_limits.cc
@@ -28,38 +28,40 @@
 EndpointRateLimits::EndpointRateLimits(MonotonicClock clock)
     : clock_(std::move(clock)) {}
 
-Millis EndpointRateLimits::FreshFor(RequestRate rate) {
+Millis EndpointRateLimits::ValidityOf(RequestRate rate) {
   if (rate.value <= 0) {
     return kMaxValidity;
   }
-  const double awaited = kValidityInRequests / rate.value * kMillisPerSecond;
+  const double requests_time =
+      kValidityInRequests / rate.value * kMillisPerSecond;
   const auto longest = static_cast<double>(kMaxValidity.count());
-  const Millis fresh(static_cast<std::int64_t>(std::min(awaited, longest)));
-  return std::max(kMinValidity, fresh);
+  const Millis validity(
+      static_cast<std::int64_t>(std::min(requests_time, longest)));
+  return std::max(kMinValidity, validity);
 }
 
-bool EndpointRateLimits::IsFresh(const Entry& entry, TimePoint now) {
+bool EndpointRateLimits::IsValid(const Entry& entry, TimePoint now) {
   return !entry.ended_at.has_value() &&
-         now - entry.named_at < FreshFor(entry.rate);
+         now - entry.advertised_at < ValidityOf(entry.rate);
 }
 
-std::optional<double> EndpointRateLimits::Raise(const Entry& entry,
-                                                TimePoint now) {
-  if (IsFresh(entry, now)) {
+std::optional<double> EndpointRateLimits::Multiplier(const Entry& entry,
+                                                     TimePoint now) {
+  if (IsValid(entry, now)) {
     return 1;
   }
-  const TimePoint over = entry.ended_at.value_or(
-      entry.named_at + FreshFor(entry.rate) + kStaleRetention);
+  const TimePoint expired_at = entry.ended_at.value_or(
+      entry.advertised_at + ValidityOf(entry.rate) + kStaleRetention);
   const double doublings =
-      std::max(0.0, FractionalMillis(now - over) / kDoublingPeriod);
+      std::max(0.0, FractionalMillis(now - expired_at) / kDoublingPeriod);
   if (doublings >= kMaxDoublings) {
     return std::nullopt;
   }
   return std::exp2(doublings);
 }
 
-RateLimitChange EndpointRateLimits::Name(const EndpointId& id, RequestRate rate,
-                                         TimePoint at) {
+RateLimitChange EndpointRateLimits::Advertise(const EndpointId& id,
+                                              RequestRate rate, TimePoint at) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
     if (entries_.size() >= kMaxEndpoints) {
@@ -69,36 +71,36 @@
     return RateLimitChange::kAdvertised;
   }
   Entry& entry = found->second;
-  const bool was_named = !entry.ended_at.has_value();
+  const bool was_advertised = !entry.ended_at.has_value();
   const bool is_same = entry.rate == rate;
-  if (!Raise(entry, clock_()).has_value()) {
-    entry.since = clock_();
+  if (!Multiplier(entry, clock_()).has_value()) {
+    entry.limited_since = clock_();
   }
   entry.rate = rate;
-  entry.named_at = at;
+  entry.advertised_at = at;
   entry.ended_at.reset();
-  if (!was_named) {
+  if (!was_advertised) {
     return RateLimitChange::kAdvertised;
   }
   return is_same ? RateLimitChange::kNone : RateLimitChange::kChanged;
 }
 
 RateLimitChange EndpointRateLimits::OnAnswer(const EndpointId& id,
-                                             const RateLimitHint& word,
+                                             const RateLimitHint& hint,
                                              TimePoint sent_at) {
   const TimePoint now = clock_();
-  if (const auto* rate = std::get_if<RequestRate>(&word)) {
-    return Name(id, *rate, now);
+  if (const auto* rate = std::get_if<RequestRate>(&hint)) {
+    return Advertise(id, *rate, now);
   }
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
     return RateLimitChange::kNone;
   }
   Entry& entry = found->second;
-  if (std::holds_alternative<UnreadableRateLimit>(word)) {
-    return Name(id, entry.rate, now);
+  if (std::holds_alternative<UnreadableRateLimit>(hint)) {
+    return Advertise(id, entry.rate, now);
   }
-  if (entry.ended_at.has_value() || sent_at <= entry.named_at) {
+  if (entry.ended_at.has_value() || sent_at <= entry.advertised_at) {
     return RateLimitChange::kNone;
   }
   entry.ended_at = now;
@@ -112,23 +114,24 @@
   }
   const TimePoint now = clock_();
   const TimePoint at = now - std::max(Millis(0), report.age) - kMaxMessageDelay;
-  const Millis fresh =
-      report.rate.has_value() ? FreshFor(*report.rate) : kMinValidity;
-  if (now - at >= fresh) {
+  const Millis validity =
+      report.rate.has_value() ? ValidityOf(*report.rate) : kMinValidity;
+  if (now - at >= validity) {
     return RateLimitChange::kNone;
   }
   const auto found = entries_.find(report.endpoint);
   if (found == entries_.end()) {
-    return report.rate.has_value() ? Name(report.endpoint, *report.rate, at)
-                                   : RateLimitChange::kNone;
+    return report.rate.has_value()
+               ? Advertise(report.endpoint, *report.rate, at)
+               : RateLimitChange::kNone;
   }
   Entry& entry = found->second;
-  const TimePoint known = entry.ended_at.value_or(entry.named_at);
-  if (at <= known) {
+  const TimePoint last_known_at = entry.ended_at.value_or(entry.advertised_at);
+  if (at <= last_known_at) {
     return RateLimitChange::kNone;
   }
   if (report.rate.has_value()) {
-    return Name(report.endpoint, *report.rate, at);
+    return Advertise(report.endpoint, *report.rate, at);
   }
   if (entry.ended_at.has_value()) {
     return RateLimitChange::kNone;
@@ -145,26 +148,26 @@
   }
   const Entry& entry = found->second;
   const TimePoint now = clock_();
-  const auto multiplier = Raise(entry, now);
+  const auto multiplier = Multiplier(entry, now);
   if (!multiplier.has_value()) {
     return std::nullopt;
   }
   const double span = std::chrono::duration<double>(kLimitPeriod).count();
-  StartLimit bound;
-  bound.max_starts = kBurstFactor * entry.rate.value * span + kBurstAllowance;
-  bound.window = kWindow;
-  bound.per_second = IsFresh(entry, now)
+  StartLimit limit;
+  limit.max_starts = kBurstFactor * entry.rate.value * span + kBurstAllowance;
+  limit.window = kWindow;
+  limit.per_second = IsValid(entry, now)
                          ? entry.rate.value
                          : std::max(entry.rate.value, kProbesPerSecond);
-  bound.multiplier = *multiplier;
-  bound.since = entry.since;
-  return bound;
+  limit.multiplier = *multiplier;
+  limit.since = entry.limited_since;
+  return limit;
 }
 
 std::optional<RequestRate> EndpointRateLimits::AdvertisedRate(
     const EndpointId& id) const {
   const auto found = entries_.find(id);
-  if (found == entries_.end() || !IsFresh(found->second, clock_())) {
+  if (found == entries_.end() || !IsValid(found->second, clock_())) {
     return std::nullopt;
   }
   return found->second.rate;
@@ -172,53 +175,53 @@
 
 std::vector<EndpointId> EndpointRateLimits::LimitedEndpoints() const {
   const TimePoint now = clock_();
-  std::vector<EndpointId> bounded;
+  std::vector<EndpointId> limited;
   for (const auto& [id, entry] : entries_) {
-    if (Raise(entry, now).has_value()) {
-      bounded.push_back(id);
+    if (Multiplier(entry, now).has_value()) {
+      limited.push_back(id);
     }
   }
-  return bounded;
+  return limited;
 }
 
 std::vector<EndpointId> EndpointRateLimits::TakeExpired() {
   const TimePoint now = clock_();
-  std::vector<EndpointId> lifted;
+  std::vector<EndpointId> expired;
   for (auto it = entries_.begin(); it != entries_.end();) {
-    if (Raise(it->second, now).has_value()) {
+    if (Multiplier(it->second, now).has_value()) {
       ++it;
       continue;
     }
-    lifted.push_back(it->first);
+    expired.push_back(it->first);
     it = entries_.erase(it);
   }
-  return lifted;
+  return expired;
 }
 
 std::vector<RateLimitReport> EndpointRateLimits::Reports() const {
   const TimePoint now = clock_();
   std::vector<RateLimitReport> reports;
   for (const auto& [id, entry] : entries_) {
-    const bool is_fresh = IsFresh(entry, now);
-    const auto age = now - entry.ended_at.value_or(entry.named_at);
-    if (!is_fresh && !(entry.ended_at.has_value() && age < kMinValidity)) {
+    const bool is_valid = IsValid(entry, now);
+    const auto age = now - entry.ended_at.value_or(entry.advertised_at);
+    if (!is_valid && !(entry.ended_at.has_value() && age < kMinValidity)) {
       continue;
     }
     RateLimitReport report;
     report.endpoint = id;
     report.age = std::chrono::ceil<Millis>(age);
-    if (is_fresh) {
+    if (is_valid) {
       report.rate = entry.rate;
     }
     reports.push_back(std::move(report));
   }
-  const std::size_t kept = std::min(kMaxReports, reports.size());
+  const std::size_t count = std::min(kMaxReports, reports.size());
   std::partial_sort(
-      reports.begin(), reports.begin() + static_cast<std::ptrdiff_t>(kept),
+      reports.begin(), reports.begin() + static_cast<std::ptrdiff_t>(count),
       reports.end(), [](const RateLimitReport& a, const RateLimitReport& b) {
         return a.age < b.age;
       });
-  reports.resize(kept);
+  reports.resize(count);
   return reports;
 }
 
@@ -226,7 +229,7 @@
   const TimePoint now = clock_();
   return static_cast<std::size_t>(std::count_if(
       entries_.begin(), entries_.end(),
-      [now](const auto& entry) { return IsFresh(entry.second, now); }));
+      [now](const auto& entry) { return IsValid(entry.second, now); }));
 }
 
 }  // namespace harecrank
