--- a/include/harecrank/core/endpoint_backoffs.h
+++ b/include/harecrank/core/endpoint_backoffs.h
@@ -1,10 +1,11 @@
-// Which endpoints have asked this host for rest, and when it may return.
+// Tracks which endpoints have asked this host to back off, and when and how
+// fast it may resume.
 //
-// The load that it answers: an endpoint that turns requests away has nothing
-// under way and looks idle, so that it is chosen again and again. One that asks
-// for rest wants nothing from this host for so long. At the end of a rest all
-// that waited would come at once, from each host that was turned away at about
-// the same time: so hosts return one by one, and in full only after a while.
+// An endpoint that rejects requests has no work in progress and looks idle, so
+// it would be chosen again and again. The back-off that it asks for stops this
+// host from sending requests there until its end. Hosts that were rejected at
+// about the same time would all resume at once, so after a back-off the starts
+// of all hosts together are limited and ramp up.
 
 #ifndef HARECRANK_CORE_ENDPOINT_BACKOFFS_H_
 #define HARECRANK_CORE_ENDPOINT_BACKOFFS_H_
@@ -22,46 +23,49 @@
 
 namespace harecrank {
 
-// Not thread-safe.
+// The back-offs that endpoints have asked this host for. Not thread-safe.
 class EndpointBackoffs {
  public:
   explicit EndpointBackoffs(MonotonicClock clock);
 
-  // Takes what an answer of `incarnation` says. An earlier and longer rest
-  // holds on. Returns whether a rest has begun, or become longer.
+  // Processes the back-off hint in a response of `incarnation`. A back-off in
+  // progress that ends later stays in force. Returns whether a back-off has
+  // begun or been extended.
   bool OnAnswer(const EndpointId& id,
                 const std::optional<EndpointIncarnation>& incarnation,
-                const BackoffHint& word);
+                const BackoffHint& hint);
 
-  // The endpoint runs in `incarnation`: a rest of another one is over.
+  // Notes that the endpoint runs as `incarnation`; a back-off of another
+  // incarnation is removed.
   void OnIncarnation(const EndpointId& id,
                      const std::optional<EndpointIncarnation>& incarnation);
 
-  // Returns the bound on what this host begins at `id`, or nothing if there is
-  // none. The bound of the return is one on all hosts together.
+  // Returns the limit on this host's starts at `id`, or nothing if there is
+  // none. During ramp-up the limit applies to all hosts together.
   std::optional<StartLimit> StartLimitOf(const EndpointId& id) const;
 
-  // Returns for how much longer `id` rests; nothing if it does not.
+  // Returns the remaining back-off of `id`, or nothing if there is none.
   std::optional<Millis> RemainingBackoff(const EndpointId& id) const;
 
-  // Returns those that have a bound.
+  // Returns the endpoints that are backed off or ramping up.
   std::vector<EndpointId> LimitedEndpoints() const;
 
-  // Drops the bounds that are over by now, and returns whose they were.
+  // Removes entries whose ramp-up has ended and returns their endpoints.
   std::vector<EndpointId> TakeEnded();
 
-  // Returns how many rest.
+  // Returns the number of endpoints that are backed off.
   std::size_t Count() const;
 
-  // What a rest counts as that cannot be read: the endpoint wants some.
+  // Back-off for a hint that cannot be parsed, since the endpoint did ask for
+  // one.
   static constexpr Millis kUnreadableBackoff{1000};
-  // What all hosts together may begin in kRampUpWindow when a rest ends: about
-  // what one engine begins in ordinary running.
+  // Starts of all hosts together in kRampUpWindow at the end of a back-off;
+  // about what one engine starts in normal operation.
   static constexpr double kMaxStartsAfterBackoff = 16;
   static constexpr Millis kRampUpWindow{1000};
-  // That doubles in each of these: an answer is there sooner.
+  // Interval in which that limit doubles; a response arrives sooner.
   static constexpr Millis kDoublingPeriod{500};
-  // How often it doubles before the bound is lifted.
+  // Number of doublings after which the limit is removed.
   static constexpr int kMaxDoublings = 4;
 
  private:
@@ -70,8 +74,8 @@
     TimePoint until{};
   };
 
-  // Returns whether the bound is lifted.
-  static bool HasReturned(const Entry& entry, TimePoint now);
+  // Returns whether both the back-off and the ramp-up have ended.
+  static bool HasEnded(const Entry& entry, TimePoint now);
 
   MonotonicClock clock_;
   std::map<EndpointId, Entry> entries_;
--- a/include/harecrank/core/endpoint_response.h
+++ b/include/harecrank/core/endpoint_response.h
@@ -1,4 +1,4 @@
-// What the head of an endpoint's answer says: of the request, and of the
+// What the head of an endpoint's response says about the request and about the
 // endpoint itself.
 
 #ifndef HARECRANK_CORE_ENDPOINT_RESPONSE_H_
@@ -13,40 +13,42 @@
 
 namespace harecrank {
 
-// What a refusal says of when this host may come again.
 struct NoBackoff {};
-// It names a time that cannot be read.
+// The value is not a valid time.
 struct UnreadableBackoff {};
+// When this host may send requests again, as stated in a rejection.
 using BackoffHint = std::variant<NoBackoff, Millis, UnreadableBackoff>;
 
-// Whether the endpoint says that it is about to end.
+// Whether the endpoint announces that it is about to shut down.
 enum class LeavingHint {
   kNone,
   kLeaving,
-  // It says something else in that place: it is taken to leave, since more work
-  // would be lost there.
+  // The value is not valid. Treated as kLeaving, since further requests could
+  // be lost.
   kUnreadable
 };
 
+// The decoded head of a response.
 struct EndpointResponse {
   unsigned status = 0;
-  // Marked as the endpoint's own, so that callers can check the body.
+  // The response carries the endpoint's own mark, so callers can verify its
+  // body.
   bool is_signed = false;
-  // It did not run the request and will not.
+  // The endpoint has not run the request and will not.
   bool not_run = false;
-  // The endpoint, by id or address, that is at fault where it is not the one
-  // that answers; empty if none is named.
+  // Id or address of the endpoint that caused the failure, if that is not the
+  // responding endpoint; empty otherwise.
   std::string at_fault;
-  // How many requests a second it takes from all hosts together.
+  // Requests per second that the endpoint accepts from all hosts together.
   RateLimitHint limit;
-  // How long it wants nothing from this host. Refusals alone say that.
+  // How long this host is to send nothing. Only rejections contain it.
   BackoffHint backoff;
-  // Holds until the endpoint starts anew.
+  // Applies until the endpoint restarts.
   LeavingHint leaving = LeavingHint::kNone;
 
   bool IsSuccess() const { return status / 100 == 2; }
-  // Another endpoint has answered than the one that was meant: it says nothing
-  // of that one.
+  // Another endpoint than the intended one has responded, so the response says
+  // nothing about the intended one.
   bool IsMisdirected() const { return status == http_status::kMisdirected; }
 };
 
--- a/src/core/endpoint_backoffs.cc
+++ b/src/core/endpoint_backoffs.cc
@@ -7,11 +7,11 @@
 namespace harecrank {
 namespace {
 
-// Returns for how long `word` asks for rest.
-struct AskedRest {
-  Millis operator()(NoBackoff /*word*/) const { return Millis(0); }
-  Millis operator()(Millis rest) const { return rest; }
-  Millis operator()(UnreadableBackoff /*word*/) const {
+// Visitor that returns the back-off duration of a hint.
+struct BackoffDuration {
+  Millis operator()(NoBackoff /*hint*/) const { return Millis(0); }
+  Millis operator()(Millis backoff) const { return backoff; }
+  Millis operator()(UnreadableBackoff /*hint*/) const {
     return EndpointBackoffs::kUnreadableBackoff;
   }
 };
@@ -21,18 +21,18 @@
 EndpointBackoffs::EndpointBackoffs(MonotonicClock clock)
     : clock_(std::move(clock)) {}
 
-bool EndpointBackoffs::HasReturned(const Entry& entry, TimePoint now) {
+bool EndpointBackoffs::HasEnded(const Entry& entry, TimePoint now) {
   return now >= entry.until + kMaxDoublings * kDoublingPeriod;
 }
 
 bool EndpointBackoffs::OnAnswer(
     const EndpointId& id, const std::optional<EndpointIncarnation>& incarnation,
-    const BackoffHint& word) {
-  const Millis rest = std::visit(AskedRest{}, word);
-  if (rest <= Millis(0)) {
+    const BackoffHint& hint) {
+  const Millis backoff = std::visit(BackoffDuration{}, hint);
+  if (backoff <= Millis(0)) {
     return false;
   }
-  const TimePoint until = clock_() + rest;
+  const TimePoint until = clock_() + backoff;
   const auto [found, is_new] =
       entries_.try_emplace(id, Entry{incarnation, until});
   if (is_new) {
@@ -60,18 +60,18 @@
     const EndpointId& id) const {
   const auto found = entries_.find(id);
   const TimePoint now = clock_();
-  if (found == entries_.end() || HasReturned(found->second, now)) {
+  if (found == entries_.end() || HasEnded(found->second, now)) {
     return std::nullopt;
   }
   const TimePoint until = found->second.until;
-  StartLimit bound;
-  bound.max_starts = kMaxStartsAfterBackoff;
-  bound.window = kRampUpWindow;
-  bound.multiplier =
+  StartLimit limit;
+  limit.max_starts = kMaxStartsAfterBackoff;
+  limit.window = kRampUpWindow;
+  limit.multiplier =
       std::exp2(std::max(0.0, FractionalMillis(now - until) / kDoublingPeriod));
-  bound.since = until;
-  bound.not_before = until;
-  return bound;
+  limit.since = until;
+  limit.not_before = until;
+  return limit;
 }
 
 std::optional<Millis> EndpointBackoffs::RemainingBackoff(
@@ -86,27 +86,27 @@
 
 std::vector<EndpointId> EndpointBackoffs::LimitedEndpoints() const {
   const TimePoint now = clock_();
-  std::vector<EndpointId> bounded;
+  std::vector<EndpointId> limited;
   for (const auto& [id, entry] : entries_) {
-    if (!HasReturned(entry, now)) {
-      bounded.push_back(id);
+    if (!HasEnded(entry, now)) {
+      limited.push_back(id);
     }
   }
-  return bounded;
+  return limited;
 }
 
 std::vector<EndpointId> EndpointBackoffs::TakeEnded() {
   const TimePoint now = clock_();
-  std::vector<EndpointId> returned;
+  std::vector<EndpointId> ended;
   for (auto it = entries_.begin(); it != entries_.end();) {
-    if (!HasReturned(it->second, now)) {
+    if (!HasEnded(it->second, now)) {
       ++it;
       continue;
     }
-    returned.push_back(it->first);
+    ended.push_back(it->first);
     it = entries_.erase(it);
   }
-  return returned;
+  return ended;
 }
 
 std::size_t EndpointBackoffs::Count() const {
