--- a/include/harecrank/core/cold_endpoints.h
+++ b/include/harecrank/core/cold_endpoints.h
@@ -1,5 +1,5 @@
-// Which endpoints are cold: they have just started, or have turned cold while
-// they served, and take few requests a second.
+// Tracks which endpoints are cold: they have just started, or have reported
+// that they are cold again, and accept few requests per second.
 
 #ifndef HARECRANK_CORE_COLD_ENDPOINTS_H_
 #define HARECRANK_CORE_COLD_ENDPOINTS_H_
@@ -16,52 +16,52 @@
 
 namespace harecrank {
 
-// What news of an endpoint changed.
+// The effect of a record on an endpoint's state.
 enum class ColdChange { kNone, kTurnedCold, kTurnedWarm };
 
-// Knows which endpoints are cold, by this host's clock. Not thread-safe.
+// Tracks cold endpoints by this host's clock. Not thread-safe.
 class ColdEndpoints {
  public:
   explicit ColdEndpoints(MonotonicClock clock);
 
-  // Takes an entry. What it tells of cold counts from now, since it cannot have
-  // been written later: an endpoint that was heard of late counts as cold for
-  // a little too long and never for too short. An entry that was taken before,
-  // or an older one, changes nothing. Where the entry does not tell, a new
-  // incarnation counts as cold for `after_start`.
+  // Processes a published record. Its warm-up time counts from now, which is
+  // never earlier than when it was written, so a record that arrives late makes
+  // the endpoint cold for slightly too long and never too short. Records that
+  // are not newer than the last one have no effect. If the record does not
+  // contain a warm-up time, a new incarnation is cold for `after_start`.
   ColdChange OnRecord(const EndpointRecord& record, Millis after_start);
 
-  // The entry has vanished. The endpoint may be used for a little longer, and
-  // stays as cold as it was.
+  // Notes that the entry was removed. The endpoint may remain in use for a
+  // short time, so its cold state is kept.
   void OnGone(const EndpointId& id);
 
   bool IsCold(const EndpointId& id) const;
 
-  // Returns by what factor the bound of `id` is raised: 1 while it is cold,
-  // rising afterwards, and nothing where there is no bound.
+  // Returns the factor by which the start limit of `id` is raised: 1 while it
+  // is cold, rising afterwards; nothing if it has no limit.
   std::optional<double> RampUpFactor(const EndpointId& id) const;
 
-  // Returns since when `id` has had a bound; the clock's beginning if it has
-  // none.
+  // Returns since when `id` has had a start limit, or the clock's epoch if it
+  // is unknown.
   TimePoint LimitedSince(const EndpointId& id) const;
 
-  // Returns those whose cold time has passed since the last call.
+  // Returns the endpoints that have become warm since the last call.
   std::vector<EndpointId> TakeWarmed();
 
-  // Returns those that have a bound now.
+  // Returns the endpoints that have a start limit.
   std::vector<EndpointId> LimitedEndpoints() const;
 
-  // Returns how many are cold.
+  // Returns the number of cold endpoints.
   std::size_t Count() const;
 
-  // A second, and what a request may take from here to the endpoint: two that
-  // are decided on further apart never arrive in the same second.
+  // One second plus the longest dispatch time: two requests that are placed
+  // this far apart never arrive within the same second.
   static constexpr Millis kWindow =
       Millis(1000) + EndpointDirectory::kMaxDispatchTime;
-  // After the cold time the bound doubles in each of these, so that what other
-  // endpoints have taken meanwhile does not return as one wave.
+  // Interval in which the start limit doubles after the warm-up. Traffic that
+  // other endpoints served meanwhile thus returns gradually.
   static constexpr Millis kDoublingPeriod{1000};
-  // How often it doubles before it is lifted.
+  // Number of doublings after which the limit is removed.
   static constexpr int kMaxDoublings = 5;
 
  private:
@@ -70,20 +70,20 @@
 
     std::optional<EndpointIncarnation> incarnation;
     StoreRevision revision;
-    // Since when it has had a bound, if it has one.
-    TimePoint bound_since{};
-    // The end of its last cold time; unset if it was never cold.
+    // Since when there has been a start limit, if there is one.
+    TimePoint limited_since{};
+    // End of the last cold period; unset if there was none.
     std::optional<TimePoint> cold_until;
-    // Whether that end has been passed on by TakeWarmed.
-    bool end_told = true;
-    bool gone = false;
+    // Whether TakeWarmed has returned the end of the last cold period.
+    bool warmed_reported = true;
+    bool removed = false;
   };
 
   MonotonicClock clock_;
   std::map<EndpointId, Entry> entries_;
-  // Those that have a bound, and some whose bound was lifted since the last
-  // TakeWarmed.
-  std::set<EndpointId> bounded_;
+  // Endpoints with a start limit, and some whose limit has ended since the last
+  // call of TakeWarmed.
+  std::set<EndpointId> limited_;
 };
 
 }  // namespace harecrank
--- a/include/harecrank/core/drained_data_centres.h
+++ b/include/harecrank/core/drained_data_centres.h
@@ -1,9 +1,9 @@
-// Which data centres take nothing: an operator has ordered that their endpoints
-// be given no new work, and what runs there ends in peace.
+// Data centres that an operator has drained: their endpoints receive no new
+// work, and requests in progress complete.
 //
-// An order holds until it is taken back, however often it is told. Its
-// revisions put it in order, so that a word that comes late, or twice, from a
-// host that knows less, brings back nothing.
+// A drain order stays in force until it is revoked. Orders are ordered by their
+// store revisions, so that delayed or duplicate messages from a host with older
+// data have no effect.
 
 #ifndef HARECRANK_CORE_DRAINED_DATA_CENTRES_H_
 #define HARECRANK_CORE_DRAINED_DATA_CENTRES_H_
@@ -17,7 +17,7 @@
 
 namespace harecrank {
 
-// An order that a data centre is to take nothing, as published.
+// A drain order, as published.
 struct DrainedDataCentre {
   DataCentreId id;
   StoreRevision revision;
@@ -28,60 +28,64 @@
   }
 };
 
-// What a listing changed of what was held.
+// What a listing changed.
 struct DrainChange {
   std::vector<DrainedDataCentre> drained;
-  // With the revision at which they were heard to be open.
+  // With the revision at which the order was known to be revoked.
   std::vector<DrainedDataCentre> restored;
 };
 
-// Holds the orders. Not thread-safe.
+// Holds the drain orders. Not thread-safe.
 class DrainedDataCentres {
  public:
   explicit DrainedDataCentres(MonotonicClock clock);
 
-  // Takes an order. Returns whether the data centre was open until now.
+  // Applies an order. Returns whether this changed the state.
   bool Drain(const DrainedDataCentre& order);
 
-  // The order for `id` was taken back at `revision`. Returns whether it was
-  // drained until now.
+  // Notes that the order for `id` was revoked at `revision`. Returns whether
+  // this changed the state.
   bool Restore(const DataCentreId& id, StoreRevision revision);
 
-  // Takes all orders that stood at `at`: others as old as that are taken back.
+  // Replaces all orders by those in force at `at`. Orders that are not listed
+  // and not newer than `at` are revoked.
   DrainChange ReplaceAll(const std::vector<DrainedDataCentre>& orders,
                          StoreRevision at);
 
   bool IsDrained(const DataCentreId& id) const;
 
-  // Returns whether `endpoint`, of data centre `id`, is still to wait since its
-  // data centre takes work again. After an emptying its endpoints know nothing
-  // and may be slow, and all that waited for room would come at once: they
-  // return one after the other, in an order that all hosts share.
+  // Returns whether `endpoint` of the restored data centre `id` is not yet to
+  // be chosen. After a drain the endpoints have empty caches and may be slow,
+  // and all waiting requests would reach them at once. The endpoints are
+  // therefore put back into use one after the other, in an order that is the
+  // same on all hosts.
   bool IsRampingUp(const DataCentreId& id, const EndpointId& endpoint) const;
 
-  // Returns whether endpoints of any data centre return.
+  // Returns whether any data centre is ramping up.
   bool AnyRampingUp() const;
 
   std::size_t Count() const;
 
-  // Within how long all endpoints of a data centre return: several times what
-  // hosts differ in when they hear that it is open.
+  // Time within which all endpoints of a restored data centre are put back into
+  // use; several times the differences between hosts in when they learn of the
+  // restore.
   static constexpr Millis kRampUpTime{2000};
 
  private:
   struct State {
-    bool is_closed = false;
+    bool is_drained = false;
     StoreRevision revision;
-    // Set where it was drained before.
-    std::optional<TimePoint> opened_at;
+    // Time of the last restore; unset while the data centre is drained, and if
+    // it has never been drained.
+    std::optional<TimePoint> restored_at;
   };
 
-  void SetOpen(State* state, StoreRevision revision);
-  bool ReturnsNow(const State& state) const;
+  void SetRestored(State* state, StoreRevision revision);
+  bool IsRampingUpNow(const State& state) const;
 
   MonotonicClock clock_;
-  // Of data centres that an order named. One that was taken back is kept, so
-  // that a late word of it closes nothing, until a listing replaces all.
+  // Revoked orders are kept until a listing replaces them, so that a delayed
+  // message does not drain the data centre again.
   std::map<DataCentreId, State> states_;
 };
 
--- a/src/core/cold_endpoints.cc
+++ b/src/core/cold_endpoints.cc
@@ -23,7 +23,7 @@
       is_first || entry.incarnation != record.incarnation;
   entry.revision = record.revision;
   entry.incarnation = record.incarnation;
-  entry.gone = false;
+  entry.removed = false;
   if (!record.cold_for.has_value() && !is_new_incarnation) {
     return ColdChange::kNone;
   }
@@ -32,18 +32,18 @@
   const bool was_cold = entry.IsCold(now);
   if (cold_for > Millis(0)) {
     if (!RampUpFactor(record.id).has_value()) {
-      entry.bound_since = now;
+      entry.limited_since = now;
     }
     entry.cold_until = now + cold_for;
-    bounded_.insert(record.id);
-    entry.end_told = false;
+    limited_.insert(record.id);
+    entry.warmed_reported = false;
     return was_cold ? ColdChange::kNone : ColdChange::kTurnedCold;
   }
   if (!was_cold) {
     return ColdChange::kNone;
   }
   entry.cold_until = now;
-  entry.end_told = true;
+  entry.warmed_reported = true;
   return ColdChange::kTurnedWarm;
 }
 
@@ -52,8 +52,8 @@
   if (found == entries_.end()) {
     return;
   }
-  found->second.gone = true;
-  if (bounded_.count(id) == 0) {
+  found->second.removed = true;
+  if (limited_.count(id) == 0) {
     entries_.erase(found);
   }
 }
@@ -81,43 +81,43 @@
 
 TimePoint ColdEndpoints::LimitedSince(const EndpointId& id) const {
   const auto found = entries_.find(id);
-  return found == entries_.end() ? TimePoint{} : found->second.bound_since;
+  return found == entries_.end() ? TimePoint{} : found->second.limited_since;
 }
 
 std::vector<EndpointId> ColdEndpoints::TakeWarmed() {
   const TimePoint now = clock_();
   std::vector<EndpointId> warmed;
-  for (auto it = bounded_.begin(); it != bounded_.end();) {
+  for (auto it = limited_.begin(); it != limited_.end();) {
     Entry& entry = entries_.at(*it);
-    if (!entry.end_told && !entry.IsCold(now)) {
-      entry.end_told = true;
+    if (!entry.warmed_reported && !entry.IsCold(now)) {
+      entry.warmed_reported = true;
       warmed.push_back(*it);
     }
     if (RampUpFactor(*it).has_value()) {
       ++it;
       continue;
     }
-    if (entry.gone) {
+    if (entry.removed) {
       entries_.erase(*it);
     }
-    it = bounded_.erase(it);
+    it = limited_.erase(it);
   }
   return warmed;
 }
 
 std::vector<EndpointId> ColdEndpoints::LimitedEndpoints() const {
-  std::vector<EndpointId> bounded;
-  for (const EndpointId& id : bounded_) {
+  std::vector<EndpointId> limited;
+  for (const EndpointId& id : limited_) {
     if (RampUpFactor(id).has_value()) {
-      bounded.push_back(id);
+      limited.push_back(id);
     }
   }
-  return bounded;
+  return limited;
 }
 
 std::size_t ColdEndpoints::Count() const {
   return static_cast<std::size_t>(
-      std::count_if(bounded_.begin(), bounded_.end(),
+      std::count_if(limited_.begin(), limited_.end(),
                     [this](const EndpointId& id) { return IsCold(id); }));
 }
 
