--- a/include/harecrank/core/request_fingerprint.h
+++ b/include/harecrank/core/request_fingerprint.h
@@ -1,7 +1,7 @@
-// What tells a request that comes again from any other.
+// Identifies repeated requests.
 //
-// Each try of a caller has an id of its own, and may come at any host. What
-// stays the same is who asks, for what, and with which body.
+// Each attempt of a caller has its own id and may reach any host. The account,
+// the method, the target and the body stay the same.
 
 #ifndef HARECRANK_CORE_REQUEST_FINGERPRINT_H_
 #define HARECRANK_CORE_REQUEST_FINGERPRINT_H_
@@ -15,11 +15,11 @@
 
 namespace harecrank {
 
-// Two requests of one account with the same fingerprint are taken for the same.
-// The account stands beside the digest and not in it: whoever makes a body that
-// collides with another one's harms requests of their own account alone.
+// Requests with equal fingerprints are treated as the same request. The account
+// is kept beside the digest and not hashed into it, so that a caller who
+// constructs a colliding body can affect only requests of their own account.
 struct RequestFingerprint {
-  // Empty on routes that need no key.
+  // Empty on routes that need no API key.
   AccountId account;
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -36,20 +36,20 @@
   }
 };
 
-// What a fingerprint is taken of.
+// The input of a fingerprint.
 struct FingerprintParts {
   AccountId account;
   std::string_view method;
-  // Path and query, as the caller sent them.
+  // Path and query as sent by the caller.
   std::string_view target;
   std::string_view body;
 };
 
-// The same on every host: no seed. Takes 3 microseconds for a body of 40 KB and
-// 75 for one of a megabyte, on one core.
+// Unseeded, so the fingerprint is the same on every host. Takes 3 microseconds
+// for a body of 40 KB and 75 for one of a megabyte, on one core.
 RequestFingerprint FingerprintOf(const FingerprintParts& parts);
 
-// Returns 16 hexadecimal digits that name it in logs.
+// Returns 16 hexadecimal digits that identify the request in logs.
 std::string LogName(const RequestFingerprint& request);
 
 }  // namespace harecrank
--- a/include/harecrank/core/request_origin.h
+++ b/include/harecrank/core/request_origin.h
@@ -1,4 +1,4 @@
-// Whose a request is, and what tells that it has come before.
+// The account and fingerprint of a request, and its priority.
 
 #ifndef HARECRANK_CORE_REQUEST_ORIGIN_H_
 #define HARECRANK_CORE_REQUEST_ORIGIN_H_
@@ -7,11 +7,11 @@
 
 namespace harecrank {
 
-// Decisions between callers that compete for room go by this.
+// Determines which caller is served first when requests compete for capacity.
 struct RequestOrigin {
-  // Names the client account too; the account is empty where none is needed.
+  // Includes the client account, which is empty on routes that need none.
   RequestFingerprint request;
-  // Zero is the most urgent. The account's, or else its route's.
+  // The account's priority, or else that of its route. Zero is the most urgent.
   int priority = 0;
 };
 
--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -1,22 +1,21 @@
-// Which requests end the endpoints that begin them, and are kept from others.
+// Quarantines requests that crash the endpoints that start them.
 //
-// The load that it answers: a request on which an endpoint crashes, sent again
-// and again by its caller, at any host and under new ids. Each try ends another
-// endpoint with all that runs there; without this, one such request a second
-// takes a fleet of 18 engines away for as long as it comes.
+// A caller may resend a request that crashes an endpoint, to any host and under
+// new ids. Each attempt takes down another endpoint with everything that runs
+// there; one such request per second can keep a fleet of 18 engines out of
+// service for as long as it is sent.
 //
-// An endpoint that ends takes dozens of requests with it, and all but one of
-// them are harmless. They are told apart by what follows: a request that was
-// answered whole by any endpoint ends none, and all that was counted against
-// it is dropped. One that is held is let through alone, once the endpoints of
-// an outage are back, so that many ends at one time do not shut out a request
-// that half of all callers make. Held requests are let through one after the
-// other: on one endpoint with the one that ends it, a harmless one would be
-// taken for another such.
+// A crash interrupts dozens of requests, and all but one of them are harmless.
+// A request that any endpoint has answered completely is not the cause, so all
+// crashes counted against it are cleared. A quarantined request is retried in a
+// trial, alone, after the endpoints of an outage are back; thus many crashes at
+// once do not lock out a request that half of all callers send. Trials of
+// different requests run one after the other: on the same endpoint as the
+// actual cause, a harmless request would fail its trial too.
 //
-// What hosts know is merged by set union and by the latest time, so that words
-// which are lost, come twice or come late do not count an end twice. Nothing is
-// kept on disk: a fleet that starts anew begins to count anew.
+// State is merged between hosts by set union and by maximum time, so lost,
+// duplicate or delayed messages do not count a crash twice. Nothing is
+// persisted: after a restart of the whole fleet, counting starts again.
 
 #ifndef HARECRANK_CORE_REQUEST_QUARANTINE_H_
 #define HARECRANK_CORE_REQUEST_QUARANTINE_H_
@@ -36,11 +35,11 @@
 
 namespace harecrank {
 
-// The end of one incarnation of an endpoint. However many hosts and requests
-// saw it, it is one.
+// The crash of one incarnation of an endpoint. It is the same crash however
+// many hosts and requests observed it.
 struct EndpointCrash {
   EndpointId endpoint;
-  // Zero where the platform does not tell lives apart.
+  // Zero on platforms that do not publish incarnations.
   EndpointIncarnation incarnation;
 
   friend bool operator==(const EndpointCrash& a, const EndpointCrash& b) {
@@ -53,113 +52,122 @@
   }
 };
 
-// What one host tells another of one request. Times are told as ages, since no
-// two hosts share a clock.
+// What one host reports to another about a request. Times are sent as ages
+// because hosts do not share a clock.
 struct CrashReport {
   RequestFingerprint request;
-  // Endpoints that ended while they began it.
+  // Endpoints that crashed while they were starting the request.
   std::set<EndpointCrash> crashes;
-  // Ends that do not count, since it was answered whole after all.
+  // Crashes that no longer count because the request was answered completely.
   std::set<EndpointCrash> cleared;
-  // How often it was let through while it was held, and how many of these
-  // trials ended an endpoint.
+  // The number of trials of the request while quarantined, and how many of them
+  // crashed an endpoint.
   int trials = 0;
   int failed_trials = 0;
-  // Since the last of its crashes.
+  // Time since the last crash.
   Millis age{0};
-  // Until it may be let through; zero or less if it may be now.
+  // Time until the next trial is allowed; zero or negative if it is allowed
+  // now.
   Millis quarantined_for{0};
 };
 
-// Not thread-safe.
+// Decides which requests may be sent, from the crashes that were counted
+// against them. Not thread-safe.
 class RequestQuarantine {
  public:
   explicit RequestQuarantine(MonotonicClock clock);
 
-  // Counts the end of an endpoint that was beginning `request`. Returns whether
-  // it is news.
+  // Counts the crash of an endpoint that was starting `request`. Returns
+  // whether the crash was not known before.
   bool OnCrash(const RequestFingerprint& request, const EndpointCrash& crash);
 
-  // Notes that `request` was answered whole: it ends no endpoint. Returns
-  // whether anything had been counted against it.
+  // Notes that an endpoint answered `request` completely and clears its
+  // crashes. Returns whether there were any.
   bool OnCompleted(const RequestFingerprint& request);
 
-  // Returns whether `request` may be sent to no endpoint now.
+  // Returns whether `request` must not be sent to any endpoint now.
   bool IsQuarantined(const RequestFingerprint& request) const;
 
-  // To be called before each sending. Returns false if the request is held. If
-  // it was held, and is let through by this, others are not for kTrialInterval.
-  // `is_trial`, if not null, is set to whether that is the case.
+  // To be called before each attempt. Returns false if the request is
+  // quarantined. If a request over the crash threshold is admitted, the attempt
+  // is a trial: it starts a new trial interval for this request, and trials of
+  // other requests wait for kTrialSpacing. Sets `is_trial`, if not null, to
+  // whether the attempt is a trial.
   bool TryAdmit(const RequestFingerprint& request, bool* is_trial = nullptr);
 
-  // Takes back a trial that reached no endpoint.
+  // Reverts a trial that reached no endpoint.
   void CancelTrial(const RequestFingerprint& request);
 
-  // Takes what another host tells. Returns whether anything of it was news.
+  // Merges a report from another host. Returns whether it contained anything
+  // new.
   bool Merge(const CrashReport& report);
 
-  // Returns whether this host knows anything of the request that `report` does
-  // not tell.
+  // Returns whether this host has data on the request that `report` lacks.
   bool KnowsMoreThan(const CrashReport& report) const;
 
-  // Returns what is known of `request`; empty sets if nothing is.
+  // Returns the data on `request`, with empty sets if there is none.
   CrashReport ReportOf(const RequestFingerprint& request) const;
 
-  // Returns how many endpoints have ended under `request`.
+  // Returns the number of endpoint crashes counted against `request`.
   std::size_t CrashCount(const RequestFingerprint& request) const;
 
-  // Returns what hosts that have missed words need: requests with at least
-  // kMinSharedCrashes crashes, those with the most first, kMaxSharedReports at
-  // most.
+  // Returns the reports for hosts that have missed messages: requests with at
+  // least kMinSharedCrashes crashes, those with the most first, at most
+  // kMaxSharedReports.
   std::vector<CrashReport> SharedReports() const;
 
-  // Returns a digest of these, but for their times: hosts whose digests are the
-  // same have nothing to tell each other. Zero if there are none.
+  // Returns a digest of the shared reports without their times. Hosts with
+  // equal digests have nothing to send each other. Zero if there are no shared
+  // reports.
   std::uint64_t SharedDigest() const;
 
-  // Forgets requests under which nothing has ended for long.
+  // Removes records whose retention time has passed.
   void Sweep();
 
   bool IsEmpty() const { return records_.empty(); }
   std::size_t Count() const { return records_.size(); }
   std::size_t QuarantinedCount() const;
 
-  // Endpoints that may end under one request: the platform's bound. A request
-  // that was caught in two outages by bad luck is still served.
+  // Number of crashes at which a request is quarantined: the platform's limit.
+  // A harmless request that was interrupted by two crashes is still served.
   static constexpr std::size_t kCrashThreshold = 3;
-  // How long a request with so many crashes is held before it is let through
-  // once, and the pause until the next trial of one that ended nothing. Of some
-  // 10,000 harmless requests beside two deadly ones and hosts that sleep, 95
-  // were refused in four soaks of 15 s; with 5,000 it was 158.
+  // Time from the quarantine to the first trial, and between trials that did
+  // not crash an endpoint. With 2 s fewer harmless requests are rejected than
+  // with 5 s: about 1% of them against 1.6% while two fatal requests are being
+  // sent and hosts are suspended.
   static constexpr Millis kTrialInterval{2000};
-  // The pause once a trial has ended an endpoint. One such end may still be bad
-  // luck: while an endpoint ends each second for other reasons, one trial of
-  // 0.3 s in 60 meets an end among 18 of them.
+  // Time to the next trial once a trial has crashed an endpoint. One failed
+  // trial may still be a coincidence: if one of 18 endpoints crashes each
+  // second for other reasons, about one trial of 0.3 s in 60 coincides with a
+  // crash.
   static constexpr Millis kIntervalAfterFailedTrial{60000};
-  // From one trial to the next of another request: several times what an engine
-  // takes to end under a request, and what hosts take to tell each other.
+  // Minimum time between trials of different requests; several times what an
+  // engine takes to crash on a request and what hosts take to inform each
+  // other.
   static constexpr Millis kTrialSpacing{500};
-  // How often a trial must fail until the request is not tried any more.
+  // Number of failed trials after which the request is not tried again.
   static constexpr int kMaxFailedTrials = 2;
-  // Trials of one request: the platform's bound on what reaches endpoints of a
-  // request that is known to end them.
+  // Maximum number of trials of a request: the platform's limit on how often a
+  // request that is known to crash endpoints may reach one.
   static constexpr int kMaxTrials = 3;
-  // How long crashes are counted together. At three crashes in this time, and
-  // three seconds for an endpoint to be back, one such request costs a fleet
-  // one engine for 1.5 in 100 of the time.
+  // How long crashes are counted. With three crashes in this time and three
+  // seconds to restart an endpoint, one such request costs the fleet one engine
+  // for 1.5% of the time.
   static constexpr Millis kCrashRetention{600000};
-  // How long a request is held that is proven to end endpoints. Operators who
-  // have mended theirs wait no longer.
+  // How long a request is retained that has crashed more endpoints than
+  // kCrashThreshold. Callers who have fixed their request wait no longer than
+  // this.
   static constexpr Millis kProvenRetention{3600000};
-  // Requests remembered at once, 290 bytes each with one end. One end of an
-  // endpoint brings as many as it had in hand, some dozens.
+  // Maximum number of records, of 290 bytes each with one crash. Each crash
+  // adds as many records as the endpoint had requests in progress, which is
+  // some dozens.
   static constexpr std::size_t kMaxRecords = 4096;
-  // Ends that do not count, remembered for one request. With more, all of them
-  // are forgotten: a report stays within a datagram, and only one that comes
-  // minutes late would count again.
+  // Number of cleared crashes per request above which they are all discarded,
+  // so that a report fits into a datagram. Only a report of a discarded crash
+  // that is delayed by minutes would be counted again.
   static constexpr std::size_t kMaxCleared = 64;
-  // From how many crashes on hosts tell each other what one of them missed. One
-  // crash alone says little, and there are many such requests.
+  // Number of crashes from which hosts share a request with hosts that have
+  // missed messages. A single crash says little, and many requests have one.
   static constexpr std::size_t kMinSharedCrashes = 2;
   // Reports that fit into a datagram of 16 KB.
   static constexpr std::size_t kMaxSharedReports = 96;
@@ -171,30 +179,32 @@
     int trials = 0;
     int failed_trials = 0;
     TimePoint last_crash{};
-    TimePoint held_until{};
+    TimePoint quarantined_until{};
   };
   using Records = std::map<RequestFingerprint, Record>;
 
-  static bool IsForgotten(const Record& record, TimePoint now);
-  // Whether a trial is under way, of any request.
-  bool IsTrialUnderWay(TimePoint now) const;
-  // Drops all that counts against it.
-  static void Clear(Record* record);
-  // Returns the record of `request`, new or not, or null if there is no room.
-  Record* Make(const RequestFingerprint& request);
-  // Drops the older half of the requests with one crash at the most.
-  void MakeRoom();
-  CrashReport Tell(const Records::value_type& entry) const;
-  std::vector<const Records::value_type*> Shared() const;
-
-  // Whoever changes a record forgets the digest.
-  void OnChanged() { digest_.reset(); }
+  static bool IsExpired(const Record& record, TimePoint now);
+  // Returns whether a trial of any request started within kTrialSpacing.
+  bool IsTrialRunning(TimePoint now) const;
+  // Drops the record's crashes and trials.
+  static void ClearCrashes(Record* record);
+  // Returns the record of `request`, or null if it is new and there is no space
+  // for it.
+  Record* FindOrCreate(const RequestFingerprint& request);
+  // Removes expired records, and the older half of the records with fewer than
+  // kMinSharedCrashes crashes.
+  void EvictOldRecords();
+  CrashReport MakeReport(const Records::value_type& entry) const;
+  std::vector<const Records::value_type*> SharedRecords() const;
+
+  // To be called whenever a record changes.
+  void InvalidateDigest() { digest_.reset(); }
 
   MonotonicClock clock_;
   Records records_;
-  // When a held request was last let through, by this host or another.
+  // Start of the last trial of any request, on this host or another.
   std::optional<TimePoint> last_trial_;
-  // Hosts tell it with every word.
+  // Cached, since hosts send the digest with every message.
   mutable std::optional<std::uint64_t> digest_;
 };
 
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -14,12 +14,13 @@
   return std::chrono::duration_cast<Millis>(time);
 }
 
-bool Contains(const std::set<EndpointCrash>& all,
-              const std::set<EndpointCrash>& some) {
-  return std::includes(all.begin(), all.end(), some.begin(), some.end());
+bool Contains(const std::set<EndpointCrash>& superset,
+              const std::set<EndpointCrash>& subset) {
+  return std::includes(superset.begin(), superset.end(), subset.begin(),
+                       subset.end());
 }
 
-void AddTo(std::string* text, const std::set<EndpointCrash>& crashes) {
+void AppendTo(std::string* text, const std::set<EndpointCrash>& crashes) {
   for (const EndpointCrash& crash : crashes) {
     *text += crash.endpoint.value;
     *text += '/';
@@ -36,20 +37,21 @@
 
 bool RequestQuarantine::OnCrash(const RequestFingerprint& request,
                                 const EndpointCrash& crash) {
-  Record* record = Make(request);
-  const bool is_news = record != nullptr && record->cleared.count(crash) == 0 &&
-                       record->crashes.insert(crash).second;
-  if (is_news) {
-    OnChanged();
+  Record* record = FindOrCreate(request);
+  const bool is_new = record != nullptr && record->cleared.count(crash) == 0 &&
+                      record->crashes.insert(crash).second;
+  if (is_new) {
+    InvalidateDigest();
     if (record->failed_trials < record->trials) {
       ++record->failed_trials;
     }
     record->last_crash = clock_();
-    record->held_until = record->last_crash + (record->failed_trials == 0
-                                                   ? kTrialInterval
-                                                   : kIntervalAfterFailedTrial);
+    record->quarantined_until =
+        record->last_crash + (record->failed_trials == 0
+                                  ? kTrialInterval
+                                  : kIntervalAfterFailedTrial);
   }
-  return is_news;
+  return is_new;
 }
 
 bool RequestQuarantine::OnCompleted(const RequestFingerprint& request) {
@@ -57,17 +59,17 @@
   if (found == records_.end() || found->second.crashes.empty()) {
     return false;
   }
-  OnChanged();
+  InvalidateDigest();
   Record& record = found->second;
   if (record.cleared.size() > kMaxCleared) {
     record.cleared.clear();
   }
   record.cleared.merge(record.crashes);
-  Clear(&record);
+  ClearCrashes(&record);
   return true;
 }
 
-void RequestQuarantine::Clear(Record* record) {
+void RequestQuarantine::ClearCrashes(Record* record) {
   record->crashes.clear();
   record->trials = 0;
   record->failed_trials = 0;
@@ -80,15 +82,15 @@
   }
   const Record& record = found->second;
   const TimePoint now = clock_();
-  if (record.crashes.size() < kCrashThreshold || IsForgotten(record, now)) {
+  if (record.crashes.size() < kCrashThreshold || IsExpired(record, now)) {
     return false;
   }
   return record.failed_trials >= kMaxFailedTrials ||
-         record.trials >= kMaxTrials || now < record.held_until ||
-         IsTrialUnderWay(now);
+         record.trials >= kMaxTrials || now < record.quarantined_until ||
+         IsTrialRunning(now);
 }
 
-bool RequestQuarantine::IsTrialUnderWay(TimePoint now) const {
+bool RequestQuarantine::IsTrialRunning(TimePoint now) const {
   return last_trial_.has_value() && now - *last_trial_ < kTrialSpacing;
 }
 
@@ -98,17 +100,17 @@
     return false;
   }
   const auto found = records_.find(request);
-  const bool tries = found != records_.end() &&
-                     found->second.crashes.size() >= kCrashThreshold &&
-                     !IsForgotten(found->second, clock_());
-  if (tries) {
-    OnChanged();
+  const bool starts_trial = found != records_.end() &&
+                            found->second.crashes.size() >= kCrashThreshold &&
+                            !IsExpired(found->second, clock_());
+  if (starts_trial) {
+    InvalidateDigest();
     ++found->second.trials;
     last_trial_ = clock_();
-    found->second.held_until = *last_trial_ + kTrialInterval;
+    found->second.quarantined_until = *last_trial_ + kTrialInterval;
   }
   if (is_trial != nullptr) {
-    *is_trial = tries;
+    *is_trial = starts_trial;
   }
   return true;
 }
@@ -116,9 +118,9 @@
 void RequestQuarantine::CancelTrial(const RequestFingerprint& request) {
   const auto found = records_.find(request);
   if (found != records_.end() && found->second.trials > 0) {
-    OnChanged();
+    InvalidateDigest();
     --found->second.trials;
-    found->second.held_until = clock_();
+    found->second.quarantined_until = clock_();
     last_trial_.reset();
   }
 }
@@ -127,11 +129,11 @@
   if (report.crashes.empty() && report.cleared.empty()) {
     return false;
   }
-  Record* record = Make(report.request);
+  Record* record = FindOrCreate(report.request);
   if (record == nullptr) {
     return false;
   }
-  OnChanged();
+  InvalidateDigest();
   const std::size_t known = record->crashes.size();
   const std::size_t cleared = record->cleared.size();
   const int trials = record->trials;
@@ -144,15 +146,15 @@
   record->trials = std::max(trials, report.trials);
   record->failed_trials = std::max(failed_trials, report.failed_trials);
   if (record->crashes.empty()) {
-    Clear(record);
+    ClearCrashes(record);
   }
   const TimePoint now = clock_();
   if (record->trials > trials) {
     last_trial_ = now;
   }
   record->last_crash = std::max(record->last_crash, now - report.age);
-  record->held_until =
-      std::max(record->held_until, now + report.quarantined_for);
+  record->quarantined_until =
+      std::max(record->quarantined_until, now + report.quarantined_for);
   return record->crashes.size() != known || record->cleared.size() != cleared ||
          record->trials != trials;
 }
@@ -175,10 +177,11 @@
   if (found == records_.end()) {
     return CrashReport{request, {}, {}, 0, 0, Millis(0), Millis(0)};
   }
-  return Tell(*found);
+  return MakeReport(*found);
 }
 
-CrashReport RequestQuarantine::Tell(const Records::value_type& entry) const {
+CrashReport RequestQuarantine::MakeReport(
+    const Records::value_type& entry) const {
   const TimePoint now = clock_();
   const Record& record = entry.second;
   return CrashReport{entry.first,
@@ -187,7 +190,7 @@
                      record.trials,
                      record.failed_trials,
                      ToMillis(now - record.last_crash),
-                     ToMillis(record.held_until - now)};
+                     ToMillis(record.quarantined_until - now)};
 }
 
 std::size_t RequestQuarantine::CrashCount(
@@ -197,15 +200,15 @@
 }
 
 std::vector<const RequestQuarantine::Records::value_type*>
-RequestQuarantine::Shared() const {
+RequestQuarantine::SharedRecords() const {
   std::vector<const Records::value_type*> shared;
   for (const Records::value_type& entry : records_) {
     if (entry.second.crashes.size() >= kMinSharedCrashes) {
       shared.push_back(&entry);
     }
   }
-  // Those that stand equal stay in the order of their fingerprints, so that
-  // hosts which know the same choose the same.
+  // Records with equal counts stay in fingerprint order, so that hosts with the
+  // same data select the same records.
   std::stable_sort(shared.begin(), shared.end(),
                    [](const auto* a, const auto* b) {
                      return a->second.crashes.size() > b->second.crashes.size();
@@ -218,8 +221,8 @@
 
 std::vector<CrashReport> RequestQuarantine::SharedReports() const {
   std::vector<CrashReport> reports;
-  for (const Records::value_type* entry : Shared()) {
-    reports.push_back(Tell(*entry));
+  for (const Records::value_type* entry : SharedRecords()) {
+    reports.push_back(MakeReport(*entry));
   }
   return reports;
 }
@@ -229,14 +232,14 @@
     return *digest_;
   }
   std::uint64_t digest = 0;
-  for (const Records::value_type* entry : Shared()) {
+  for (const Records::value_type* entry : SharedRecords()) {
     const auto& [request, record] = *entry;
     std::string text =
         request.account.value + "\n" + std::to_string(request.high) + "\n" +
         std::to_string(request.low) + "\n" + std::to_string(record.trials) +
         "\n" + std::to_string(record.failed_trials) + "\n";
-    AddTo(&text, record.crashes);
-    // Their order does not matter.
+    AppendTo(&text, record.crashes);
+    // Combined with XOR, since the order of the records does not matter.
     digest ^= XXH3_64bits(text.data(), text.size());
   }
   digest_ = digest;
@@ -251,38 +254,38 @@
                     }));
 }
 
-bool RequestQuarantine::IsForgotten(const Record& record, TimePoint now) {
-  const Millis remembered = record.crashes.size() > kCrashThreshold
-                                ? kProvenRetention
-                                : kCrashRetention;
-  return now - record.last_crash > remembered;
+bool RequestQuarantine::IsExpired(const Record& record, TimePoint now) {
+  const Millis retention = record.crashes.size() > kCrashThreshold
+                               ? kProvenRetention
+                               : kCrashRetention;
+  return now - record.last_crash > retention;
 }
 
 void RequestQuarantine::Sweep() {
-  OnChanged();
+  InvalidateDigest();
   const TimePoint now = clock_();
   for (auto it = records_.begin(); it != records_.end();) {
-    it = IsForgotten(it->second, now) ? records_.erase(it) : std::next(it);
+    it = IsExpired(it->second, now) ? records_.erase(it) : std::next(it);
   }
 }
 
-RequestQuarantine::Record* RequestQuarantine::Make(
+RequestQuarantine::Record* RequestQuarantine::FindOrCreate(
     const RequestFingerprint& request) {
   const auto found = records_.find(request);
   if (found != records_.end()) {
-    if (IsForgotten(found->second, clock_())) {
-      OnChanged();
+    if (IsExpired(found->second, clock_())) {
+      InvalidateDigest();
       found->second = Record{};
     }
     return &found->second;
   }
   if (records_.size() >= kMaxRecords) {
-    MakeRoom();
+    EvictOldRecords();
   }
   return records_.size() < kMaxRecords ? &records_[request] : nullptr;
 }
 
-void RequestQuarantine::MakeRoom() {
+void RequestQuarantine::EvictOldRecords() {
   Sweep();
   std::vector<TimePoint> times;
   for (const auto& [request, record] : records_) {
@@ -297,9 +300,9 @@
       times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
   std::nth_element(times.begin(), middle, times.end());
   for (auto it = records_.begin(); it != records_.end();) {
-    const bool goes = it->second.crashes.size() < kMinSharedCrashes &&
-                      !(*middle < it->second.last_crash);
-    it = goes ? records_.erase(it) : std::next(it);
+    const bool evict = it->second.crashes.size() < kMinSharedCrashes &&
+                       !(*middle < it->second.last_crash);
+    it = evict ? records_.erase(it) : std::next(it);
   }
 }
 
