--- a/include/harecrank/core/attempt_timeout.h
+++ b/include/harecrank/core/attempt_timeout.h
@@ -1,7 +1,8 @@
-// How long an answer is waited for before the request goes to another endpoint.
+// Time-outs after which a request is sent to another endpoint.
 //
-// The load that it answers: endpoints that fall silent, are slow, or stand
-// still since a helper has died, before callers who give a silent stream up.
+// Endpoints may stop responding, be slow, or stall because a helper has died.
+// The request must move to another endpoint before the caller gives up on a
+// silent stream.
 
 #ifndef HARECRANK_CORE_ATTEMPT_TIMEOUT_H_
 #define HARECRANK_CORE_ATTEMPT_TIMEOUT_H_
@@ -12,23 +13,26 @@
 
 namespace harecrank {
 
-// How far one sending of a request has come.
+// The progress of one attempt of a request.
 struct AttemptProgress {
   TimePoint sent_at{};
   TimePoint last_bytes_at{};
-  // Until the first event, as predicted.
+  // Predicted time from sending to the first event.
   FractionalMillis predicted{0};
   bool has_helpers = false;
   bool first_event_seen = false;
-  // Other requests have heard from the endpoint since.
+  // Bytes of other requests have arrived from the endpoint since
+  // `last_bytes_at`.
   bool endpoint_is_alive = false;
 };
 
-// Returns from when on the answer to a request on `route` is overdue.
+// Returns when the response to a request on `route` becomes overdue. The limit
+// applies to the time since the last bytes of a stream, and to the total time
+// of any other response.
 TimePoint OverdueAt(const RouteRule& route, const AttemptProgress& progress);
 
-// Returns how much of a caller's patience with a silent stream on `route` may
-// be used before a resumption could come too late.
+// Returns how long a stream on `route` may be silent so that it can still be
+// resumed before the caller's time-out.
 Millis UsableCallerTimeout(const RouteRule& route);
 
 }  // namespace harecrank
--- a/include/harecrank/core/http_status.h
+++ b/include/harecrank/core/http_status.h
@@ -1,4 +1,4 @@
-// The HTTP statuses that the system uses.
+// HTTP status codes used by the system.
 
 #ifndef HARECRANK_CORE_HTTP_STATUS_H_
 #define HARECRANK_CORE_HTTP_STATUS_H_
@@ -15,13 +15,13 @@
 constexpr int kMethodNotAllowed = 405;
 constexpr int kConflict = 409;
 constexpr int kTooLarge = 413;
-// The endpoint is not the one that was expected, and ran nothing.
+// The endpoint is not the intended one and has not run the request.
 constexpr int kMisdirected = 421;
 constexpr int kFailedDependency = 424;
-// Precondition required.
+// The request needs a ticket.
 constexpr int kPreconditionRequired = 428;
 constexpr int kTooManyRequests = 429;
-// Seen by nobody: the caller has left.
+// Non-standard, for logs: the caller has disconnected.
 constexpr int kClientClosed = 499;
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
--- a/include/harecrank/core/outcome.h
+++ b/include/harecrank/core/outcome.h
@@ -1,4 +1,4 @@
-// What a caller may be told about a request that brought no whole answer.
+// What a caller may be told about a request that received no complete response.
 
 #ifndef HARECRANK_CORE_OUTCOME_H_
 #define HARECRANK_CORE_OUTCOME_H_
@@ -10,46 +10,46 @@
 
 namespace harecrank {
 
-// How far a request that failed can have come.
+// How far a failed request may have progressed.
 enum class Outcome {
-  // It did not run and never will. Said only on proof.
+  // It has not run and will not run. Reported only if proven.
   kNotRun,
-  // It ran, or began to, and failed.
+  // It ran or started to run, and failed.
   kFailed,
   // It may have run, or may still run.
   kUnknown,
 };
 
-// Returns the word that callers see: "not_run", "failed" or "unknown".
+// Returns the name that callers see: "not_run", "failed" or "unknown".
 const char* OutcomeName(Outcome outcome);
 
-// Returns the outcome that `name` stands for, or kUnknown for any other word:
-// the weakest claim.
+// Returns the outcome with the given name. Unknown names give kUnknown, the
+// weakest claim.
 Outcome OutcomeFromName(const std::string& name);
 
-// A final answer other than success, in the form that callers see.
+// A final response other than success, as callers see it.
 struct Refusal {
   int http_status = 500;
-  // A stable word, such as "overloaded".
+  // A stable code, such as "overloaded".
   std::string code;
-  // One sentence for a person.
+  // One sentence for people.
   std::string message;
   Outcome outcome = Outcome::kUnknown;
-  // When to come back, where a retry makes sense.
+  // When to retry; unset if a retry is of no use.
   std::optional<Millis> retry_after;
 };
 
-// What an entry host knows about one attempt at an endpoint. The facts only
-// accumulate; Conclude turns them into the strongest claim they prove.
+// What an entry host knows about one attempt at an endpoint. Facts are only
+// added, never revoked; Conclude derives the strongest outcome that they prove.
 class AttemptEvidence {
  public:
-  // The submission was handed to the link: from here on it may run.
+  // The request was handed to the connection and may run from now on.
   void OnSubmitted() { submitted_ = true; }
-  // The sidecar said that it did not and will not start the request.
+  // The sidecar reported that it has not started the request and will not.
   void OnNotStarted() { not_started_ = true; }
-  // The sidecar said that the engine has the request, or a token came.
+  // The sidecar reported that the engine has the request, or a token arrived.
   void OnStarted() { started_ = true; }
-  // The sidecar said that the run has ended with an error.
+  // The sidecar reported that the run ended with an error.
   void OnRunFailed() { run_failed_ = true; }
 
   // Returns the strongest outcome that the facts prove.
--- a/include/harecrank/core/retry_policy.h
+++ b/include/harecrank/core/retry_policy.h
@@ -1,4 +1,4 @@
-// Whether a request whose attempt came to nothing is tried again.
+// Decides whether a request is retried after a failed attempt.
 
 #ifndef HARECRANK_CORE_RETRY_POLICY_H_
 #define HARECRANK_CORE_RETRY_POLICY_H_
@@ -13,7 +13,7 @@
 
 namespace harecrank {
 
-// How an attempt ended without a whole answer.
+// The ways in which an attempt ends without a complete response.
 struct AttemptRejected {
   std::string code;
   std::string message;
@@ -31,36 +31,37 @@
 using AttemptEnd = std::variant<AttemptRejected, AttemptFailed, AttemptLost,
                                 AttemptTimedOut, CallerDisconnected>;
 
-// What to do next.
+// The decision after such an attempt.
 struct TryElsewhere {};
 struct GiveUp {
   Refusal refusal;
 };
 using AttemptStep = std::variant<TryElsewhere, GiveUp>;
 
-// What may be done with a request besides its first attempt.
+// Which retries of a request are allowed.
 enum class RetryMode {
-  // Any endpoint may run it again.
+  // The request may run again on any endpoint.
   kAllowed,
-  // It may go to another endpoint only while it is certain not to have run.
+  // The request may go to another endpoint only if it is certain not to have
+  // run.
   kOnlyIfNotRun,
-  // It has one place where it may run.
+  // The request may run on one particular endpoint only.
   kNever,
 };
 
-// Keeps the tries of one request. Not thread-safe.
+// Tracks the attempts of one request. Not thread-safe.
 class RetryPolicy {
  public:
-  // `budget` is shared by all requests and must outlive this.
-  RetryPolicy(RetryMode repeat, TimePoint deadline, MonotonicClock clock,
+  // `budget` is shared by all requests and must outlive this object.
+  RetryPolicy(RetryMode mode, TimePoint deadline, MonotonicClock clock,
               RetryBudget* budget);
 
-  // Returns what follows an attempt that ended in `end`, given what is known
-  // of it.
+  // Returns the step after an attempt that ended with `end`, given the evidence
+  // on that attempt.
   AttemptStep Next(const AttemptEnd& end, const AttemptEvidence& evidence);
 
-  // Returns the answer to give if the next attempt finds no endpoint; nothing
-  // before the first attempt has ended.
+  // Returns the response for the caller if no endpoint is found for the next
+  // attempt; unset until the first attempt has ended.
   const std::optional<Refusal>& LastRefusal() const { return last_refusal_; }
 
   int Attempts() const { return attempts_; }
@@ -68,15 +69,15 @@
   static constexpr int kMaxAttempts = 4;
 
  private:
-  bool MayTryAgain(Outcome outcome) const;
+  bool MayRetry(Outcome outcome) const;
 
-  RetryMode repeat_;
+  RetryMode mode_;
   TimePoint deadline_;
   MonotonicClock clock_;
   RetryBudget* budget_;
   int attempts_ = 1;
-  // The weakest claim of all attempts so far.
-  Outcome overall_ = Outcome::kNotRun;
+  // The weakest outcome that has been proven for any attempt.
+  Outcome weakest_outcome_ = Outcome::kNotRun;
   std::optional<Refusal> last_refusal_;
 };
 
--- a/src/core/outcome.cc
+++ b/src/core/outcome.cc
@@ -25,8 +25,8 @@
 }
 
 Outcome AttemptEvidence::Conclude() const {
-  // A start outweighs a later word that denies it: claims must err to the
-  // weaker side.
+  // A reported start outweighs a later report that the request was not started:
+  // in doubt the weaker claim is made.
   if (run_failed_) {
     return Outcome::kFailed;
   }
--- a/src/core/retry_policy.cc
+++ b/src/core/retry_policy.cc
@@ -10,11 +10,12 @@
 
 constexpr Millis kDefaultRetryAfter{1000};
 
-// Refusals that no other endpoint would answer differently.
+// Returns whether every other endpoint would reject the request in the same
+// way.
 bool IsFinalRefusal(const std::string& code) {
-  static const std::set<std::string> kFinal{
+  static const std::set<std::string> kFinalCodes{
       "bad_request", "deadline_exceeded", "ticket_ended", "larger_than_engine"};
-  return kFinal.count(code) > 0;
+  return kFinalCodes.count(code) > 0;
 }
 
 int StatusOfRefusal(const std::string& code) {
@@ -31,7 +32,7 @@
   return http_status::kUnavailable;
 }
 
-// Turns the end of an attempt into the answer that callers see.
+// Visitor that converts the end of an attempt into the caller's response.
 struct ToRefusal {
   Outcome outcome;
 
@@ -62,8 +63,8 @@
   }
 };
 
-// Returns whether the way an attempt ended allows another at all.
-struct HasSpareCapacity {
+// Visitor that returns whether the end of an attempt permits a retry at all.
+struct AllowsRetry {
   bool operator()(const AttemptRejected& end) const {
     return !IsFinalRefusal(end.code);
   }
@@ -73,7 +74,7 @@
   bool operator()(const CallerDisconnected&) const { return false; }
 };
 
-// Returns the weaker of two claims about what ran.
+// Returns the weaker of two claims.
 Outcome Weaker(Outcome a, Outcome b) {
   if (a == Outcome::kUnknown || b == Outcome::kUnknown) {
     return Outcome::kUnknown;
@@ -84,9 +85,9 @@
 
 }  // namespace
 
-RetryPolicy::RetryPolicy(RetryMode repeat, TimePoint deadline,
+RetryPolicy::RetryPolicy(RetryMode mode, TimePoint deadline,
                          MonotonicClock clock, RetryBudget* budget)
-    : repeat_(repeat),
+    : mode_(mode),
       deadline_(deadline),
       clock_(std::move(clock)),
       budget_(budget) {
@@ -96,9 +97,9 @@
 AttemptStep RetryPolicy::Next(const AttemptEnd& end,
                               const AttemptEvidence& evidence) {
   const Outcome outcome = evidence.Conclude();
-  overall_ = Weaker(overall_, outcome);
-  last_refusal_ = std::visit(ToRefusal{overall_}, end);
-  if (std::visit(HasSpareCapacity{}, end) && MayTryAgain(outcome) &&
+  weakest_outcome_ = Weaker(weakest_outcome_, outcome);
+  last_refusal_ = std::visit(ToRefusal{weakest_outcome_}, end);
+  if (std::visit(AllowsRetry{}, end) && MayRetry(outcome) &&
       budget_->TryRetry()) {
     ++attempts_;
     return TryElsewhere{};
@@ -106,11 +107,11 @@
   return GiveUp{*last_refusal_};
 }
 
-bool RetryPolicy::MayTryAgain(Outcome outcome) const {
+bool RetryPolicy::MayRetry(Outcome outcome) const {
   if (attempts_ >= kMaxAttempts || clock_() >= deadline_) {
     return false;
   }
-  switch (repeat_) {
+  switch (mode_) {
     case RetryMode::kAllowed:
       return true;
     case RetryMode::kOnlyIfNotRun:
