--- a/include/harecrank/core/answer_assembler.h
+++ b/include/harecrank/core/answer_assembler.h
@@ -1,4 +1,4 @@
-// Puts one answer together from the attempts that brought it.
+// Assembles one answer from the tokens of one or several attempts.
 
 #ifndef HARECRANK_CORE_ANSWER_ASSEMBLER_H_
 #define HARECRANK_CORE_ANSWER_ASSEMBLER_H_
@@ -10,26 +10,29 @@
 
 namespace harecrank {
 
-// One token of an answer, at its position from zero.
+// A token of an answer and its position, counted from zero.
 struct AnswerToken {
   std::int64_t position = 0;
   std::string text;
 };
 
-// Lets each position through once and in order, whatever comes twice, late or
-// before its turn. Not thread-safe.
+// Delivers each position exactly once and in order, although attempts may
+// repeat, reorder or skip ahead of positions. Not thread-safe.
 class AnswerAssembler {
  public:
-  // Takes a token and returns the tokens that are now next in order.
+  // Accepts a token and returns all tokens that can now be delivered, in order.
+  // Ignores positions that have been delivered. Buffers positions ahead of
+  // NextPosition() up to a fixed number and drops the others.
   std::vector<AnswerToken> Accept(AnswerToken token);
 
-  // Returns the first position that has not been let through: where another
-  // attempt must resume.
+  // Returns the first position that has not been delivered, which is where
+  // another attempt must resume.
   std::int64_t NextPosition() const { return next_; }
 
  private:
   std::int64_t next_ = 0;
-  std::map<std::int64_t, std::string> early_;
+  // Texts of tokens ahead of next_, by position.
+  std::map<std::int64_t, std::string> out_of_order_;
 };
 
 }  // namespace harecrank
--- a/src/core/answer_assembler.cc
+++ b/src/core/answer_assembler.cc
@@ -5,8 +5,9 @@
 namespace harecrank {
 namespace {
 
-// A peer that sends positions far ahead must not make this process hold them.
-constexpr std::size_t kMostEarly = 4096;
+// Limit of buffered out-of-order tokens. A peer that sends positions far ahead
+// must not exhaust the memory of this process.
+constexpr std::size_t kMaxOutOfOrder = 4096;
 
 }  // namespace
 
@@ -16,17 +17,18 @@
     return ready;
   }
   if (token.position > next_) {
-    if (early_.size() < kMostEarly) {
-      early_.emplace(token.position, std::move(token.text));
+    if (out_of_order_.size() < kMaxOutOfOrder) {
+      out_of_order_.emplace(token.position, std::move(token.text));
     }
     return ready;
   }
   ready.push_back(std::move(token));
   ++next_;
-  for (auto held = early_.begin(); held != early_.end() && held->first == next_;
-       held = early_.begin()) {
-    ready.push_back(AnswerToken{held->first, std::move(held->second)});
-    early_.erase(held);
+  for (auto buffered = out_of_order_.begin();
+       buffered != out_of_order_.end() && buffered->first == next_;
+       buffered = out_of_order_.begin()) {
+    ready.push_back(AnswerToken{buffered->first, std::move(buffered->second)});
+    out_of_order_.erase(buffered);
     ++next_;
   }
   return ready;
