--- a/include/harecrank/core/event_scanner.h
+++ b/include/harecrank/core/event_scanner.h
@@ -1,7 +1,8 @@
-// Cuts a text/event-stream body into whole events.
+// Splits a text/event-stream body into complete events.
 //
-// Only whole events go on to a caller: an endpoint may stop in the middle of
-// one, and the stream then goes on elsewhere after the last whole event.
+// Only complete events are forwarded to a caller: if an endpoint fails in the
+// middle of an event, another endpoint resumes the stream after the last
+// complete one.
 
 #ifndef HARECRANK_CORE_EVENT_SCANNER_H_
 #define HARECRANK_CORE_EVENT_SCANNER_H_
@@ -11,27 +12,29 @@
 
 namespace harecrank {
 
-// Collects bytes and gives back what has become whole. Not thread-safe.
+// Buffers the bytes of a body until they form complete events. Not thread-safe.
 class EventScanner {
  public:
-  // Takes more bytes of the body. Returns the bytes of all events that are
-  // now whole and were not returned before.
+  // Appends bytes of the body. Returns the bytes of all events that these bytes
+  // complete, or an empty string.
   std::string Accept(std::string_view bytes);
 
-  // Forgets the beginning of an event that its endpoint never finished.
+  // Discards the incomplete event at the end of the bytes accepted so far.
   void DropPartial() { partial_.clear(); }
 
-  // Returns whether an event has begun and not ended.
+  // Returns whether there is an incomplete event.
   bool HasPartial() const { return !partial_.empty(); }
 
-  // Returns the id of the last whole event that had one, or empty.
+  // Returns the id of the last complete event with an "id" field, or an empty
+  // string.
   const std::string& LastId() const { return last_id_; }
 
-  // Returns how many whole events there were.
+  // Returns the number of complete events.
   std::size_t Count() const { return count_; }
 
  private:
-  void NoteEvent(std::string_view event);
+  // Counts a complete event and records its id.
+  void RecordEvent(std::string_view event);
 
   std::string partial_;
   std::string last_id_;
--- a/src/core/event_scanner.cc
+++ b/src/core/event_scanner.cc
@@ -16,8 +16,9 @@
   return dos_end + 4;
 }
 
-// Returns the value of an "id" line, or nothing as an empty view.
-std::string_view IdOf(std::string_view line) {
+// Returns the value of an "id" field, or an empty view if `line` is another
+// field.
+std::string_view ParseId(std::string_view line) {
   constexpr std::string_view kField = "id:";
   if (line.substr(0, kField.size()) != kField) {
     return {};
@@ -36,23 +37,24 @@
 
 std::string EventScanner::Accept(std::string_view bytes) {
   partial_.append(bytes);
-  std::size_t whole = 0;
-  std::size_t end = EndOfEvent(partial_, whole);
+  std::size_t complete_size = 0;
+  std::size_t end = EndOfEvent(partial_, complete_size);
   while (end != std::string_view::npos) {
-    NoteEvent(std::string_view(partial_).substr(whole, end - whole));
-    whole = end;
-    end = EndOfEvent(partial_, whole);
+    RecordEvent(
+        std::string_view(partial_).substr(complete_size, end - complete_size));
+    complete_size = end;
+    end = EndOfEvent(partial_, complete_size);
   }
-  std::string events = partial_.substr(0, whole);
-  partial_.erase(0, whole);
+  std::string events = partial_.substr(0, complete_size);
+  partial_.erase(0, complete_size);
   return events;
 }
 
-void EventScanner::NoteEvent(std::string_view event) {
+void EventScanner::RecordEvent(std::string_view event) {
   ++count_;
   while (!event.empty()) {
     const std::size_t end = event.find('\n');
-    const std::string_view id = IdOf(event.substr(0, end));
+    const std::string_view id = ParseId(event.substr(0, end));
     if (!id.empty()) {
       last_id_ = std::string(id);
     }
