--- a/include/harecrank/core/router.h
+++ b/include/harecrank/core/router.h
@@ -1,7 +1,8 @@
-// Which endpoint takes a request.
+// Load balancing: selects the endpoint for a request.
 //
-// Three policies stand side by side, so that each can be measured against the
-// others: random choice, least loaded, and the length-aware one that ships.
+// There are three policies: random, least loaded and length-aware. The
+// length-aware policy is meant for production; the others are baselines for
+// comparison.
 
 #ifndef HARECRANK_CORE_ROUTER_H_
 #define HARECRANK_CORE_ROUTER_H_
@@ -17,45 +18,50 @@
 
 namespace harecrank {
 
-// What a sidecar reports of its endpoint's load. Always somewhat old.
+// The load of an endpoint as its sidecar reports it at intervals, so it lags
+// behind the actual load.
 struct LoadReport {
-  // Work that waits or has begun prefill, in tokens, by class.
+  // Work that is queued or running, by length class.
   Tokens short_backlog;
   Tokens long_backlog;
-  // Memory that no lease holds.
+  // KV memory that is not leased.
   Tokens free_memory;
+  // All KV memory of the endpoint.
   Tokens memory;
+  // Number of running requests.
   int running = 0;
 };
 
-// One endpoint as an entry host sees it at the moment of a decision.
+// The state of an endpoint that an entry host knows when it routes a request.
 struct EndpointView {
   EndpointId id;
   LoadReport load;
-  // Work this host sent since the report, in tokens.
+  // Work that this host has sent since the last load report.
   Tokens unreported;
-  // How well the endpoint's cache suits this prompt: 0 for not at all, or the
-  // rendezvous rank among its peers, 1 for the first.
+  // Rank of the endpoint by rendezvous hashing of the prompt's prefix: 1 for
+  // the endpoint whose prefix cache is expected to be warm, 0 for no rank.
   int affinity_rank = 0;
 };
 
-// What a decision needs to know of a request.
+// The properties of a request that routing depends on.
 struct RouteRequest {
   LengthClass length = LengthClass::kShort;
   Tokens prompt;
+  // The longest answer that the request allows.
   Tokens answer;
 };
 
-// Picks any endpoint with equal chance. A baseline.
+// Selects an endpoint uniformly at random.
 struct RandomPolicy {};
 
-// Picks the endpoint with the least work, and asks nothing of lengths. A
-// baseline.
+// Selects the endpoint with the least work, regardless of length classes.
 struct LeastLoadedPolicy {};
 
-// Keeps short requests from waiting behind long ones.
+// Selects the endpoint with the least work that delays a request of this length
+// class, and prefers a warm prefix cache while its endpoint is not overloaded.
 struct LengthAwarePolicy {
-  // 0 to 100; see the schema's Policy.long_weight_percent.
+  // 0 to 100; see Policy.long_weight_percent in schema/harecrank.proto. At 100
+  // long work does not count for a short request; at 0 it counts in full.
   int long_weight_percent = 50;
 };
 
@@ -63,19 +69,20 @@
     std::variant<RandomPolicy, LeastLoadedPolicy, LengthAwarePolicy>;
 
 // Returns the policy called `name` ("random", "least_loaded" or
-// "length_aware"), or nothing.
+// "length_aware"), or nothing if there is no such policy.
 std::optional<RoutingPolicy> RoutingPolicyFromName(const std::string& name,
                                                    int long_weight_percent);
 
-// Returns the index of the endpoint to use, or nothing if `endpoints` is empty.
+// Returns the index of the selected endpoint, or nothing if `endpoints` is
+// empty.
 std::optional<std::size_t> Route(const RoutingPolicy& policy,
                                  const RouteRequest& request,
                                  const std::vector<EndpointView>& endpoints,
                                  const RandomSource& random);
 
-// Returns among how many of `endpoints` to spread a long prompt that one could
-// hold: all of them, but never so many that a part would be smaller than
-// kMinPrefillPart, and one at least.
+// Returns into how many parts to split the prefill of a long prompt if
+// `endpoints` endpoints are available: one part for each endpoint, but no part
+// smaller than kMinPrefillPart, and at least one part.
 std::size_t PrefillPartCount(Tokens prompt, std::size_t endpoints);
 constexpr Tokens kMinPrefillPart{8000};
 
