--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -1,4 +1,4 @@
-// What the gateway knows of routes, services, client accounts and limits.
+// The published routes, services, client accounts and limits of a gateway.
 
 #ifndef HARECRANK_CORE_ROUTING_TABLE_H_
 #define HARECRANK_CORE_ROUTING_TABLE_H_
@@ -15,98 +15,105 @@
 
 namespace harecrank {
 
-// Orders published routing tables. Higher is newer; zero means none.
+// Version of a published routing table. Higher is newer; zero means none.
 using RoutingVersion = StrongNumber<struct RoutingVersionTag, std::uint64_t>;
 
-// What may be repeated of a request.
+// How often a request may be executed.
 enum class RequestKind {
-  // May run any number of times.
+  // Idempotent: may be executed any number of times.
   kSafe,
-  // May run once at most.
+  // Must be executed at most once.
   kUnsafe,
-  // Answers with a series of events; may run once at most unless its route
-  // says that it can be resumed.
+  // Answered by a stream of events. Must be executed at most once unless the
+  // route is resumable.
   kStreaming,
 };
 
-// The costs of a model engine, as its operator publishes them.
+// The cost model of a model engine, as published by its operator. A pass is the
+// unit in which the engine schedules its batch.
 struct EngineProfile {
-  // Requests that run at once.
+  // The most requests that run at once.
   int slots = 1;
-  // KV memory.
+  // Capacity of the KV memory.
   Tokens memory;
-  // One decoding step of a batch, without its members.
+  // Fixed duration of a decoding step, without its sequences.
   double step_ms = 0;
-  // What each member adds to a step.
+  // Duration that each sequence of the batch adds to a step.
   double step_ms_per_sequence = 0;
-  // What a thousand tokens of a member's context add to a step.
+  // Duration that each thousand tokens of context add to a step.
   double step_ms_per_thousand_context = 0;
-  // Prompt tokens read in a millisecond.
+  // Prompt tokens that are prefilled in a millisecond.
   double prefill_tokens_per_ms = 1;
-  // A million pairs of a prompt token and one before it.
+  // Attention cost of the prefill: duration for a million pairs of a prompt
+  // token and an earlier token of the prompt.
   double prefill_ms_per_million_pairs = 0;
-  // Steps that one pass over all members plays.
+  // Decoding steps that one pass runs for the whole batch.
   int steps_per_pass = 1;
 };
 
-// A service, and how its endpoints may be used.
+// A service and the limits for the use of its endpoints.
 struct ServiceProfile {
   ServiceName name;
-  // The most connections that one endpoint accepts from all callers together.
+  // The most connections that an endpoint accepts in total, from all hosts.
   int max_connections = 0;
   // Set for model engines, absent for plain services.
   std::optional<EngineProfile> engine;
-  // How long an endpoint is cold after it has started.
+  // Time after its start for which an endpoint counts as cold.
   Millis cold_period{0};
-  // The requests that a cold endpoint takes in a second; zero: as many as any.
+  // The most requests that a cold endpoint accepts in a second; zero means that
+  // a cold endpoint has no limit of its own.
   double cold_requests_per_s = 0;
 };
 
-// A service's share of a route's requests.
+// A service and its weight in the traffic split of a route.
 struct WeightedService {
   ServiceName service;
   std::uint32_t weight = 1;
 };
 
-// Where the requests under one host and path go, and within which bounds.
+// The destination, limits and latency targets of the requests for one host name
+// and path prefix.
 struct RouteRule {
   std::string name;
+  // Host name of the URL.
   std::string host;
   // Begins and ends with a slash.
   std::string path_prefix;
   RequestKind kind = RequestKind::kUnsafe;
-  // The longest that a request may be held.
+  // The longest time from the arrival of a request to its deadline. A caller
+  // may ask for less.
   Millis timeout{0};
-  // Within this an answer, or the first event of a stream, is in time.
+  // Latency target for the whole answer, or for the first event of a stream.
   Millis target_latency{0};
-  // The longest pause between events of a stream that is still in time.
+  // Target for the longest inter-token gap of a stream, not including the time
+  // to the first event.
   Millis target_gap{0};
-  // Zero is the most urgent.
+  // Zero is the highest priority.
   int priority = 0;
   std::vector<WeightedService> services;
-  // To how many endpoints one request may be sent.
+  // The most times that a request may be sent to an endpoint.
   int max_attempts = 1;
-  // Needs no key.
+  // Requests need no API key.
   bool is_public = false;
-  // A stream may be taken up at another endpoint.
+  // An interrupted stream may be resumed at another endpoint.
   bool resumable = false;
 
-  // Returns whether a request may run more than once.
+  // Returns whether a request may be executed more than once.
   bool MayRepeat() const {
     return kind == RequestKind::kSafe ||
            (kind == RequestKind::kStreaming && resumable);
   }
 };
 
-// A client account and the keys that its callers show.
+// A client account and its API keys.
 struct AccountEntry {
   AccountId id;
   std::vector<std::string> keys;
-  // Replaces the route's priority.
+  // Overrides the priority of the route.
   std::optional<int> priority;
 };
 
-// What a caller may send, and how long it may take.
+// Limits for the connections of callers.
 struct CallerLimits {
   std::uint32_t max_header_bytes = 16384;
   std::uint64_t max_body_bytes = 4U << 20U;
@@ -114,18 +121,19 @@
   Millis idle_timeout{15000};
 };
 
-// All of it as published, before it is indexed.
+// A published routing configuration, before it is indexed.
 struct RoutingDocument {
   RoutingVersion version;
-  // Shared with the versions before that have the same route.
+  // A route that does not change is shared with earlier versions.
   std::vector<std::shared_ptr<const RouteRule>> routes;
   std::vector<ServiceProfile> services;
-  // Absent: no request needs a key.
+  // If absent, no request needs an API key.
   std::optional<std::vector<AccountEntry>> accounts;
   CallerLimits limits;
 };
 
-// A routing document with the indexes that a request needs. Immutable.
+// A routing document with indexes for lookups. Immutable, hence safe to read
+// from several threads.
 class RoutingTable {
  public:
   explicit RoutingTable(RoutingDocument document);
@@ -138,33 +146,34 @@
     return NeedsKeys() && document_.accounts->size() > 1;
   }
 
-  // Returns the route whose host is `host` and whose prefix is the longest that
-  // begins `path`, or null. `host` may carry a port and any case.
+  // Returns the route of `host` with the longest path prefix that matches
+  // `path`, or null. `host` may be in any case and have a port.
   const RouteRule* FindRoute(std::string_view host,
                              std::string_view path) const;
 
   // Returns the service called `name`, or null.
   const ServiceProfile* FindService(const ServiceName& name) const;
 
-  // Returns the shortest pause between events that any streaming route to
-  // `service` allows, or zero if there is no such route.
+  // Returns the shortest target_gap of the routes to `service`, or zero if none
+  // of them has one.
   Millis TightestGap(const ServiceName& service) const;
 
-  // Returns the account that holds `key`, or null.
+  // Returns the account with the API key `key`, or null.
   const AccountEntry* FindAccountByKey(const std::string& key) const;
 
  private:
-  // The texts are the document's.
+  // The keys point into document_.
   using RoutesByPrefix = std::unordered_map<std::string_view, const RouteRule*>;
 
   void IndexRoutes();
 
   RoutingDocument document_;
-  // By host.
-
+  // By host name in lower case, without a port.
   std::unordered_map<std::string, RoutesByPrefix> routes_;
+  // Indexes into document_.services.
   std::unordered_map<ServiceName, std::size_t> services_;
   std::unordered_map<ServiceName, Millis> tightest_gaps_;
+  // Indexes into document_.accounts.
   std::unordered_map<std::string, std::size_t> account_by_key_;
 };
 
