--- a/include/harecrank/core/active_config.h
+++ b/include/harecrank/core/active_config.h
@@ -1,4 +1,4 @@
-// Which configuration is in force on this process. It never goes back.
+// The configuration in force in this process. Its revision never decreases.
 
 #ifndef HARECRANK_CORE_ACTIVE_CONFIG_H_
 #define HARECRANK_CORE_ACTIVE_CONFIG_H_
@@ -16,75 +16,83 @@
 
 namespace harecrank {
 
-// Where a configuration came from.
+// The origin of a configuration. kService is the platform's configuration
+// service, kPeer another node of the fleet.
 enum class ConfigSource { kNone, kService, kPeer };
 
 // Returns "none", "service" or "peer".
 const char* ConfigSourceName(ConfigSource source);
 
-// What became of an offered configuration.
+// The outcome of an offered configuration.
 enum class OfferResult {
-  // It is in force now.
+  // The configuration is now in force.
   kAdopted,
-  // It is the one in force already.
+  // The configuration was in force already.
   kAlreadyInForce,
-  // It is older than the one in force. Never adopted.
+  // Rejected: the revision is lower than the one in force.
   kOlder,
-  // It has the revision in force but another content. Refused and reported.
+  // Rejected and reported: the revision is the one in force, but the content
+  // differs.
   kConflict,
-  // It has a fault. Refused whole.
+  // Rejected as a whole: the document or the change is invalid.
   kInvalid,
-  // It is a change whose base is not in force here: the whole is needed.
+  // Rejected: the base of the change is not in force. The whole document is
+  // needed.
   kMissingBase,
 };
 
-// Returns a word for logs and counters.
-const char* OfferResultName(OfferResult offer);
+// Returns the name of `outcome` in logs and metrics.
+const char* OfferResultName(OfferResult outcome);
 
-// What the active_config reports of itself.
+// Status of ActiveConfig for operators.
 struct ActiveConfigState {
   Revision revision;
   Digest digest;
   ConfigSource source = ConfigSource::kNone;
+  // Number of offers by outcome. `gaps` counts OfferResult::kMissingBase.
   std::uint64_t adopted = 0;
   std::uint64_t older = 0;
   std::uint64_t conflicts = 0;
   std::uint64_t invalid = 0;
   std::uint64_t gaps = 0;
-  // The latest fault in words, or empty.
+  // Description of the latest conflict or invalid offer, or empty.
   std::string last_fault;
 };
 
-// Holds the highest valid revision that this process has ever seen.
+// Holds the valid configuration with the highest revision that this process has
+// been offered.
 //
-// Thread-safe. Reading is wait-free; offers are serialised.
+// Thread-safe. InForce() is wait-free; offers are serialised.
 class ActiveConfig {
  public:
   ActiveConfig();
 
-  // Offers a whole document.
+  // Offers a whole document, which comes into force if it is valid and has a
+  // higher revision.
   OfferResult OfferDocument(const std::string& document_json,
                             ConfigSource source);
 
-  // Offers one change.
+  // Offers a change, which comes into force if its base is in force and its
+  // result is valid.
   OfferResult OfferChange(const v1::Change& change, ConfigSource source);
 
-  // Returns the configuration in force, or null before the first.
+  // Returns the configuration in force, or null if there is none yet.
   std::shared_ptr<const Configuration> InForce() const;
 
-  // Returns the changes that lead from `have` to the revision in force, or
-  // nothing if some are not remembered. Empty if `have` is in force.
+  // Returns the changes that lead from `have` to the configuration in force, or
+  // nothing if some of them are no longer stored. Empty if `have` is in force.
   std::optional<v1::ChangeLog> ChangesSince(const Digest& have) const;
 
-  // Returns the changes that are remembered, oldest first.
+  // Returns the stored changes, oldest first.
   v1::ChangeLog RecentChanges() const;
 
-  // Returns the change that led to the revision in force, if it came as one.
+  // Returns the change that led to the configuration in force, or nothing if it
+  // was offered as a whole document.
   std::optional<v1::Change> LatestChange() const;
 
   ActiveConfigState State() const;
 
-  // How many changes are remembered for peers that lag a little.
+  // The most changes that are stored, for peers that lag by a few revisions.
   static constexpr std::size_t kMaxRecentChanges = 64;
 
  private:
@@ -93,17 +101,21 @@
     ConfigSource source = ConfigSource::kNone;
   };
 
-  // These two expect the mutex to be held.
-  OfferResult Judge(Revision revision, const Digest& digest);
-  OfferResult Count(OfferResult offer);
+  // These functions require mutex_ to be held.
+  //
+  // Returns kAdopted if the revision is higher than the one in force.
+  OfferResult CompareWithCurrent(Revision revision, const Digest& digest);
+  // Counts `outcome` in state_ and returns it.
+  OfferResult Count(OfferResult outcome);
   void Adopt(std::shared_ptr<const Configuration> next, ConfigSource source);
 
   mutable std::mutex mutex_;
   RcuCell<Current> current_;
-  std::deque<v1::Change> changes_;
-  // Digests of documents refused for a fault, so that each peer that repeats
-  // one does not cost another check.
-  std::set<std::string> refused_;
+  // Oldest first.
+  std::deque<v1::Change> recent_changes_;
+  // Digests of documents that a change failed to produce, so that the same
+  // invalid change from another peer is rejected without another validation.
+  std::set<std::string> invalid_digests_;
   ActiveConfigState state_;
 };
 
--- a/src/core/active_config.cc
+++ b/src/core/active_config.cc
@@ -7,26 +7,28 @@
 
 namespace leaf = boost::leaf;
 
-constexpr std::size_t kMostRefusedRemembered = 256;
+// Limit of the stored digests of invalid documents.
+constexpr std::size_t kMaxInvalidDigests = 256;
 
-// A configuration, or in words why there is none.
-struct Outcome {
+// A configuration, or null and a description of the fault.
+struct LoadResult {
   std::shared_ptr<const Configuration> configuration;
   std::string fault;
 };
 
+// Runs `operation`, which returns a configuration or a ConfigError.
 template <typename Operation>
-Outcome Try(Operation operation) {
+LoadResult TryLoad(Operation operation) {
   return leaf::try_handle_all(
-      [&]() -> leaf::result<Outcome> {
+      [&]() -> leaf::result<LoadResult> {
         BOOST_LEAF_AUTO(configuration, operation());
-        return Outcome{std::move(configuration), ""};
+        return LoadResult{std::move(configuration), ""};
       },
       [](const ConfigError& error) {
-        return Outcome{nullptr, Describe(error)};
+        return LoadResult{nullptr, Describe(error)};
       },
       [] {
-        return Outcome{nullptr, "an error of another layer"};
+        return LoadResult{nullptr, "an error of another layer"};
       });
 }
 
@@ -44,8 +46,8 @@
   return "none";
 }
 
-const char* OfferResultName(OfferResult offer) {
-  switch (offer) {
+const char* OfferResultName(OfferResult outcome) {
+  switch (outcome) {
     case OfferResult::kAdopted:
       return "adopted";
     case OfferResult::kAlreadyInForce:
@@ -66,50 +68,52 @@
 
 OfferResult ActiveConfig::OfferDocument(const std::string& document_json,
                                         ConfigSource source) {
-  Outcome outcome = Try([&] { return Configuration::Parse(document_json); });
+  LoadResult loaded =
+      TryLoad([&] { return Configuration::Parse(document_json); });
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (outcome.configuration == nullptr) {
-    state_.last_fault = outcome.fault;
+  if (loaded.configuration == nullptr) {
+    state_.last_fault = loaded.fault;
     return Count(OfferResult::kInvalid);
   }
-  const OfferResult offer = Judge(outcome.configuration->GetRevision(),
-                                  outcome.configuration->GetDigest());
-  if (offer == OfferResult::kAdopted) {
-    // The steps between are unknown: peers that lag get the whole.
-    changes_.clear();
-    Adopt(std::move(outcome.configuration), source);
+  const OfferResult outcome = CompareWithCurrent(
+      loaded.configuration->GetRevision(), loaded.configuration->GetDigest());
+  if (outcome == OfferResult::kAdopted) {
+    // The changes that lead to this document are unknown, so peers that lag
+    // receive the whole document.
+    recent_changes_.clear();
+    Adopt(std::move(loaded.configuration), source);
   }
-  return Count(offer);
+  return Count(outcome);
 }
 
 OfferResult ActiveConfig::OfferChange(const v1::Change& change,
                                       ConfigSource source) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const OfferResult offer =
-      Judge(Revision{change.revision()}, Digest{change.digest()});
-  if (offer != OfferResult::kAdopted) {
-    return Count(offer);
+  const OfferResult outcome =
+      CompareWithCurrent(Revision{change.revision()}, Digest{change.digest()});
+  if (outcome != OfferResult::kAdopted) {
+    return Count(outcome);
   }
-  if (refused_.count(change.digest()) > 0) {
+  if (invalid_digests_.count(change.digest()) > 0) {
     return Count(OfferResult::kInvalid);
   }
   const auto base = InForce();
   if (base == nullptr || base->GetDigest().value != change.base_digest()) {
     return Count(OfferResult::kMissingBase);
   }
-  Outcome outcome = Try([&] { return base->Apply(change); });
-  if (outcome.configuration == nullptr) {
-    state_.last_fault = outcome.fault;
-    if (refused_.size() < kMostRefusedRemembered) {
-      refused_.insert(change.digest());
+  LoadResult loaded = TryLoad([&] { return base->Apply(change); });
+  if (loaded.configuration == nullptr) {
+    state_.last_fault = loaded.fault;
+    if (invalid_digests_.size() < kMaxInvalidDigests) {
+      invalid_digests_.insert(change.digest());
     }
     return Count(OfferResult::kInvalid);
   }
-  changes_.push_back(change);
-  if (changes_.size() > kMaxRecentChanges) {
-    changes_.pop_front();
+  recent_changes_.push_back(change);
+  if (recent_changes_.size() > kMaxRecentChanges) {
+    recent_changes_.pop_front();
   }
-  Adopt(std::move(outcome.configuration), source);
+  Adopt(std::move(loaded.configuration), source);
   return Count(OfferResult::kAdopted);
 }
 
@@ -124,14 +128,14 @@
   if (have == state_.digest) {
     return log;
   }
-  auto first = changes_.begin();
-  while (first != changes_.end() && first->base_digest() != have.value) {
+  auto first = recent_changes_.begin();
+  while (first != recent_changes_.end() && first->base_digest() != have.value) {
     ++first;
   }
-  if (first == changes_.end()) {
+  if (first == recent_changes_.end()) {
     return std::nullopt;
   }
-  for (; first != changes_.end(); ++first) {
+  for (; first != recent_changes_.end(); ++first) {
     *log.add_changes() = *first;
   }
   return log;
@@ -140,7 +144,7 @@
 v1::ChangeLog ActiveConfig::RecentChanges() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   v1::ChangeLog log;
-  for (const v1::Change& change : changes_) {
+  for (const v1::Change& change : recent_changes_) {
     *log.add_changes() = change;
   }
   return log;
@@ -148,10 +152,10 @@
 
 std::optional<v1::Change> ActiveConfig::LatestChange() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (changes_.empty()) {
+  if (recent_changes_.empty()) {
     return std::nullopt;
   }
-  return changes_.back();
+  return recent_changes_.back();
 }
 
 ActiveConfigState ActiveConfig::State() const {
@@ -159,7 +163,8 @@
   return state_;
 }
 
-OfferResult ActiveConfig::Judge(Revision revision, const Digest& digest) {
+OfferResult ActiveConfig::CompareWithCurrent(Revision revision,
+                                             const Digest& digest) {
   if (revision < state_.revision) {
     return OfferResult::kOlder;
   }
@@ -176,8 +181,8 @@
   return OfferResult::kAdopted;
 }
 
-OfferResult ActiveConfig::Count(OfferResult offer) {
-  switch (offer) {
+OfferResult ActiveConfig::Count(OfferResult outcome) {
+  switch (outcome) {
     case OfferResult::kAdopted:
       ++state_.adopted;
       break;
@@ -196,7 +201,7 @@
       ++state_.gaps;
       break;
   }
-  return offer;
+  return outcome;
 }
 
 void ActiveConfig::Adopt(std::shared_ptr<const Configuration> next,
