--- a/src/core/configuration_parse_scheduler.cc
+++ b/src/core/configuration_parse_scheduler.cc
@@ -8,83 +8,84 @@
 using std::chrono::duration;
 using std::chrono::nanoseconds;
 
-// Less is taken for a setting that was left out or mistaken.
-constexpr double kLeastPower = 0.01;
-// How much one slice changes what is known of the host's speed.
-constexpr double kLearned = 0.25;
-// The host's speed is believed within these factors of its share of a core: a
-// process that was suspended, or a clock that is too coarse, tells nothing.
-constexpr double kFastest = 0.5;
-constexpr double kSlowest = 4;
-// A slice does at least so much, or its own start would cost more than its
-// work.
-constexpr std::size_t kLeastCost = 20000;
+// Lower bound of the CPU share, in case the setting is missing or wrong.
+constexpr double kMinCpuShare = 0.01;
+// Weight of a new slice in the moving average of the slowdown.
+constexpr double kSmoothing = 0.25;
+// Limits of the slowdown of a slice, as factors of the nominal slowdown. A
+// suspended process or a coarse clock would give values far outside.
+constexpr double kMinSlowdownFactor = 0.5;
+constexpr double kMaxSlowdownFactor = 4;
+// The smallest cost of a slice. The overhead of starting a smaller slice would
+// exceed its work.
+constexpr std::size_t kMinSliceCost = 20000;
 
 }  // namespace
 
 ConfigurationParseScheduler::ConfigurationParseScheduler(
-    CpuShare power, ParseSchedulePolicy policy)
-    : power_(power), policy_(policy), stretch_(NominalStretch()) {}
+    CpuShare cpu_share, ParseSchedulePolicy policy)
+    : cpu_share_(cpu_share), policy_(policy), slowdown_(NominalSlowdown()) {}
 
-double ConfigurationParseScheduler::NominalStretch() const {
-  return 1 / std::max(power_.value, kLeastPower);
+double ConfigurationParseScheduler::NominalSlowdown() const {
+  return 1 / std::max(cpu_share_.value, kMinCpuShare);
 }
 
 bool ConfigurationParseScheduler::OnVersionArrived(TimePoint now) {
-  if (!oldest_.has_value()) {
-    oldest_ = now;
-    last_held_ = nanoseconds(0);
+  if (!oldest_since_.has_value()) {
+    oldest_since_ = now;
+    last_slice_time_ = nanoseconds(0);
     return true;
   }
-  if (now - *oldest_ < policy_.replace_window) {
+  if (now - *oldest_since_ < policy_.replace_window) {
     return true;
   }
-  if (!waits_since_.has_value()) {
-    waits_since_ = now;
+  if (!pending_since_.has_value()) {
+    pending_since_ = now;
   }
   return false;
 }
 
-ParseSlice ConfigurationParseScheduler::NextSlice(std::size_t left,
+ParseSlice ConfigurationParseScheduler::NextSlice(std::size_t remaining_cost,
                                                   TimePoint now) const {
-  const duration<double, std::nano> longest = policy_.max_slice_time;
-  const auto most = static_cast<std::size_t>(longest.count() / stretch_);
+  const duration<double, std::nano> max_time = policy_.max_slice_time;
+  const auto max_cost = static_cast<std::size_t>(max_time.count() / slowdown_);
   ParseSlice slice;
-  slice.cost = std::max(most, kLeastCost);
-  const duration<double, std::nano> to_come(static_cast<double>(left) *
-                                            stretch_ / policy_.share);
-  const bool presses =
-      !read_any_ || OldestPendingAge(now) + to_come > policy_.max_age;
-  if (!presses) {
+  slice.cost = std::max(max_cost, kMinSliceCost);
+  const duration<double, std::nano> remaining_time(
+      static_cast<double>(remaining_cost) * slowdown_ / policy_.parse_share);
+  const bool is_urgent =
+      !has_parsed_any_ ||
+      OldestPendingAge(now) + remaining_time > policy_.max_age;
+  if (!is_urgent) {
     slice.pause = std::chrono::duration_cast<nanoseconds>(
-        last_held_ * (1 / policy_.share - 1));
+        last_slice_time_ * (1 / policy_.parse_share - 1));
   }
   return slice;
 }
 
 void ConfigurationParseScheduler::OnSliceDone(std::size_t cost,
-                                              nanoseconds held) {
-  last_held_ = std::min<nanoseconds>(held, 2 * policy_.max_slice_time);
+                                              nanoseconds elapsed) {
+  last_slice_time_ = std::min<nanoseconds>(elapsed, 2 * policy_.max_slice_time);
   if (cost == 0) {
     return;
   }
-  const double seen =
-      static_cast<double>(held.count()) / static_cast<double>(cost);
-  const double nominal = NominalStretch();
-  const double believed =
-      std::clamp(seen, nominal * kFastest, nominal * kSlowest);
-  stretch_ += kLearned * (believed - stretch_);
+  const double measured =
+      static_cast<double>(elapsed.count()) / static_cast<double>(cost);
+  const double nominal = NominalSlowdown();
+  const double clamped = std::clamp(measured, nominal * kMinSlowdownFactor,
+                                    nominal * kMaxSlowdownFactor);
+  slowdown_ += kSmoothing * (clamped - slowdown_);
 }
 
 bool ConfigurationParseScheduler::OnVersionDone() {
-  read_any_ = true;
-  oldest_ = waits_since_;
-  waits_since_.reset();
-  return oldest_.has_value();
+  has_parsed_any_ = true;
+  oldest_since_ = pending_since_;
+  pending_since_.reset();
+  return oldest_since_.has_value();
 }
 
 nanoseconds ConfigurationParseScheduler::OldestPendingAge(TimePoint now) const {
-  return oldest_.has_value() ? now - *oldest_ : nanoseconds(0);
+  return oldest_since_.has_value() ? now - *oldest_since_ : nanoseconds(0);
 }
 
 }  // namespace harecrank
