--- a/include/harecrank/core/change_planner.h
+++ b/include/harecrank/core/change_planner.h
@@ -1,4 +1,5 @@
-// Plans a change of configuration: nothing is written, the operator publishes.
+// Plans changes of the configuration for operators. Planning has no effect: the
+// operator publishes the planned values.
 
 #ifndef HARECRANK_CORE_CHANGE_PLANNER_H_
 #define HARECRANK_CORE_CHANGE_PLANNER_H_
@@ -12,33 +13,37 @@
 
 namespace harecrank {
 
-// Why a change cannot be planned.
+// The base of the request is no longer in force.
 struct StaleBase {
-  Revision asked;
+  Revision requested;
   Revision in_force;
 };
+// The request names no change, or a change without effect.
 struct EmptyChange {};
+// The object to remove does not exist.
 struct UnknownObject {
   std::string kind;
   std::string id;
 };
+// The planned document is invalid.
 struct InvalidPlan {
   std::vector<ConfigProblem> problems;
 };
 using PlanError =
     std::variant<StaleBase, EmptyChange, UnknownObject, InvalidPlan>;
 
-// Returns one sentence for a person.
+// Returns a description of `error` for operators.
 std::string Describe(const PlanError& error);
 
 // Returns the values to publish so that `request` comes into force on top of
-// `base`, with `recent` as the changes already published. `base` may be null
-// only for a request that replaces the whole document.
+// `base`. `recent` are the changes up to `base`, oldest first. `base`
+// may be null only if `request` replaces the whole document. Fails with
+// PlanError, or with ConfigError if the planned document cannot be parsed.
 boost::leaf::result<v1::PlanResponse> PlanChange(
     const Configuration* base, const v1::ChangeLog& recent,
     const v1::PlanRequest& request);
 
-// How many changes are published beside the document.
+// The most changes that are published along with the document.
 constexpr int kMaxPublishedChanges = 8;
 
 }  // namespace harecrank
--- a/include/harecrank/core/configuration.h
+++ b/include/harecrank/core/configuration.h
@@ -1,4 +1,4 @@
-// A published configuration that has passed every check, ready to be read.
+// A published configuration that has passed validation.
 
 #ifndef HARECRANK_CORE_CONFIGURATION_H_
 #define HARECRANK_CORE_CONFIGURATION_H_
@@ -16,36 +16,41 @@
 
 namespace harecrank {
 
-// The digest of a document in its canonical form, in hexadecimal.
+// XXH3 128-bit digest of the canonical form of a document, in hexadecimal.
 using Digest = StrongString<struct DigestTag>;
 
-// Why a text did not become a configuration.
+// The text is not a JSON document that matches the schema.
 struct UnreadableDocument {
   std::string reason;
 };
+// The document has faults that ValidateDocument reports.
 struct InvalidDocument {
   std::vector<ConfigProblem> problems;
 };
+// The change has another base or another result than it states, or its patch
+// fails.
 struct ChangeDoesNotApply {
   std::string reason;
 };
 using ConfigError =
     std::variant<UnreadableDocument, InvalidDocument, ChangeDoesNotApply>;
 
-// Returns one sentence for a person.
+// Returns a description of `error` for operators.
 std::string Describe(const ConfigError& error);
 
-// A checked configuration with the indexes that decisions need. Immutable, and
-// shared by all threads.
+// A valid configuration with indexes for lookups. Immutable, hence safe to read
+// from several threads.
 class Configuration {
  public:
-  // Reads, checks and indexes a document. Fails with UnreadableDocument or
-  // InvalidDocument; the whole is refused for any fault.
+  // Parses, validates and indexes a document. Fails with UnreadableDocument or
+  // InvalidDocument; any fault rejects the whole document.
   static boost::leaf::result<std::shared_ptr<const Configuration>> Parse(
       const std::string& document_json);
 
-  // Applies a published change. Fails with ChangeDoesNotApply if `change` does
-  // not start from this document or does not end at its own digest.
+  // Applies a published change. Fails with ChangeDoesNotApply if this document
+  // is not the base of `change`, or if the result has another digest or
+  // revision than `change` states, and with UnreadableDocument or
+  // InvalidDocument if the result is not a valid document.
   boost::leaf::result<std::shared_ptr<const Configuration>> Apply(
       const v1::Change& change) const;
 
@@ -55,27 +60,30 @@
   Revision GetRevision() const { return Revision{document_.revision()}; }
   const Digest& GetDigest() const { return digest_; }
   const v1::Document& GetDocument() const { return document_; }
-  // Returns the canonical text: sorted keys, no spaces.
+  // Returns the canonical JSON text: sorted keys, no whitespace.
   const std::string& CanonicalJson() const { return canonical_json_; }
 
-  // Returns the account whose key has this SHA-256, or null.
+  // Returns the account whose API key has the SHA-256 digest `key_sha256`, in
+  // lower-case hexadecimal, or null.
   const AccountId* FindAccountByKey(const std::string& key_sha256) const;
 
-  // Returns the engines that serve `model`, or the endpoints of `service`, in
-  // order of id. Those marked as leaving are among them.
+  // Returns the engines that serve `model`, or the endpoints of `service`,
+  // sorted by id. Includes endpoints that are marked as leaving.
   const std::vector<EndpointId>& EnginesOf(const ModelId& model) const;
   const std::vector<EndpointId>& EndpointsOf(const ServiceName& service) const;
 
-  // Returns an endpoint, or null.
+  // Returns the endpoint with the id `id`, or null.
   const v1::Endpoint* FindEndpoint(const EndpointId& id) const;
 
-  // Returns every entry host and sidecar.
+  // Returns the addresses of all entry hosts and sidecars.
   std::vector<NodeAddress> Nodes() const;
 
-  // Returns how many entry hosts share the accounts' limits: at least 1.
+  // Returns the number of entry hosts, at least 1. The limits of an account are
+  // divided among them.
   int EntryCount() const;
 
-  // Returns the largest memory of any engine that serves `model`.
+  // Returns the largest KV memory of the engines that serve `model`, or zero if
+  // there are none.
   Tokens LargestEngine(const ModelId& model) const;
 
  private:
@@ -88,7 +96,8 @@
   Digest digest_;
   std::unordered_map<std::string, AccountId> account_by_key_;
   std::unordered_map<ModelId, std::vector<EndpointId>> engines_by_model_;
-  std::unordered_map<ServiceName, std::vector<EndpointId>> by_service_;
+  std::unordered_map<ServiceName, std::vector<EndpointId>>
+      endpoints_by_service_;
 };
 
 }  // namespace harecrank
--- a/src/core/change_planner.cc
+++ b/src/core/change_planner.cc
@@ -14,7 +14,7 @@
 struct Describer {
   std::string operator()(const StaleBase& error) const {
     return "the plan starts from revision " +
-           std::to_string(error.asked.value) + " but revision " +
+           std::to_string(error.requested.value) + " but revision " +
            std::to_string(error.in_force.value) +
            " is in force; look again and plan anew";
   }
--- a/src/core/configuration.cc
+++ b/src/core/configuration.cc
@@ -152,8 +152,8 @@
 
 const std::vector<EndpointId>& Configuration::EndpointsOf(
     const ServiceName& service) const {
-  const auto found = by_service_.find(service);
-  return found == by_service_.end() ? NoEndpoints() : found->second;
+  const auto found = endpoints_by_service_.find(service);
+  return found == endpoints_by_service_.end() ? NoEndpoints() : found->second;
 }
 
 const v1::Endpoint* Configuration::FindEndpoint(const EndpointId& id) const {
@@ -202,7 +202,7 @@
   for (const auto& [id, endpoint] : document_.endpoints()) {
     if (endpoint.has_service()) {
       const ServiceName service{endpoint.service().name()};
-      by_service_[service].push_back(EndpointId{id});
+      endpoints_by_service_[service].push_back(EndpointId{id});
       continue;
     }
     for (const std::string& model : endpoint.engine().models()) {
@@ -212,7 +212,7 @@
   for (auto& engines : engines_by_model_) {
     std::sort(engines.second.begin(), engines.second.end());
   }
-  for (auto& endpoints : by_service_) {
+  for (auto& endpoints : endpoints_by_service_) {
     std::sort(endpoints.second.begin(), endpoints.second.end());
   }
 }
