--- a/include/harecrank/core/decimal_text.h
+++ b/include/harecrank/core/decimal_text.h
@@ -1,4 +1,4 @@
-// Numbers as other processes write them.
+// Parsing of decimal numbers in messages from other processes.
 
 #ifndef HARECRANK_CORE_DECIMAL_TEXT_H_
 #define HARECRANK_CORE_DECIMAL_TEXT_H_
@@ -8,8 +8,8 @@
 
 namespace harecrank {
 
-// Reads a decimal number, zero or more, with spaces around it; nothing if
-// `text` is anything else.
+// Returns the finite, non-negative decimal number in `text`, or nothing if
+// `text` is anything else. Spaces and tabs around the number are allowed.
 std::optional<double> ParseDecimal(std::string_view text);
 
 }  // namespace harecrank
--- a/include/harecrank/core/model_orders.h
+++ b/include/harecrank/core/model_orders.h
@@ -1,4 +1,4 @@
-// Which orders bring an engine to what the configuration wants of it.
+// Reconciles the models of an engine with the configuration.
 
 #ifndef HARECRANK_CORE_MODEL_ORDERS_H_
 #define HARECRANK_CORE_MODEL_ORDERS_H_
@@ -12,14 +12,15 @@
 
 namespace harecrank {
 
-// A model that an engine holds.
+// A model that an engine has loaded.
 struct LoadedModel {
   std::string version;
-  // Versions of its adapters, by name.
+  // Versions of its loaded adapters, by name.
   std::map<std::string, std::string> adapters;
 };
 
-// Orders to an engine. Each carries the revision it follows from as its fence.
+// Commands to an engine. The sender adds the configuration revision from which
+// a command follows as its fencing token.
 struct LoadModel {
   ModelId model;
   std::string version;
@@ -34,9 +35,10 @@
 };
 using EngineOrder = std::variant<LoadModel, UnloadModel, LoadAdapter>;
 
-// Returns the orders, in the order to give them, that bring the engine `self`
-// from `loaded` to what `configuration` wants. What is no longer wanted goes
-// first, so that its memory is free.
+// Returns the commands, in order of execution, that bring the engine `self`
+// from `loaded` to the models and adapters that `configuration` assigns to it.
+// Models that are no longer assigned are unloaded first to free their memory.
+// Returns nothing if `self` is not an engine of `configuration`.
 std::vector<EngineOrder> PlanOrders(
     const Configuration& configuration, const EndpointId& self,
     const std::map<std::string, LoadedModel>& loaded);
--- a/include/harecrank/core/rcu_cell.h
+++ b/include/harecrank/core/rcu_cell.h
@@ -1,4 +1,4 @@
-// A value that many threads read and few replace.
+// A shared value that is read often and replaced rarely.
 
 #ifndef HARECRANK_CORE_RCU_CELL_H_
 #define HARECRANK_CORE_RCU_CELL_H_
@@ -10,10 +10,11 @@
 
 namespace harecrank {
 
-// Holds a shared, immutable value under read-copy-update.
+// Holds a pointer to an immutable value, protected by read-copy-update (RCU).
 //
-// A reader never waits, whatever a writer does. Writers wait for readers to
-// leave and must be serialised by their owner.
+// Thread-safe for readers, which never block. A writer blocks until all readers
+// that may use the previous value have left their critical sections. The owner
+// must serialise writers.
 template <typename T>
 class RcuCell {
  public:
@@ -23,7 +24,8 @@
   RcuCell(const RcuCell&) = delete;
   RcuCell& operator=(const RcuCell&) = delete;
 
-  // Returns the present value, which stays whole for as long as it is held.
+  // Returns the current value, which remains valid as long as the pointer is
+  // held.
   std::shared_ptr<const T> Load() const {
     urcu_bp_read_lock();
     std::shared_ptr<const T> value = *rcu_dereference(current_);
@@ -31,7 +33,8 @@
     return value;
   }
 
-  // Replaces the value and returns once no reader can still take the old one.
+  // Replaces the value. Returns when no reader can obtain the previous value
+  // any more.
   void Store(std::shared_ptr<const T> value) {
     Holder* next = new Holder(std::move(value));
     Holder* previous = rcu_xchg_pointer(&current_, next);
--- a/include/harecrank/core/strong_types.h
+++ b/include/harecrank/core/strong_types.h
@@ -1,7 +1,7 @@
 // Strong types for ids and units.
 //
-// An id of one kind never passes for an id of another, and a number of tokens
-// never passes for a number of milliseconds.
+// The compiler rejects an id of one kind where another kind is expected, or a
+// number of tokens where milliseconds are expected.
 
 #ifndef HARECRANK_CORE_STRONG_TYPES_H_
 #define HARECRANK_CORE_STRONG_TYPES_H_
@@ -14,7 +14,7 @@
 
 namespace harecrank {
 
-// A string that names one thing of the kind `Tag`.
+// A string of the kind `Tag`, such as an id.
 template <typename Tag>
 struct StrongString {
   std::string value;
@@ -30,7 +30,7 @@
   }
 };
 
-// A whole number of the kind `Tag`.
+// A number of the kind `Tag`.
 template <typename Tag, typename Rep>
 struct StrongNumber {
   Rep value{};
@@ -60,23 +60,24 @@
 using NodeId = StrongString<struct NodeTag>;
 using ServiceName = StrongString<struct ServiceTag>;
 
-// An amount of text or of KV memory, in tokens.
+// An amount of text, work or KV memory, in tokens.
 using Tokens = StrongNumber<struct TokensTag, std::int64_t>;
 
-// Names one incarnation of a process. A restart draws a new one at random.
+// Identifies one run of a process. A process draws a new incarnation at random
+// when it starts.
 using Incarnation = StrongNumber<struct IncarnationTag, std::uint64_t>;
 
-// Orders all changes of the platform's service.
+// Revision of the platform's store. Every change in the store increases it.
 using StoreRevision = StrongNumber<struct StoreRevisionTag, std::uint64_t>;
 
-// Names one request on one link, chosen by the entry host.
+// Identifies a request on a link. Chosen by the entry host.
 using StreamId = StrongNumber<struct StreamTag, std::uint64_t>;
 
-// A revision of the published configuration. Zero means none.
+// Revision of the published configuration. Zero means none.
 using Revision = StrongNumber<struct RevisionTag, std::uint32_t>;
 
 using Millis = std::chrono::milliseconds;
-// With fractions: engine steps take under one.
+// Milliseconds with fractions, since an engine step may take less than 1 ms.
 using FractionalMillis = std::chrono::duration<double, std::milli>;
 
 }  // namespace harecrank
--- a/include/harecrank/core/text_edits.h
+++ b/include/harecrank/core/text_edits.h
@@ -1,5 +1,5 @@
-// The difference between two texts that are mostly alike, such as two versions
-// of a published configuration.
+// Delta encoding for texts that differ little, such as two versions of a
+// published configuration.
 
 #ifndef HARECRANK_CORE_TEXT_EDITS_H_
 #define HARECRANK_CORE_TEXT_EDITS_H_
@@ -11,22 +11,23 @@
 
 namespace harecrank {
 
-// A run of the older text that the newer one keeps, and what follows it there.
+// A copy-and-insert instruction: a range of the base text, followed by new
+// text.
 struct TextEdit {
-  // In bytes from the beginning of the older text.
+  // Offset and size of the copied range of the base text, in bytes.
   std::size_t copy_offset = 0;
   std::size_t copy_size = 0;
   std::string inserted;
 };
 
-// Returns edits that lead from `base` to `next`. Texts are compared piece by
-// piece, where a piece ends with a closing brace; a piece that moved is found
-// again. Takes time in proportion to the texts' sizes.
+// Returns edits that transform `base` into `next`. The texts are compared by
+// chunks, each of which ends with a closing brace. Chunks that have moved are
+// copied too. Takes time linear in the sizes of the texts.
 std::vector<TextEdit> DiffTexts(const std::string& base,
                                 const std::string& next);
 
-// Returns what `edits` make of `base`, or nothing if they keep what it does not
-// have.
+// Applies `edits` to `base` and returns the result, or nothing if an edit
+// copies a range beyond the end of `base`.
 std::optional<std::string> ApplyEdits(const std::string& base,
                                       const std::vector<TextEdit>& edits);
 
--- a/include/harecrank/core/weight_loads.h
+++ b/include/harecrank/core/weight_loads.h
@@ -1,4 +1,5 @@
-// When an endpoint may load weights, so that the fleet respects the store.
+// Staggers the loading of model weights across endpoints to limit the load on
+// the weight store.
 
 #ifndef HARECRANK_CORE_WEIGHT_LOADS_H_
 #define HARECRANK_CORE_WEIGHT_LOADS_H_
@@ -10,14 +11,14 @@
 
 namespace harecrank {
 
-// Returns how long after a revision came into force the endpoint `self` starts
-// to load `what`, if at most `at_once` of `endpoints` may load at a time and
-// one load takes about `load_time`.
+// Returns the delay after which the endpoint `self` starts to load `what`, if
+// at most `at_once` of `endpoints` may load at a time and one load takes about
+// `load_time`.
 //
-// Every process computes the same waves without a word to the others. The
-// waves are apart by time only: loads that take longer than `load_time` overlap
-// the next wave, and the store's own refusals and the caller's pause between
-// tries carry the rest.
+// The endpoints are divided into waves. Every process computes the same waves
+// without communication. Waves are separated by time only: loads that take
+// longer than `load_time` overlap with the next wave. The weight store then
+// rejects the excess loads, and the callers retry after a pause.
 Millis WeightLoadDelay(const std::string& what,
                        std::vector<std::string> endpoints,
                        const EndpointId& self, std::size_t at_once,
