--- a/src/core/router.cc
+++ b/src/core/router.cc
@@ -7,38 +7,41 @@
 namespace {
 
 constexpr double kPercent = 100.0;
-// How much more work than the average the endpoint with a warm cache may have
-// before the request goes elsewhere.
-constexpr double kAffinityBound = 1.25;
-// A prompt's worth of slack, so that affinity still holds on an idle fleet.
+// The endpoint with the warm cache is used while its score is at most the mean
+// score times this factor, plus the slack below.
+constexpr double kMaxAffinityFactor = 1.25;
+// About one prompt. Without slack, affinity would be lost on an idle fleet,
+// where the mean score is close to zero.
 constexpr double kAffinitySlackTokens = 4096.0;
 
-double Work(const EndpointView& view) {
+double TotalWork(const EndpointView& view) {
   return static_cast<double>(view.load.short_backlog.value +
                              view.load.long_backlog.value +
                              view.unreported.value);
 }
 
-// Returns the index of the smallest score; among equals a random one, so that
-// hosts that see the same reports do not all choose the same endpoint.
+// Returns the index of the endpoint with the lowest score. The search starts at
+// a random index, so that hosts with the same load reports do not all choose
+// the same one of several endpoints with equal scores.
 template <typename Score>
-std::size_t LeastBy(const std::vector<EndpointView>& endpoints,
-                    const RandomSource& random, Score score) {
+std::size_t FindLowestScore(const std::vector<EndpointView>& endpoints,
+                            const RandomSource& random, Score score) {
   std::size_t best = 0;
-  double least = std::numeric_limits<double>::infinity();
+  double lowest = std::numeric_limits<double>::infinity();
   const std::size_t offset = random() % endpoints.size();
   for (std::size_t i = 0; i < endpoints.size(); ++i) {
     const std::size_t index = (i + offset) % endpoints.size();
     const double value = score(endpoints[index]);
-    if (value < least) {
-      least = value;
+    if (value < lowest) {
+      lowest = value;
       best = index;
     }
   }
   return best;
 }
 
-struct Choose {
+// Visitor that selects an endpoint by a policy.
+struct PolicyVisitor {
   const RouteRequest& request;
   const std::vector<EndpointView>& endpoints;
   const RandomSource& random;
@@ -48,15 +51,15 @@
   }
 
   std::size_t operator()(const LeastLoadedPolicy&) const {
-    return LeastBy(endpoints, random, Work);
+    return FindLowestScore(endpoints, random, TotalWork);
   }
 
   std::size_t operator()(const LengthAwarePolicy& policy) const {
     const auto score = [&](const EndpointView& view) {
       return Score(policy, view);
     };
-    const auto warm = WarmEndpoint(score);
-    return warm ? *warm : LeastBy(endpoints, random, score);
+    const auto warm = FindWarmEndpoint(score);
+    return warm ? *warm : FindLowestScore(endpoints, random, score);
   }
 
   double Score(const LengthAwarePolicy& policy,
@@ -68,10 +71,11 @@
     if (request.length == LengthClass::kLong) {
       score += long_work;
     } else {
-      // The engine puts short prefill first, so long work costs a short
-      // request only its steps' length; how much that may matter is policy.
-      const double protect = 1.0 - policy.long_weight_percent / kPercent;
-      score += protect * long_work;
+      // The engine prefills short prompts first, so long work delays a short
+      // request only by longer steps. The policy sets its weight.
+      const double long_work_weight =
+          1.0 - policy.long_weight_percent / kPercent;
+      score += long_work_weight * long_work;
     }
     const Tokens needed = request.prompt + request.answer;
     if (view.load.free_memory < needed) {
@@ -80,9 +84,10 @@
     return score;
   }
 
-  // Returns the endpoint with the warm cache if its score is within bounds.
+  // Returns the index of the endpoint with the warm cache unless its score is
+  // too high compared with the mean.
   template <typename ScoreFn>
-  std::optional<std::size_t> WarmEndpoint(const ScoreFn& score) const {
+  std::optional<std::size_t> FindWarmEndpoint(const ScoreFn& score) const {
     double total = 0;
     std::optional<std::size_t> warm;
     for (std::size_t i = 0; i < endpoints.size(); ++i) {
@@ -94,7 +99,7 @@
     }
     const double mean = total / static_cast<double>(endpoints.size());
     if (!warm || score(endpoints[*warm]) >
-                     mean * kAffinityBound + kAffinitySlackTokens) {
+                     mean * kMaxAffinityFactor + kAffinitySlackTokens) {
       return std::nullopt;
     }
     return warm;
@@ -124,13 +129,13 @@
   if (endpoints.empty()) {
     return std::nullopt;
   }
-  return std::visit(Choose{request, endpoints, random}, policy);
+  return std::visit(PolicyVisitor{request, endpoints, random}, policy);
 }
 
 std::size_t PrefillPartCount(Tokens prompt, std::size_t endpoints) {
-  const auto parts =
+  const auto max_parts =
       static_cast<std::size_t>(prompt.value / kMinPrefillPart.value);
-  return std::max<std::size_t>(std::min(endpoints, parts), 1);
+  return std::max<std::size_t>(std::min(endpoints, max_parts), 1);
 }
 
 }  // namespace harecrank
