--- a/src/core/routing_table.cc
+++ b/src/core/routing_table.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // Returns `host` in lower case and without its port.
-std::string NormalHost(std::string_view host) {
+std::string NormalizeHost(std::string_view host) {
   std::string normal(host.substr(0, host.rfind(':')));
   std::transform(
       normal.begin(), normal.end(), normal.begin(),
@@ -35,12 +35,13 @@
 }
 
 void RoutingTable::IndexRoutes() {
-  // Routes of one host mostly stand together.
+  // Consecutive routes usually have the same host, so its index is looked up
+  // only when the host changes.
   const RouteRule* last = nullptr;
   RoutesByPrefix* on_host = nullptr;
   for (const auto& route : document_.routes) {
     if (last == nullptr || route->host != last->host) {
-      on_host = &routes_[NormalHost(route->host)];
+      on_host = &routes_[NormalizeHost(route->host)];
       if (routes_.size() == 1) {
         on_host->reserve(document_.routes.size());
       }
@@ -61,11 +62,12 @@
 
 const RouteRule* RoutingTable::FindRoute(std::string_view host,
                                          std::string_view path) const {
-  const auto on_host = routes_.find(NormalHost(host));
+  const auto on_host = routes_.find(NormalizeHost(host));
   if (on_host == routes_.end()) {
     return nullptr;
   }
-  // Every prefix ends with a slash, so only those ends need a look.
+  // Every prefix ends with a slash, so only the parts of the path that end with
+  // a slash can match. The longest is tried first.
   std::size_t slash = path.rfind('/');
   while (slash != std::string_view::npos) {
     const auto found = on_host->second.find(path.substr(0, slash + 1));
