--- a/src/core/configuration.cc
+++ b/src/core/configuration.cc
@@ -14,7 +14,7 @@
 using nlohmann::json;
 namespace leaf = boost::leaf;
 
-constexpr std::size_t kMostProblemsShown = 3;
+constexpr std::size_t kMaxProblemsShown = 3;
 
 struct Describer {
   std::string operator()(const UnreadableDocument& error) const {
@@ -24,7 +24,7 @@
     std::string text =
         "the document has " + std::to_string(error.problems.size()) + " faults";
     const std::size_t shown =
-        std::min(error.problems.size(), kMostProblemsShown);
+        std::min(error.problems.size(), kMaxProblemsShown);
     for (std::size_t i = 0; i < shown; ++i) {
       text += "; " + Describe(error.problems[i]);
     }
@@ -45,7 +45,7 @@
   return Digest{hex};
 }
 
-leaf::result<v1::Document> ReadDocument(const std::string& text) {
+leaf::result<v1::Document> ParseDocument(const std::string& text) {
   v1::Document document;
   const auto status =
       google::protobuf::util::JsonStringToMessage(text, &document);
@@ -56,8 +56,8 @@
   return document;
 }
 
-leaf::result<v1::Document> ReadValid(const std::string& text) {
-  BOOST_LEAF_AUTO(document, ReadDocument(text));
+leaf::result<v1::Document> ParseValidDocument(const std::string& text) {
+  BOOST_LEAF_AUTO(document, ParseDocument(text));
   std::vector<ConfigProblem> problems = ValidateDocument(document);
   if (!problems.empty()) {
     return leaf::new_error(ConfigError{InvalidDocument{std::move(problems)}});
@@ -65,9 +65,9 @@
   return document;
 }
 
-// Returns the one text that stands for `document`, whatever the spaces and the
-// order of keys it was published with.
-leaf::result<std::string> Canonical(const v1::Document& document) {
+// Returns the canonical JSON text of `document`, which does not depend on the
+// whitespace and the order of keys in the published text.
+leaf::result<std::string> CanonicalText(const v1::Document& document) {
   google::protobuf::util::JsonPrintOptions options;
   options.preserve_proto_field_names = true;
   std::string text;
@@ -93,8 +93,8 @@
 
 leaf::result<std::shared_ptr<const Configuration>> Configuration::Parse(
     const std::string& document_json) {
-  BOOST_LEAF_AUTO(document, ReadValid(document_json));
-  BOOST_LEAF_AUTO(canonical, Canonical(document));
+  BOOST_LEAF_AUTO(document, ParseValidDocument(document_json));
+  BOOST_LEAF_AUTO(canonical, CanonicalText(document));
   return std::shared_ptr<const Configuration>(
       new Configuration(std::move(document), std::move(canonical)));
 }
@@ -112,13 +112,14 @@
   } catch (const json::exception& error) {
     return leaf::new_error(ConfigError{ChangeDoesNotApply{error.what()}});
   }
-  // The digest shows that the result is the planner's canonical text, so it is
-  // not made canonical once more: at the target that is half of the work.
+  // A matching digest shows that the result is the canonical text from the
+  // change planner. Computing the canonical text again would take about half of
+  // the time to apply a change to a configuration of the target size.
   if (DigestOf(next_json).value != change.digest()) {
     return leaf::new_error(ConfigError{
         ChangeDoesNotApply{"its result has another digest than it states"}});
   }
-  BOOST_LEAF_AUTO(document, ReadValid(next_json));
+  BOOST_LEAF_AUTO(document, ParseValidDocument(next_json));
   if (document.revision() != change.revision()) {
     return leaf::new_error(ConfigError{
         ChangeDoesNotApply{"its result has another revision than it states"}});
