--- a/src/core/change_planner.cc
+++ b/src/core/change_planner.cc
@@ -30,8 +30,8 @@
 };
 
 template <typename Map>
-leaf::result<void> Erase(Map* map, const std::string& kind,
-                         const std::string& id) {
+leaf::result<void> EraseObject(Map* map, const std::string& kind,
+                               const std::string& id) {
   if (map->erase(id) == 0) {
     return leaf::new_error(PlanError{UnknownObject{kind, id}});
   }
@@ -42,20 +42,23 @@
                                 v1::Document* document) {
   switch (remove.kind()) {
     case v1::Remove::ACCOUNT:
-      return Erase(document->mutable_accounts(), "account", remove.id());
+      return EraseObject(document->mutable_accounts(), "account", remove.id());
     case v1::Remove::MODEL:
-      return Erase(document->mutable_models(), "model", remove.id());
+      return EraseObject(document->mutable_models(), "model", remove.id());
     case v1::Remove::ENDPOINT:
-      return Erase(document->mutable_endpoints(), "endpoint", remove.id());
+      return EraseObject(document->mutable_endpoints(), "endpoint",
+                         remove.id());
     case v1::Remove::ENTRY:
-      return Erase(document->mutable_entries(), "entry host", remove.id());
+      return EraseObject(document->mutable_entries(), "entry host",
+                         remove.id());
     default:
       return leaf::new_error(PlanError{EmptyChange{}});
   }
 }
 
-leaf::result<void> Edit(const v1::PlanRequest& request,
-                        v1::Document* document) {
+// Applies the change that `request` names to `document`.
+leaf::result<void> ApplyRequest(const v1::PlanRequest& request,
+                                v1::Document* document) {
   switch (request.change_case()) {
     case v1::PlanRequest::kPutAccount:
       (*document->mutable_accounts())[request.put_account().id()] =
@@ -87,28 +90,31 @@
   return leaf::new_error(PlanError{EmptyChange{}});
 }
 
-// Adds a sentence for each kind of object whose number changes, and for the
-// endpoints that stop or start taking work.
+// Adds a sentence to the response for each kind of object whose number changes,
+// for each endpoint that starts or stops leaving, and for a change of the
+// policy.
 void DescribeEffects(const v1::Document& before, const v1::Document& after,
                      v1::PlanResponse* response) {
-  const auto count = [&](const std::string& kind, std::size_t was,
-                         std::size_t becomes) {
-    if (was != becomes) {
-      response->add_effects(kind + ": " + std::to_string(was) + " before, " +
-                            std::to_string(becomes) + " after");
+  const auto add_count = [&](const std::string& kind, std::size_t old_count,
+                             std::size_t new_count) {
+    if (old_count != new_count) {
+      response->add_effects(kind + ": " + std::to_string(old_count) +
+                            " before, " + std::to_string(new_count) + " after");
     }
   };
-  count("client accounts", before.accounts().size(), after.accounts().size());
-  count("models", before.models().size(), after.models().size());
-  count("endpoints", before.endpoints().size(), after.endpoints().size());
-  count("entry hosts", before.entries().size(), after.entries().size());
+  add_count("client accounts", before.accounts().size(),
+            after.accounts().size());
+  add_count("models", before.models().size(), after.models().size());
+  add_count("endpoints", before.endpoints().size(), after.endpoints().size());
+  add_count("entry hosts", before.entries().size(), after.entries().size());
   for (const auto& [id, endpoint] : after.endpoints()) {
-    const auto was = before.endpoints().find(id);
-    const bool left = was != before.endpoints().end() && was->second.leaving();
-    if (endpoint.leaving() && !left) {
+    const auto earlier = before.endpoints().find(id);
+    const bool was_leaving =
+        earlier != before.endpoints().end() && earlier->second.leaving();
+    if (endpoint.leaving() && !was_leaving) {
       response->add_effects("endpoint " + id + " gets no new work");
     }
-    if (!endpoint.leaving() && left) {
+    if (!endpoint.leaving() && was_leaving) {
       response->add_effects("endpoint " + id + " takes work again");
     }
   }
@@ -117,7 +123,10 @@
   }
 }
 
-std::string ChangesJson(const v1::ChangeLog& recent, const v1::Change& change) {
+// Returns `change` and the latest of the `recent` changes as JSON, as many as
+// are published.
+std::string PublishedChangesJson(const v1::ChangeLog& recent,
+                                 const v1::Change& change) {
   v1::ChangeLog log;
   const int kept = std::min(recent.changes_size(), kMaxPublishedChanges - 1);
   for (int i = recent.changes_size() - kept; i < recent.changes_size(); ++i) {
@@ -132,7 +141,7 @@
   return status.ok() ? text : std::string("{}");
 }
 
-leaf::result<std::shared_ptr<const Configuration>> Check(
+leaf::result<std::shared_ptr<const Configuration>> MakeConfiguration(
     const v1::Document& document) {
   std::vector<ConfigProblem> problems = ValidateDocument(document);
   if (!problems.empty()) {
@@ -165,21 +174,22 @@
   const v1::Document before =
       base == nullptr ? v1::Document() : base->GetDocument();
   v1::Document after = before;
-  BOOST_LEAF_CHECK(Edit(request, &after));
+  BOOST_LEAF_CHECK(ApplyRequest(request, &after));
   after.set_revision(in_force.value);
   if (base != nullptr && MessageDifferencer::Equals(before, after)) {
     return leaf::new_error(PlanError{EmptyChange{}});
   }
   after.set_revision(in_force.value + 1);
-  BOOST_LEAF_AUTO(next, Check(after));
+  BOOST_LEAF_AUTO(next, MakeConfiguration(after));
   v1::PlanResponse response;
   response.set_revision(next->GetRevision().value);
   response.set_digest(next->GetDigest().value);
   response.set_document_json(next->CanonicalJson());
   const v1::Change change =
       base == nullptr ? v1::Change() : base->ChangeTo(*next);
-  response.set_changes_json(base == nullptr ? std::string("{\"changes\":[]}")
-                                            : ChangesJson(recent, change));
+  response.set_changes_json(base == nullptr
+                                ? std::string("{\"changes\":[]}")
+                                : PublishedChangesJson(recent, change));
   DescribeEffects(before, after, &response);
   return response;
 }
