--- a/src/core/text_edits.cc
+++ b/src/core/text_edits.cc
@@ -7,35 +7,36 @@
 namespace harecrank {
 namespace {
 
-// Returns where the piece that begins at `from` ends.
-std::size_t EndOfPiece(const std::string& text, std::size_t from) {
+// Returns the end of the chunk that begins at `from`: after the next closing
+// brace, or at the end of the text.
+std::size_t EndOfChunk(const std::string& text, std::size_t from) {
   const std::size_t brace = text.find('}', from);
   return brace == std::string::npos ? text.size() : brace + 1;
 }
 
-// Finds pieces of one text. Pieces mostly follow each other as they did, so the
-// place after the last one is tried first, and the index is made only once that
-// fails.
-class PieceFinder {
+// Finds chunks of a base text. Most chunks of the new text are in the same
+// order as in the base text, so the expected position is tried first. The index
+// is built when that fails for the first time.
+class ChunkFinder {
  public:
-  explicit PieceFinder(const std::string& base) : base_(base) {}
+  explicit ChunkFinder(const std::string& base) : base_(base) {}
 
-  // Returns where `piece` begins, or npos.
-  std::size_t Find(std::string_view piece, std::size_t expected) {
-    if (base_.compare(expected, piece.size(), piece) == 0) {
+  // Returns the position of `chunk` in the base text, or npos.
+  std::size_t Find(std::string_view chunk, std::size_t expected) {
+    if (base_.compare(expected, chunk.size(), chunk) == 0) {
       return expected;
     }
     if (index_.empty()) {
-      MakeIndex();
+      BuildIndex();
     }
-    const auto found = index_.find(piece);
+    const auto found = index_.find(chunk);
     return found == index_.end() ? std::string::npos : found->second;
   }
 
  private:
-  void MakeIndex() {
+  void BuildIndex() {
     for (std::size_t from = 0; from < base_.size();) {
-      const std::size_t end = EndOfPiece(base_, from);
+      const std::size_t end = EndOfChunk(base_, from);
       index_.emplace(std::string_view(base_).substr(from, end - from), from);
       from = end;
     }
@@ -49,21 +50,21 @@
 
 std::vector<TextEdit> DiffTexts(const std::string& base,
                                 const std::string& next) {
-  PieceFinder pieces(base);
+  ChunkFinder chunks(base);
   std::vector<TextEdit> edits;
   edits.emplace_back();
   for (std::size_t from = 0; from < next.size();) {
-    const std::size_t end = EndOfPiece(next, from);
-    const auto piece = std::string_view(next).substr(from, end - from);
+    const std::size_t end = EndOfChunk(next, from);
+    const auto chunk = std::string_view(next).substr(from, end - from);
     TextEdit& last = edits.back();
     const std::size_t expected = last.copy_offset + last.copy_size;
-    const std::size_t found = pieces.Find(piece, expected);
+    const std::size_t found = chunks.Find(chunk, expected);
     if (found == std::string::npos) {
-      last.inserted += piece;
+      last.inserted += chunk;
     } else if (found == expected && last.inserted.empty()) {
-      last.copy_size += piece.size();
+      last.copy_size += chunk.size();
     } else {
-      edits.push_back(TextEdit{found, piece.size(), ""});
+      edits.push_back(TextEdit{found, chunk.size(), ""});
     }
     from = end;
   }
