--- a/src/core/decimal_text.cc
+++ b/src/core/decimal_text.cc
@@ -6,7 +6,7 @@
 namespace harecrank {
 namespace {
 
-std::string_view WithoutSpaces(std::string_view text) {
+std::string_view TrimSpaces(std::string_view text) {
   constexpr std::string_view kSpaces = " \t";
   const std::size_t first = text.find_first_not_of(kSpaces);
   if (first == std::string_view::npos) {
@@ -18,11 +18,11 @@
 }  // namespace
 
 std::optional<double> ParseDecimal(std::string_view text) {
-  const std::string_view digits = WithoutSpaces(text);
+  const std::string_view digits = TrimSpaces(text);
   double number = 0;
   const char* end = digits.data() + digits.size();
-  const auto read = std::from_chars(digits.data(), end, number);
-  const bool is_number = read.ec == std::errc() && read.ptr == end;
+  const auto parsed = std::from_chars(digits.data(), end, number);
+  const bool is_number = parsed.ec == std::errc() && parsed.ptr == end;
   if (!is_number || !std::isfinite(number) || number < 0) {
     return std::nullopt;
   }
--- a/src/core/event_scanner.cc
+++ b/src/core/event_scanner.cc
@@ -5,15 +5,15 @@
 
 // Returns the position after the first blank line at or after `from`, or npos.
 std::size_t EndOfEvent(std::string_view text, std::size_t from) {
-  const std::size_t unix_end = text.find("\n\n", from);
-  const std::size_t dos_end = text.find("\r\n\r\n", from);
-  if (unix_end == std::string_view::npos && dos_end == std::string_view::npos) {
+  const std::size_t lf_end = text.find("\n\n", from);
+  const std::size_t crlf_end = text.find("\r\n\r\n", from);
+  if (lf_end == std::string_view::npos && crlf_end == std::string_view::npos) {
     return std::string_view::npos;
   }
-  if (unix_end < dos_end) {
-    return unix_end + 2;
+  if (lf_end < crlf_end) {
+    return lf_end + 2;
   }
-  return dos_end + 4;
+  return crlf_end + 4;
 }
 
 // Returns the value of an "id" field, or an empty view if `line` is another
--- a/src/core/model_orders.cc
+++ b/src/core/model_orders.cc
@@ -5,12 +5,14 @@
 namespace harecrank {
 namespace {
 
+// Adds orders to load the adapters of `wanted` that are missing from `loaded`
+// or have another version.
 void AddAdapterOrders(const std::string& name, const v1::Model& wanted,
                       const LoadedModel& loaded,
                       std::vector<EngineOrder>* orders) {
   for (const auto& [adapter, settings] : wanted.adapters()) {
-    const auto held = loaded.adapters.find(adapter);
-    if (held == loaded.adapters.end() || held->second != settings.version()) {
+    const auto found = loaded.adapters.find(adapter);
+    if (found == loaded.adapters.end() || found->second != settings.version()) {
       orders->push_back(
           LoadAdapter{ModelId{name}, AdapterName{adapter}, settings.version()});
     }
@@ -28,20 +30,20 @@
     return orders;
   }
   const auto& models = endpoint->engine().models();
-  for (const auto& held : loaded) {
-    if (std::find(models.begin(), models.end(), held.first) == models.end()) {
-      orders.push_back(UnloadModel{ModelId{held.first}});
+  for (const auto& model : loaded) {
+    if (std::find(models.begin(), models.end(), model.first) == models.end()) {
+      orders.push_back(UnloadModel{ModelId{model.first}});
     }
   }
   for (const std::string& name : models) {
     const v1::Model& wanted = configuration.GetDocument().models().at(name);
-    const auto held = loaded.find(name);
-    const bool same =
-        held != loaded.end() && held->second.version == wanted.version();
-    if (!same) {
+    const auto found = loaded.find(name);
+    const bool is_current =
+        found != loaded.end() && found->second.version == wanted.version();
+    if (!is_current) {
       orders.push_back(LoadModel{ModelId{name}, wanted.version()});
     }
-    AddAdapterOrders(name, wanted, same ? held->second : LoadedModel(),
+    AddAdapterOrders(name, wanted, is_current ? found->second : LoadedModel(),
                      &orders);
   }
   return orders;
