--- a/src/core/configuration_parse_scheduler_test.cc
+++ b/src/core/configuration_parse_scheduler_test.cc
@@ -1,4 +1,5 @@
-// Replays a storm of configurations on a weak host, without reading any.
+// Simulates the parsing of frequent configuration versions on a host with a
+// small CPU share. Time is simulated and nothing is parsed.
 
 #include "harecrank/core/configuration_parse_scheduler.h"
 
@@ -12,22 +13,24 @@
 
 using std::chrono::nanoseconds;
 
-constexpr double kWeakHost = 0.09;
-// What a version of 1,300 routes costs on a whole core: read whole, and where
-// all but a few routes are known.
-constexpr std::size_t kWholeCost = 9000000;
-constexpr std::size_t kChangeCost = 900000;
-constexpr Millis kAllowed{3000};
+constexpr double kWeakHostCpuShare = 0.09;
+// Cost of parsing a version with 1,300 routes on a whole core, in nanoseconds:
+// a full parse, and a parse in which all but a few routes are unchanged.
+constexpr std::size_t kFullParseCost = 9000000;
+constexpr std::size_t kChangeParseCost = 900000;
+// The time that operators allow for a version to come into force.
+constexpr Millis kMaxTimeToForce{3000};
 
-// A host that reads versions as the parse_scheduler says, on a clock of its
-// own.
+// A simulated host that parses versions as ConfigurationParseScheduler says.
 class Host {
  public:
-  explicit Host(ParseSchedulePolicy policy, double power = kWeakHost)
-      : power_(power), parse_scheduler_(CpuShare{power}, policy) {}
+  explicit Host(ParseSchedulePolicy policy,
+                double cpu_share = kWeakHostCpuShare)
+      : cpu_share_(cpu_share), parse_scheduler_(CpuShare{cpu_share}, policy) {}
 
-  // Plays versions that arrive at `arrivals`, in order.
-  void Play(const std::vector<Millis>& arrivals, std::size_t cost) {
+  // Simulates versions of `cost` that arrive at `arrivals`, which is sorted,
+  // until all of them are in force.
+  void Simulate(const std::vector<Millis>& arrivals, std::size_t cost) {
     std::size_t next = 0;
     while (next < arrivals.size() || parse_scheduler_.IsParsing()) {
       if (!parse_scheduler_.IsParsing()) {
@@ -36,18 +39,18 @@
       while (next < arrivals.size() && TimePoint{} + arrivals[next] <= now_) {
         Arrive(TimePoint{} + arrivals[next++], cost);
       }
-      DoSlice(next < arrivals.size() ? TimePoint{} + arrivals[next]
-                                     : TimePoint::max(),
-              cost);
+      RunSlice(next < arrivals.size() ? TimePoint{} + arrivals[next]
+                                      : TimePoint::max(),
+               cost);
     }
   }
 
   Millis LongestAge() const {
     return std::chrono::duration_cast<Millis>(longest_age_);
   }
-  nanoseconds LongestHold() const { return longest_hold_; }
-  nanoseconds Held() const { return held_; }
-  std::size_t ReadVersions() const { return read_; }
+  nanoseconds LongestSlice() const { return longest_slice_; }
+  nanoseconds BusyTime() const { return busy_time_; }
+  std::size_t ParsedVersions() const { return parsed_versions_; }
 
  private:
   void Arrive(TimePoint at, std::size_t cost) {
@@ -58,138 +61,140 @@
   }
 
   void Begin(std::size_t cost) {
-    covers_ = waiting_.size();
-    left_ = cost;
+    covered_ = waiting_.size();
+    remaining_cost_ = cost;
   }
 
-  void DoSlice(TimePoint until, std::size_t cost) {
-    const ParseSlice slice = parse_scheduler_.NextSlice(left_, now_);
+  void RunSlice(TimePoint until, std::size_t cost) {
+    const ParseSlice slice = parse_scheduler_.NextSlice(remaining_cost_, now_);
     if (slice.pause > nanoseconds(0) && now_ + slice.pause > until) {
-      // Another version comes first, and may take the place of this one.
+      // Another version arrives first and may replace this one.
       now_ = until;
       return;
     }
-    const std::size_t done = std::min(slice.cost, left_);
-    const nanoseconds held(
-        static_cast<std::int64_t>(static_cast<double>(done) / power_));
-    now_ += slice.pause + held;
-    held_ += held;
-    longest_hold_ = std::max(longest_hold_, held);
-    left_ -= done;
-    parse_scheduler_.OnSliceDone(done, held);
-    if (left_ > 0) {
+    const std::size_t done = std::min(slice.cost, remaining_cost_);
+    const nanoseconds elapsed(
+        static_cast<std::int64_t>(static_cast<double>(done) / cpu_share_));
+    now_ += slice.pause + elapsed;
+    busy_time_ += elapsed;
+    longest_slice_ = std::max(longest_slice_, elapsed);
+    remaining_cost_ -= done;
+    parse_scheduler_.OnSliceDone(done, elapsed);
+    if (remaining_cost_ > 0) {
       return;
     }
-    for (std::size_t i = 0; i < covers_; ++i) {
+    for (std::size_t i = 0; i < covered_; ++i) {
       longest_age_ = std::max(longest_age_, now_ - waiting_.front());
       waiting_.pop_front();
     }
-    ++read_;
+    ++parsed_versions_;
     if (parse_scheduler_.OnVersionDone()) {
       Begin(cost);
     }
   }
 
-  double power_;
+  double cpu_share_;
   ConfigurationParseScheduler parse_scheduler_;
   TimePoint now_{};
-  // When versions came that are not in force, and how many of them the one
-  // that is being read covers.
+  // Arrival times of the versions that are not in force.
   std::deque<TimePoint> waiting_;
-  std::size_t covers_ = 0;
-  std::size_t left_ = 0;
-  std::size_t read_ = 0;
+  // The number of these that come into force, or are superseded, with the
+  // version being parsed.
+  std::size_t covered_ = 0;
+  std::size_t remaining_cost_ = 0;
+  std::size_t parsed_versions_ = 0;
   nanoseconds longest_age_{0};
-  nanoseconds longest_hold_{0};
-  nanoseconds held_{0};
+  nanoseconds longest_slice_{0};
+  nanoseconds busy_time_{0};
 };
 
-std::vector<Millis> Storm(Millis gap) {
+std::vector<Millis> FrequentArrivals(Millis interval) {
   std::vector<Millis> arrivals;
-  for (Millis at{0}; at < Millis(9000); at += gap) {
+  for (Millis at{0}; at < Millis(9000); at += interval) {
     arrivals.push_back(at);
   }
   return arrivals;
 }
 
 TEST_CASE(
-    "In a storm no slice holds a weak host for long, and no version is "
-    "late",
-    "[configuration_intake]") {
-  const Millis gap(GENERATE(60, 150, 300));
-  const std::size_t cost = GENERATE(kChangeCost, kWholeCost);
+    "With frequent versions, slices on a weak host are short and every "
+    "version comes into force in time",
+    "[configuration_parse_scheduler]") {
+  const Millis interval(GENERATE(60, 150, 300));
+  const std::size_t cost = GENERATE(kChangeParseCost, kFullParseCost);
   Host host{ParseSchedulePolicy{}};
-  host.Play(Storm(gap), cost);
-  CAPTURE(gap.count(), cost);
-  CHECK(host.LongestHold() <= Millis(10));
-  CHECK(host.LongestAge() <= kAllowed / 2);
-  CHECK(host.ReadVersions() >= 9);
+  host.Simulate(FrequentArrivals(interval), cost);
+  CAPTURE(interval.count(), cost);
+  CHECK(host.LongestSlice() <= Millis(10));
+  CHECK(host.LongestAge() <= kMaxTimeToForce / 2);
+  CHECK(host.ParsedVersions() >= 9);
 }
 
 TEST_CASE(
-    "A whole version at once would hold a weak host for as long as the "
-    "tightest pause of a stream",
-    "[configuration_intake]") {
-  ParseSchedulePolicy at_once;
-  at_once.max_slice_time = Millis(1000);
-  Host host{at_once};
-  host.Play(Storm(Millis(300)), kWholeCost);
-  CHECK(host.LongestHold() >= Millis(99));
+    "Parsing a whole version in one slice would occupy a weak host for about "
+    "100 ms",
+    "[configuration_parse_scheduler]") {
+  ParseSchedulePolicy one_slice;
+  one_slice.max_slice_time = Millis(1000);
+  Host host{one_slice};
+  host.Simulate(FrequentArrivals(Millis(300)), kFullParseCost);
+  CHECK(host.LongestSlice() >= Millis(99));
 }
 
 TEST_CASE(
-    "Changes that are cheap to read take a quarter of the host's time at "
-    "most",
-    "[configuration_intake]") {
+    "Versions that are cheap to parse take at most a quarter of the host's "
+    "time",
+    "[configuration_parse_scheduler]") {
   Host host{ParseSchedulePolicy{}};
-  host.Play(Storm(Millis(60)), kChangeCost);
-  CHECK(host.Held() <= Millis(9000) / 4);
+  host.Simulate(FrequentArrivals(Millis(60)), kChangeParseCost);
+  CHECK(host.BusyTime() <= Millis(9000) / 4);
   CHECK(host.LongestAge() <= Millis(700));
 }
 
 TEST_CASE(
-    "Versions that always replace the one that is being read would never "
-    "be in force",
-    "[configuration_intake]") {
+    "Without a limit of the replace window, frequent versions would not come "
+    "into force in time",
+    "[configuration_parse_scheduler]") {
   ParseSchedulePolicy always;
   always.replace_window = Millis(100000);
   Host host{always};
-  host.Play(Storm(Millis(60)), kWholeCost);
-  CHECK(host.LongestAge() > kAllowed);
+  host.Simulate(FrequentArrivals(Millis(60)), kFullParseCost);
+  CHECK(host.LongestAge() > kMaxTimeToForce);
 }
 
-TEST_CASE("A host that has read nothing yet reads without pauses",
-          "[configuration_intake]") {
-  ConfigurationParseScheduler parse_scheduler(CpuShare{kWeakHost},
+TEST_CASE("There are no pauses until the first version has been parsed",
+          "[configuration_parse_scheduler]") {
+  ConfigurationParseScheduler parse_scheduler(CpuShare{kWeakHostCpuShare},
                                               ParseSchedulePolicy{});
   TimePoint now{};
   REQUIRE(parse_scheduler.OnVersionArrived(now));
   parse_scheduler.OnSliceDone(500000, Millis(6));
-  CHECK(parse_scheduler.NextSlice(kWholeCost, now).pause == nanoseconds(0));
+  CHECK(parse_scheduler.NextSlice(kFullParseCost, now).pause == nanoseconds(0));
   CHECK_FALSE(parse_scheduler.OnVersionDone());
   REQUIRE(parse_scheduler.OnVersionArrived(now));
   parse_scheduler.OnSliceDone(500000, Millis(6));
-  CHECK(parse_scheduler.NextSlice(kChangeCost, now).pause > nanoseconds(0));
+  CHECK(parse_scheduler.NextSlice(kChangeParseCost, now).pause >
+        nanoseconds(0));
 }
 
-TEST_CASE(
-    "A host that was suspended in the middle of a slice goes on as before",
-    "[configuration_intake]") {
-  ConfigurationParseScheduler parse_scheduler(CpuShare{kWeakHost},
+TEST_CASE("A suspension in the middle of a slice at most halves the slice size",
+          "[configuration_parse_scheduler]") {
+  ConfigurationParseScheduler parse_scheduler(CpuShare{kWeakHostCpuShare},
                                               ParseSchedulePolicy{});
   TimePoint now{};
   REQUIRE(parse_scheduler.OnVersionArrived(now));
-  const std::size_t before = parse_scheduler.NextSlice(kWholeCost, now).cost;
+  const std::size_t before =
+      parse_scheduler.NextSlice(kFullParseCost, now).cost;
   parse_scheduler.OnSliceDone(before, std::chrono::seconds(20));
   now += std::chrono::seconds(20);
-  const ParseSlice next = parse_scheduler.NextSlice(kWholeCost, now);
+  const ParseSlice next = parse_scheduler.NextSlice(kFullParseCost, now);
   CHECK(next.pause == nanoseconds(0));
   CHECK(next.cost >= before / 2);
 }
 
-TEST_CASE("A version that waits is read once the one before it is done",
-          "[configuration_intake]") {
-  ConfigurationParseScheduler parse_scheduler(CpuShare{kWeakHost},
+TEST_CASE("A pending version is parsed once the one before it is done",
+          "[configuration_parse_scheduler]") {
+  ConfigurationParseScheduler parse_scheduler(CpuShare{kWeakHostCpuShare},
                                               ParseSchedulePolicy{});
   TimePoint now{};
   REQUIRE(parse_scheduler.OnVersionArrived(now));
