--- a/src/core/active_config_test.cc
+++ b/src/core/active_config_test.cc
@@ -35,7 +35,7 @@
   return document;
 }
 
-// Plans a change on `active_config`'s configuration, without publishing it.
+// Plans a change of the configuration in force, without publishing it.
 v1::PlanResponse Plan(const ActiveConfig& active_config,
                       const v1::PlanRequest& request) {
   const auto base = active_config.InForce();
@@ -53,7 +53,7 @@
   return request;
 }
 
-v1::Change ChangeOf(const v1::PlanResponse& plan) {
+v1::Change LastChange(const v1::PlanResponse& plan) {
   const json log = json::parse(plan.changes_json());
   const json& last = log["changes"].back();
   v1::Change change;
@@ -78,13 +78,15 @@
   CHECK(active_config.InForce()->GetRevision().value == 5);
 }
 
-TEST_CASE_METHOD(Fixture, "A configuration never goes back") {
+TEST_CASE_METHOD(Fixture, "A lower revision is rejected") {
   OfferDocument(MakeDocument(5));
   CHECK(OfferDocument(MakeDocument(4)) == OfferResult::kOlder);
   CHECK(active_config.InForce()->GetRevision().value == 5);
 }
 
-TEST_CASE_METHOD(Fixture, "Two documents with one revision are reported") {
+TEST_CASE_METHOD(
+    Fixture,
+    "Two documents with the same revision are reported as a conflict") {
   OfferDocument(MakeDocument(5));
   CHECK(OfferDocument(MakeDocument(5, 2)) == OfferResult::kConflict);
   CHECK(active_config.InForce()->GetDocument().accounts().size() == 1);
@@ -98,35 +100,35 @@
   CHECK(OfferDocument(MakeDocument(6, 2)) == OfferResult::kAdopted);
 }
 
-TEST_CASE_METHOD(Fixture, "The same content in another layout is the same") {
+TEST_CASE_METHOD(Fixture, "The layout of the JSON text does not matter") {
   OfferDocument(MakeDocument(5));
   CHECK(active_config.OfferDocument(MakeDocument(5).dump(4),
                                     ConfigSource::kPeer) ==
         OfferResult::kAlreadyInForce);
 }
 
-TEST_CASE_METHOD(Fixture, "A faulty document is refused whole") {
+TEST_CASE_METHOD(Fixture, "An invalid document is rejected as a whole") {
   OfferDocument(MakeDocument(1));
   json document = MakeDocument(2, 2);
   document["endpoints"]["e"] = {{"link_address", "localhost:80"}};
   CHECK(OfferDocument(document) == OfferResult::kInvalid);
   CHECK(active_config.InForce()->GetRevision().value == 1);
-  INFO("the fault was: " << active_config.State().last_fault);
+  INFO("last fault: " << active_config.State().last_fault);
   CHECK(active_config.State().last_fault.find("endpoints.e.link_address") !=
         std::string::npos);
 }
 
-TEST_CASE_METHOD(Fixture, "A document with an unknown field is refused") {
+TEST_CASE_METHOD(Fixture, "A document with an unknown field is rejected") {
   json document = MakeDocument(1);
   document["extra"] = 1;
   CHECK(OfferDocument(document) == OfferResult::kInvalid);
 }
 
-TEST_CASE_METHOD(Fixture, "A planned change leads to the planned document") {
+TEST_CASE_METHOD(Fixture, "A planned change produces the planned document") {
   OfferDocument(MakeDocument(1));
   const v1::PlanResponse plan = Plan(active_config, PutModel("m"));
   REQUIRE(plan.revision() == 2);
-  CHECK(active_config.OfferChange(ChangeOf(plan), ConfigSource::kPeer) ==
+  CHECK(active_config.OfferChange(LastChange(plan), ConfigSource::kPeer) ==
         OfferResult::kAdopted);
   CHECK(active_config.InForce()->GetDigest().value == plan.digest());
   ActiveConfig other;
@@ -134,46 +136,47 @@
   CHECK(other.InForce()->GetDigest().value == plan.digest());
 }
 
-TEST_CASE_METHOD(Fixture, "A change on a missing base asks for the whole") {
+TEST_CASE_METHOD(Fixture, "A change whose base is not in force is rejected") {
   OfferDocument(MakeDocument(1));
   const v1::PlanResponse plan = Plan(active_config, PutModel("m"));
   ActiveConfig behind;
-  CHECK(behind.OfferChange(ChangeOf(plan), ConfigSource::kPeer) ==
+  CHECK(behind.OfferChange(LastChange(plan), ConfigSource::kPeer) ==
         OfferResult::kMissingBase);
 }
 
 TEST_CASE_METHOD(Fixture,
-                 "A change that does not end at its digest is refused") {
+                 "A change whose result has another digest is rejected") {
   OfferDocument(MakeDocument(1));
-  v1::Change change = ChangeOf(Plan(active_config, PutModel("m")));
+  v1::Change change = LastChange(Plan(active_config, PutModel("m")));
   change.set_digest("0123");
   CHECK(active_config.OfferChange(change, ConfigSource::kPeer) ==
         OfferResult::kInvalid);
   CHECK(active_config.InForce()->GetRevision().value == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "Of two racing plans one comes into force") {
+TEST_CASE_METHOD(Fixture, "Only one of two concurrent plans comes into force") {
   OfferDocument(MakeDocument(1));
   const v1::PlanResponse mine = Plan(active_config, PutModel("mine"));
   const v1::PlanResponse yours = Plan(active_config, PutModel("yours"));
-  CHECK(active_config.OfferChange(ChangeOf(mine), ConfigSource::kPeer) ==
+  CHECK(active_config.OfferChange(LastChange(mine), ConfigSource::kPeer) ==
         OfferResult::kAdopted);
-  CHECK(active_config.OfferChange(ChangeOf(yours), ConfigSource::kPeer) ==
+  CHECK(active_config.OfferChange(LastChange(yours), ConfigSource::kPeer) ==
         OfferResult::kConflict);
 }
 
-TEST_CASE_METHOD(Fixture, "A plan on a base that has moved is refused") {
+TEST_CASE_METHOD(Fixture, "A plan on a stale base is rejected") {
   OfferDocument(MakeDocument(3));
   v1::PlanRequest request = PutModel("m");
   request.set_base_revision(2);
   CHECK(Plan(active_config, request).revision() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "A peer that lags gets the changes it lacks") {
+TEST_CASE_METHOD(Fixture,
+                 "A peer that lags receives the changes that it lacks") {
   OfferDocument(MakeDocument(1));
   const Digest first = active_config.InForce()->GetDigest();
   for (const char* id : {"a", "b", "c"}) {
-    active_config.OfferChange(ChangeOf(Plan(active_config, PutModel(id))),
+    active_config.OfferChange(LastChange(Plan(active_config, PutModel(id))),
                               ConfigSource::kPeer);
   }
   const auto changes = active_config.ChangesSince(first);
