--- a/src/core/routing_table_test.cc
+++ b/src/core/routing_table_test.cc
@@ -5,9 +5,9 @@
 namespace harecrank {
 namespace {
 
-std::shared_ptr<const RouteRule> Rule(const std::string& prefix,
-                                      const std::string& service,
-                                      Millis target_gap = Millis(0)) {
+std::shared_ptr<const RouteRule> MakeRule(const std::string& prefix,
+                                          const std::string& service,
+                                          Millis target_gap = Millis(0)) {
   RouteRule rule;
   rule.name = prefix;
   rule.host = "A.example";
@@ -17,18 +17,19 @@
   return std::make_shared<const RouteRule>(std::move(rule));
 }
 
-TEST_CASE("The longest prefix that begins a path is its route") {
+TEST_CASE("The route with the longest matching prefix is found") {
   RoutingDocument document;
-  document.routes = {Rule("/", "s"), Rule("/a/", "s"), Rule("/a/b/", "s")};
+  document.routes = {MakeRule("/", "s"), MakeRule("/a/", "s"),
+                     MakeRule("/a/b/", "s")};
   const RoutingTable table(document);
   CHECK(table.FindRoute("a.example", "/a/b/c")->path_prefix == "/a/b/");
   CHECK(table.FindRoute("a.example", "/a/bc")->path_prefix == "/a/");
   CHECK(table.FindRoute("a.example", "/x")->path_prefix == "/");
 }
 
-TEST_CASE("A host is matched whatever its case and port") {
+TEST_CASE("Host names match regardless of case and port") {
   RoutingDocument document;
-  document.routes = {Rule("/a/", "s")};
+  document.routes = {MakeRule("/a/", "s")};
   const RoutingTable table(document);
   CHECK(table.FindRoute("a.EXAMPLE:8080", "/a/") != nullptr);
   CHECK(table.FindRoute("b.example", "/a/") == nullptr);
@@ -36,7 +37,7 @@
   CHECK(table.FindRoute("a.example", "") == nullptr);
 }
 
-TEST_CASE("Every key of an account leads to it, and no other key does") {
+TEST_CASE("An account is found by each of its keys and by no other key") {
   RoutingDocument document;
   document.accounts = {AccountEntry{AccountId{"acme"}, {"k1", "k2"}, 3}};
   const RoutingTable table(document);
@@ -45,14 +46,14 @@
   CHECK(table.FindAccountByKey("") == nullptr);
 }
 
-TEST_CASE("Without accounts no request needs a key") {
+TEST_CASE("No request needs a key if no accounts are published") {
   CHECK_FALSE(RoutingTable(RoutingDocument{}).NeedsKeys());
 }
 
-TEST_CASE("The tightest gap of a service is that of any route to it") {
+TEST_CASE("The tightest gap of a service is the shortest of all routes to it") {
   RoutingDocument document;
-  document.routes = {Rule("/a/", "s", Millis(600)),
-                     Rule("/b/", "s", Millis(250)), Rule("/c/", "t")};
+  document.routes = {MakeRule("/a/", "s", Millis(600)),
+                     MakeRule("/b/", "s", Millis(250)), MakeRule("/c/", "t")};
   const RoutingTable table(document);
   CHECK(table.TightestGap(ServiceName{"s"}) == Millis(250));
   CHECK(table.TightestGap(ServiceName{"t"}) == Millis(0));
