--- a/src/core/event_scanner_test.cc
+++ b/src/core/event_scanner_test.cc
@@ -5,7 +5,7 @@
 namespace harecrank {
 namespace {
 
-TEST_CASE("Only whole events are let through, however they arrive") {
+TEST_CASE("Only complete events are returned, however the bytes are split") {
   EventScanner scanner;
   CHECK(scanner.Accept("id: 1\nda").empty());
   CHECK(scanner.HasPartial());
@@ -17,7 +17,7 @@
   CHECK(scanner.Count() == 2);
 }
 
-TEST_CASE("An event that was never finished is dropped") {
+TEST_CASE("DropPartial discards an incomplete event") {
   EventScanner scanner;
   scanner.Accept("id: 1\n\nid: 2\ndata: lost");
   scanner.DropPartial();
@@ -25,13 +25,13 @@
   CHECK(scanner.Accept("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
 }
 
-TEST_CASE("Lines may end with carriage returns") {
+TEST_CASE("Lines may end with CRLF") {
   EventScanner scanner;
   CHECK(scanner.Accept("id: 7\r\n\r\n") == "id: 7\r\n\r\n");
   CHECK(scanner.LastId() == "7");
 }
 
-TEST_CASE("An event without an id keeps the last one") {
+TEST_CASE("An event without an id does not change the last id") {
   EventScanner scanner;
   scanner.Accept("id: 1\n\ndata: b\n\n");
   CHECK(scanner.LastId() == "1");
