--- a/src/core/text_edits_test.cc
+++ b/src/core/text_edits_test.cc
@@ -5,9 +5,9 @@
 namespace harecrank {
 namespace {
 
-std::string JoinChunks(const std::vector<std::string>& names) {
+std::string JoinChunks(const std::vector<std::string>& route_names) {
   std::string text = "{\"version\":1,\"routes\":[";
-  for (const std::string& name : names) {
+  for (const std::string& name : route_names) {
     text += "{\"name\":\"" + name + "\"},";
   }
   return text + "]}";
