--- a/include/harecrank/core/active_config.h
+++ b/include/harecrank/core/active_config.h
@@ -17,7 +17,8 @@
 namespace harecrank {
 
 // The origin of a configuration. kService is the platform's configuration
-// service, kPeer another node of the fleet.
+// service, kPeer another node of the fleet. kNone means that there is no
+// configuration yet.
 enum class ConfigSource { kNone, kService, kPeer };
 
 // Returns "none", "service" or "peer".
@@ -101,9 +102,10 @@
     ConfigSource source = ConfigSource::kNone;
   };
 
-  // These functions require mutex_ to be held.
-  //
-  // Returns kAdopted if the revision is higher than the one in force.
+  // Compares an offer with the configuration in force. Returns kAdopted if the
+  // offered revision is higher, otherwise why the offer is rejected. A conflict
+  // is recorded in state_. Requires mutex_ to be held, as the next two
+  // functions do.
   OfferResult CompareWithCurrent(Revision revision, const Digest& digest);
   // Counts `outcome` in state_ and returns it.
   OfferResult Count(OfferResult outcome);
--- a/include/harecrank/core/router.h
+++ b/include/harecrank/core/router.h
@@ -32,7 +32,7 @@
   int running = 0;
 };
 
-// The state of an endpoint that an entry host knows when it routes a request.
+// The state of an endpoint as an entry host knows it when it routes a request.
 struct EndpointView {
   EndpointId id;
   LoadReport load;
--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -29,8 +29,9 @@
   kStreaming,
 };
 
-// The cost model of a model engine, as published by its operator. A pass is the
-// unit in which the engine schedules its batch.
+// The cost model of a model engine, as published by its operator. An engine
+// works in passes: each pass prefills the prompts that arrived before it began
+// and runs some decoding steps for the whole batch.
 struct EngineProfile {
   // The most requests that run at once.
   int slots = 1;
--- a/src/core/change_planner.cc
+++ b/src/core/change_planner.cc
@@ -141,6 +141,7 @@
   return status.ok() ? text : std::string("{}");
 }
 
+// Validates `document` and makes a configuration of it.
 leaf::result<std::shared_ptr<const Configuration>> MakeConfiguration(
     const v1::Document& document) {
   std::vector<ConfigProblem> problems = ValidateDocument(document);
