--- a/include/harecrank/core/configuration_parse_scheduler.h
+++ b/include/harecrank/core/configuration_parse_scheduler.h
@@ -79,7 +79,7 @@
 
   // Returns the time since the arrival of the oldest version that is not in
   // force, or zero if there is none.
-  std::chrono::nanoseconds OldestPendingAge(TimePoint now) const;
+  std::chrono::nanoseconds BacklogAge(TimePoint now) const;
 
  private:
   // Returns the time that this host takes for a nanosecond of work on a whole
--- a/src/core/configuration_parse_scheduler.cc
+++ b/src/core/configuration_parse_scheduler.cc
@@ -16,8 +16,8 @@
 // suspended process or a coarse clock would give values far outside.
 constexpr double kMinSlowdownFactor = 0.5;
 constexpr double kMaxSlowdownFactor = 4;
-// The smallest cost of a slice. The overhead of starting a smaller slice would
-// exceed its work.
+// The smallest cost of a slice, 20 us on a whole core. The overhead of starting
+// a smaller slice would exceed its work.
 constexpr std::size_t kMinSliceCost = 20000;
 
 }  // namespace
@@ -54,8 +54,7 @@
   const duration<double, std::nano> remaining_time(
       static_cast<double>(remaining_cost) * slowdown_ / policy_.parse_share);
   const bool is_urgent =
-      !has_parsed_any_ ||
-      OldestPendingAge(now) + remaining_time > policy_.max_age;
+      !has_parsed_any_ || BacklogAge(now) + remaining_time > policy_.max_age;
   if (!is_urgent) {
     slice.pause = std::chrono::duration_cast<nanoseconds>(
         last_slice_time_ * (1 / policy_.parse_share - 1));
@@ -84,7 +83,7 @@
   return oldest_since_.has_value();
 }
 
-nanoseconds ConfigurationParseScheduler::OldestPendingAge(TimePoint now) const {
+nanoseconds ConfigurationParseScheduler::BacklogAge(TimePoint now) const {
   return oldest_since_.has_value() ? now - *oldest_since_ : nanoseconds(0);
 }
 
--- a/src/core/configuration_parse_scheduler_test.cc
+++ b/src/core/configuration_parse_scheduler_test.cc
@@ -204,9 +204,9 @@
   CHECK_FALSE(parse_scheduler.OnVersionArrived(now));
   CHECK(parse_scheduler.HasPending());
   now += Millis(100);
-  CHECK(parse_scheduler.OldestPendingAge(now) == Millis(500));
+  CHECK(parse_scheduler.BacklogAge(now) == Millis(500));
   CHECK(parse_scheduler.OnVersionDone());
-  CHECK(parse_scheduler.OldestPendingAge(now) == Millis(100));
+  CHECK(parse_scheduler.BacklogAge(now) == Millis(100));
   CHECK_FALSE(parse_scheduler.OnVersionDone());
   CHECK_FALSE(parse_scheduler.IsParsing());
 }
