--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -199,6 +199,7 @@
 struct ProgressReport {
   HostAddress host;
   Incarnation incarnation;
+  // Requests whose first event was received, and requests that have ended.
   std::vector<PrefillDone> read;
   std::vector<RequestDone> ended;
 };
--- a/include/harecrank/core/membership.h
+++ b/include/harecrank/core/membership.h
@@ -64,9 +64,9 @@
   std::vector<HostAddress> OtherAliveHosts() const;
 
   // Returns the members to name in a heartbeat to `recipient`: those of highest
-  // rank and a few random ones. A possible next planner is named as many
-  // members as fit, and the following ones at the next call, so that it soon
-  // knows all.
+  // rank and a few random ones. A host that may become the next planner is sent
+  // as many members as fit, and the following ones at the next call, so that it
+  // soon knows all.
   std::vector<KnownHost> PartialViewFor(const HostAddress& recipient);
 
   // Returns the hosts beside the planner that should poll the store, as the
@@ -176,7 +176,7 @@
   // Updates the ranking with the current state of `host`, which was heard
   // within kHeartbeatTimeout.
   void UpdateRanking(Hosts::value_type* host);
-  // Removes hosts from the ranking and the alive hosts whose time has expired.
+  // Removes expired hosts from the ranking and from the alive hosts.
   void Expire() const;
   // Returns whether a planner may be chosen by rank.
   bool IsPastStartupGrace() const;
