--- a/src/core/snapshot_admission_test.cc
+++ b/src/core/snapshot_admission_test.cc
@@ -63,13 +63,14 @@
   CHECK_FALSE(IsServed(admission.OnRequest(std::nullopt)));
 }
 
-// A fleet that starts at once: one host with a large CPU share has a snapshot,
-// and all others request it.
+// A fleet that starts at once: host 0 has a snapshot, and all others request
+// it. The first `serving_hosts` hosts serve snapshots to others once they have
+// one.
 class SnapshotFleet {
  public:
-  SnapshotFleet(int hosts, int strong) {
+  SnapshotFleet(int hosts, int serving_hosts) {
     for (int i = 0; i < hosts; ++i) {
-      hosts_.emplace_back(i < strong);
+      hosts_.emplace_back(i < serving_hosts);
       if (i > 0) {
         events_.push(Event{now_, i, 0});
       }
@@ -94,8 +95,8 @@
 
  private:
   struct Host {
-    explicit Host(bool is_strong) : is_strong(is_strong) {}
-    bool is_strong;
+    explicit Host(bool can_serve) : can_serve(can_serve) {}
+    bool can_serve;
     bool has_snapshot = false;
     int request_count = 0;
     std::unique_ptr<SnapshotAdmission> admission;
@@ -125,7 +126,7 @@
     if (event.is_arrival) {
       At(event.to).admission->OnTransferEnded();
       At(event.from).has_snapshot = true;
-      if (At(event.from).is_strong) {
+      if (At(event.from).can_serve) {
         servers_.push_back(event.from);
       }
       return;
