--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -1,4 +1,4 @@
-// Two client accounts that compete for too few engines, before a planner.
+// Tests how the planner shares too few engines between two client accounts.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -12,167 +12,168 @@
 namespace harecrank {
 namespace {
 
-const ServiceName kReaders{"readers"};
-const AccountId kFlood{"flood"};
-const AccountId kSmall{"small"};
-constexpr int kFewEngines = 4;
-// It wants all of the engines at once.
+const ServiceName kService{"readers"};
+const AccountId kHeavyAccount{"flood"};
+const AccountId kLightAccount{"small"};
+constexpr int kEngines = 4;
+// Needs all of the engines at once.
 constexpr std::int64_t kPrompt = 45000;
 constexpr Millis kStep{50};
 
 struct Outcome {
-  int asked = 0;
+  int queries = 0;
   int in_time = 0;
 };
 
-// Replays a load in steps: each prompt that is placed is read by its engines
-// for as long as the planner predicts.
-class SharedEngines {
+// Runs a planner under load in fixed time steps. A placed prompt keeps its
+// engines busy for the time that the planner predicted.
+class PlannerSimulation {
  public:
-  explicit SharedEngines(bool by_account, int accounts = 2) {
+  explicit PlannerSimulation(bool by_account, int accounts = 2) {
     policy_.shares_by_account = by_account;
-    for (int i = 0; i < kFewEngines; ++i) {
+    for (int i = 0; i < kEngines; ++i) {
       EndpointRecord record;
       record.id = EndpointId{"e" + std::to_string(i)};
-      record.service = kReaders;
+      record.service = kService;
       record.address = record.id.value + ":1";
       directory_.Upsert(record);
     }
     RoutingDocument document;
     document.version = RoutingVersion{1};
-    document.services = {testing::EngineService(kReaders)};
+    document.services = {testing::EngineService(kService)};
     RouteRule route;
     route.name = "read";
     route.host = "a";
     route.path_prefix = "/";
     route.kind = RequestKind::kStreaming;
     route.target_gap = Millis(300);
-    route.services = {WeightedService{kReaders, 1}};
+    route.services = {WeightedService{kService, 1}};
     document.routes = {std::make_shared<const RouteRule>(route)};
     document.accounts.emplace();
     for (int i = 0; i < accounts; ++i) {
       AccountEntry account;
-      account.id = i == 0 ? kFlood : kSmall;
+      account.id = i == 0 ? kHeavyAccount : kLightAccount;
       document.accounts->push_back(account);
     }
     table_ = std::make_shared<const RoutingTable>(std::move(document));
-    Replace();
+    ReplacePlanner();
   }
 
-  // Another planner, which knows nothing. Hosts ask it again for what waits.
-  void Replace() {
+  // Starts a new planner without state, and repeats the unanswered queries.
+  void ReplacePlanner() {
     planner_ = std::make_unique<Planner>(
         &directory_, &health_, &start_shares_, DataCentreId{"a"},
         [this] { return table_; }, policy_, [this] { return now_; },
-        [this] { return drawn_ += 77; });
-    std::map<QueryId, Pending> pending;
-    pending.swap(pending_);
-    for (auto& [id, one] : pending) {
-      one.ask.until_late = one.late_at - now_;
-      Offer(one);
+        [this] { return random_state_ += 77; });
+    std::map<QueryId, Pending> unanswered;
+    unanswered.swap(pending_);
+    for (auto& [id, pending] : unanswered) {
+      pending.query.until_late = pending.first_event_due - now_;
+      SendQuery(pending);
     }
   }
 
   void Arrive(const AccountId& account) {
-    Pending one;
-    one.ask.host = HostAddress{"h"};
-    one.ask.incarnation = Incarnation{1};
-    one.ask.id = QueryId{++last_id_};
-    one.ask.service = kReaders;
-    one.ask.target_latency = kTarget;
-    one.ask.target_gap = Millis(300);
-    one.ask.prompt = Tokens{kPrompt};
-    one.ask.answer = Tokens{100};
-    one.ask.until_late = kTarget;
-    one.ask.until_deadline = Millis(10000);
-    one.ask.origin.request.account = account;
-    one.late_at = now_ + kTarget;
-    one.ends_at = now_ + Millis(10000);
-    ++outcomes_[account].asked;
-    Offer(one);
+    Pending pending;
+    pending.query.host = HostAddress{"h"};
+    pending.query.incarnation = Incarnation{1};
+    pending.query.id = QueryId{++last_id_};
+    pending.query.service = kService;
+    pending.query.target_latency = kTarget;
+    pending.query.target_gap = Millis(300);
+    pending.query.prompt = Tokens{kPrompt};
+    pending.query.answer = Tokens{100};
+    pending.query.until_late = kTarget;
+    pending.query.until_deadline = Millis(10000);
+    pending.query.origin.request.account = account;
+    pending.first_event_due = now_ + kTarget;
+    pending.deadline = now_ + Millis(10000);
+    ++outcomes_[account].queries;
+    SendQuery(pending);
   }
 
-  // Ends what is read, tries those that wait and lets time pass.
+  // Ends the finished prompts, processes the wait queue and advances the clock.
   void Step() {
-    EndRead();
-    for (const DeferredReply& due : planner_->ProcessWaitQueue()) {
-      const Pending one = pending_.at(due.id);
-      pending_.erase(due.id);
-      OnDecision(one, due.decision);
+    EndFinished();
+    for (const DeferredReply& reply : planner_->ProcessWaitQueue()) {
+      const Pending pending = pending_.at(reply.id);
+      pending_.erase(reply.id);
+      OnDecision(pending, reply.decision);
     }
     if (!pending_.empty() && running_.empty()) {
       ++idle_steps_;
     }
     now_ += kStep;
-    DropGivenUp();
+    DropTimedOut();
   }
 
   const Outcome& Of(const AccountId& account) { return outcomes_[account]; }
+  // Number of steps in which queries waited although no engine was busy.
   int IdleSteps() const { return idle_steps_; }
 
   static constexpr Millis kTarget{3000};
 
  private:
   struct Pending {
-    PlacementQuery ask;
-    TimePoint late_at{};
-    TimePoint ends_at{};
+    PlacementQuery query;
+    TimePoint first_event_due{};
+    TimePoint deadline{};
   };
   struct Running {
-    PlacementQuery ask;
-    TimePoint ends{};
+    PlacementQuery query;
+    TimePoint done_at{};
   };
 
-  void Offer(const Pending& one) {
-    OnDecision(one, planner_->OnQuery(one.ask));
+  void SendQuery(const Pending& pending) {
+    OnDecision(pending, planner_->OnQuery(pending.query));
   }
 
-  void OnDecision(const Pending& one, const PlacementDecision& decision) {
+  void OnDecision(const Pending& pending, const PlacementDecision& decision) {
     if (std::holds_alternative<QueryQueued>(decision)) {
-      pending_[one.ask.id] = one;
+      pending_[pending.query.id] = pending;
       return;
     }
     const auto* placed = std::get_if<PlannedPlacement>(&decision);
     if (placed == nullptr) {
       return;
     }
-    const TimePoint ends =
+    const TimePoint done_at =
         now_ + std::chrono::duration_cast<TimePoint::duration>(
                    std::max(placed->first_event, placed->prefill_time));
-    running_.push_back(Running{one.ask, ends});
-    if (ends <= one.late_at) {
-      ++outcomes_[one.ask.origin.request.account].in_time;
+    running_.push_back(Running{pending.query, done_at});
+    if (done_at <= pending.first_event_due) {
+      ++outcomes_[pending.query.origin.request.account].in_time;
     }
   }
 
-  void EndRead() {
-    ProgressReport note{HostAddress{"h"}, Incarnation{1}, {}, {}};
+  void EndFinished() {
+    ProgressReport report{HostAddress{"h"}, Incarnation{1}, {}, {}};
     for (auto it = running_.begin(); it != running_.end();) {
-      const bool ended = it->ends <= now_;
-      if (ended) {
-        note.read.push_back(PrefillDone{it->ask.id, 1});
-        note.ended.push_back(RequestDone{it->ask.id, false});
+      const bool done = it->done_at <= now_;
+      if (done) {
+        report.read.push_back(PrefillDone{it->query.id, 1});
+        report.ended.push_back(RequestDone{it->query.id, false});
       }
-      it = ended ? running_.erase(it) : std::next(it);
+      it = done ? running_.erase(it) : std::next(it);
     }
-    planner_->OnProgressReport(note);
+    planner_->OnProgressReport(report);
   }
 
-  // Their callers leave; the host tells so.
-  void DropGivenUp() {
-    ProgressReport note{HostAddress{"h"}, Incarnation{1}, {}, {}};
+  // Reports the queued queries whose callers have timed out.
+  void DropTimedOut() {
+    ProgressReport report{HostAddress{"h"}, Incarnation{1}, {}, {}};
     for (auto it = pending_.begin(); it != pending_.end();) {
-      const bool gone = it->second.ends_at <= now_;
-      if (gone) {
-        note.ended.push_back(RequestDone{it->first, false});
+      const bool timed_out = it->second.deadline <= now_;
+      if (timed_out) {
+        report.ended.push_back(RequestDone{it->first, false});
       }
-      it = gone ? pending_.erase(it) : std::next(it);
+      it = timed_out ? pending_.erase(it) : std::next(it);
     }
-    planner_->OnProgressReport(note);
+    planner_->OnProgressReport(report);
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  std::uint64_t drawn_ = 0;
+  std::uint64_t random_state_ = 0;
   std::uint64_t last_id_ = 0;
   PlacementPolicy policy_;
   EndpointDirectory directory_{[this] { return now_; }};
@@ -191,87 +192,90 @@
 };
 
 constexpr int kSteps = 600;
-// The small account's prompts come so often, the flood's ten times as often.
-constexpr int kSmallEvery = 20;
-constexpr int kFloodEvery = 2;
+// Steps between two prompts of the light account, and of the heavy account,
+// which sends ten times as many.
+constexpr int kLightInterval = 20;
+constexpr int kHeavyInterval = 2;
 
 double ShareInTime(const Outcome& outcome) {
-  return outcome.asked == 0 ? 0 : 1.0 * outcome.in_time / outcome.asked;
+  return outcome.queries == 0 ? 0 : 1.0 * outcome.in_time / outcome.queries;
 }
 
-void Replay(SharedEngines* engines, bool flood, bool small,
+void Replay(PlannerSimulation* engines, bool heavy, bool light,
             int replaced_at = -1) {
   for (int step = 0; step < kSteps; ++step) {
     if (step == replaced_at) {
-      engines->Replace();
+      engines->ReplacePlanner();
     }
-    if (flood && step % kFloodEvery == 0) {
-      engines->Arrive(kFlood);
+    if (heavy && step % kHeavyInterval == 0) {
+      engines->Arrive(kHeavyAccount);
     }
-    if (small && step % kSmallEvery == 0) {
-      engines->Arrive(kSmall);
+    if (light && step % kLightInterval == 0) {
+      engines->Arrive(kLightAccount);
     }
     engines->Step();
   }
 }
 
-// Of a hundred of its prompts that are served in time alone, so many at least
-// are beside a flood.
-constexpr double kAsIfAlone = 0.9;
+// Lowest accepted share of prompts within the target, relative to a run without
+// the other account.
+constexpr double kMinShareOfAlone = 0.9;
 
-TEST_CASE("An account's flood does not make another account's prompts late") {
-  SharedEngines alone(true);
+TEST_CASE(
+    "An overload by one account does not make another account's prompts late") {
+  PlannerSimulation alone(true);
   Replay(&alone, false, true);
-  REQUIRE(ShareInTime(alone.Of(kSmall)) > kAsIfAlone);
+  REQUIRE(ShareInTime(alone.Of(kLightAccount)) > kMinShareOfAlone);
 
-  SharedEngines shared(true);
+  PlannerSimulation shared(true);
   Replay(&shared, true, true);
-  CHECK(ShareInTime(shared.Of(kSmall)) >=
-        kAsIfAlone * ShareInTime(alone.Of(kSmall)));
+  CHECK(ShareInTime(shared.Of(kLightAccount)) >=
+        kMinShareOfAlone * ShareInTime(alone.Of(kLightAccount)));
   CHECK(shared.IdleSteps() == 0);
 
-  SharedEngines unshared(false);
+  PlannerSimulation unshared(false);
   Replay(&unshared, true, true);
-  CHECK(ShareInTime(unshared.Of(kSmall)) <
-        kAsIfAlone * ShareInTime(alone.Of(kSmall)));
+  CHECK(ShareInTime(unshared.Of(kLightAccount)) <
+        kMinShareOfAlone * ShareInTime(alone.Of(kLightAccount)));
 }
 
-TEST_CASE("The flood still gets all that the other account leaves over") {
-  SharedEngines shared(true);
+TEST_CASE("The heavy account gets all capacity that the other account leaves") {
+  PlannerSimulation shared(true);
   Replay(&shared, true, true);
-  SharedEngines unshared(false);
+  PlannerSimulation unshared(false);
   Replay(&unshared, true, true);
-  const auto served = [](SharedEngines* engines) {
-    return engines->Of(kFlood).in_time + engines->Of(kSmall).in_time;
+  const auto served = [](PlannerSimulation* engines) {
+    return engines->Of(kHeavyAccount).in_time +
+           engines->Of(kLightAccount).in_time;
   };
-  CHECK(served(&shared) >= kAsIfAlone * served(&unshared));
+  CHECK(served(&shared) >= kMinShareOfAlone * served(&unshared));
 }
 
-TEST_CASE("An account that comes alone is served as without shares") {
-  SharedEngines shared(true);
+TEST_CASE("A single active account is served as without fair shares") {
+  PlannerSimulation shared(true);
   Replay(&shared, true, false);
-  SharedEngines unshared(false);
+  PlannerSimulation unshared(false);
   Replay(&unshared, true, false);
-  CHECK(shared.Of(kFlood).in_time == unshared.Of(kFlood).in_time);
+  CHECK(shared.Of(kHeavyAccount).in_time == unshared.Of(kHeavyAccount).in_time);
   CHECK(shared.IdleSteps() == 0);
 }
 
-TEST_CASE("A configuration with one account has no shares") {
-  SharedEngines shared(true, 1);
+TEST_CASE("A configuration with one account has no fair shares") {
+  PlannerSimulation shared(true, 1);
   Replay(&shared, true, true);
-  SharedEngines unshared(false, 1);
+  PlannerSimulation unshared(false, 1);
   Replay(&unshared, true, true);
-  CHECK(shared.Of(kSmall).in_time == unshared.Of(kSmall).in_time);
-  CHECK(shared.Of(kFlood).in_time == unshared.Of(kFlood).in_time);
+  CHECK(shared.Of(kLightAccount).in_time == unshared.Of(kLightAccount).in_time);
+  CHECK(shared.Of(kHeavyAccount).in_time == unshared.Of(kHeavyAccount).in_time);
 }
 
-// A planner that takes over knows of no shares, and learns them from what it
-// gives.
-TEST_CASE("Shares hold again soon after another host plans") {
-  SharedEngines shared(true);
+// A new planner has no record of the shares and learns them from the placements
+// it makes.
+TEST_CASE("Fair shares are restored soon after the planner is replaced") {
+  PlannerSimulation shared(true);
   Replay(&shared, true, true, kSteps / 2);
-  CHECK(ShareInTime(shared.Of(kSmall)) >= 0.8);
-  CHECK(shared.Of(kFlood).in_time > 0);
+  CHECK(ShareInTime(shared.Of(kLightAccount)) >= 0.8);
+  CHECK(shared.Of(kHeavyAccount).in_time > 0);
   CHECK(shared.IdleSteps() == 0);
 }
 
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -9,24 +9,25 @@
 namespace harecrank {
 namespace {
 
-const ServiceName kWriters{"writers"};
+const ServiceName kService{"writers"};
 constexpr int kEngines = 20;
 
-// Twenty engines that read 177 tokens a millisecond, and prompts as a day at
-// its worst brings them: short ones, and long ones that want sixteen engines.
+// Twenty engines that prefill 177 tokens per millisecond. The prompts are the
+// sizes of an overloaded fleet: short ones, and long ones that need sixteen
+// engines.
 class PlannerFixture {
  protected:
   PlannerFixture() {
     for (int i = 0; i < kEngines; ++i) {
       EndpointRecord record;
       record.id = EndpointId{"e" + std::to_string(i)};
-      record.service = kWriters;
+      record.service = kService;
       record.address = record.id.value + ":1";
       directory_.Upsert(record);
     }
     RoutingDocument document;
     document.version = RoutingVersion{1};
-    document.services = {testing::EngineService(kWriters)};
+    document.services = {testing::EngineService(kService)};
     for (const Millis gap : {Millis(300), Millis(1200)}) {
       RouteRule route;
       route.name = std::to_string(gap.count());
@@ -34,7 +35,7 @@
       route.path_prefix = "/" + route.name + "/";
       route.kind = RequestKind::kStreaming;
       route.target_gap = gap;
-      route.services = {WeightedService{kWriters, 1}};
+      route.services = {WeightedService{kService, 1}};
       document.routes.push_back(std::make_shared<const RouteRule>(route));
     }
     table_ = std::make_shared<const RoutingTable>(std::move(document));
@@ -45,60 +46,62 @@
     return std::make_unique<Planner>(
         &directory_, &health_, &start_shares_, DataCentreId{"a"},
         [this] { return table_; }, policy_, [this] { return now_; },
-        [this] { return drawn_ += 77; });
+        [this] { return random_state_ += 77; });
   }
 
-  PlacementQuery Short(int host) {
-    return Ask(host, 5000, Millis(400), Millis(300));
+  PlacementQuery ShortQuery(int host) {
+    return MakeQuery(host, 5000, Millis(400), Millis(300));
   }
-  PlacementQuery Long(int host, std::int64_t prompt = 220000) {
-    return Ask(host, prompt, Millis(4000), Millis(1200));
+  PlacementQuery LongQuery(int host, std::int64_t prompt = 220000) {
+    return MakeQuery(host, prompt, Millis(4000), Millis(1200));
   }
 
-  PlacementQuery Ask(int host, std::int64_t prompt, Millis target, Millis gap) {
-    PlacementQuery ask;
-    ask.host = HostAddress{"h" + std::to_string(host)};
-    ask.incarnation = Incarnation{1};
-    ask.id = QueryId{++last_id_};
-    ask.service = kWriters;
-    ask.target_latency = target;
-    ask.target_gap = gap;
-    ask.prompt = Tokens{prompt};
-    ask.answer = Tokens{900};
-    ask.until_late = target;
-    return ask;
+  PlacementQuery MakeQuery(int host, std::int64_t prompt, Millis target,
+                           Millis gap) {
+    PlacementQuery query;
+    query.host = HostAddress{"h" + std::to_string(host)};
+    query.incarnation = Incarnation{1};
+    query.id = QueryId{++last_id_};
+    query.service = kService;
+    query.target_latency = target;
+    query.target_gap = gap;
+    query.prompt = Tokens{prompt};
+    query.answer = Tokens{900};
+    query.until_late = target;
+    return query;
   }
 
-  void End(const PlacementQuery& ask) {
+  void EndRequest(const PlacementQuery& query) {
     planner_->OnProgressReport(ProgressReport{
-        ask.host, ask.incarnation, {}, {RequestDone{ask.id, false}}});
+        query.host, query.incarnation, {}, {RequestDone{query.id, false}}});
   }
 
-  // Returns the account of a host that has under way what `asks` were given.
-  static Heartbeat AccountOf(
-      const std::vector<std::pair<PlacementQuery, PlannedPlacement>>& asks) {
-    Heartbeat word;
-    word.address = asks.front().first.host;
-    word.incarnation = asks.front().first.incarnation;
-    word.work.emplace();
-    for (const auto& [ask, placed] : asks) {
+  // Returns a heartbeat with the work of the placed `queries`, which must be of
+  // one host.
+  static Heartbeat HeartbeatWithWork(
+      const std::vector<std::pair<PlacementQuery, PlannedPlacement>>& queries) {
+    Heartbeat heartbeat;
+    heartbeat.address = queries.front().first.host;
+    heartbeat.incarnation = queries.front().first.incarnation;
+    heartbeat.work.emplace();
+    for (const auto& [query, placed] : queries) {
       QueryWork work;
-      work.id = ask.id;
+      work.id = query.id;
       work.parts.push_back(WorkPart{placed.endpoint, placed.work_class,
-                                    placed.prefill_time, ask.prompt,
-                                    ask.target_gap});
+                                    placed.prefill_time, query.prompt,
+                                    query.target_gap});
       for (const PlannedHelper& helper : placed.helpers) {
         work.parts.push_back(WorkPart{helper.endpoint, WorkClass::kHelper,
                                       placed.prefill_time, helper.held,
                                       Millis(0)});
       }
-      word.work->push_back(std::move(work));
+      heartbeat.work->push_back(std::move(work));
     }
-    return word;
+    return heartbeat;
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  std::uint64_t drawn_ = 0;
+  std::uint64_t random_state_ = 0;
   std::uint64_t last_id_ = 0;
   PlacementPolicy policy_;
   EndpointDirectory directory_{[this] { return now_; }};
@@ -112,14 +115,16 @@
   std::unique_ptr<Planner> planner_;
 };
 
-// A hundred hosts that know each other's work 0.1 s late put the wave on the
-// engine that looked free first: it then had 2.9 times the mean.
-TEST_CASE_METHOD(PlannerFixture,
-                 "A wave of short prompts from as many hosts is laid evenly") {
+// Hosts that know each other's work with a delay of 0.1 s all choose the engine
+// that looks idle first. A burst from a hundred hosts then gives that engine
+// 2.9 times the average load. The planner must spread such a burst.
+TEST_CASE_METHOD(
+    PlannerFixture,
+    "A burst of short prompts from a hundred hosts is spread evenly") {
   std::map<EndpointId, int> members;
   for (int host = 0; host < 100; ++host) {
     const auto placed =
-        std::get<PlannedPlacement>(planner_->OnQuery(Short(host)));
+        std::get<PlannedPlacement>(planner_->OnQuery(ShortQuery(host)));
     ++members[placed.endpoint];
   }
   for (const auto& [endpoint, count] : members) {
@@ -127,12 +132,13 @@
   }
 }
 
-TEST_CASE_METHOD(PlannerFixture,
-                 "Two long prompts of different hosts never share a reader") {
+TEST_CASE_METHOD(
+    PlannerFixture,
+    "Two long prompts of different hosts never share a prefill engine") {
   const auto first =
-      std::get<PlannedPlacement>(planner_->OnQuery(Long(1, 45000)));
+      std::get<PlannedPlacement>(planner_->OnQuery(LongQuery(1, 45000)));
   const auto second =
-      std::get<PlannedPlacement>(planner_->OnQuery(Long(2, 45000)));
+      std::get<PlannedPlacement>(planner_->OnQuery(LongQuery(2, 45000)));
   std::set<EndpointId> readers{first.endpoint};
   for (const PlannedHelper& helper : first.helpers) {
     readers.insert(helper.endpoint);
@@ -143,133 +149,133 @@
   }
 }
 
-TEST_CASE_METHOD(PlannerFixture,
-                 "A prompt that finds all engines reading waits, and starts "
-                 "when they have read") {
-  const PlacementQuery first = Long(1);
+TEST_CASE_METHOD(
+    PlannerFixture,
+    "A prompt waits while all engines prefill, and starts when they are done") {
+  const PlacementQuery first = LongQuery(1);
   REQUIRE(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(first)));
-  const PlacementQuery second = Long(2);
+  const PlacementQuery second = LongQuery(2);
   REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(second)));
   CHECK(planner_->ProcessWaitQueue().empty());
   planner_->OnProgressReport(ProgressReport{
       first.host, first.incarnation, {PrefillDone{first.id, 1}}, {}});
-  const auto due = planner_->ProcessWaitQueue();
-  REQUIRE(due.size() == 1);
-  CHECK(due.front().host == second.host);
-  CHECK(due.front().id == second.id);
-  CHECK(std::holds_alternative<PlannedPlacement>(due.front().decision));
+  const auto replies = planner_->ProcessWaitQueue();
+  REQUIRE(replies.size() == 1);
+  CHECK(replies.front().host == second.host);
+  CHECK(replies.front().id == second.id);
+  CHECK(std::holds_alternative<PlannedPlacement>(replies.front().decision));
   CHECK(planner_->WaitingCount() == 0);
 }
 
 TEST_CASE_METHOD(PlannerFixture,
-                 "Of two that wait the one with less time to spare starts "
-                 "first") {
-  const PlacementQuery first = Long(1);
+                 "Of two queued prompts the one with less slack starts first") {
+  const PlacementQuery first = LongQuery(1);
   planner_->OnQuery(first);
-  const PlacementQuery patient = Long(2);
-  planner_->OnQuery(patient);
-  PlacementQuery pressed = Long(3);
-  pressed.until_late = FractionalMillis(2000);
-  planner_->OnQuery(pressed);
+  const PlacementQuery less_urgent = LongQuery(2);
+  planner_->OnQuery(less_urgent);
+  PlacementQuery more_urgent = LongQuery(3);
+  more_urgent.until_late = FractionalMillis(2000);
+  planner_->OnQuery(more_urgent);
   planner_->OnProgressReport(ProgressReport{
       first.host, first.incarnation, {PrefillDone{first.id, 1}}, {}});
-  const auto due = planner_->ProcessWaitQueue();
-  REQUIRE_FALSE(due.empty());
-  CHECK(due.front().id == pressed.id);
+  const auto replies = planner_->ProcessWaitQueue();
+  REQUIRE_FALSE(replies.empty());
+  CHECK(replies.front().id == more_urgent.id);
 }
 
-TEST_CASE_METHOD(PlannerFixture,
-                 "The same ask once more gets the same answer and no second "
-                 "place") {
-  const PlacementQuery ask = Long(1);
-  const auto first = std::get<PlannedPlacement>(planner_->OnQuery(ask));
-  const auto again = std::get<PlannedPlacement>(planner_->OnQuery(ask));
-  CHECK(first.endpoint == again.endpoint);
-  End(ask);
-  // All of it is free again.
-  CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(Long(2))));
+TEST_CASE_METHOD(
+    PlannerFixture,
+    "A repeated query gets the same reply and no second placement") {
+  const PlacementQuery query = LongQuery(1);
+  const auto first = std::get<PlannedPlacement>(planner_->OnQuery(query));
+  const auto repeated = std::get<PlannedPlacement>(planner_->OnQuery(query));
+  CHECK(first.endpoint == repeated.endpoint);
+  EndRequest(query);
+  // The engines of the first query are idle again.
+  CHECK(std::holds_alternative<PlannedPlacement>(
+      planner_->OnQuery(LongQuery(2))));
 }
 
 TEST_CASE_METHOD(PlannerFixture,
-                 "A prompt is refused at once where one that takes no longer "
-                 "can no longer be in time") {
-  planner_->OnQuery(Long(1));
-  PlacementQuery late = Long(2);
+                 "A prompt is rejected at once if a queued one of no greater "
+                 "length can no longer meet its target") {
+  planner_->OnQuery(LongQuery(1));
+  PlacementQuery late = LongQuery(2);
   late.until_late = FractionalMillis(-1);
   REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(late)));
   CHECK(std::holds_alternative<QueryRejected>(
-      planner_->OnQuery(Long(3, 230000))));
-  // One that an endpoint may have run is never told that it was not.
-  PlacementQuery started = Long(3, 230000);
-  started.may_have_run = true;
-  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(started)));
+      planner_->OnQuery(LongQuery(3, 230000))));
+  // A request that an endpoint may have run cannot be rejected as not executed.
+  PlacementQuery resumed = LongQuery(3, 230000);
+  resumed.may_have_run = true;
+  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(resumed)));
 }
 
 TEST_CASE_METHOD(PlannerFixture,
-                 "A planner that is new learns from the hosts what is under "
-                 "way") {
-  const PlacementQuery first = Long(1);
+                 "A new planner learns the active work from heartbeats") {
+  const PlacementQuery first = LongQuery(1);
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(first));
   planner_ = MakePlanner();
-  planner_->OnHeartbeat(AccountOf({{first, placed}}));
-  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Long(2))));
+  planner_->OnHeartbeat(HeartbeatWithWork({{first, placed}}));
+  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(LongQuery(2))));
 }
 
 TEST_CASE_METHOD(PlannerFixture,
-                 "A planner that is new gives no place before it has learnt "
-                 "what is under way, and then all that can be given") {
-  const PlacementQuery first = Long(1);
+                 "A new planner places nothing during its learning period, and "
+                 "then every query that it can") {
+  const PlacementQuery first = LongQuery(1);
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(first));
   planner_ = MakePlanner();
   planner_->Begin({first.host, HostAddress{"silent"}});
-  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Long(2))));
-  constexpr int kMore = 12;
-  for (int i = 0; i < kMore; ++i) {
-    CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Short(3))));
+  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(LongQuery(2))));
+  constexpr int kShortPrompts = 12;
+  for (int i = 0; i < kShortPrompts; ++i) {
+    CHECK(
+        std::holds_alternative<QueryQueued>(planner_->OnQuery(ShortQuery(3))));
   }
-  planner_->OnHeartbeat(AccountOf({{first, placed}}));
+  planner_->OnHeartbeat(HeartbeatWithWork({{first, placed}}));
   CHECK(planner_->ProcessWaitQueue().empty());
-  // One that does not answer is not waited for.
+  // The host that does not report is waited for only this long.
   now_ += Planner::kLearningPeriod;
-  CHECK(planner_->ProcessWaitQueue().size() == kMore);
+  CHECK(planner_->ProcessWaitQueue().size() == kShortPrompts);
   CHECK(planner_->WaitingCount() == 1);
 }
 
 TEST_CASE_METHOD(PlannerFixture,
-                 "A planner that all hosts have told goes on at once") {
+                 "The learning period ends when all hosts have reported") {
   planner_->Begin({HostAddress{"h1"}});
-  const PlacementQuery ask = Short(1);
-  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(ask)));
-  Heartbeat nothing;
-  nothing.address = ask.host;
-  nothing.incarnation = ask.incarnation;
-  nothing.work.emplace();
-  planner_->OnHeartbeat(nothing);
+  const PlacementQuery query = ShortQuery(1);
+  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(query)));
+  Heartbeat no_work;
+  no_work.address = query.host;
+  no_work.incarnation = query.incarnation;
+  no_work.work.emplace();
+  planner_->OnHeartbeat(no_work);
   CHECK(planner_->ProcessWaitQueue().size() == 1);
 }
 
 TEST_CASE_METHOD(PlannerFixture,
-                 "A place that its host does not tell of is free again, but "
-                 "not before the host can have told") {
-  const PlacementQuery taken = Long(1);
+                 "A placement that is missing from its host's heartbeat is "
+                 "released after the grace period") {
+  const PlacementQuery taken = LongQuery(1);
   const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(taken));
-  Heartbeat nothing = AccountOf({{taken, placed}});
-  nothing.work->clear();
-  planner_->OnHeartbeat(nothing);
-  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Long(2))));
+  Heartbeat no_work = HeartbeatWithWork({{taken, placed}});
+  no_work.work->clear();
+  planner_->OnHeartbeat(no_work);
+  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(LongQuery(2))));
   now_ += Planner::kHeartbeatGrace + Millis(1);
-  planner_->OnHeartbeat(nothing);
+  planner_->OnHeartbeat(no_work);
   CHECK(planner_->ProcessWaitQueue().size() == 1);
 }
 
 TEST_CASE_METHOD(PlannerFixture,
-                 "What silent and restarted hosts had under way is forgotten") {
-  planner_->OnQuery(Long(1));
-  PlacementQuery waits = Long(2);
-  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(waits)));
-  PlacementQuery reborn = Long(1);
-  reborn.incarnation = Incarnation{2};
-  CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(reborn)));
+                 "The work of silent and restarted hosts is dropped") {
+  planner_->OnQuery(LongQuery(1));
+  PlacementQuery queued = LongQuery(2);
+  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(queued)));
+  PlacementQuery restarted = LongQuery(1);
+  restarted.incarnation = Incarnation{2};
+  CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(restarted)));
   now_ += Planner::kHostTimeout + Millis(1);
   planner_->RemoveSilentHosts();
   CHECK(planner_->HostCount() == 0);
@@ -277,54 +283,56 @@
 }
 
 TEST_CASE_METHOD(PlannerFixture,
-                 "An ask that waits and is not repeated was given up") {
-  planner_->OnQuery(Long(1));
-  const PlacementQuery waits = Long(2);
-  planner_->OnQuery(waits);
-  Heartbeat alive;
-  alive.address = waits.host;
-  alive.incarnation = waits.incarnation;
-  alive.work.emplace();
-  planner_->OnHeartbeat(alive);
+                 "A queued query that is not repeated times out") {
+  planner_->OnQuery(LongQuery(1));
+  const PlacementQuery queued = LongQuery(2);
+  planner_->OnQuery(queued);
+  Heartbeat no_work;
+  no_work.address = queued.host;
+  no_work.incarnation = queued.incarnation;
+  no_work.work.emplace();
+  planner_->OnHeartbeat(no_work);
   CHECK(planner_->WaitingCount() == 1);
   now_ += Planner::kQueryTimeout + Millis(1);
-  planner_->OnHeartbeat(alive);
+  planner_->OnHeartbeat(no_work);
   CHECK(planner_->WaitingCount() == 0);
 }
 
 TEST_CASE_METHOD(PlannerFixture,
-                 "An endpoint that failed a host's requests is left alone for "
-                 "all") {
-  const PlacementQuery ask = Short(1);
-  const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(ask));
-  End(ask);
+                 "An endpoint that fails the requests of one host is avoided "
+                 "for all hosts") {
+  const PlacementQuery query = ShortQuery(1);
+  const auto placed = std::get<PlannedPlacement>(planner_->OnQuery(query));
+  EndRequest(query);
   for (int i = 0; i < 10; ++i) {
-    PlacementQuery again = Short(1);
-    planner_->OnQuery(again);
+    PlacementQuery failed = ShortQuery(1);
+    planner_->OnQuery(failed);
     planner_->OnProgressReport(ProgressReport{
-        again.host, again.incarnation, {}, {RequestDone{again.id, true}}});
+        failed.host, failed.incarnation, {}, {RequestDone{failed.id, true}}});
   }
-  const auto later = std::get<PlannedPlacement>(planner_->OnQuery(Short(2)));
+  const auto later =
+      std::get<PlannedPlacement>(planner_->OnQuery(ShortQuery(2)));
   CHECK(later.endpoint != placed.endpoint);
 }
 
 TEST_CASE_METHOD(PlannerFixture, "An unknown service has no endpoint") {
-  PlacementQuery ask = Short(1);
-  ask.service = ServiceName{"none"};
-  CHECK(std::holds_alternative<NoEndpoint>(planner_->OnQuery(ask)));
+  PlacementQuery query = ShortQuery(1);
+  query.service = ServiceName{"none"};
+  CHECK(std::holds_alternative<NoEndpoint>(planner_->OnQuery(query)));
 }
 
-// After a stop of all hosts callers come back within half a second. With all of
-// them placed at once every first event came at 400 ms and later, since all
-// that enters one pass is answered at its end.
+// After a restart of all hosts, callers reconnect within half a second. All
+// prompts that enter one pass get their first event at its end, so placing the
+// whole burst at once delays every first event to 400 ms or more. The planner
+// must place only as many as meet the target.
 TEST_CASE_METHOD(PlannerFixture,
-                 "Of a wave that no fleet brings in time as a whole, as many "
-                 "are placed as are in time, and the rest wait for a pass") {
+                 "Of a burst that is too large to meet its target, only the "
+                 "prompts that do are placed, and the rest wait") {
   constexpr int kWave = 300;
   int placed = 0;
   int waiting = 0;
   for (int host = 0; host < kWave; ++host) {
-    const PlacementDecision decision = planner_->OnQuery(Short(host));
+    const PlacementDecision decision = planner_->OnQuery(ShortQuery(host));
     if (const auto* place = std::get_if<PlannedPlacement>(&decision)) {
       ++placed;
       CHECK(place->first_event <= FractionalMillis(400));
@@ -340,151 +348,158 @@
 
 TEST_CASE_METHOD(
     PlannerFixture,
-    "Without waiting a wave is placed whole, and most of it late") {
+    "Without waiting, all prompts of a burst are placed, and most are late") {
   policy_.short_waits = false;
   planner_ = MakePlanner();
   int late = 0;
   for (int host = 0; host < 300; ++host) {
     const auto place =
-        std::get<PlannedPlacement>(planner_->OnQuery(Short(host)));
+        std::get<PlannedPlacement>(planner_->OnQuery(ShortQuery(host)));
     late += place.first_event > FractionalMillis(400) ? 1 : 0;
   }
   CHECK(late > 100);
 }
 
-TEST_CASE_METHOD(PlannerFixture,
-                 "A short prompt that waits is refused when it has been late "
-                 "for as long as its target") {
+TEST_CASE_METHOD(
+    PlannerFixture,
+    "A queued short prompt is rejected when it is late by its latency target") {
   std::vector<PlacementQuery> waiting;
   for (int host = 0; host < 300; ++host) {
-    const PlacementQuery ask = Short(host);
-    if (std::holds_alternative<QueryQueued>(planner_->OnQuery(ask))) {
-      waiting.push_back(ask);
+    const PlacementQuery query = ShortQuery(host);
+    if (std::holds_alternative<QueryQueued>(planner_->OnQuery(query))) {
+      waiting.push_back(query);
     }
   }
   REQUIRE_FALSE(waiting.empty());
   now_ += Millis(2 * 400 + 1);
-  std::size_t refused = 0;
-  for (const DeferredReply& due : planner_->ProcessWaitQueue()) {
-    refused += std::holds_alternative<QueryRejected>(due.decision) ? 1 : 0;
+  std::size_t rejected = 0;
+  for (const DeferredReply& reply : planner_->ProcessWaitQueue()) {
+    rejected += std::holds_alternative<QueryRejected>(reply.decision) ? 1 : 0;
   }
-  CHECK(refused == waiting.size());
+  CHECK(rejected == waiting.size());
   CHECK(planner_->WaitingCount() == 0);
 }
 
-TEST_CASE_METHOD(PlannerFixture,
-                 "A short prompt that an endpoint may have run is placed even "
-                 "in a wave") {
+TEST_CASE_METHOD(
+    PlannerFixture,
+    "A short prompt that an endpoint may have run is placed even in a burst") {
   for (int host = 0; host < 300; ++host) {
-    planner_->OnQuery(Short(host));
+    planner_->OnQuery(ShortQuery(host));
   }
-  PlacementQuery resumed = Short(1);
+  PlacementQuery resumed = ShortQuery(1);
   resumed.may_have_run = true;
   CHECK(std::holds_alternative<PlannedPlacement>(planner_->OnQuery(resumed)));
 }
 
-TEST_CASE_METHOD(PlannerFixture,
-                 "An endpoint is passed over for the host that may begin "
-                 "nothing there") {
-  const auto first = std::get<PlannedPlacement>(planner_->OnQuery(Short(1)));
+TEST_CASE_METHOD(
+    PlannerFixture,
+    "An endpoint is skipped for a host that has no start quota there") {
+  const auto first =
+      std::get<PlannedPlacement>(planner_->OnQuery(ShortQuery(1)));
   planner_ = MakePlanner();
-  const auto same = std::get<PlannedPlacement>(planner_->OnQuery(Short(2)));
+  const auto same =
+      std::get<PlannedPlacement>(planner_->OnQuery(ShortQuery(2)));
   CHECK(same.endpoint == first.endpoint);
   planner_ = MakePlanner();
-  PlacementQuery ask = Short(3);
-  ask.withheld = {first.endpoint};
-  const auto other = std::get<PlannedPlacement>(planner_->OnQuery(ask));
+  PlacementQuery query = ShortQuery(3);
+  query.withheld = {first.endpoint};
+  const auto other = std::get<PlannedPlacement>(planner_->OnQuery(query));
   CHECK_FALSE(other.endpoint == first.endpoint);
 }
 
-// Asks that tell what room is foreseen by, on engines that all read for long.
-class TurnedAwayFixture : public PlannerFixture {
+// Queries that carry a fingerprint and a deadline, so that admission control
+// applies, on engines that are all busy for a long time.
+class RejectionFixture : public PlannerFixture {
  protected:
-  TurnedAwayFixture() {
+  RejectionFixture() {
     policy_.foresees_room = true;
     planner_ = MakePlanner();
   }
 
-  PlacementQuery Told(PlacementQuery ask, std::uint64_t request) {
-    ask.until_deadline = FractionalMillis(15000);
-    ask.origin.request = RequestFingerprint{AccountId{"press"}, request, 1};
-    return ask;
+  PlacementQuery WithFingerprint(PlacementQuery query, std::uint64_t request) {
+    query.until_deadline = FractionalMillis(15000);
+    query.origin.request = RequestFingerprint{AccountId{"press"}, request, 1};
+    return query;
   }
 
-  // Lets so many long prompts come that the next is turned away.
-  void Flood() {
-    constexpr int kMany = 60;
-    for (int i = 0; i < kMany; ++i) {
-      planner_->OnQuery(Told(Long(i), ++strangers_));
+  // Queues enough long prompts that the next one is rejected.
+  void FillQueue() {
+    constexpr int kPrompts = 60;
+    for (int i = 0; i < kPrompts; ++i) {
+      planner_->OnQuery(WithFingerprint(LongQuery(i), ++other_requests_));
     }
   }
 
-  // Returns when `ask` is told to return in a flood.
-  Millis TurnAway(const PlacementQuery& ask) {
-    Flood();
-    return std::get<QueryRejected>(planner_->OnQuery(ask)).retry_after.value();
+  // Returns the retry time of `query` when it is rejected in an overload.
+  Millis RejectInOverload(const PlacementQuery& query) {
+    FillQueue();
+    return std::get<QueryRejected>(planner_->OnQuery(query))
+        .retry_after.value();
   }
 
-  PlacementQuery Return(PlacementQuery ask) {
-    ask.id = QueryId{++last_id_};
-    ask.until_deadline = FractionalMillis(9000);
-    return ask;
+  PlacementQuery MakeRetry(PlacementQuery query) {
+    query.id = QueryId{++last_id_};
+    query.until_deadline = FractionalMillis(9000);
+    return query;
   }
 
-  std::uint64_t strangers_ = 100;
+  std::uint64_t other_requests_ = 100;
 };
 
-TEST_CASE_METHOD(TurnedAwayFixture,
-                 "Who is turned away and returns when it was told to is not "
-                 "turned away again, and a stranger is") {
-  const PlacementQuery ask = Told(Long(1), 1);
-  const Millis after = TurnAway(ask);
+TEST_CASE_METHOD(RejectionFixture,
+                 "A rejected caller that retries at the given time is not "
+                 "rejected again, while a new caller is") {
+  const PlacementQuery query = WithFingerprint(LongQuery(1), 1);
+  const Millis after = RejectInOverload(query);
   CHECK(after <= Millis(5000));
-  // Sooner it gains nothing: the same time is told again.
+  // An early retry is told the same time again.
   now_ += Millis(100);
-  const auto sooner = planner_->OnQuery(Return(ask));
-  CHECK(std::get<QueryRejected>(sooner).retry_after == after - Millis(100));
+  const auto early_retry = planner_->OnQuery(MakeRetry(query));
+  CHECK(std::get<QueryRejected>(early_retry).retry_after ==
+        after - Millis(100));
   CHECK(planner_->ReservationCount() > 0);
   now_ += after - Millis(100);
-  Flood();
-  CHECK(std::holds_alternative<QueryQueued>(planner_->OnQuery(Return(ask))));
+  FillQueue();
+  CHECK(
+      std::holds_alternative<QueryQueued>(planner_->OnQuery(MakeRetry(query))));
   CHECK(std::holds_alternative<QueryRejected>(
-      planner_->OnQuery(Return(Told(Long(2), 2)))));
+      planner_->OnQuery(MakeRetry(WithFingerprint(LongQuery(2), 2)))));
 }
 
-TEST_CASE_METHOD(TurnedAwayFixture,
-                 "A planner that is replaced between refusal and return has "
-                 "forgotten the promise and serves who returns as any other") {
-  const PlacementQuery ask = Told(Long(1), 1);
-  now_ += TurnAway(ask);
+TEST_CASE_METHOD(RejectionFixture,
+                 "A new planner does not know the reservations of its "
+                 "predecessor and serves a retry as a new request") {
+  const PlacementQuery query = WithFingerprint(LongQuery(1), 1);
+  now_ += RejectInOverload(query);
   planner_ = MakePlanner();
   CHECK(planner_->ReservationCount() == 0);
-  CHECK(
-      std::holds_alternative<PlannedPlacement>(planner_->OnQuery(Return(ask))));
+  CHECK(std::holds_alternative<PlannedPlacement>(
+      planner_->OnQuery(MakeRetry(query))));
 }
 
-TEST_CASE_METHOD(TurnedAwayFixture,
-                 "Who was promised room that is lost since waits while it can "
-                 "be served, and is told at once when it can not") {
-  const PlacementQuery ask = Told(Long(1), 1);
-  now_ += TurnAway(ask);
+TEST_CASE_METHOD(RejectionFixture,
+                 "A caller whose reserved capacity was lost waits while it can "
+                 "be served, and is rejected when it cannot") {
+  const PlacementQuery query = WithFingerprint(LongQuery(1), 1);
+  now_ += RejectInOverload(query);
   for (int i = 0; i + 1 < kEngines; ++i) {
     EndpointRecord lost;
     lost.id = EndpointId{"e" + std::to_string(i)};
-    lost.service = kWriters;
+    lost.service = kService;
     lost.address = lost.id.value + ":1";
     lost.draining = true;
     directory_.Upsert(lost);
   }
-  const PlacementQuery returned = Return(ask);
-  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(returned)));
+  const PlacementQuery retry = MakeRetry(query);
+  REQUIRE(std::holds_alternative<QueryQueued>(planner_->OnQuery(retry)));
   now_ += Millis(8800);
-  bool is_told = false;
-  for (const DeferredReply& due : planner_->ProcessWaitQueue()) {
-    is_told = is_told || (due.id == returned.id &&
-                          std::holds_alternative<QueryRejected>(due.decision));
+  bool is_rejected = false;
+  for (const DeferredReply& reply : planner_->ProcessWaitQueue()) {
+    is_rejected =
+        is_rejected || (reply.id == retry.id &&
+                        std::holds_alternative<QueryRejected>(reply.decision));
   }
-  CHECK(is_told);
+  CHECK(is_rejected);
 }
 
 }  // namespace
