--- a/src/core/placement_test.cc
+++ b/src/core/placement_test.cc
@@ -8,8 +8,8 @@
 namespace harecrank {
 namespace {
 
-const ServiceName kWriters{"writers"};
-const ServiceName kPages{"pages"};
+const ServiceName kEngineService{"writers"};
+const ServiceName kPlainService{"pages"};
 constexpr int kEngines = 12;
 
 EngineProfile Engine() {
@@ -30,13 +30,13 @@
  protected:
   PlacementFixture() {
     for (int i = 0; i < kEngines; ++i) {
-      Add(kWriters, "e" + std::to_string(i), "a");
+      Add(kEngineService, "e" + std::to_string(i), "a");
     }
-    Add(kPages, "p0", "a");
-    Add(kPages, "p1", "b");
-    engines_.name = kWriters;
-    engines_.engine = Engine();
-    pages_.name = kPages;
+    Add(kPlainService, "p0", "a");
+    Add(kPlainService, "p1", "b");
+    engine_service_.name = kEngineService;
+    engine_service_.engine = Engine();
+    plain_service_.name = kPlainService;
     short_route_.target_latency = Millis(300);
     short_route_.target_gap = Millis(250);
     long_route_.target_latency = Millis(3000);
@@ -57,7 +57,7 @@
     PlacementRequest request;
     request.target_latency = route.target_latency;
     request.target_gap = route.target_gap;
-    request.service = &engines_;
+    request.service = &engine_service_;
     request.prompt = Tokens{prompt};
     request.answer = Tokens{1500};
     request.tightest_gap = Millis(250);
@@ -69,7 +69,7 @@
     return placer_.Choose(RequestOf(route, prompt));
   }
 
-  // Places as a host does, and keeps the load.
+  // Places a request and records its load.
   Placement Place(const RouteRule& route, std::int64_t prompt) {
     Placement placement = std::get<Placement>(Choose(route, prompt));
     for (const WorkPart& part : PartsOf(placement, RequestOf(route, prompt))) {
@@ -79,43 +79,45 @@
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  std::uint64_t drawn_ = 0;
+  std::uint64_t random_state_ = 0;
   EndpointDirectory directory_{[this] { return now_; }};
   EndpointLoads loads_{[this] { return now_; }};
   EndpointHealth health_{[this] { return now_; }};
-  int hosts_ = 3;
+  int placing_hosts_ = 3;
   Placer placer_{&directory_,
                  &loads_,
                  &health_,
                  DataCentreId{"a"},
                  LoadScope::kAllHosts,
-                 [this] { return hosts_; },
+                 [this] { return placing_hosts_; },
                  PlacementPolicy{},
-                 [this] { return drawn_ += 0x9e3779b97f4a7c15; }};
-  ServiceProfile engines_;
-  ServiceProfile pages_;
+                 [this] { return random_state_ += 0x9e3779b97f4a7c15; }};
+  ServiceProfile engine_service_;
+  ServiceProfile plain_service_;
   RouteRule short_route_;
   RouteRule long_route_;
 };
 
 TEST_CASE_METHOD(PlacementFixture, "Short requests are packed, not spread") {
-  std::set<EndpointId> used;
+  std::set<EndpointId> engines_used;
   for (int i = 0; i < 8; ++i) {
-    used.insert(Place(short_route_, 2000).endpoint.id);
+    engines_used.insert(Place(short_route_, 2000).endpoint.id);
   }
-  CHECK(used.size() <= 3);
+  CHECK(engines_used.size() <= 3);
 }
 
-TEST_CASE_METHOD(PlacementFixture,
-                 "The more hosts place unseen, the wider they spread") {
-  // How many engines are packed is another question than how wide they spread.
+TEST_CASE_METHOD(
+    PlacementFixture,
+    "More hosts that place independently spread their requests more widely") {
+  // Fixes the number of reserved engines, so that only the jitter varies.
   PlacementPolicy policy;
   policy.short_share_of_slots = 0.6;
   const Placer placer(
       &directory_, &loads_, &health_, DataCentreId{"a"}, LoadScope::kAllHosts,
-      [this] { return hosts_; }, policy,
-      [this] { return drawn_ += 0x9e3779b97f4a7c15; });
-  // As many as most engines take, each with more to read than the last.
+      [this] { return placing_hosts_; }, policy,
+      [this] { return random_state_ += 0x9e3779b97f4a7c15; });
+  // Enough short requests that most engines are reserved for them. Each engine
+  // has a longer backlog than the one before.
   const FractionalMillis step(6);
   for (int i = 0; i < kEngines; ++i) {
     for (int member = 0; member < 8; ++member) {
@@ -125,10 +127,10 @@
            Tokens{2000}, short_route_.target_gap});
     }
   }
-  // No wave of them arrives just now, which would spread them by itself.
+  // Lets the arrival rate fall to zero, since it widens the jitter as well.
   now_ += EndpointLoads::kRateWindow + Millis(1);
-  const auto used = [this, &placer](int hosts) {
-    hosts_ = hosts;
+  const auto engines_used = [this, &placer](int hosts) {
+    placing_hosts_ = hosts;
     std::set<EndpointId> chosen;
     for (int i = 0; i < 40; ++i) {
       const PlacementResult result =
@@ -137,30 +139,31 @@
     }
     return chosen.size();
   };
-  CHECK(used(1) == 1);
-  CHECK(used(3) <= 3);
-  CHECK(used(21) >= 5);
+  CHECK(engines_used(1) == 1);
+  CHECK(engines_used(3) <= 3);
+  CHECK(engines_used(21) >= 5);
 }
 
-TEST_CASE_METHOD(PlacementFixture,
-                 "Large parts keep off engines with short requests while there "
-                 "is time") {
-  std::set<EndpointId> with_short;
+TEST_CASE_METHOD(
+    PlacementFixture,
+    "Large parts avoid engines with short requests while there is time") {
+  std::set<EndpointId> short_engines;
   for (int i = 0; i < kEngines / 3; ++i) {
     const EndpointId id{"e" + std::to_string(i)};
     loads_.Begin({id, WorkClass::kShort, FractionalMillis(0), Tokens{2000},
                   short_route_.target_gap});
-    with_short.insert(id);
+    short_engines.insert(id);
   }
   const auto placement = std::get<Placement>(Choose(long_route_, 154000));
-  CHECK(with_short.count(placement.endpoint.id) == 0);
+  CHECK(short_engines.count(placement.endpoint.id) == 0);
   for (const PrefillHelper& helper : placement.helpers) {
-    CHECK(with_short.count(helper.record.id) == 0);
+    CHECK(short_engines.count(helper.record.id) == 0);
   }
 }
 
 TEST_CASE_METHOD(PlacementFixture,
-                 "Parts are laid as far from short requests as can be") {
+                 "Parts are placed at the opposite end of the engine order "
+                 "from short requests") {
   std::vector<std::string> order;
   order.reserve(kEngines);
   for (int i = 0; i < kEngines; ++i) {
@@ -183,8 +186,8 @@
 }
 
 TEST_CASE_METHOD(PlacementFixture,
-                 "A long prompt is read by many engines, none of which a "
-                 "short request uses") {
+                 "A long prompt is prefilled by many engines, none of which "
+                 "has short requests") {
   std::set<EndpointId> used_by_short;
   for (int i = 0; i < 4; ++i) {
     used_by_short.insert(Place(short_route_, 2000).endpoint.id);
@@ -198,38 +201,40 @@
   }
 }
 
-TEST_CASE_METHOD(PlacementFixture,
-                 "A second long prompt waits until the first has been read") {
+TEST_CASE_METHOD(
+    PlacementFixture,
+    "A second long prompt waits until the prefill of the first is done") {
   Place(long_route_, 250000);
   CHECK(std::holds_alternative<EnginesBusy>(Choose(long_route_, 250000)));
-  // Its prediction has run out, but no first event has come.
+  // The predicted time has passed, but the first event has not come.
   now_ += Millis(5000);
   CHECK(std::holds_alternative<EnginesBusy>(Choose(long_route_, 250000)));
 }
 
 TEST_CASE_METHOD(PlacementFixture,
-                 "A short request avoids engines that read a long prompt") {
+                 "A short request avoids engines that prefill a long prompt") {
   const Placement long_one = Place(long_route_, 250000);
   const Placement short_one = Place(short_route_, 2000);
   CHECK(short_one.endpoint.id != long_one.endpoint.id);
   CHECK(short_one.first_event < FractionalMillis(150));
 }
 
-TEST_CASE_METHOD(PlacementFixture,
-                 "A prompt that no engine holds has its memory on helpers") {
+TEST_CASE_METHOD(
+    PlacementFixture,
+    "A prompt larger than an engine's memory keeps the rest on helpers") {
   const Placement placement = Place(long_route_, 420000);
   Tokens held;
   for (const PrefillHelper& helper : placement.helpers) {
     held = held + helper.held;
   }
   CHECK(Tokens{120000} < held);
-  CHECK(IsOversize(engines_, Tokens{420000}));
-  CHECK_FALSE(IsOversize(engines_, Tokens{200000}));
+  CHECK(IsOversize(engine_service_, Tokens{420000}));
+  CHECK_FALSE(IsOversize(engine_service_, Tokens{200000}));
 }
 
 TEST_CASE_METHOD(PlacementFixture,
-                 "A prompt that no engine holds keeps off engines where "
-                 "anything runs") {
+                 "A prompt larger than an engine's memory avoids engines with "
+                 "running requests") {
   for (int i = 0; i < kEngines; ++i) {
     loads_.Begin({EndpointId{"e" + std::to_string(i)}, WorkClass::kLong,
                   FractionalMillis(1), Tokens{1000}, long_route_.target_gap});
@@ -253,7 +258,7 @@
   PlacementRequest request;
   request.target_latency = short_route_.target_latency;
   request.target_gap = short_route_.target_gap;
-  request.service = &pages_;
+  request.service = &plain_service_;
   request.tried = {EndpointId{"p0"}};
   const PlacementResult second = placer_.Choose(request);
   CHECK(std::get<Placement>(second).endpoint.id == EndpointId{"p1"});
@@ -261,14 +266,14 @@
   CHECK(std::holds_alternative<NoEndpoint>(placer_.Choose(request)));
 }
 
-TEST_CASE_METHOD(PlacementFixture,
-                 "A plain request prefers its own data centre while that is "
-                 "no busier") {
+TEST_CASE_METHOD(
+    PlacementFixture,
+    "A plain request prefers its own data centre unless that is busier") {
   PlacementRequest request;
   request.target_latency = short_route_.target_latency;
   request.target_gap = short_route_.target_gap;
-  request.service = &pages_;
-  drawn_ = 0;
+  request.service = &plain_service_;
+  random_state_ = 0;
   loads_.Begin({EndpointId{"p0"}, WorkClass::kShort, FractionalMillis(0),
                 Tokens{0}, Millis(0)});
   loads_.Begin({EndpointId{"p0"}, WorkClass::kShort, FractionalMillis(0),
@@ -277,23 +282,24 @@
         EndpointId{"p1"});
 }
 
-// After a stop of the whole fleet all hosts see empty engines: packed onto the
-// first of them, a wave of short requests waits there for its own reading.
+// After a restart of the whole fleet all hosts see idle engines. If they packed
+// a burst of short requests onto the first engines, the requests would wait
+// there for each other's prefill.
 TEST_CASE_METHOD(PlacementFixture,
-                 "A wave of short requests is spread before it is known how "
-                 "many are under way") {
-  const auto used_in_a_wave = [this](int wave) {
-    std::set<EndpointId> used;
-    for (int i = 0; i < wave; ++i) {
+                 "A burst of short requests is spread before the number of "
+                 "active requests shows it") {
+  const auto engines_used = [this](int requests) {
+    std::set<EndpointId> chosen;
+    for (int i = 0; i < requests; ++i) {
       const Placement placement = Place(short_route_, 8000);
-      used.insert(placement.endpoint.id);
+      chosen.insert(placement.endpoint.id);
     }
-    return used.size();
+    return chosen.size();
   };
-  hosts_ = 5;
-  const std::size_t few = used_in_a_wave(2);
+  placing_hosts_ = 5;
+  const std::size_t few = engines_used(2);
   CHECK(few <= 2);
-  CHECK(used_in_a_wave(12) >= 8);
+  CHECK(engines_used(12) >= 8);
 }
 
 }  // namespace
--- a/src/core/prefill_group_test.cc
+++ b/src/core/prefill_group_test.cc
@@ -65,11 +65,12 @@
   std::vector<EngineCandidate> candidates_;
 };
 
-TEST_CASE_METHOD(PrefillGroupFixture,
-                 "No part pauses a stream beside it for longer than its gap") {
+TEST_CASE_METHOD(
+    PrefillGroupFixture,
+    "No part stalls a stream on its engine for longer than the stream's gap") {
   AddStreams(5, 1, FractionalMillis(600));
   AddStreams(4, 1, kTightestGap);
-  // Cut for four engines, a part takes 300 ms: too long for e4 alone.
+  // Split among four engines a part takes 300 ms, which e4 does not tolerate.
   prompt_.prefill_time = FractionalMillis(1200);
   prompt_.until_late = FractionalMillis(1000);
   const auto group = Choose();
@@ -80,13 +81,13 @@
 }
 
 TEST_CASE_METHOD(PrefillGroupFixture,
-                 "Long streams are written where others are, while the parts "
-                 "are harmless there") {
+                 "Long streams are decoded on engines with other long streams "
+                 "if those tolerate the part") {
   AddStreams(2, 1, FractionalMillis(600));
   const auto group = Choose();
   REQUIRE(group.has_value());
   CHECK(group->decode_engine.record->id.value == "e2");
-  // A prompt that needs a larger part than e2's stream bears goes elsewhere.
+  // A prompt whose parts are too large for e2's stream is placed elsewhere.
   prompt_.prefill_time = FractionalMillis(6000);
   prompt_.until_late = FractionalMillis(1800);
   const auto large = Choose();
@@ -94,8 +95,9 @@
   CHECK_FALSE(IsMember(*large, "e2"));
 }
 
-TEST_CASE_METHOD(PrefillGroupFixture,
-                 "A stream with a tight gap is written beside short requests") {
+TEST_CASE_METHOD(
+    PrefillGroupFixture,
+    "A stream with a tight gap is decoded on an engine with short requests") {
   candidates_[0].reserved_for_short = true;
   prompt_.prefill_time = FractionalMillis(150);
   prompt_.gap = kTightestGap;
@@ -104,8 +106,9 @@
   CHECK(group->decode_engine.record->id.value == "e0");
 }
 
-TEST_CASE_METHOD(PrefillGroupFixture,
-                 "Engines kept for short requests read small parts only") {
+TEST_CASE_METHOD(
+    PrefillGroupFixture,
+    "Engines reserved for short requests prefill small parts only") {
   for (std::size_t i = 0; i < 5; ++i) {
     candidates_[i].reserved_for_short = true;
   }
@@ -116,16 +119,16 @@
 }
 
 TEST_CASE_METHOD(PrefillGroupFixture,
-                 "An engine that has yet to read a part takes no other") {
+                 "An engine with a pending part takes no other") {
   for (EngineCandidate& candidate : candidates_) {
     candidate.load.pending_prefills = 1;
   }
   CHECK_FALSE(Choose().has_value());
 }
 
-// One that is late can no longer be in time, and read whole by one engine it
-// makes the next ones late.
-TEST_CASE_METHOD(PrefillGroupFixture, "A late prompt is cut like others") {
+// A late prompt cannot meet its target in any case. If one engine prefilled it
+// as a whole, it would make the prompts behind it late too.
+TEST_CASE_METHOD(PrefillGroupFixture, "A late prompt is split like any other") {
   for (std::size_t i = 1; i < 6; ++i) {
     candidates_[i].load.pending_prefills = 1;
   }
