--- a/src/core/endpoint_loads_test.cc
+++ b/src/core/endpoint_loads_test.cc
@@ -14,7 +14,9 @@
   EndpointLoads loads_{[this] { return now_; }};
 };
 
-TEST_CASE_METHOD(LoadsFixture, "A backlog adds up and runs out with time") {
+TEST_CASE_METHOD(
+    LoadsFixture,
+    "The backlog is the sum of the prefill times and shrinks over time") {
   loads_.Begin(
       {kEngine, WorkClass::kShort, FractionalMillis(30), Tokens{100}, kNoGap});
   loads_.Begin(
@@ -26,7 +28,7 @@
   CHECK(loads_.ShortRequests() == 2);
 }
 
-TEST_CASE_METHOD(LoadsFixture, "Work that has ended weighs nothing") {
+TEST_CASE_METHOD(LoadsFixture, "Work that has ended adds no load") {
   const WorkId id = loads_.Begin(
       {kEngine, WorkClass::kLong, FractionalMillis(300), Tokens{100}, kNoGap});
   loads_.End(id);
@@ -39,11 +41,11 @@
   CHECK(loads_.ShortRequests() == 0);
 }
 
-// Otherwise a host takes an engine for open when the prediction says so, while
-// the part is still being read.
+// If the count ended with the prediction, an engine that is still busy with a
+// long part would be given another one.
 TEST_CASE_METHOD(LoadsFixture,
-                 "A long part counts until its first event, and not until its "
-                 "prediction has run out") {
+                 "A long part is pending until its first event, even past its "
+                 "predicted end") {
   const WorkId id = loads_.Begin(
       {kEngine, WorkClass::kHelper, FractionalMillis(300), Tokens{0}, kNoGap});
   now_ += Millis(1000);
@@ -54,8 +56,7 @@
 }
 
 TEST_CASE_METHOD(LoadsFixture,
-                 "An engine's tightest gap is that of the streams that are "
-                 "still under way there") {
+                 "An engine's tightest gap is that of its active streams") {
   const WorkId tight =
       loads_.Begin({kEngine, WorkClass::kShort, FractionalMillis(10), Tokens{1},
                     Millis(250)});
@@ -67,7 +68,7 @@
 }
 
 TEST_CASE_METHOD(LoadsFixture,
-                 "The rate of short reading is that of the last moments") {
+                 "The rate of short prefill work covers the last window only") {
   CHECK(loads_.ShortPrefillRate() == 0);
   loads_.Begin(
       {kEngine, WorkClass::kShort, FractionalMillis(40), Tokens{1}, kNoGap});
--- a/src/core/group_reservation_test.cc
+++ b/src/core/group_reservation_test.cc
@@ -10,13 +10,14 @@
   return Segment{EndpointId{member}, Tokens{0}, Tokens{length}, Tokens{length}};
 }
 
-struct Fixture {
+struct GroupFixture {
   TimePoint now{};
   GroupReservation group{now + Millis(1000), [this] { return now; },
                          [] { return std::uint64_t{0}; }};
 };
 
-TEST_CASE_METHOD(Fixture, "A group is reserved once all members have agreed") {
+TEST_CASE_METHOD(GroupFixture,
+                 "A group is reserved once all members have agreed") {
   group.Begin({MakeSegment("a", 1), MakeSegment("b", 1)});
   CHECK(std::holds_alternative<WaitForMembers>(
       group.OnReserved(EndpointId{"a"})));
@@ -24,7 +25,8 @@
       std::holds_alternative<GroupReserved>(group.OnReserved(EndpointId{"b"})));
 }
 
-TEST_CASE_METHOD(Fixture, "One refusal gives back all that was reserved") {
+TEST_CASE_METHOD(GroupFixture,
+                 "One refusal releases all reservations of the round") {
   group.Begin({MakeSegment("a", 1), MakeSegment("b", 1)});
   group.OnReserved(EndpointId{"a"});
   const GroupStep step = group.OnRefused(EndpointId{"b"});
@@ -33,14 +35,16 @@
         std::vector<EndpointId>{EndpointId{"a"}});
 }
 
-TEST_CASE_METHOD(Fixture, "A group that runs out of time is refused") {
+TEST_CASE_METHOD(GroupFixture, "A group that runs out of time is refused") {
   group.Begin({MakeSegment("a", 1)});
   now += Millis(1000);
   CHECK(std::holds_alternative<GroupRefused>(group.OnRefused(EndpointId{"a"})));
 }
 
-// Many groups that want more than there is: none may wait for ever.
-TEST_CASE("Groups that collide all end, and none holds while it waits") {
+// Twelve groups compete for memory that is enough for three. Every group must
+// end, and only reservations that are complete may be kept.
+TEST_CASE(
+    "Competing groups all end, and incomplete reservations are released") {
   std::mt19937_64 random(7);
   constexpr int kGroups = 12;
   constexpr std::int64_t kMemory = 3;
@@ -56,14 +60,14 @@
     GroupStep step = group.Begin(
         {MakeSegment("a", 1), MakeSegment("b", 1), MakeSegment("c", 1)});
     for (const char* id : {"a", "b", "c"}) {
-      auto& room = free[EndpointId{id}];
-      const bool fits = room > 0;
-      room -= fits ? 1 : 0;
+      auto& available = free[EndpointId{id}];
+      const bool fits = available > 0;
+      available -= fits ? 1 : 0;
       step = fits ? group.OnReserved(EndpointId{id})
                   : group.OnRefused(EndpointId{id});
     }
-    if (const auto* back = std::get_if<ReleaseMembers>(&step)) {
-      for (const EndpointId& id : back->members) {
+    if (const auto* release = std::get_if<ReleaseMembers>(&step)) {
+      for (const EndpointId& id : release->members) {
         ++free[id];
       }
       continue;
--- a/src/core/oversize_wait_test.cc
+++ b/src/core/oversize_wait_test.cc
@@ -15,7 +15,8 @@
     service_.engine->prefill_tokens_per_ms = 10;
     request_.service = &service_;
     request_.target_latency = kTarget;
-    // 34 s for one engine, 2 s for one and its helpers.
+    // Takes 34 s on one engine and 2 s on one with the maximum number of
+    // helpers.
     request_.prompt = Tokens{340000};
   }
 
@@ -36,8 +37,9 @@
   CHECK(WaitEnd(Millis(60000)) == kArrived + kTarget / 4);
 }
 
-TEST_CASE_METHOD(OversizeWaitFixture,
-                 "What can no longer be read before its deadline is told so") {
+TEST_CASE_METHOD(
+    OversizeWaitFixture,
+    "The wait ends in time to prefill the prompt before its deadline") {
   CHECK(WaitEnd(Millis(9000)) == kArrived + Millis(7000));
 }
 
--- a/src/core/pass_forecast_test.cc
+++ b/src/core/pass_forecast_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr FractionalMillis kDecodePass{50};
-// More than the way from the planner to an engine.
+// Longer than the delay from the planner to an engine.
 constexpr Millis kMoreThanDispatchDelay{2};
 
 class PassFixture {
@@ -23,14 +23,13 @@
   EnginePasses passes_;
 };
 
-TEST_CASE_METHOD(PassFixture,
-                 "What is sent while a pass reads waits for the whole of it") {
+TEST_CASE_METHOD(PassFixture, "A prompt sent during a pass waits for its end") {
   const auto first = Send(FractionalMillis(30), Millis(300));
   now_ += kMoreThanDispatchDelay;
   passes_.OnPrefillDone(first, now_);
   const auto in_pass = Send(FractionalMillis(80), Millis(300));
-  // Nothing was left to read when the last pass ended, so that a bare one
-  // follows, and then the one that reads.
+  // The last pass left nothing to prefill, so a pass without prefill follows
+  // first, and then the one that prefills this prompt.
   now_ += std::chrono::milliseconds(60);
   const PassForecast during = Forecast();
   CHECK(during.next_pass_prefill == FractionalMillis(0));
@@ -43,8 +42,8 @@
 }
 
 TEST_CASE_METHOD(PassFixture,
-                 "The forecast names the first that a further prompt may make "
-                 "late, and none that is late as it stands") {
+                 "The forecast gives the earliest due time of the next pass, "
+                 "without prompts that will be late anyway") {
   const auto first = Send(FractionalMillis(30), Millis(300));
   now_ += kMoreThanDispatchDelay;
   passes_.OnPrefillDone(first, now_);
@@ -57,13 +56,15 @@
   CHECK(*forecast.next_pass_deadline == FractionalMillis(250));
 }
 
-TEST_CASE_METHOD(PassFixture,
-                 "Where nothing was seen lately half a pass is left") {
+TEST_CASE_METHOD(
+    PassFixture,
+    "Without recent first events half a pass is assumed to be left") {
   CHECK(Forecast().until_next_pass == kDecodePass / 2);
   CHECK_FALSE(Forecast().next_pass_deadline.has_value());
 }
 
-TEST_CASE_METHOD(PassFixture, "A pass that is overdue ends at any moment") {
+TEST_CASE_METHOD(PassFixture,
+                 "An overdue pass is expected to end immediately") {
   const auto first = Send(FractionalMillis(30), Millis(300));
   now_ += kMoreThanDispatchDelay;
   passes_.OnPrefillDone(first, now_);
--- a/src/core/segment_plan_test.cc
+++ b/src/core/segment_plan_test.cc
@@ -9,7 +9,9 @@
   return SegmentCandidate{EndpointId{id}, Tokens{free}, Tokens{free}};
 }
 
-TEST_CASE("A prompt is cut into as few even parts as hold it") {
+TEST_CASE(
+    "A prompt is split into the smallest number of even segments that hold "
+    "it") {
   const auto plan = PlanSegments(
       Tokens{100}, Tokens{10},
       {MakeCandidate("a", 80), MakeCandidate("b", 80), MakeCandidate("c", 80)});
@@ -19,7 +21,7 @@
   CHECK((*plan)[1].reserve.value == 60);
 }
 
-TEST_CASE("The parts cover the prompt without a gap") {
+TEST_CASE("The segments cover the prompt without a gap") {
   const auto plan =
       PlanSegments(Tokens{1001}, Tokens{10},
                    {MakeCandidate("a", 100), MakeCandidate("b", 700),
@@ -44,7 +46,7 @@
   CHECK((*plan)[2].reserve.value <= 30);
 }
 
-TEST_CASE("A prompt that no group can hold is not cut") {
+TEST_CASE("A prompt that no group can hold is not split") {
   CHECK_FALSE(PlanSegments(Tokens{100}, Tokens{1}, {MakeCandidate("a", 100)}));
   CHECK_FALSE(PlanSegments(Tokens{1}, Tokens{1}, {}));
 }
--- a/src/core/small_parts_test.cc
+++ b/src/core/small_parts_test.cc
@@ -1,5 +1,6 @@
-// Tests of the small parts of the decision logic that have no file of their
-// own: rendezvous hashing, the assembler, the pause guard and weight loads.
+// Tests of small components without a test file of their own: rendezvous
+// hashing, the answer assembler, the prefix set, the pause guard and weight
+// loads.
 
 #include <catch2/catch.hpp>
 #include <map>
@@ -23,14 +24,14 @@
   return members;
 }
 
-TEST_CASE("Members are ranked alike whatever order they come in") {
+TEST_CASE("The ranking does not depend on the order of the members") {
   auto members = MakeMembers(20);
   const auto top = RendezvousTop("key", members, 5);
   std::reverse(members.begin(), members.end());
   CHECK(RendezvousTop("key", members, 5) == top);
 }
 
-TEST_CASE("A member that goes moves nothing but its own keys") {
+TEST_CASE("Removing a member moves only the keys of that member") {
   const auto members = MakeMembers(10);
   auto fewer = members;
   fewer.erase(fewer.begin() + 3);
@@ -43,7 +44,7 @@
   }
 }
 
-TEST_CASE("A caller sees each token once and in order") {
+TEST_CASE("The assembler delivers each token once and in order") {
   AnswerAssembler assembler;
   std::string text;
   const std::vector<AnswerToken> arrivals{
@@ -57,7 +58,7 @@
   CHECK(assembler.NextPosition() == 5);
 }
 
-TEST_CASE("A beginning counts as seen from its second time on") {
+TEST_CASE("A prefix is in the set from its second insertion on") {
   RecentPrefixes memory;
   CHECK_FALSE(memory.TestAndInsert(17));
   CHECK(memory.TestAndInsert(17));
@@ -65,7 +66,7 @@
   CHECK_FALSE(memory.TestAndInsert(0));
 }
 
-TEST_CASE("A decision that a pause overtook is not acted on") {
+TEST_CASE("A decision is not acted on after too long a pause") {
   TimePoint now{};
   PauseGuard guard(Millis(100), [&] { return now; });
   guard.OnDecision();
@@ -75,7 +76,7 @@
   CHECK_FALSE(guard.MayAct());
 }
 
-TEST_CASE("No wave of weight loads is larger than the store allows") {
+TEST_CASE("No batch of weight loads exceeds the store's limit") {
   const auto endpoints = MakeMembers(11);
   std::map<std::int64_t, int> waves;
   for (const std::string& id : endpoints) {
