--- a/src/core/placement_test.cc
+++ b/src/core/placement_test.cc
@@ -177,12 +177,12 @@
   CHECK(std::get<Placement>(Choose(short_route_, 2000)).endpoint.id.value ==
         order.front());
   const auto placement = std::get<Placement>(Choose(long_route_, 40000));
-  std::set<std::string> readers{placement.endpoint.id.value};
+  std::set<std::string> engines{placement.endpoint.id.value};
   for (const PrefillHelper& helper : placement.helpers) {
-    readers.insert(helper.record.id.value);
+    engines.insert(helper.record.id.value);
   }
   const std::set<std::string> last(order.end() - 3, order.end());
-  CHECK(readers == last);
+  CHECK(engines == last);
 }
 
 TEST_CASE_METHOD(PlacementFixture,
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -62,7 +62,7 @@
   // Starts a new planner without state, and repeats the unanswered queries.
   void ReplacePlanner() {
     planner_ = std::make_unique<Planner>(
-        &directory_, &health_, &start_shares_, DataCentreId{"a"},
+        &directory_, &health_, &start_quotas_, DataCentreId{"a"},
         [this] { return table_; }, policy_, [this] { return now_; },
         [this] { return random_state_ += 77; });
     std::map<QueryId, Pending> unanswered;
@@ -180,7 +180,7 @@
   EndpointHealth health_{[this] { return now_; }};
   ColdEndpoints cold_{[this] { return now_; }};
   EndpointRateLimits limits_{[this] { return now_; }};
-  StartQuotas start_shares_{ColdLimit{},      &cold_,
+  StartQuotas start_quotas_{ColdLimit{},      &cold_,
                             &limits_,         HostBackoffs{},
                             [] { return 1; }, [this] { return now_; }};
   std::shared_ptr<const RoutingTable> table_;
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -12,8 +12,8 @@
 const ServiceName kService{"writers"};
 constexpr int kEngines = 20;
 
-// Twenty engines that prefill 177 tokens per millisecond. The prompts are the
-// sizes of an overloaded fleet: short ones, and long ones that need sixteen
+// Twenty engines that prefill 177 tokens per millisecond, and prompts of the
+// sizes that occur under overload: short ones, and long ones that need sixteen
 // engines.
 class PlannerFixture {
  protected:
@@ -44,7 +44,7 @@
 
   std::unique_ptr<Planner> MakePlanner() {
     return std::make_unique<Planner>(
-        &directory_, &health_, &start_shares_, DataCentreId{"a"},
+        &directory_, &health_, &start_quotas_, DataCentreId{"a"},
         [this] { return table_; }, policy_, [this] { return now_; },
         [this] { return random_state_ += 77; });
   }
@@ -108,7 +108,7 @@
   EndpointHealth health_{[this] { return now_; }};
   ColdEndpoints cold_{[this] { return now_; }};
   EndpointRateLimits limits_{[this] { return now_; }};
-  StartQuotas start_shares_{ColdLimit{},      &cold_,
+  StartQuotas start_quotas_{ColdLimit{},      &cold_,
                             &limits_,         HostBackoffs{},
                             [] { return 1; }, [this] { return now_; }};
   std::shared_ptr<const RoutingTable> table_;
@@ -121,13 +121,13 @@
 TEST_CASE_METHOD(
     PlannerFixture,
     "A burst of short prompts from a hundred hosts is spread evenly") {
-  std::map<EndpointId, int> members;
+  std::map<EndpointId, int> requests;
   for (int host = 0; host < 100; ++host) {
     const auto placed =
         std::get<PlannedPlacement>(planner_->OnQuery(ShortQuery(host)));
-    ++members[placed.endpoint];
+    ++requests[placed.endpoint];
   }
-  for (const auto& [endpoint, count] : members) {
+  for (const auto& [endpoint, count] : requests) {
     CHECK(count <= 10);
   }
 }
@@ -139,13 +139,13 @@
       std::get<PlannedPlacement>(planner_->OnQuery(LongQuery(1, 45000)));
   const auto second =
       std::get<PlannedPlacement>(planner_->OnQuery(LongQuery(2, 45000)));
-  std::set<EndpointId> readers{first.endpoint};
+  std::set<EndpointId> engines{first.endpoint};
   for (const PlannedHelper& helper : first.helpers) {
-    readers.insert(helper.endpoint);
+    engines.insert(helper.endpoint);
   }
-  CHECK(readers.count(second.endpoint) == 0);
+  CHECK(engines.count(second.endpoint) == 0);
   for (const PlannedHelper& helper : second.helpers) {
-    CHECK(readers.count(helper.endpoint) == 0);
+    CHECK(engines.count(helper.endpoint) == 0);
   }
 }
 
@@ -328,10 +328,10 @@
 TEST_CASE_METHOD(PlannerFixture,
                  "Of a burst that is too large to meet its target, only the "
                  "prompts that do are placed, and the rest wait") {
-  constexpr int kWave = 300;
+  constexpr int kBurst = 300;
   int placed = 0;
   int waiting = 0;
-  for (int host = 0; host < kWave; ++host) {
+  for (int host = 0; host < kBurst; ++host) {
     const PlacementDecision decision = planner_->OnQuery(ShortQuery(host));
     if (const auto* place = std::get_if<PlannedPlacement>(&decision)) {
       ++placed;
@@ -341,14 +341,14 @@
       ++waiting;
     }
   }
-  CHECK(placed >= kWave / 4);
-  CHECK(waiting >= kWave / 4);
+  CHECK(placed >= kBurst / 4);
+  CHECK(waiting >= kBurst / 4);
   CHECK(planner_->WaitingCount() == static_cast<std::size_t>(waiting));
 }
 
 TEST_CASE_METHOD(
     PlannerFixture,
-    "Without waiting, all prompts of a burst are placed, and most are late") {
+    "Without waiting, all prompts of a burst are placed, and many are late") {
   policy_.short_waits = false;
   planner_ = MakePlanner();
   int late = 0;
@@ -452,7 +452,7 @@
   const PlacementQuery query = WithFingerprint(LongQuery(1), 1);
   const Millis after = RejectInOverload(query);
   CHECK(after <= Millis(5000));
-  // An early retry is told the same time again.
+  // An early retry gets the same retry time again.
   now_ += Millis(100);
   const auto early_retry = planner_->OnQuery(MakeRetry(query));
   CHECK(std::get<QueryRejected>(early_retry).retry_after ==
--- a/src/core/prefill_group.cc
+++ b/src/core/prefill_group.cc
@@ -19,13 +19,13 @@
 
 // What an engine is used for at present. Engines are preferred in this order
 // for parts of long prompts.
-enum class EngineUse { kIdle, kBesideLong, kBesideShort };
+enum class EngineUse { kIdle, kLongRequests, kShortRequests };
 
 EngineUse EngineUseOf(const EngineCandidate& candidate) {
   if (candidate.reserved_for_short || candidate.load.short_requests > 0) {
-    return EngineUse::kBesideShort;
+    return EngineUse::kShortRequests;
   }
-  return candidate.load.long_requests > 0 ? EngineUse::kBesideLong
+  return candidate.load.long_requests > 0 ? EngineUse::kLongRequests
                                           : EngineUse::kIdle;
 }
 
@@ -37,8 +37,9 @@
       : engine_(engine),
         policy_(policy),
         prompt_(prompt),
-        wanted_part_(std::max(FractionalMillis(1), policy.part_share_of_gap *
-                                                       prompt.tightest_gap)) {}
+        preferred_part_(
+            std::max(FractionalMillis(1),
+                     policy.part_share_of_gap * prompt.tightest_gap)) {}
 
   // Returns the largest group, up to the preferred number of parts, for which
   // enough engines tolerate the resulting part.
@@ -47,13 +48,13 @@
     const std::vector<OpenEngine> open_engines = OpenEngines(candidates);
     const std::size_t max_count =
         std::min(open_engines.size(), kMaxHelpers + 1);
-    const auto wanted_count = static_cast<std::size_t>(
-        std::ceil(prompt_.prefill_time / wanted_part_));
+    const auto preferred_count = static_cast<std::size_t>(
+        std::ceil(prompt_.prefill_time / preferred_part_));
     const FractionalMillis max_part = MaxPartTime();
-    for (std::size_t count = std::min(wanted_count, max_count); count > 0;
+    for (std::size_t count = std::min(preferred_count, max_count); count > 0;
          --count) {
       const FractionalMillis part = PartTime(count);
-      if (part > std::max(max_part, wanted_part_)) {
+      if (part > std::max(max_part, preferred_part_)) {
         break;
       }
       std::vector<EngineCandidate> pool = EnginesThatAllow(open_engines, part);
@@ -87,9 +88,9 @@
     for (const EngineCandidate& candidate : candidates) {
       const bool is_prefilling = candidate.load.pending_prefills > 0;
       const bool has_backlog = candidate.load.prefill_backlog >
-                               policy_.open_share_of_part * wanted_part_;
-      if (is_prefilling ||
-          (has_backlog && EngineUseOf(candidate) != EngineUse::kBesideShort)) {
+                               policy_.open_share_of_part * preferred_part_;
+      if (is_prefilling || (has_backlog && EngineUseOf(candidate) !=
+                                               EngineUse::kShortRequests)) {
         continue;
       }
       const FractionalMillis part =
@@ -116,7 +117,7 @@
       return prompt_.prefill_time;
     }
     const FractionalMillis relaxed_limit = std::max(
-        {policy_.part_stretch * wanted_part_,
+        {policy_.part_stretch * preferred_part_,
          policy_.part_stretch * PartTime(kMaxHelpers + 1),
          FractionalMillis(policy_.part_share_of_target * prompt_.target)});
     const bool is_urgent =
@@ -164,16 +165,17 @@
     const EndpointLoad& load = candidate.load;
     const bool fits = !(FreeMemory(engine_, load) < prompt_.needed);
     const bool tight = IsTightGap(prompt_.gap, prompt_.tightest_gap);
-    const bool beside_short = EngineUseOf(candidate) == EngineUse::kBesideShort;
+    const bool has_short_requests =
+        EngineUseOf(candidate) == EngineUse::kShortRequests;
     const bool full = load.long_requests >= policy_.packed_writers;
     const double packed = fits && !full ? load.long_requests : 0;
-    return {!fits, tight != beside_short, -packed, load.memory.value};
+    return {!fits, tight != has_short_requests, -packed, load.memory.value};
   }
 
   const EngineProfile& engine_;
   const PlacementPolicy& policy_;
   const LongPrompt& prompt_;
-  FractionalMillis wanted_part_;
+  FractionalMillis preferred_part_;
 };
 
 }  // namespace
