--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -24,7 +24,9 @@
 // Identifies one piece of work at one endpoint.
 using WorkId = StrongNumber<struct WorkTag, std::uint64_t>;
 
-// Kind of work, by its effect on other requests of the engine.
+// Kind of work, by its effect on other requests of the engine: a request with a
+// short prompt or a tight gap, any other request, or a part that is prefilled
+// for a request on another engine.
 enum class WorkClass { kShort, kLong, kHelper };
 
 // Work in progress at one endpoint.
@@ -44,7 +46,7 @@
   // Shortest gap of the active streams; zero if there are none.
   FractionalMillis tightest_gap{0};
 
-  // Number of requests that share a decoding step.
+  // Number of active requests. On an engine they share each pass.
   int BatchSize() const { return short_requests + long_requests; }
 };
 
--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -159,14 +159,16 @@
   Placement ChooseShort(const PlacementRequest& request,
                         const std::vector<EngineCandidate>& ranked) const;
   // Takes an engine that meets the request's target and makes no other request
-  // late. Returns EnginesBusy if there is none.
+  // late. Returns EnginesBusy if there is none. The target is disregarded if
+  // even an idle engine would miss it.
   PlacementResult ChooseShortWithinTarget(
       const PlacementRequest& request,
       const std::vector<EngineCandidate>& ranked) const;
   // Returns the predicted time to the first event on `candidate`. Returns
-  // nothing if the engine has no free slot or memory, or if the request would
-  // be late or make others late there. `reserve` is capacity to leave free for
-  // expected short requests.
+  // nothing if the engine has no free slot or memory, if the request would make
+  // others late there, or if it would be late although an idle engine would
+  // meet its target. `reserve` is capacity to leave free for expected short
+  // requests.
   std::optional<FractionalMillis> PredictShortFirstEvent(
       const PlacementRequest& request, const EngineCandidate& candidate,
       const ShortDemand& reserve) const;
--- a/include/harecrank/core/prefill_group.h
+++ b/include/harecrank/core/prefill_group.h
@@ -1,10 +1,11 @@
 // Chooses the engines that prefill a long prompt together, and the one of them
 // that decodes.
 //
-// An engine prefills a part between two events of its streams, and all of its
-// streams pause for that time. The streams on an engine therefore limit the
-// size of a part there. A prompt is split into so many parts that enough
-// engines can take one each without a stream exceeding its gap.
+// Each engine of the group prefills an equal part of the prompt. It does so
+// between two events of its streams, which all pause for that time. The streams
+// on an engine therefore limit the size of a part there. A prompt is split into
+// so many parts that enough engines can take one each without a stream
+// exceeding its gap.
 
 #ifndef HARECRANK_CORE_PREFILL_GROUP_H_
 #define HARECRANK_CORE_PREFILL_GROUP_H_
