--- a/src/core/endpoint_rate_limits.cc
+++ b/src/core/endpoint_rate_limits.cc
@@ -215,13 +215,14 @@
     }
     reports.push_back(std::move(report));
   }
-  const std::size_t count = std::min(kMaxReports, reports.size());
-  std::partial_sort(
-      reports.begin(), reports.begin() + static_cast<std::ptrdiff_t>(count),
-      reports.end(), [](const RateLimitReport& a, const RateLimitReport& b) {
-        return a.age < b.age;
-      });
-  reports.resize(count);
+  const std::size_t num_reports = std::min(kMaxReports, reports.size());
+  std::partial_sort(reports.begin(),
+                    reports.begin() + static_cast<std::ptrdiff_t>(num_reports),
+                    reports.end(),
+                    [](const RateLimitReport& a, const RateLimitReport& b) {
+                      return a.age < b.age;
+                    });
+  reports.resize(num_reports);
   return reports;
 }
 
