--- a/src/core/attempt_timeout_test.cc
+++ b/src/core/attempt_timeout_test.cc
@@ -5,9 +5,9 @@
 namespace harecrank {
 namespace {
 
-constexpr TimePoint kSent{std::chrono::seconds(50)};
+constexpr TimePoint kSentAt{std::chrono::seconds(50)};
 
-RouteRule Stream() {
+RouteRule StreamingRoute() {
   RouteRule route;
   route.kind = RequestKind::kStreaming;
   route.target_latency = Millis(300);
@@ -15,42 +15,44 @@
   return route;
 }
 
-AttemptProgress Waiting() {
+AttemptProgress WaitingForFirstEvent() {
   AttemptProgress progress;
-  progress.sent_at = kSent;
-  progress.last_bytes_at = kSent;
+  progress.sent_at = kSentAt;
+  progress.last_bytes_at = kSentAt;
   progress.predicted = FractionalMillis(100);
   return progress;
 }
 
-TEST_CASE("A first event is overdue at several times its prediction") {
-  CHECK(OverdueAt(Stream(), Waiting()) == kSent + Millis(800));
+TEST_CASE("The first event is overdue after a multiple of its prediction") {
+  CHECK(OverdueAt(StreamingRoute(), WaitingForFirstEvent()) ==
+        kSentAt + Millis(800));
 }
 
-TEST_CASE("An endpoint with helpers may tell first that one has died") {
-  AttemptProgress progress = Waiting();
+TEST_CASE("An endpoint with helpers has time to report a dead helper") {
+  AttemptProgress progress = WaitingForFirstEvent();
   progress.has_helpers = true;
-  CHECK(OverdueAt(Stream(), progress) == kSent + Millis(2000));
+  CHECK(OverdueAt(StreamingRoute(), progress) == kSentAt + Millis(2000));
 }
 
-TEST_CASE("A stream that has begun is overdue after some of its gaps") {
-  AttemptProgress progress = Waiting();
+TEST_CASE("A started stream is overdue after a multiple of its gap") {
+  AttemptProgress progress = WaitingForFirstEvent();
   progress.first_event_seen = true;
-  progress.last_bytes_at = kSent + Millis(5000);
-  CHECK(OverdueAt(Stream(), progress) == kSent + Millis(6300));
+  progress.last_bytes_at = kSentAt + Millis(5000);
+  CHECK(OverdueAt(StreamingRoute(), progress) == kSentAt + Millis(6300));
 }
 
-TEST_CASE("A slow endpoint that is alive is waited for as callers do") {
-  AttemptProgress progress = Waiting();
+TEST_CASE("A live endpoint may use most of the caller's time-out") {
+  AttemptProgress progress = WaitingForFirstEvent();
   progress.endpoint_is_alive = true;
-  CHECK(OverdueAt(Stream(), progress) == kSent + UsableCallerTimeout(Stream()));
-  CHECK(UsableCallerTimeout(Stream()) == Millis(1500));
+  CHECK(OverdueAt(StreamingRoute(), progress) ==
+        kSentAt + UsableCallerTimeout(StreamingRoute()));
+  CHECK(UsableCallerTimeout(StreamingRoute()) == Millis(1500));
 }
 
-TEST_CASE("A plain answer is overdue at twice its target") {
-  RouteRule route = Stream();
+TEST_CASE("A non-streaming response is overdue at twice its target") {
+  RouteRule route = StreamingRoute();
   route.kind = RequestKind::kSafe;
-  CHECK(OverdueAt(route, Waiting()) == kSent + Millis(600));
+  CHECK(OverdueAt(route, WaitingForFirstEvent()) == kSentAt + Millis(600));
 }
 
 }  // namespace
--- a/src/core/cold_endpoints_test.cc
+++ b/src/core/cold_endpoints_test.cc
@@ -21,43 +21,44 @@
 
 class ColdFixture {
  protected:
-  void Pass(Millis time) { now_ += time; }
+  void Advance(Millis time) { now_ += time; }
 
   TimePoint now_{std::chrono::hours(1)};
   MonotonicClock clock_ = [this] { return now_; };
   ColdEndpoints endpoints_{clock_};
 };
 
-TEST_CASE_METHOD(ColdFixture, "An endpoint is cold for as long as it tells") {
+TEST_CASE_METHOD(ColdFixture,
+                 "An endpoint is cold for its published warm-up time") {
   CHECK(endpoints_.OnRecord(RecordOf(1, Millis(3000)), Millis(0)) ==
         ColdChange::kTurnedCold);
-  Pass(Millis(2999));
+  Advance(Millis(2999));
   CHECK(endpoints_.IsCold(kEndpoint));
   CHECK(endpoints_.TakeWarmed().empty());
-  Pass(Millis(1));
+  Advance(Millis(1));
   CHECK_FALSE(endpoints_.IsCold(kEndpoint));
   CHECK(endpoints_.TakeWarmed().size() == 1);
   CHECK(endpoints_.TakeWarmed().empty());
 }
 
 TEST_CASE_METHOD(ColdFixture,
-                 "An entry that is listed anew keeps nobody cold") {
+                 "A record that is listed again does not extend the warm-up") {
   endpoints_.OnRecord(RecordOf(1, Millis(3000)), Millis(0));
   for (int i = 0; i < 10; ++i) {
-    Pass(Millis(1000));
+    Advance(Millis(1000));
     endpoints_.OnRecord(RecordOf(1, Millis(3000)), Millis(0));
   }
   CHECK_FALSE(endpoints_.IsCold(kEndpoint));
 }
 
-TEST_CASE_METHOD(ColdFixture, "An older word that comes late warms nobody") {
+TEST_CASE_METHOD(ColdFixture, "An older record does not end the warm-up") {
   endpoints_.OnRecord(RecordOf(5, Millis(3000)), Millis(0));
   CHECK(endpoints_.OnRecord(RecordOf(4, Millis(0)), Millis(0)) ==
         ColdChange::kNone);
   CHECK(endpoints_.IsCold(kEndpoint));
 }
 
-TEST_CASE_METHOD(ColdFixture, "A newer word may warm or cool at any moment") {
+TEST_CASE_METHOD(ColdFixture, "A newer record can start or end the warm-up") {
   endpoints_.OnRecord(RecordOf(1, Millis(0)), Millis(0));
   CHECK(endpoints_.OnRecord(RecordOf(2, Millis(3000)), Millis(0)) ==
         ColdChange::kTurnedCold);
@@ -68,7 +69,8 @@
   CHECK_FALSE(endpoints_.IsCold(kEndpoint));
 }
 
-TEST_CASE_METHOD(ColdFixture, "A new life that tells nothing is cold") {
+TEST_CASE_METHOD(ColdFixture,
+                 "A new incarnation without a published warm-up time is cold") {
   endpoints_.OnRecord(RecordOf(1, std::nullopt), Millis(0));
   CHECK_FALSE(endpoints_.IsCold(kEndpoint));
   endpoints_.OnRecord(RecordOf(2, std::nullopt), Millis(3000));
@@ -77,11 +79,12 @@
   CHECK(endpoints_.IsCold(kEndpoint));
 }
 
-TEST_CASE_METHOD(ColdFixture, "An entry that lapses leaves its endpoint cold") {
+TEST_CASE_METHOD(ColdFixture,
+                 "An endpoint stays cold when its entry is removed") {
   endpoints_.OnRecord(RecordOf(1, Millis(3000)), Millis(0));
   endpoints_.OnGone(kEndpoint);
   CHECK(endpoints_.IsCold(kEndpoint));
-  Pass(Millis(10000));
+  Advance(Millis(10000));
   endpoints_.TakeWarmed();
   CHECK_FALSE(endpoints_.RampUpFactor(kEndpoint).has_value());
 }
--- a/src/core/drained_data_centres_test.cc
+++ b/src/core/drained_data_centres_test.cc
@@ -17,64 +17,63 @@
   return DrainedDataCentre{id, StoreRevision{revision}};
 }
 
-class ClosedFixture {
+class DrainedFixture {
  protected:
   TimePoint now_{};
-  DrainedDataCentres closed_{[this] { return now_; }};
+  DrainedDataCentres drained_{[this] { return now_; }};
 };
 
-TEST_CASE_METHOD(ClosedFixture,
-                 "An order holds until it is taken back, and is news once") {
-  CHECK_FALSE(closed_.IsDrained(kA));
-  CHECK(closed_.Drain(Order(kA, 5)));
-  CHECK_FALSE(closed_.Drain(Order(kA, 5)));
-  CHECK(closed_.IsDrained(kA));
-  CHECK_FALSE(closed_.IsDrained(kB));
-  CHECK(closed_.Restore(kA, StoreRevision{6}));
-  CHECK_FALSE(closed_.IsDrained(kA));
+TEST_CASE_METHOD(DrainedFixture,
+                 "An order applies until it is revoked, and is reported once") {
+  CHECK_FALSE(drained_.IsDrained(kA));
+  CHECK(drained_.Drain(Order(kA, 5)));
+  CHECK_FALSE(drained_.Drain(Order(kA, 5)));
+  CHECK(drained_.IsDrained(kA));
+  CHECK_FALSE(drained_.IsDrained(kB));
+  CHECK(drained_.Restore(kA, StoreRevision{6}));
+  CHECK_FALSE(drained_.IsDrained(kA));
 }
 
-TEST_CASE_METHOD(ClosedFixture, "Older words change nothing") {
-  closed_.Drain(Order(kA, 5));
-  CHECK_FALSE(closed_.Restore(kA, StoreRevision{4}));
-  CHECK(closed_.IsDrained(kA));
-  closed_.Restore(kA, StoreRevision{6});
-  CHECK_FALSE(closed_.Drain(Order(kA, 5)));
-  CHECK_FALSE(closed_.IsDrained(kA));
-  CHECK(closed_.Drain(Order(kA, 7)));
-  CHECK(closed_.IsDrained(kA));
+TEST_CASE_METHOD(DrainedFixture, "Older revisions are ignored") {
+  drained_.Drain(Order(kA, 5));
+  CHECK_FALSE(drained_.Restore(kA, StoreRevision{4}));
+  CHECK(drained_.IsDrained(kA));
+  drained_.Restore(kA, StoreRevision{6});
+  CHECK_FALSE(drained_.Drain(Order(kA, 5)));
+  CHECK_FALSE(drained_.IsDrained(kA));
+  CHECK(drained_.Drain(Order(kA, 7)));
+  CHECK(drained_.IsDrained(kA));
 }
 
-TEST_CASE_METHOD(ClosedFixture,
-                 "Two data centres ordered one after the other, and taken back "
-                 "in the same order, do not disturb each other") {
-  closed_.Drain(Order(kA, 5));
-  closed_.Drain(Order(kB, 6));
-  CHECK(closed_.Count() == 2);
-  closed_.Restore(kA, StoreRevision{7});
-  CHECK_FALSE(closed_.IsDrained(kA));
-  CHECK(closed_.IsDrained(kB));
+TEST_CASE_METHOD(DrainedFixture,
+                 "Orders for different data centres are independent") {
+  drained_.Drain(Order(kA, 5));
+  drained_.Drain(Order(kB, 6));
+  CHECK(drained_.Count() == 2);
+  drained_.Restore(kA, StoreRevision{7});
+  CHECK_FALSE(drained_.IsDrained(kA));
+  CHECK(drained_.IsDrained(kB));
 }
 
-TEST_CASE_METHOD(ClosedFixture,
-                 "A listing replaces all but what was heard since") {
-  closed_.Drain(Order(kA, 5));
-  closed_.Drain(Order(kB, 12));
+TEST_CASE_METHOD(DrainedFixture,
+                 "A listing replaces all orders that are not newer") {
+  drained_.Drain(Order(kA, 5));
+  drained_.Drain(Order(kB, 12));
   const DataCentreId c{"c"};
   const DrainChange change =
-      closed_.ReplaceAll({Order(c, 8)}, StoreRevision{10});
+      drained_.ReplaceAll({Order(c, 8)}, StoreRevision{10});
   CHECK(change.drained == std::vector<DrainedDataCentre>{Order(c, 8)});
   CHECK(change.restored == std::vector<DrainedDataCentre>{Order(kA, 10)});
-  CHECK(closed_.IsDrained(kB));
-  CHECK(closed_.IsDrained(c));
-  // A late word of what the listing has taken back.
-  CHECK_FALSE(closed_.Drain(Order(kA, 5)));
+  CHECK(drained_.IsDrained(kB));
+  CHECK(drained_.IsDrained(c));
+  // A delayed order that the listing has revoked.
+  CHECK_FALSE(drained_.Drain(Order(kA, 5)));
 }
 
-class ClosedDirectoryFixture {
+class DrainedDirectoryFixture {
  protected:
-  ClosedDirectoryFixture() {
-    for (int i = 0; i < kEach; ++i) {
+  DrainedDirectoryFixture() {
+    for (int i = 0; i < kEndpointsPerDataCentre; ++i) {
       Publish(DataCentreId{"a"}, i);
       Publish(DataCentreId{"b"}, i);
     }
@@ -97,91 +96,93 @@
     return count;
   }
 
-  static constexpr int kEach = 40;
+  static constexpr int kEndpointsPerDataCentre = 40;
   TimePoint now_{};
   EndpointDirectory directory_{[this] { return now_; }};
 };
 
-TEST_CASE_METHOD(ClosedDirectoryFixture,
-                 "Endpoints of a closed data centre are neither chosen nor "
-                 "accepted from another host's choice, and are still known") {
+TEST_CASE_METHOD(
+    DrainedDirectoryFixture,
+    "Endpoints of a drained data centre are not usable but can be found") {
   directory_.DrainDataCentre(Order(kA, 5));
   CHECK(UsableIn(kA) == 0);
-  CHECK(UsableIn(kB) == kEach);
+  CHECK(UsableIn(kB) == kEndpointsPerDataCentre);
   CHECK(directory_.FindUsable(EndpointId{"a1"}, kService) == nullptr);
   CHECK(directory_.FindUsable(EndpointId{"b1"}, kService) != nullptr);
   CHECK(directory_.Find(EndpointId{"a1"}) != nullptr);
-  CHECK(directory_.In(kA).size() == kEach);
+  CHECK(directory_.In(kA).size() == kEndpointsPerDataCentre);
 }
 
-TEST_CASE_METHOD(ClosedDirectoryFixture,
-                 "An endpoint that appears in a closed data centre, or moves "
-                 "there, takes nothing") {
+TEST_CASE_METHOD(DrainedDirectoryFixture,
+                 "An endpoint that appears in or moves to a drained data "
+                 "centre is not usable") {
   directory_.DrainDataCentre(Order(kA, 5));
-  Publish(kA, kEach);
+  Publish(kA, kEndpointsPerDataCentre);
   CHECK(UsableIn(kA) == 0);
   EndpointRecord moved = *directory_.Find(EndpointId{"b1"});
   moved.data_centre = kA;
   moved.revision = StoreRevision{6};
   directory_.Upsert(moved);
-  CHECK(UsableIn(kB) == kEach - 1);
+  CHECK(UsableIn(kB) == kEndpointsPerDataCentre - 1);
   CHECK(UsableIn(kA) == 0);
 }
 
-TEST_CASE_METHOD(ClosedDirectoryFixture,
-                 "An order for a data centre that nobody knows leaves the rest "
-                 "as it is") {
+TEST_CASE_METHOD(
+    DrainedDirectoryFixture,
+    "An order for an unknown data centre has no effect on others") {
   directory_.DrainDataCentre(Order(DataCentreId{"nowhere"}, 5));
-  CHECK(directory_.UsableOf(kService).size() == std::size_t{2} * kEach);
+  CHECK(directory_.UsableOf(kService).size() ==
+        std::size_t{2} * kEndpointsPerDataCentre);
 }
 
-TEST_CASE_METHOD(ClosedDirectoryFixture,
-                 "With all data centres closed nothing is usable") {
+TEST_CASE_METHOD(DrainedDirectoryFixture,
+                 "With all data centres drained no endpoint is usable") {
   directory_.DrainDataCentre(Order(kA, 5));
   directory_.DrainDataCentre(Order(kB, 6));
   CHECK(directory_.UsableOf(kService).empty());
 }
 
-// All that waited for room would land on endpoints that may be cold.
-TEST_CASE_METHOD(ClosedDirectoryFixture,
-                 "Endpoints of a data centre that is open again are chosen one "
-                 "after the other") {
+// Without a ramp-up all waiting requests would reach endpoints that may be
+// cold.
+TEST_CASE_METHOD(
+    DrainedDirectoryFixture,
+    "Endpoints of a restored data centre become usable one after the other") {
   directory_.DrainDataCentre(Order(kA, 5));
   directory_.RestoreDataCentre(kA, StoreRevision{6});
-  const std::size_t at_first = UsableIn(kA);
-  CHECK(at_first <= kEach / 10);
-  CHECK(UsableIn(kB) == kEach);
-  // Another host may have heard of it before: its choice is taken.
+  const std::size_t initially_usable = UsableIn(kA);
+  CHECK(initially_usable <= kEndpointsPerDataCentre / 10);
+  CHECK(UsableIn(kB) == kEndpointsPerDataCentre);
+  // Another host may have learned of the restore earlier, so its choice is
+  // accepted.
   CHECK(directory_.FindUsable(EndpointId{"a1"}, kService) != nullptr);
-  std::size_t last = at_first;
+  std::size_t previously_usable = initially_usable;
   std::size_t largest_step = 0;
   constexpr int kSteps = 20;
   for (int i = 0; i < kSteps; ++i) {
     now_ += DrainedDataCentres::kRampUpTime / kSteps;
     const std::size_t usable = UsableIn(kA);
-    REQUIRE(usable >= last);
-    largest_step = std::max(largest_step, usable - last);
-    last = usable;
+    REQUIRE(usable >= previously_usable);
+    largest_step = std::max(largest_step, usable - previously_usable);
+    previously_usable = usable;
   }
-  CHECK(last == kEach);
-  CHECK(largest_step <= kEach / 4);
+  CHECK(previously_usable == kEndpointsPerDataCentre);
+  CHECK(largest_step <= kEndpointsPerDataCentre / 4);
 }
 
-TEST_CASE_METHOD(ClosedDirectoryFixture,
-                 "Where no other endpoint is left, those that return are used "
-                 "at once") {
+TEST_CASE_METHOD(
+    DrainedDirectoryFixture,
+    "Endpoints of a restored data centre are usable at once without others") {
   directory_.DrainDataCentre(Order(kA, 5));
   directory_.DrainDataCentre(Order(kB, 6));
   directory_.RestoreDataCentre(kA, StoreRevision{7});
-  CHECK(UsableIn(kA) == kEach);
+  CHECK(UsableIn(kA) == kEndpointsPerDataCentre);
 }
 
-TEST_CASE_METHOD(ClosedDirectoryFixture,
-                 "A data centre that was never closed, or is listed as open "
-                 "for the first time, is used whole") {
+TEST_CASE_METHOD(DrainedDirectoryFixture,
+                 "A data centre that was never drained does not ramp up") {
   directory_.RestoreDataCentre(kA, StoreRevision{6});
   directory_.ReplaceDrained({}, StoreRevision{7});
-  CHECK(UsableIn(kA) == kEach);
+  CHECK(UsableIn(kA) == kEndpointsPerDataCentre);
 }
 
 }  // namespace
--- a/src/core/endpoint_directory_test.cc
+++ b/src/core/endpoint_directory_test.cc
@@ -9,7 +9,7 @@
 
 class DirectoryFixture {
  protected:
-  void Pass(Millis time) { now_ += time; }
+  void Advance(Millis time) { now_ += time; }
 
   EndpointRecord Record(const std::string& id, std::uint64_t revision) const {
     EndpointRecord record;
@@ -20,12 +20,12 @@
     return record;
   }
 
-  // Three endpoints, known from a source that has long been well.
-  void Settle() {
+  // Lists three endpoints and waits until no outage can have affected them.
+  void PublishInitialListing() {
     directory_.OnStoreSynced(StoreRevision{1});
     directory_.ReplaceAll({Record("a", 1), Record("b", 1), Record("c", 1)},
                           StoreRevision{1});
-    Pass(EndpointDirectory::kPostOutageWindow);
+    Advance(EndpointDirectory::kPostOutageWindow);
   }
 
   std::size_t Usable() const { return directory_.UsableOf(kService).size(); }
@@ -34,16 +34,17 @@
   EndpointDirectory directory_{[this] { return now_; }};
 };
 
-TEST_CASE_METHOD(DirectoryFixture,
-                 "An endpoint that vanishes in calm times is gone at once") {
-  Settle();
+TEST_CASE_METHOD(
+    DirectoryFixture,
+    "An endpoint removed without a store outage is dropped at once") {
+  PublishInitialListing();
   directory_.Remove(EndpointId{"a"}, StoreRevision{2});
   CHECK(Usable() == 2);
 }
 
 TEST_CASE_METHOD(DirectoryFixture,
-                 "A draining endpoint takes no new work but is still known") {
-  Settle();
+                 "A draining endpoint is not usable but can be found") {
+  PublishInitialListing();
   EndpointRecord leaving = Record("a", 2);
   leaving.draining = true;
   CHECK(directory_.Upsert(leaving));
@@ -52,8 +53,8 @@
 }
 
 TEST_CASE_METHOD(DirectoryFixture,
-                 "An older entry never replaces a newer one") {
-  Settle();
+                 "An older record does not replace a newer one") {
+  PublishInitialListing();
   EndpointRecord leaving = Record("a", 5);
   leaving.draining = true;
   directory_.Upsert(leaving);
@@ -61,49 +62,49 @@
   CHECK(Usable() == 2);
 }
 
-TEST_CASE_METHOD(DirectoryFixture,
-                 "Entries that lapsed during an outage stay until the grace "
-                 "after its end is over") {
-  Settle();
+TEST_CASE_METHOD(
+    DirectoryFixture,
+    "Entries missing after an outage are kept for the grace period") {
+  PublishInitialListing();
   directory_.OnStoreUnreachable();
-  Pass(Millis(5000));
+  Advance(Millis(5000));
   directory_.OnStoreSynced(StoreRevision{9});
   directory_.ReplaceAll({Record("a", 1)}, StoreRevision{9});
   directory_.RemoveExpired();
   CHECK(Usable() == 3);
   directory_.Upsert(Record("b", 10));
-  Pass(EndpointDirectory::kLapseGracePeriod);
+  Advance(EndpointDirectory::kLapseGracePeriod);
   directory_.RemoveExpired();
   CHECK(Usable() == 2);
 }
 
-// Found by a hunt: a host that had been cut off kept an endpoint that left
-// after the cut for two seconds too long.
-TEST_CASE_METHOD(DirectoryFixture,
-                 "What leaves after the source is back is gone at once, "
-                 "however short a time that is") {
-  Settle();
+// Failure: a host that had been partitioned kept an endpoint that left after
+// the partition ended for two seconds too long.
+TEST_CASE_METHOD(
+    DirectoryFixture,
+    "An endpoint that leaves shortly after an outage is dropped at once") {
+  PublishInitialListing();
   directory_.OnStoreUnreachable();
-  Pass(Millis(8000));
+  Advance(Millis(8000));
   directory_.OnStoreSynced(StoreRevision{48});
-  Pass(Millis(300));
+  Advance(Millis(300));
   directory_.Remove(EndpointId{"a"}, StoreRevision{49});
   CHECK(Usable() == 2);
   directory_.Remove(EndpointId{"b"}, StoreRevision{38});
   CHECK(Usable() == 2);
 }
 
-TEST_CASE_METHOD(DirectoryFixture,
-                 "Many entries missing from one listing are a lapse, even "
-                 "when no outage was seen") {
-  Settle();
+TEST_CASE_METHOD(
+    DirectoryFixture,
+    "Many entries missing from a listing count as lapsed without an outage") {
+  PublishInitialListing();
   directory_.ReplaceAll({Record("a", 1)}, StoreRevision{2});
   CHECK(Usable() == 3);
 }
 
 TEST_CASE_METHOD(DirectoryFixture,
-                 "An endpoint that starts again under its id is a new one") {
-  Settle();
+                 "A restart with the same id is a new incarnation") {
+  PublishInitialListing();
   EndpointRecord first = Record("a", 2);
   first.incarnation = EndpointIncarnation{1000};
   first.draining = true;
@@ -113,19 +114,18 @@
   second.incarnation = EndpointIncarnation{900};
   CHECK(directory_.Upsert(second));
   CHECK(Usable() == 3);
-  // The same incarnation once more changes nothing.
+  // The same incarnation in a newer record is no change.
   second.revision = StoreRevision{4};
   CHECK_FALSE(directory_.Upsert(second));
-  // Another incarnation in its place is a change even if all else is alike.
+  // Another incarnation is a change even if all other fields are equal.
   second.incarnation = EndpointIncarnation{1001};
   second.revision = StoreRevision{5};
   CHECK(directory_.Upsert(second));
 }
 
-TEST_CASE_METHOD(
-    DirectoryFixture,
-    "A life that has said that it leaves does not stay after all") {
-  Settle();
+TEST_CASE_METHOD(DirectoryFixture,
+                 "A leaving incarnation stays marked as leaving") {
+  PublishInitialListing();
   EndpointRecord record = Record("a", 2);
   record.incarnation = EndpointIncarnation{1000};
   record.draining = true;
@@ -141,68 +141,64 @@
   CHECK(directory_.Find(EndpointId{"a"})->draining);
 }
 
-TEST_CASE_METHOD(DirectoryFixture,
-                 "What names no endpoint any more is out of use at once") {
-  Settle();
+TEST_CASE_METHOD(
+    DirectoryFixture,
+    "A withdrawn entry is dropped at once, even during an outage") {
+  PublishInitialListing();
   directory_.OnStoreUnreachable();
-  Pass(Millis(5000));
+  Advance(Millis(5000));
   CHECK(directory_.Withdraw(EndpointId{"a"}, StoreRevision{4}));
   CHECK(Usable() == 2);
   CHECK_FALSE(directory_.Withdraw(EndpointId{"b"}, StoreRevision{0}));
   CHECK(Usable() == 2);
 }
 
-// A host sent requests to an endpoint for three seconds after it had left. The
-// hosts that read the platform's service for it had been turned away; the
-// service answered the host itself at its first call, and said that the entry
-// was gone. The host took that for an entry that had lapsed while the service
-// was away, since it had not been told for 308 ms:
-//   31.384 source_lost reason "nobody told for a while" known_up_to 41
-//   31.692 source_regained at 45
-//   31.692 endpoint_gone kept true revision 42
-//   33.607 placed entry_missing_ms 1915
-// The entry had gone at 30.553. Two neighbours of the same cause stand with it:
-// while a host's source was lost it dropped nothing, and each return of the
-// source let the time run anew.
+// Failure: a host sent requests to an endpoint for three seconds after it had
+// left. The host had received no updates for 308 ms because the hosts
+// that poll the store for it had been rejected. The store answered the host's
+// own first poll and reported the entry as removed. The host took that for a
+// lapse during an outage and kept the entry. The sections cover two related
+// faults: while the store was unreachable no entry expired, and each recovery
+// of the store restarted the grace period.
 TEST_CASE_METHOD(DirectoryFixture,
-                 "An endpoint that has left is out of use before it may not be "
-                 "sent to, whatever the host missed") {
-  // Entries must be out of use two seconds after they went; a request may be
-  // on its way for half a second.
-  constexpr Millis kOutOfUse{1500};
+                 "A departed endpoint is dropped within the leave limit in "
+                 "spite of missed updates") {
+  // Entries must be dropped two seconds after their removal; dispatching a
+  // request takes up to half a second of that.
+  constexpr Millis kUseLimit{1500};
   constexpr Millis kStep{50};
-  Settle();
+  PublishInitialListing();
 
-  SECTION("The host was not told for a moment") {
+  SECTION("No updates for a short time, then a removal") {
     directory_.OnStoreUnreachable();
-    Pass(Millis(308));
+    Advance(Millis(308));
     directory_.OnStoreSynced(StoreRevision{45});
     directory_.Remove(EndpointId{"a"}, StoreRevision{42});
     CHECK(Usable() == 2);
   }
-  SECTION("A listing after such a moment lacks the entry") {
+  SECTION("No updates for a short time, then a listing without the entry") {
     directory_.OnStoreUnreachable();
-    Pass(Millis(308));
+    Advance(Millis(308));
     directory_.OnStoreSynced(StoreRevision{45});
     directory_.ReplaceAll({Record("b", 1), Record("c", 1)}, StoreRevision{45});
     CHECK(Usable() == 2);
   }
-  SECTION("Another host told it while the source was away") {
+  SECTION("A removal reported by another host during an outage") {
     directory_.OnStoreUnreachable();
-    Pass(Millis(5000));
+    Advance(Millis(5000));
     directory_.Remove(EndpointId{"a"}, StoreRevision{42});
-    Pass(kOutOfUse);
+    Advance(kUseLimit);
     directory_.RemoveExpired();
     CHECK(Usable() == 2);
   }
-  SECTION("The source comes and goes after the host heard it") {
+  SECTION("The store flaps after the removal") {
     directory_.OnStoreUnreachable();
-    Pass(Millis(5000));
+    Advance(Millis(5000));
     directory_.OnStoreSynced(StoreRevision{45});
     directory_.Remove(EndpointId{"a"}, StoreRevision{42});
-    for (Millis passed{0}; passed < kOutOfUse; passed += kStep) {
+    for (Millis elapsed{0}; elapsed < kUseLimit; elapsed += kStep) {
       directory_.OnStoreUnreachable();
-      Pass(kStep);
+      Advance(kStep);
       directory_.OnStoreSynced(StoreRevision{45});
       directory_.RemoveExpired();
     }
@@ -210,10 +206,10 @@
   }
 }
 
-TEST_CASE_METHOD(DirectoryFixture,
-                 "An endpoint that says that it leaves takes nothing, whatever "
-                 "its entry says, until it starts anew") {
-  Settle();
+TEST_CASE_METHOD(
+    DirectoryFixture,
+    "An endpoint that announces its leave stays unusable until it restarts") {
+  PublishInitialListing();
   EndpointRecord record = Record("a", 2);
   record.incarnation = EndpointIncarnation{1000};
   directory_.Upsert(record);
@@ -222,23 +218,23 @@
   CHECK(Usable() == 2);
   CHECK(directory_.FindUsable(record.id, kService) == nullptr);
   CHECK(directory_.Leaving() == std::vector<EndpointId>{record.id});
-  SECTION("its entry says that it is ready") {
+  SECTION("a record publishes it as ready") {
     record.revision = StoreRevision{3};
     directory_.Upsert(record);
   }
-  SECTION("a listing says so") {
+  SECTION("a listing publishes it as ready") {
     record.revision = StoreRevision{3};
     directory_.ReplaceAll({record, Record("b", 1), Record("c", 1)},
                           StoreRevision{3});
   }
-  SECTION("its entry goes and comes back") {
+  SECTION("its entry is removed and published again") {
     directory_.Remove(record.id, StoreRevision{3});
     record.revision = StoreRevision{4};
     directory_.Upsert(record);
   }
-  SECTION("nothing is said for long") {
+  SECTION("no updates for a long time") {
     for (int i = 0; i < 100; ++i) {
-      Pass(EndpointDirectory::kLeavingRetention);
+      Advance(EndpointDirectory::kLeavingRetention);
       directory_.RemoveExpired();
     }
     record.revision = StoreRevision{3};
@@ -252,8 +248,8 @@
 }
 
 TEST_CASE_METHOD(DirectoryFixture,
-                 "An entry that says that it leaves is news once") {
-  Settle();
+                 "A draining record is reported as a change once") {
+  PublishInitialListing();
   EndpointRecord record = Record("a", 2);
   record.draining = true;
   CHECK(directory_.Upsert(record));
@@ -262,9 +258,10 @@
   CHECK_FALSE(directory_.MarkLeaving(record.id, record.incarnation));
 }
 
-TEST_CASE_METHOD(DirectoryFixture,
-                 "What an earlier life said of leaving binds no later one") {
-  Settle();
+TEST_CASE_METHOD(
+    DirectoryFixture,
+    "The leave of an earlier incarnation does not affect a later one") {
+  PublishInitialListing();
   EndpointRecord record = Record("a", 2);
   record.incarnation = EndpointIncarnation{2000};
   directory_.Upsert(record);
--- a/src/core/endpoint_health_test.cc
+++ b/src/core/endpoint_health_test.cc
@@ -14,8 +14,8 @@
 };
 
 TEST_CASE_METHOD(HealthFixture,
-                 "An endpoint that cannot be reached is left alone for longer "
-                 "each time, and at once taken back when it answers") {
+                 "The open time doubles with each failure, and a success "
+                 "closes the circuit") {
   health_.OnUnreachable(kEngine);
   CHECK(health_.IsSuspect(kEngine));
   now_ += EndpointHealth::kInitialOpenTime;
@@ -27,11 +27,12 @@
   CHECK_FALSE(health_.IsSuspect(kEngine));
 }
 
-// Otherwise streams that pause behind a long prompt close the engines that
-// read it, and the rest are given more than they can read.
-TEST_CASE_METHOD(HealthFixture,
-                 "An overdue request tells nothing of an endpoint that was "
-                 "heard from since") {
+// Otherwise streams that pause during a long prefill would open the circuits of
+// the prefilling engines, and the other engines would receive more prompts than
+// they can prefill.
+TEST_CASE_METHOD(
+    HealthFixture,
+    "An overdue request does not count if other bytes arrived since") {
   const TimePoint since = now_;
   now_ += Millis(1000);
   health_.OnBytesReceived(kEngine);
@@ -42,9 +43,9 @@
   CHECK(health_.IsSuspect(kEngine));
 }
 
-TEST_CASE_METHOD(HealthFixture,
-                 "Failures now and then do not close an endpoint; most "
-                 "answers failing do") {
+TEST_CASE_METHOD(
+    HealthFixture,
+    "Occasional failures do not make an endpoint suspect; a majority does") {
   for (int i = 0; i < 50; ++i) {
     if (i % 7 == 0) {
       health_.OnErrorAnswer(kEngine);
@@ -59,13 +60,14 @@
   CHECK(health_.IsSuspect(kEngine));
 }
 
-TEST_CASE_METHOD(HealthFixture, "Nothing is kept of a forgotten endpoint") {
+TEST_CASE_METHOD(HealthFixture, "Forget removes the state of an endpoint") {
   health_.OnUnreachable(kEngine);
   health_.Forget(kEngine);
   CHECK_FALSE(health_.IsSuspect(kEngine));
 }
 
-TEST_CASE_METHOD(HealthFixture, "A slow endpoint's pace is learned") {
+TEST_CASE_METHOD(HealthFixture,
+                 "Slowdown follows the observed response times") {
   for (int i = 0; i < 40; ++i) {
     health_.OnSuccess(kEngine, 4);
   }
@@ -73,9 +75,9 @@
   CHECK(health_.Slowdown(EndpointId{"unknown"}) == 1);
 }
 
-TEST_CASE_METHOD(HealthFixture,
-                 "An endpoint that another names is left alone, whatever it "
-                 "still answers itself") {
+TEST_CASE_METHOD(
+    HealthFixture,
+    "An endpoint reported at fault is avoided in spite of its own successes") {
   health_.OnReportedAtFault(kEngine);
   health_.OnSuccess(kEngine, 1);
   CHECK(health_.IsSuspect(kEngine));
@@ -87,8 +89,8 @@
 }
 
 TEST_CASE_METHOD(HealthFixture,
-                 "What a peer leaves alone is left alone for as long, and is "
-                 "not told on") {
+                 "An endpoint avoided by a peer is avoided as long, and not "
+                 "reported further") {
   health_.OnAvoidedByPeer(kEngine, Millis(500));
   CHECK(health_.IsSuspect(kEngine));
   CHECK(health_.Avoided().empty());
@@ -96,11 +98,11 @@
   CHECK_FALSE(health_.IsSuspect(kEngine));
 }
 
-// Six engines whose connections were reset at once got no request in the ten
-// seconds that followed, while the others were flooded.
-TEST_CASE_METHOD(HealthFixture,
-                 "An endpoint that failed most requests is tried again after "
-                 "a while, and is left alone again if it fails") {
+// Failure: six engines whose connections were reset at the same time received
+// no requests for ten seconds, while the other engines were overloaded.
+TEST_CASE_METHOD(
+    HealthFixture,
+    "An endpoint with a high failure ratio is probed after a delay") {
   for (int i = 0; i < 10; ++i) {
     health_.OnErrorAnswer(kEngine);
     now_ += Millis(1);
--- a/src/core/outcome_test.cc
+++ b/src/core/outcome_test.cc
@@ -5,24 +5,24 @@
 namespace harecrank {
 namespace {
 
-TEST_CASE("A request that never left was not run") {
+TEST_CASE("A request that was not submitted was not run") {
   CHECK(AttemptEvidence().Conclude() == Outcome::kNotRun);
 }
 
-TEST_CASE("A request that left without an answer is unknown") {
+TEST_CASE("A submitted request without a response is unknown") {
   AttemptEvidence evidence;
   evidence.OnSubmitted();
   CHECK(evidence.Conclude() == Outcome::kUnknown);
 }
 
-TEST_CASE("The sidecar's word that it did not start proves not run") {
+TEST_CASE("The sidecar's report of no start proves not run") {
   AttemptEvidence evidence;
   evidence.OnSubmitted();
   evidence.OnNotStarted();
   CHECK(evidence.Conclude() == Outcome::kNotRun);
 }
 
-TEST_CASE("A start outweighs a later denial") {
+TEST_CASE("A start outweighs a later report of no start") {
   AttemptEvidence evidence;
   evidence.OnSubmitted();
   evidence.OnStarted();
@@ -30,7 +30,7 @@
   CHECK(evidence.Conclude() == Outcome::kUnknown);
 }
 
-TEST_CASE("A run whose end is certain has failed") {
+TEST_CASE("A run that ended with an error has failed") {
   AttemptEvidence evidence;
   evidence.OnSubmitted();
   evidence.OnStarted();
@@ -38,7 +38,7 @@
   CHECK(evidence.Conclude() == Outcome::kFailed);
 }
 
-TEST_CASE("A word that is not an outcome counts as unknown") {
+TEST_CASE("An unknown name is the outcome unknown") {
   CHECK(OutcomeFromName("perhaps") == Outcome::kUnknown);
   CHECK(OutcomeFromName(OutcomeName(Outcome::kNotRun)) == Outcome::kNotRun);
 }
--- a/src/core/request_fingerprint_test.cc
+++ b/src/core/request_fingerprint_test.cc
@@ -9,11 +9,11 @@
   return FingerprintParts{AccountId{"acme"}, "POST", "/draft/1", "a body"};
 }
 
-TEST_CASE("The same request has the same fingerprint wherever it comes") {
+TEST_CASE("Equal requests have equal fingerprints") {
   CHECK(FingerprintOf(Parts()) == FingerprintOf(Parts()));
 }
 
-TEST_CASE("Account, method, target and body each make another request") {
+TEST_CASE("Account, method, target and body each change the fingerprint") {
   const RequestFingerprint one = FingerprintOf(Parts());
   FingerprintParts parts = Parts();
   parts.account = AccountId{"else"};
@@ -29,8 +29,7 @@
   CHECK_FALSE(FingerprintOf(parts) == one);
 }
 
-TEST_CASE(
-    "What one part ends with does not pass for the next one's beginning") {
+TEST_CASE("Moving text between adjacent parts changes the fingerprint") {
   FingerprintParts a = Parts();
   a.target = "/x";
   a.body = "yz";
--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -19,16 +19,16 @@
   TimePoint now{};
   RequestQuarantine quarantine{[this] { return now; }};
 
-  void CrashTimes(int times) {
-    for (int i = 0; i < times; ++i) {
+  void AddCrashes(int count) {
+    for (int i = 0; i < count; ++i) {
       quarantine.OnCrash(Request(1), Crash(i));
     }
   }
 };
 
-TEST_CASE("A request is held once three endpoints have ended under it") {
+TEST_CASE("A request is quarantined after three crashes") {
   Host host;
-  host.CrashTimes(2);
+  host.AddCrashes(2);
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
   CHECK(host.quarantine.OnCrash(Request(1), Crash(2)));
   CHECK(host.quarantine.IsQuarantined(Request(1)));
@@ -36,7 +36,7 @@
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(2)));
 }
 
-TEST_CASE("One end of an endpoint counts once, and two lives are two ends") {
+TEST_CASE("A crash counts once per incarnation") {
   Host host;
   CHECK(host.quarantine.OnCrash(Request(1), Crash(0)));
   CHECK_FALSE(host.quarantine.OnCrash(Request(1), Crash(0)));
@@ -45,28 +45,28 @@
   CHECK(host.quarantine.CrashCount(Request(1)) == 2);
 }
 
-TEST_CASE("Requests of other accounts are other requests") {
+TEST_CASE("Equal requests of different accounts are distinct") {
   Host host;
-  host.CrashTimes(3);
+  host.AddCrashes(3);
   RequestFingerprint other = Request(1);
   other.account = AccountId{"else"};
   CHECK_FALSE(host.quarantine.IsQuarantined(other));
 }
 
-TEST_CASE("A request that was answered whole is free, whatever ended before") {
+TEST_CASE("A completed request is cleared of all crashes") {
   Host host;
-  host.CrashTimes(3);
+  host.AddCrashes(3);
   CHECK(host.quarantine.OnCompleted(Request(1)));
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
-  // Told late of an end that had been counted already.
+  // A delayed report of a crash that has been cleared.
   CHECK_FALSE(host.quarantine.OnCrash(Request(1), Crash(1)));
   CHECK(host.quarantine.CrashCount(Request(1)) == 0);
   CHECK_FALSE(host.quarantine.OnCompleted(Request(1)));
 }
 
-TEST_CASE("A held request is let through alone, three times at the most") {
+TEST_CASE("A quarantined request is admitted for at most three trials") {
   Host host;
-  host.CrashTimes(3);
+  host.AddCrashes(3);
   for (int trial = 0; trial < RequestQuarantine::kMaxTrials; ++trial) {
     host.now += RequestQuarantine::kTrialInterval;
     bool is_trial = false;
@@ -78,9 +78,8 @@
   CHECK(host.quarantine.IsQuarantined(Request(1)));
 }
 
-// Two requests that were in hand at the same three ends, of which only the
-// first is to blame.
-void HoldTwo(Host* host) {
+// Adds three crashes to two requests, of which only the first is the cause.
+void QuarantineTwo(Host* host) {
   for (int i = 0; i < 3; ++i) {
     host->quarantine.OnCrash(Request(1), Crash(i));
     host->quarantine.OnCrash(Request(2), Crash(i));
@@ -88,13 +87,14 @@
   host->now += RequestQuarantine::kTrialInterval;
 }
 
-TEST_CASE("Held requests are let through one after the other") {
+TEST_CASE("Trials of different requests run one after the other") {
   Host host;
-  HoldTwo(&host);
+  QuarantineTwo(&host);
   CHECK(host.quarantine.TryAdmit(Request(1)));
   CHECK(host.quarantine.IsQuarantined(Request(2)));
   CHECK_FALSE(host.quarantine.TryAdmit(Request(2)));
-  // The trial of the first ends the endpoint on which the second would be.
+  // The trial of the first request crashes the endpoint that the second would
+  // have used.
   host.quarantine.OnCrash(Request(1), Crash(3));
   host.now += Millis(500);
   CHECK(host.quarantine.TryAdmit(Request(2)));
@@ -103,21 +103,21 @@
   CHECK(host.quarantine.IsQuarantined(Request(1)));
 }
 
-TEST_CASE("A host lets no request through beside the trial of another host") {
-  Host trying;
+TEST_CASE("A trial on another host delays trials of other requests") {
+  Host trial_host;
   Host other;
-  HoldTwo(&trying);
-  HoldTwo(&other);
-  CHECK(trying.quarantine.TryAdmit(Request(1)));
-  other.quarantine.Merge(trying.quarantine.ReportOf(Request(1)));
+  QuarantineTwo(&trial_host);
+  QuarantineTwo(&other);
+  CHECK(trial_host.quarantine.TryAdmit(Request(1)));
+  other.quarantine.Merge(trial_host.quarantine.ReportOf(Request(1)));
   CHECK_FALSE(other.quarantine.TryAdmit(Request(2)));
   other.now += Millis(500);
   CHECK(other.quarantine.TryAdmit(Request(2)));
 }
 
-TEST_CASE("A trial that reached no endpoint is not spent") {
+TEST_CASE("A cancelled trial does not count") {
   Host host;
-  host.CrashTimes(3);
+  host.AddCrashes(3);
   for (int i = 0; i < 2 * RequestQuarantine::kMaxTrials; ++i) {
     host.now += RequestQuarantine::kTrialInterval;
     REQUIRE(host.quarantine.TryAdmit(Request(1)));
@@ -126,27 +126,27 @@
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
 }
 
-TEST_CASE("A request that fails a trial waits longer, and two prove it") {
+TEST_CASE("A failed trial extends the interval, and a second ends the trials") {
   Host host;
-  host.CrashTimes(3);
+  host.AddCrashes(3);
   host.now += RequestQuarantine::kTrialInterval;
   REQUIRE(host.quarantine.TryAdmit(Request(1)));
-  host.CrashTimes(4);
+  host.AddCrashes(4);
   host.now += RequestQuarantine::kTrialInterval;
   CHECK(host.quarantine.IsQuarantined(Request(1)));
   host.now += RequestQuarantine::kIntervalAfterFailedTrial;
   REQUIRE(host.quarantine.TryAdmit(Request(1)));
-  host.CrashTimes(5);
+  host.AddCrashes(5);
   host.now += RequestQuarantine::kCrashRetention + Millis(1);
   CHECK(host.quarantine.IsQuarantined(Request(1)));
   host.now += RequestQuarantine::kProvenRetention;
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
 }
 
-// Half of all callers make it, and all engines lose power at once.
-TEST_CASE("A request that was in hand at many ends is tried all the same") {
+// Half of all callers send the request, and all engines lose power at once.
+TEST_CASE("A request with many crashes still gets a trial") {
   Host host;
-  host.CrashTimes(9);
+  host.AddCrashes(9);
   CHECK(host.quarantine.IsQuarantined(Request(1)));
   host.now += RequestQuarantine::kTrialInterval;
   CHECK(host.quarantine.TryAdmit(Request(1)));
@@ -154,9 +154,9 @@
   CHECK_FALSE(host.quarantine.IsQuarantined(Request(1)));
 }
 
-TEST_CASE("Ends that lie far apart are forgotten") {
+TEST_CASE("Old crashes are not counted") {
   Host host;
-  host.CrashTimes(2);
+  host.AddCrashes(2);
   host.now += RequestQuarantine::kCrashRetention + Millis(1);
   host.quarantine.OnCrash(Request(1), Crash(7));
   CHECK(host.quarantine.CrashCount(Request(1)) == 1);
@@ -165,7 +165,7 @@
   CHECK(host.quarantine.IsEmpty());
 }
 
-TEST_CASE("Hosts that each saw one end hold the request together") {
+TEST_CASE("Crashes seen by different hosts add up") {
   Host hosts[3];
   for (int i = 0; i < 3; ++i) {
     hosts[i].quarantine.OnCrash(Request(1), Crash(i));
@@ -174,7 +174,7 @@
     const CrashReport report = from.quarantine.ReportOf(Request(1));
     for (Host& to : hosts) {
       to.quarantine.Merge(report);
-      // A datagram may come twice.
+      // A datagram may be duplicated.
       to.quarantine.Merge(report);
     }
   }
@@ -184,7 +184,7 @@
   }
 }
 
-TEST_CASE("An end that several hosts saw counts once") {
+TEST_CASE("A crash that several hosts saw counts once") {
   Host hosts[4];
   for (Host& host : hosts) {
     host.quarantine.OnCrash(Request(1), Crash(0));
@@ -195,13 +195,13 @@
   CHECK(hosts[0].quarantine.CrashCount(Request(1)) == 1);
 }
 
-TEST_CASE("A host that missed that a request was cleared learns it") {
+TEST_CASE("A host learns of a missed clearing by merging") {
   Host cleared;
   Host missed;
-  cleared.CrashTimes(3);
+  cleared.AddCrashes(3);
   missed.quarantine.Merge(cleared.quarantine.ReportOf(Request(1)));
   cleared.quarantine.OnCompleted(Request(1));
-  // What the other one tells brings nothing back.
+  // The report of the other host does not restore the crashes.
   const CrashReport old = missed.quarantine.ReportOf(Request(1));
   CHECK_FALSE(cleared.quarantine.Merge(old));
   CHECK(cleared.quarantine.KnowsMoreThan(old));
@@ -209,27 +209,27 @@
   CHECK_FALSE(missed.quarantine.IsQuarantined(Request(1)));
 }
 
-TEST_CASE("A host that did not make the trial holds the request meanwhile") {
-  Host trying;
+TEST_CASE("A trial on another host delays trials of the same request") {
+  Host trial_host;
   Host other;
-  trying.CrashTimes(3);
-  other.CrashTimes(3);
-  trying.now += RequestQuarantine::kTrialInterval;
+  trial_host.AddCrashes(3);
+  other.AddCrashes(3);
+  trial_host.now += RequestQuarantine::kTrialInterval;
   other.now += RequestQuarantine::kTrialInterval;
-  REQUIRE(trying.quarantine.TryAdmit(Request(1)));
+  REQUIRE(trial_host.quarantine.TryAdmit(Request(1)));
   REQUIRE_FALSE(other.quarantine.IsQuarantined(Request(1)));
-  CHECK(other.quarantine.Merge(trying.quarantine.ReportOf(Request(1))));
+  CHECK(other.quarantine.Merge(trial_host.quarantine.ReportOf(Request(1))));
   CHECK(other.quarantine.IsQuarantined(Request(1)));
 }
 
-TEST_CASE("Digests agree exactly where hosts know the same suspects") {
+TEST_CASE("Digests are equal if hosts share the same crashes") {
   Host a;
   Host b;
   CHECK(a.quarantine.SharedDigest() == 0);
-  a.CrashTimes(1);
-  // One end is told once and not again.
+  a.AddCrashes(1);
+  // A single crash is sent once and not shared again.
   CHECK(a.quarantine.SharedDigest() == 0);
-  a.CrashTimes(3);
+  a.AddCrashes(3);
   CHECK(a.quarantine.SharedDigest() != b.quarantine.SharedDigest());
   for (const CrashReport& report : a.quarantine.SharedReports()) {
     b.quarantine.Merge(report);
@@ -237,18 +237,19 @@
   CHECK(a.quarantine.SharedDigest() == b.quarantine.SharedDigest());
 }
 
-TEST_CASE("A flood of suspects does not push out a request that is held") {
+TEST_CASE("Many new records do not evict a quarantined request") {
   Host host;
-  host.CrashTimes(3);
-  const auto most = static_cast<std::uint64_t>(RequestQuarantine::kMaxRecords);
-  for (std::uint64_t i = 2; i < 3 * most; ++i) {
+  host.AddCrashes(3);
+  const auto max_records =
+      static_cast<std::uint64_t>(RequestQuarantine::kMaxRecords);
+  for (std::uint64_t i = 2; i < 3 * max_records; ++i) {
     host.now += Millis(1);
     host.quarantine.OnCrash(Request(i), Crash(9));
   }
   CHECK(host.quarantine.Count() <= RequestQuarantine::kMaxRecords);
   CHECK(host.quarantine.CrashCount(Request(1)) == 3);
-  // The newest has its place.
-  CHECK(host.quarantine.CrashCount(Request(3 * most - 1)) == 1);
+  // The newest request has a record.
+  CHECK(host.quarantine.CrashCount(Request(3 * max_records - 1)) == 1);
 }
 
 }  // namespace
--- a/src/core/retry_policy_test.cc
+++ b/src/core/retry_policy_test.cc
@@ -5,7 +5,7 @@
 namespace harecrank {
 namespace {
 
-struct Fixture {
+struct RetryPolicyFixture {
   TimePoint now{};
   RetryBudget budget{100};
   AttemptEvidence evidence;
@@ -14,53 +14,58 @@
     return RetryPolicy(
         repeat, now + Millis(1000), [this] { return now; }, &budget);
   }
-  static bool TriesAgain(const AttemptStep& step) {
+  static bool Retries(const AttemptStep& step) {
     return std::holds_alternative<TryElsewhere>(step);
   }
 };
 
-TEST_CASE_METHOD(Fixture, "A repeatable request whose link broke tries again") {
+TEST_CASE_METHOD(RetryPolicyFixture,
+                 "A repeatable request is retried after a lost connection") {
   RetryPolicy policy = MakePolicy(RetryMode::kAllowed);
   evidence.OnSubmitted();
-  CHECK(TriesAgain(policy.Next(AttemptLost{"cut"}, evidence)));
+  CHECK(Retries(policy.Next(AttemptLost{"cut"}, evidence)));
 }
 
-TEST_CASE_METHOD(Fixture, "A ticketed request never goes elsewhere") {
+TEST_CASE_METHOD(RetryPolicyFixture,
+                 "A request with a ticket is never retried elsewhere") {
   RetryPolicy policy = MakePolicy(RetryMode::kNever);
   evidence.OnSubmitted();
   evidence.OnNotStarted();
   const AttemptStep step =
       policy.Next(AttemptRejected{"overloaded", "", std::nullopt}, evidence);
-  REQUIRE_FALSE(TriesAgain(step));
+  REQUIRE_FALSE(Retries(step));
   CHECK(std::get<GiveUp>(step).refusal.outcome == Outcome::kNotRun);
 }
 
-TEST_CASE_METHOD(Fixture, "An unmarked change goes elsewhere only if not run") {
+TEST_CASE_METHOD(
+    RetryPolicyFixture,
+    "A request that is not marked repeatable is retried only if not run") {
   RetryPolicy policy = MakePolicy(RetryMode::kOnlyIfNotRun);
   evidence.OnSubmitted();
-  AttemptEvidence denied = evidence;
-  denied.OnNotStarted();
-  CHECK(TriesAgain(
-      policy.Next(AttemptRejected{"overloaded", "", std::nullopt}, denied)));
+  AttemptEvidence not_started = evidence;
+  not_started.OnNotStarted();
+  CHECK(Retries(policy.Next(AttemptRejected{"overloaded", "", std::nullopt},
+                            not_started)));
   const AttemptStep step = policy.Next(AttemptLost{"cut"}, evidence);
-  REQUIRE_FALSE(TriesAgain(step));
+  REQUIRE_FALSE(Retries(step));
   CHECK(std::get<GiveUp>(step).refusal.outcome == Outcome::kUnknown);
 }
 
-TEST_CASE_METHOD(Fixture, "A request of several attempts claims the weakest") {
+TEST_CASE_METHOD(RetryPolicyFixture,
+                 "The final outcome is the weakest of all attempts") {
   RetryPolicy policy = MakePolicy(RetryMode::kAllowed);
   evidence.OnSubmitted();
-  REQUIRE(TriesAgain(policy.Next(AttemptLost{"cut"}, evidence)));
-  AttemptEvidence denied;
-  denied.OnSubmitted();
-  denied.OnNotStarted();
+  REQUIRE(Retries(policy.Next(AttemptLost{"cut"}, evidence)));
+  AttemptEvidence not_started;
+  not_started.OnSubmitted();
+  not_started.OnNotStarted();
   now += Millis(1000);
   const AttemptStep step =
-      policy.Next(AttemptRejected{"overloaded", "", std::nullopt}, denied);
+      policy.Next(AttemptRejected{"overloaded", "", std::nullopt}, not_started);
   CHECK(std::get<GiveUp>(step).refusal.outcome == Outcome::kUnknown);
 }
 
-TEST_CASE_METHOD(Fixture, "A refusal tells when to come back") {
+TEST_CASE_METHOD(RetryPolicyFixture, "A rejection contains the time to retry") {
   RetryPolicy policy = MakePolicy(RetryMode::kNever);
   const AttemptStep step =
       policy.Next(AttemptRejected{"overloaded", "", Millis(1500)}, evidence);
@@ -68,25 +73,25 @@
   CHECK(std::get<GiveUp>(step).refusal.http_status == 429);
 }
 
-TEST_CASE_METHOD(Fixture, "Tries end with the budget") {
+TEST_CASE_METHOD(RetryPolicyFixture, "No retry without budget") {
   RetryBudget empty(0);
   while (empty.TryRetry()) {
   }
   RetryPolicy policy(
       RetryMode::kAllowed, now + Millis(1000), [this] { return now; }, &empty);
-  CHECK_FALSE(TriesAgain(policy.Next(AttemptLost{"cut"}, evidence)));
+  CHECK_FALSE(Retries(policy.Next(AttemptLost{"cut"}, evidence)));
 }
 
-TEST_CASE_METHOD(Fixture, "Tries end at their greatest number") {
+TEST_CASE_METHOD(RetryPolicyFixture, "Attempts end at kMaxAttempts") {
   RetryPolicy policy = MakePolicy(RetryMode::kAllowed);
-  int tries = 1;
-  while (TriesAgain(policy.Next(AttemptLost{"cut"}, evidence))) {
-    ++tries;
+  int attempts = 1;
+  while (Retries(policy.Next(AttemptLost{"cut"}, evidence))) {
+    ++attempts;
   }
-  CHECK(tries == RetryPolicy::kMaxAttempts);
+  CHECK(attempts == RetryPolicy::kMaxAttempts);
 }
 
-TEST_CASE("Retries stay within their share of first attempts") {
+TEST_CASE("Retries stay within their ratio to first attempts") {
   RetryBudget budget(10);
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
