--- a/src/core/request_quarantine_test.cc
+++ b/src/core/request_quarantine_test.cc
@@ -19,6 +19,8 @@
   TimePoint now{};
   RequestQuarantine quarantine{[this] { return now; }};
 
+  // Reports crashes of endpoints 0 to `count` - 1; those already known have no
+  // effect.
   void AddCrashes(int count) {
     for (int i = 0; i < count; ++i) {
       quarantine.OnCrash(Request(1), Crash(i));
