--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -21,7 +21,7 @@
 // known here. If the jitter is too small, all hosts choose the engine that
 // looks idle first.
 constexpr FractionalMillis kJitterPerPeer{3};
-// Interval between heartbeats.
+// Heartbeat interval that the jitter assumes.
 constexpr Millis kHeartbeatInterval{100};
 // Upper limit of the jitter as a share of the latency target, for any number of
 // hosts. With more jitter a late engine would be chosen as readily as one that
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -6,7 +6,7 @@
 namespace harecrank {
 namespace {
 
-PlannedPlacement Planned(const Placement& placement) {
+PlannedPlacement ToPlannedPlacement(const Placement& placement) {
   PlannedPlacement planned;
   planned.endpoint = placement.endpoint.id;
   planned.work_class = placement.work_class;
@@ -160,7 +160,7 @@
   start_quotas_->Add(*placement, *request->service, entry->query.host,
                      &granted_starts_);
   entry->endpoint = placement->endpoint.id;
-  entry->placed = Planned(*placement);
+  entry->placed = ToPlannedPlacement(*placement);
   entry->placed_at = clock_();
   if (request->service->engine.has_value()) {
     QueueOf(*entry).OnGranted(ShareClaimOf(*request));
