--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -137,9 +137,9 @@
   return std::visit(Describer{}, error);
 }
 
-leaf::result<HttpAnswer> CallHttp(const HttpCall& call,
-                                  std::size_t most_bytes) {
-  HttpAnswer answer{};
+leaf::result<HttpResponse> CallHttp(const HttpCall& call,
+                                    std::size_t most_bytes) {
+  HttpResponse answer{};
   const auto exchange = [&](HTTPClientSession& session) -> leaf::result<void> {
     SendRequest(session, call);
     HTTPResponse response;
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -56,7 +56,7 @@
 };
 
 // One answer. The status is zero where there was none.
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;
   std::string content_type;
   std::string retry_after;
@@ -64,8 +64,8 @@
 };
 
 // Makes a call and reads the whole answer, up to `most_bytes`.
-boost::leaf::result<HttpAnswer> CallHttp(const HttpCall& call,
-                                         std::size_t most_bytes = 64U << 20U);
+boost::leaf::result<HttpResponse> CallHttp(const HttpCall& call,
+                                           std::size_t most_bytes = 64U << 20U);
 
 // Makes a call and gives the answer's body to `read` as it comes. `read` is
 // called once, also for answers that tell of an error.
--- a/src/node/platform.cc
+++ b/src/node/platform.cc
@@ -28,13 +28,13 @@
   }
 };
 
-leaf::result<HttpAnswer> Get(const std::string& address,
-                             const std::string& path, Millis timeout) {
+leaf::result<HttpResponse> Get(const std::string& address,
+                               const std::string& path, Millis timeout) {
   HttpCall call;
   call.address = address;
   call.path = path;
   call.timeout = timeout;
-  HttpAnswer answer;
+  HttpResponse answer;
   BOOST_LEAF_CHECK(leaf::try_handle_some(
       [&]() -> leaf::result<void> {
         BOOST_LEAF_ASSIGN(answer, CallHttp(call));
@@ -56,7 +56,7 @@
   }
 }
 
-leaf::result<PublishedValue> ToValue(const HttpAnswer& answer) {
+leaf::result<PublishedValue> ToValue(const HttpResponse& answer) {
   if (answer.status != http_status::kOk) {
     return leaf::new_error(PlatformError{PlatformRefused{answer.status}});
   }
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -53,8 +53,8 @@
       });
 }
 
-leaf::result<HttpAnswer> Call(const HttpCall& call) {
-  HttpAnswer answer;
+leaf::result<HttpResponse> Call(const HttpCall& call) {
+  HttpResponse answer;
   BOOST_LEAF_CHECK(TurnErrors([&]() -> leaf::result<void> {
     BOOST_LEAF_ASSIGN(answer, CallHttp(call));
     return {};
@@ -62,7 +62,7 @@
   return answer;
 }
 
-leaf::result<HttpAnswer> CallExpectingOk(const HttpCall& call) {
+leaf::result<HttpResponse> CallExpectingOk(const HttpCall& call) {
   BOOST_LEAF_AUTO(answer, Call(call));
   if (answer.status != http_status::kOk) {
     return leaf::new_error(
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -25,14 +25,14 @@
 constexpr std::size_t kLabelBytes = 32;
 constexpr std::size_t kBytesPerToken = 4;
 
-HttpAnswer CallOrEmpty(const HttpCall& call) {
+HttpResponse CallOrEmpty(const HttpCall& call) {
   return leaf::try_handle_all([&] { return CallHttp(call); },
-                              [] { return HttpAnswer(); });
+                              [] { return HttpResponse(); });
 }
 
-HttpAnswer Request(const std::string& address, const std::string& method,
-                   const std::string& path, const std::string& body = "",
-                   const std::string& key = "") {
+HttpResponse Request(const std::string& address, const std::string& method,
+                     const std::string& path, const std::string& body = "",
+                     const std::string& key = "") {
   HttpCall call;
   call.address = address;
   call.method = method;
@@ -237,7 +237,7 @@
 }
 
 std::uint32_t Fleet::Change(const std::string& node, const json& request) {
-  const HttpAnswer answer =
+  const HttpResponse answer =
       Request(Operations(node), "POST", "/rpc/harecrank.v1.Administration/Plan",
               request.dump(), kOperatorKey);
   if (answer.status != http_status::kOk) {
@@ -566,7 +566,7 @@
       asked.body.is_object() && asked.body.value("stream", false);
   CallerAnswer answer;
   if (!stream) {
-    const HttpAnswer got = CallOrEmpty(call);
+    const HttpResponse got = CallOrEmpty(call);
     answer.status = got.status;
     answer.body = Parsed(got.body);
     answer.retry_after = got.retry_after;
