--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -63,7 +63,7 @@
 
 void SendRequest(HTTPClientSession& session, const HttpCall& call) {
   HTTPRequest request(call.method, call.path, HTTPMessage::HTTP_1_1);
-  for (const HttpField& field : call.fields) {
+  for (const HttpHeader& field : call.fields) {
     request.set(field.name, field.value);
   }
   if (!call.body.empty() || call.method == HTTPRequest::HTTP_POST) {
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -38,7 +38,7 @@
 std::string Describe(const HttpError& error);
 
 // A header field of a call or an answer.
-struct HttpField {
+struct HttpHeader {
   std::string name;
   std::string value;
 };
@@ -50,7 +50,7 @@
   std::string path = "/";
   std::string body;
   std::string content_type = "application/json";
-  std::vector<HttpField> fields;
+  std::vector<HttpHeader> fields;
   // How long to wait for a connection, and for each read.
   Millis timeout{2000};
 };
--- a/src/cli/operator_commands.cc
+++ b/src/cli/operator_commands.cc
@@ -34,7 +34,7 @@
   call.path = asked.path;
   call.body = asked.body;
   call.timeout = kCallTimeout;
-  call.fields.push_back(HttpField{"Authorization", "Bearer " + asked.key});
+  call.fields.push_back(HttpHeader{"Authorization", "Bearer " + asked.key});
   return leaf::try_handle_all(
       [&]() -> leaf::result<int> {
         BOOST_LEAF_AUTO(answer, CallHttp(call));
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -40,7 +40,7 @@
   call.body = body;
   call.timeout = kCallTimeout;
   if (!key.empty()) {
-    call.fields.push_back(HttpField{"Authorization", "Bearer " + key});
+    call.fields.push_back(HttpHeader{"Authorization", "Bearer " + key});
   }
   return CallOrEmpty(call);
 }
@@ -561,7 +561,7 @@
                                             : asked.body.dump());
   call.timeout = asked.timeout;
   call.fields = asked.fields;
-  call.fields.push_back(HttpField{"Authorization", "Bearer " + asked.key});
+  call.fields.push_back(HttpHeader{"Authorization", "Bearer " + asked.key});
   const bool stream =
       asked.body.is_object() && asked.body.value("stream", false);
   CallerAnswer answer;
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -196,7 +196,7 @@
   std::string method = "POST";
   nlohmann::json body;
   std::string key = kAccountKey;
-  std::vector<HttpField> fields;
+  std::vector<HttpHeader> fields;
   Millis timeout{60000};
 };
 
--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -181,7 +181,7 @@
     if (cell_.kind == Kind::kTicketed) {
       ticket_ = FetchTicket(fleet_.Callers(0), {{"model", kModel}});
       REQUIRE_FALSE(ticket_.empty());
-      call_.fields.push_back(HttpField{"Harecrank-Ticket", ticket_});
+      call_.fields.push_back(HttpHeader{"Harecrank-Ticket", ticket_});
     }
     if (cell_.step == Step::kRoute) {
       target_ = TargetAtRoute();
