--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -33,7 +33,7 @@
   std::string operator()(const Unreachable& error) const {
     return "no connection: " + error.reason;
   }
-  std::string operator()(const NoAnswer& error) const {
+  std::string operator()(const NoResponse& error) const {
     return "no answer: " + error.reason;
   }
   std::string operator()(const AnswerTooLarge& error) const {
@@ -91,7 +91,7 @@
     session.setTimeout(ToTimespan(call.timeout));
     return exchange(session);
   } catch (const Poco::Exception& error) {
-    return leaf::new_error(HttpError{NoAnswer{error.displayText()}});
+    return leaf::new_error(HttpError{NoResponse{error.displayText()}});
   }
 }
 
@@ -154,7 +154,7 @@
     if (response.hasContentLength() &&
         static_cast<Poco::Int64>(answer.body.size()) <
             response.getContentLength64()) {
-      return leaf::new_error(HttpError{NoAnswer{"the answer was cut"}});
+      return leaf::new_error(HttpError{NoResponse{"the answer was cut"}});
     }
     return {};
   };
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -26,13 +26,13 @@
   std::string reason;
 };
 // The call was sent, and what became of it is not known.
-struct NoAnswer {
+struct NoResponse {
   std::string reason;
 };
 struct AnswerTooLarge {
   std::size_t limit = 0;
 };
-using HttpError = std::variant<Unreachable, NoAnswer, AnswerTooLarge>;
+using HttpError = std::variant<Unreachable, NoResponse, AnswerTooLarge>;
 
 // Returns one sentence for a person.
 std::string Describe(const HttpError& error);
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -37,7 +37,7 @@
   EngineError operator()(const Unreachable& error) const {
     return EngineUnreachable{error.reason};
   }
-  EngineError operator()(const NoAnswer& error) const {
+  EngineError operator()(const NoResponse& error) const {
     return EngineLost{error.reason};
   }
   EngineError operator()(const AnswerTooLarge& error) const {
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -47,7 +47,7 @@
     return wire::Refused{stream, "endpoint_unreachable", error.reason,
                          kRetryAfter};
   }
-  wire::Message operator()(const NoAnswer& error) const {
+  wire::Message operator()(const NoResponse& error) const {
     return wire::Failed{stream, "service_lost", error.reason, false};
   }
   wire::Message operator()(const AnswerTooLarge& error) const {
