--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -36,7 +36,7 @@
   std::string operator()(const NoResponse& error) const {
     return "no answer: " + error.reason;
   }
-  std::string operator()(const AnswerTooLarge& error) const {
+  std::string operator()(const ResponseTooLarge& error) const {
     return "the answer is larger than " + std::to_string(error.limit) +
            " bytes";
   }
@@ -148,7 +148,7 @@
     answer.content_type = response.getContentType();
     answer.retry_after = response.get("Retry-After", "");
     if (!ReadAll(body, most_bytes, &answer.body)) {
-      return leaf::new_error(HttpError{AnswerTooLarge{most_bytes}});
+      return leaf::new_error(HttpError{ResponseTooLarge{most_bytes}});
     }
     // POCO ends a body that was cut as it ends a whole one.
     if (response.hasContentLength() &&
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -29,10 +29,10 @@
 struct NoResponse {
   std::string reason;
 };
-struct AnswerTooLarge {
+struct ResponseTooLarge {
   std::size_t limit = 0;
 };
-using HttpError = std::variant<Unreachable, NoResponse, AnswerTooLarge>;
+using HttpError = std::variant<Unreachable, NoResponse, ResponseTooLarge>;
 
 // Returns one sentence for a person.
 std::string Describe(const HttpError& error);
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -40,7 +40,7 @@
   EngineError operator()(const NoResponse& error) const {
     return EngineLost{error.reason};
   }
-  EngineError operator()(const AnswerTooLarge& error) const {
+  EngineError operator()(const ResponseTooLarge& error) const {
     return EngineLost{Describe(HttpError{error})};
   }
 };
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -50,7 +50,7 @@
   wire::Message operator()(const NoResponse& error) const {
     return wire::Failed{stream, "service_lost", error.reason, false};
   }
-  wire::Message operator()(const AnswerTooLarge& error) const {
+  wire::Message operator()(const ResponseTooLarge& error) const {
     return wire::Failed{stream, "answer_too_large", Describe(HttpError{error}),
                         true};
   }
