--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -200,8 +200,8 @@
   pool_.stopAll();
 }
 
-void Answer(Poco::Net::HTTPServerResponse& response, int status,
-            const std::string& body, const std::string& content_type) {
+void SendResponse(Poco::Net::HTTPServerResponse& response, int status,
+                  const std::string& body, const std::string& content_type) {
   response.setStatus(static_cast<HTTPResponse::HTTPStatus>(status));
   response.setReason(HTTPResponse::getReasonForStatus(response.getStatus()));
   response.setContentType(content_type);
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -109,9 +109,9 @@
 };
 
 // Writes a whole answer.
-void Answer(Poco::Net::HTTPServerResponse& response, int status,
-            const std::string& body,
-            const std::string& content_type = "application/json");
+void SendResponse(Poco::Net::HTTPServerResponse& response, int status,
+                  const std::string& body,
+                  const std::string& content_type = "application/json");
 
 // Reads a body of at most `limit` bytes. Returns false if it is longer.
 bool ReadBody(Poco::Net::HTTPServerRequest& request, std::size_t limit,
--- a/src/entry/answer_writer.cc
+++ b/src/entry/answer_writer.cc
@@ -41,7 +41,7 @@
     response.set("Retry-After",
                  std::to_string(std::max<std::int64_t>(seconds, 1)));
   }
-  Answer(response, refusal.http_status, RefusalJson(refusal));
+  SendResponse(response, refusal.http_status, RefusalJson(refusal));
 }
 
 AnswerWriter::AnswerWriter(AnswerWriterPorts ports, const CallerRequest& asked)
@@ -169,11 +169,11 @@
   if (asked_.form == AnswerForm::kService) {
     ports_.response->set("Harecrank-Endpoint", answered.endpoint.value);
     const std::string& type = answered.finished.content_type;
-    Answer(*ports_.response, answered.finished.status, whole_,
-           type.empty() ? "application/octet-stream" : type);
+    SendResponse(*ports_.response, answered.finished.status, whole_,
+                 type.empty() ? "application/octet-stream" : type);
     return;
   }
-  Answer(*ports_.response, http_status::kOk, WholeJson(answered));
+  SendResponse(*ports_.response, http_status::kOk, WholeJson(answered));
 }
 
 }  // namespace harecrank
--- a/src/entry/caller_server.cc
+++ b/src/entry/caller_server.cc
@@ -130,13 +130,14 @@
                           HTTPServerResponse& response) {
   const std::string path = PathOf(request.getURI());
   if (path == "/healthz") {
-    Answer(response, http_status::kOk, "{\"status\":\"ok\"}");
+    SendResponse(response, http_status::kOk, "{\"status\":\"ok\"}");
     return;
   }
   if (path == "/readyz") {
     const bool ready = node_->IsReady() && !draining_;
-    Answer(response, ready ? http_status::kOk : http_status::kUnavailable,
-           ready ? "{\"status\":\"ready\"}" : "{\"status\":\"not_ready\"}");
+    SendResponse(
+        response, ready ? http_status::kOk : http_status::kUnavailable,
+        ready ? "{\"status\":\"ready\"}" : "{\"status\":\"not_ready\"}");
     return;
   }
   requests_->Add();
@@ -193,8 +194,8 @@
              configuration->GetDocument().models()) {
           models.push_back({{"id", name}, {"object", "model"}});
         }
-        Answer(response, http_status::kOk,
-               json{{"object", "list"}, {"data", models}}.dump());
+        SendResponse(response, http_status::kOk,
+                     json{{"object", "list"}, {"data", models}}.dump());
         return {};
       },
       [&](const Refusal& refusal) { Refuse(response, refusal); },
@@ -216,8 +217,8 @@
           const std::string ticket = headers.path.substr(
               std::min(headers.path.size(), sizeof(kTickets)));
           const Outcome outcome = dispatcher_->RevokeTicket(account, ticket);
-          Answer(response, http_status::kOk,
-                 json{{"outcome", OutcomeName(outcome)}}.dump());
+          SendResponse(response, http_status::kOk,
+                       json{{"outcome", OutcomeName(outcome)}}.dump());
           return {};
         }
         std::string text;
@@ -235,10 +236,10 @@
           return leaf::new_error(*refusal);
         }
         const auto& ticket = std::get<IssuedTicket>(issued);
-        Answer(response, http_status::kOk,
-               json{{"ticket", ticket.ticket},
-                    {"expires_in_ms", ticket.ttl.count()}}
-                   .dump());
+        SendResponse(response, http_status::kOk,
+                     json{{"ticket", ticket.ticket},
+                          {"expires_in_ms", ticket.ttl.count()}}
+                         .dump());
         return {};
       },
       [&](const Refusal& refusal) { Refuse(response, refusal); },
--- a/standins/platform_servers.cc
+++ b/standins/platform_servers.cc
@@ -72,7 +72,7 @@
     const std::string body = BodyOf(request);
     if (path == "/control/calls") {
       const std::lock_guard<std::mutex> lock(mutex_);
-      Answer(response, http_status::kOk, json(calls_).dump());
+      SendResponse(response, http_status::kOk, json(calls_).dump());
       return;
     }
     {
@@ -81,9 +81,10 @@
     }
     const int delay = std::stoi(QueryValue(request.getURI(), "delay_ms", "0"));
     std::this_thread::sleep_for(std::chrono::milliseconds(delay));
-    Answer(response, http_status::kOk,
-           json{{"path", path}, {"method", request.getMethod()}, {"echo", body}}
-               .dump());
+    SendResponse(
+        response, http_status::kOk,
+        json{{"path", path}, {"method", request.getMethod()}, {"echo", body}}
+            .dump());
   }
 
  private:
@@ -115,16 +116,16 @@
       HandleRead(path.substr(values.size()), request, response);
     } else if (path.compare(0, control.size(), control) == 0) {
       Publish(path.substr(control.size()), BodyOf(request));
-      Answer(response, http_status::kOk, "{}");
+      SendResponse(response, http_status::kOk, "{}");
     } else if (path == "/control/fault") {
       HandleFault(json::parse(BodyOf(request)));
-      Answer(response, http_status::kOk, "{}");
+      SendResponse(response, http_status::kOk, "{}");
     } else if (path == "/control/stats") {
       const std::lock_guard<std::mutex> lock(mutex_);
-      Answer(response, http_status::kOk,
-             json{{"calls", calls_}, {"refused", refused_}}.dump());
+      SendResponse(response, http_status::kOk,
+                   json{{"calls", calls_}, {"refused", refused_}}.dump());
     } else {
-      Answer(response, http_status::kNotFound, "{}");
+      SendResponse(response, http_status::kNotFound, "{}");
     }
   }
 
@@ -161,7 +162,7 @@
     std::unique_lock<std::mutex> lock(mutex_);
     if (!CountCall()) {
       lock.unlock();
-      Answer(response, http_status::kTooManyRequests, "{}");
+      SendResponse(response, http_status::kTooManyRequests, "{}");
       return;
     }
     const auto differs = [&] { return down_ || Current(key).version != after; };
@@ -172,14 +173,15 @@
     const Value value = Current(key);
     lock.unlock();
     if (down || value.text.size() > kMostValue) {
-      Answer(response, http_status::kUnavailable, "{}");
+      SendResponse(response, http_status::kUnavailable, "{}");
     } else if (value.version == 0) {
-      Answer(response, http_status::kNotFound, "{}");
+      SendResponse(response, http_status::kNotFound, "{}");
     } else if (wait.count() > 0 && value.version == after) {
-      Answer(response, http_status::kNotModified, "");
+      SendResponse(response, http_status::kNotModified, "");
     } else {
-      Answer(response, http_status::kOk,
-             json{{"version", value.version}, {"value", value.text}}.dump());
+      SendResponse(
+          response, http_status::kOk,
+          json{{"version", value.version}, {"value", value.text}}.dump());
     }
   }
 
@@ -229,7 +231,7 @@
     if (path == "/control/hosts") {
       pending_.push_back(
           Pending{Clock::now() + lag_, json::parse(BodyOf(request))});
-      Answer(response, http_status::kOk, "{}");
+      SendResponse(response, http_status::kOk, "{}");
       return;
     }
     while (!pending_.empty() && pending_.front().shows <= Clock::now()) {
@@ -237,8 +239,8 @@
       ++version_;
       pending_.pop_front();
     }
-    Answer(response, http_status::kOk,
-           json{{"version", version_}, {"hosts", hosts_}}.dump());
+    SendResponse(response, http_status::kOk,
+                 json{{"version", version_}, {"hosts", hosts_}}.dump());
   }
 
  private:
@@ -266,7 +268,7 @@
   void Handle(const std::string& path, HTTPServerRequest&,
               HTTPServerResponse& response) override {
     if (path == "/control/stats") {
-      Answer(
+      SendResponse(
           response, http_status::kOk,
           json{{"loads", loads_.load()}, {"refused", refused_.load()}}.dump());
       return;
@@ -274,13 +276,13 @@
     if (loading_.fetch_add(1) >= at_once_) {
       loading_.fetch_sub(1);
       ++refused_;
-      Answer(response, http_status::kTooManyRequests, "{}");
+      SendResponse(response, http_status::kTooManyRequests, "{}");
       return;
     }
     ++loads_;
     std::this_thread::sleep_for(load_);
     loading_.fetch_sub(1);
-    Answer(response, http_status::kOk, "{}");
+    SendResponse(response, http_status::kOk, "{}");
   }
 
  private:
