--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -137,8 +137,8 @@
   return std::visit(Describer{}, error);
 }
 
-leaf::result<HttpResponse> CallHttp(const HttpCall& call,
-                                    std::size_t most_bytes) {
+leaf::result<HttpResponse> SendHttpRequest(const HttpCall& call,
+                                           std::size_t most_bytes) {
   HttpResponse answer{};
   const auto exchange = [&](HTTPClientSession& session) -> leaf::result<void> {
     SendRequest(session, call);
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -64,8 +64,8 @@
 };
 
 // Makes a call and reads the whole answer, up to `most_bytes`.
-boost::leaf::result<HttpResponse> CallHttp(const HttpCall& call,
-                                           std::size_t most_bytes = 64U << 20U);
+boost::leaf::result<HttpResponse> SendHttpRequest(
+    const HttpCall& call, std::size_t most_bytes = 64U << 20U);
 
 // Makes a call and gives the answer's body to `read` as it comes. `read` is
 // called once, also for answers that tell of an error.
--- a/src/cli/operator_commands.cc
+++ b/src/cli/operator_commands.cc
@@ -37,7 +37,7 @@
   call.fields.push_back(HttpHeader{"Authorization", "Bearer " + asked.key});
   return leaf::try_handle_all(
       [&]() -> leaf::result<int> {
-        BOOST_LEAF_AUTO(answer, CallHttp(call));
+        BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
         std::cout << answer.body << "\n";
         return answer.status == http_status::kOk ? kExitOk : kExitRefused;
       },
--- a/src/node/administration.cc
+++ b/src/node/administration.cc
@@ -63,7 +63,7 @@
   call.timeout = kLocateTimeout;
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
-        BOOST_LEAF_AUTO(answer, CallHttp(call));
+        BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
         const auto update = DecodePeerUpdate(answer.body);
         if (!update) {
           found.set_error("an answer that cannot be read");
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -54,7 +54,7 @@
   call.timeout = kPeerTimeout;
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::optional<std::string>> {
-        BOOST_LEAF_AUTO(answer, CallHttp(call));
+        BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
         if (answer.status != http_status::kOk) {
           return std::optional<std::string>();
         }
--- a/src/node/platform.cc
+++ b/src/node/platform.cc
@@ -37,7 +37,7 @@
   HttpResponse answer;
   BOOST_LEAF_CHECK(leaf::try_handle_some(
       [&]() -> leaf::result<void> {
-        BOOST_LEAF_ASSIGN(answer, CallHttp(call));
+        BOOST_LEAF_ASSIGN(answer, SendHttpRequest(call));
         return {};
       },
       [](const HttpError& error) -> leaf::result<void> {
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -56,7 +56,7 @@
 leaf::result<HttpResponse> Call(const HttpCall& call) {
   HttpResponse answer;
   BOOST_LEAF_CHECK(TurnErrors([&]() -> leaf::result<void> {
-    BOOST_LEAF_ASSIGN(answer, CallHttp(call));
+    BOOST_LEAF_ASSIGN(answer, SendHttpRequest(call));
     return {};
   }));
   return answer;
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -206,7 +206,7 @@
   }
   return leaf::try_handle_all(
       [&]() -> leaf::result<wire::Message> {
-        BOOST_LEAF_AUTO(answer, CallHttp(call, kMostServiceAnswer));
+        BOOST_LEAF_AUTO(answer, SendHttpRequest(call, kMostServiceAnswer));
         std::int64_t pieces = 0;
         for (std::size_t at = 0; at < answer.body.size();
              at += kServicePieceBytes) {
--- a/standins/engine_server.cc
+++ b/standins/engine_server.cc
@@ -222,7 +222,7 @@
     call.timeout = kMemberTimeout;
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::optional<TextDigest>> {
-          BOOST_LEAF_AUTO(answer, CallHttp(call));
+          BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
           if (answer.status != http_status::kOk) {
             return std::optional<TextDigest>();
           }
@@ -335,7 +335,7 @@
     call.timeout = kStoreTimeout;
     return leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
-          BOOST_LEAF_AUTO(answer, CallHttp(call));
+          BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
           return answer.status == http_status::kOk;
         },
         [] { return false; });
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -26,7 +26,7 @@
 constexpr std::size_t kBytesPerToken = 4;
 
 HttpResponse CallOrEmpty(const HttpCall& call) {
-  return leaf::try_handle_all([&] { return CallHttp(call); },
+  return leaf::try_handle_all([&] { return SendHttpRequest(call); },
                               [] { return HttpResponse(); });
 }
 
--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -231,7 +231,7 @@
     HttpCall metrics;
     metrics.address = fleet_.Operations("entry-0");
     metrics.path = "/metrics";
-    const auto answer = CallHttp(metrics);
+    const auto answer = SendHttpRequest(metrics);
     return answer && answer.value().body.find(
                          "harecrank_time_between_tokens_seconds_count 0") ==
                          std::string::npos;
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -98,7 +98,7 @@
     HttpCall metrics;
     metrics.address = fleet.Operations("entry-0");
     metrics.path = "/metrics";
-    const auto text = CallHttp(metrics);
+    const auto text = SendHttpRequest(metrics);
     return text && text.value().body.find(
                        "harecrank_time_between_tokens_seconds_count 0") ==
                        std::string::npos;
--- a/tests/promises_test.cc
+++ b/tests/promises_test.cc
@@ -19,7 +19,7 @@
   HttpCall call;
   call.address = address;
   call.path = path;
-  const auto answer = CallHttp(call);
+  const auto answer = SendHttpRequest(call);
   return answer ? json::parse(answer.value().body, nullptr, false) : json();
 }
 
@@ -235,7 +235,7 @@
   HttpCall health;
   health.address = fleet.Callers(0);
   health.path = "/healthz";
-  const auto healthy = CallHttp(health);
+  const auto healthy = SendHttpRequest(health);
   REQUIRE(healthy);
   CHECK(healthy.value().status == 200);
 }
@@ -340,7 +340,7 @@
     call.path = "/v1/orders";
     call.body =
         json{{"fence", fence}, {"kind", "unload_model"}, {"model", "x"}}.dump();
-    const auto answer = CallHttp(call);
+    const auto answer = SendHttpRequest(call);
     return answer ? answer.value().status : 0;
   };
   CHECK(order(50) == 200);
