--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -226,7 +226,7 @@
   }
 }
 
-bool IsCallerThere(Poco::Net::HTTPServerRequest& request) {
+bool IsCallerConnected(Poco::Net::HTTPServerRequest& request) {
   auto& implementation =
       static_cast<Poco::Net::HTTPServerRequestImpl&>(request);
   Poco::Net::StreamSocket& socket = implementation.socket();
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -123,7 +123,7 @@
 
 // Returns whether the caller's side of the connection is still open. Does not
 // wait.
-bool IsCallerThere(Poco::Net::HTTPServerRequest& request);
+bool IsCallerConnected(Poco::Net::HTTPServerRequest& request);
 
 // Returns the value of `name` in the query of `uri`, or `otherwise`.
 std::string QueryValue(const std::string& uri, const std::string& name,
--- a/src/entry/answer_writer.cc
+++ b/src/entry/answer_writer.cc
@@ -67,7 +67,7 @@
 }
 
 bool AnswerWriter::OnSilence() {
-  if (!IsCallerThere(*ports_.request)) {
+  if (!IsCallerConnected(*ports_.request)) {
     return false;
   }
   if (!asked_.stream || ports_.clock() - last_written_ < kPingAfter) {
--- a/standins/engine_server.cc
+++ b/standins/engine_server.cc
@@ -173,7 +173,7 @@
       const bool members_there = members.empty() ||
                                  sent % kCheckMembersEvery != 0 ||
                                  AreMembersThere(members);
-      const bool reader_there = out.good() && IsCallerThere(request);
+      const bool reader_there = out.good() && IsCallerConnected(request);
       if (!reader_there || !members_there) {
         response.setKeepAlive(false);
         return !members_there;
@@ -259,7 +259,7 @@
     }
     WorkState state = WorkState::kRunning;
     std::vector<ReadyToken> none;
-    while (state == WorkState::kRunning && IsCallerThere(request)) {
+    while (state == WorkState::kRunning && IsCallerConnected(request)) {
       state = model_.Wait(work.id, &none);
     }
     if (state != WorkState::kDone) {
