--- a/src/adapters/wire.cc
+++ b/src/adapters/wire.cc
@@ -90,13 +90,13 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Reserved, stream)
 
 // A prompt is bytes, not text: a piece may end inside a character.
-void to_json(json& to, const BodyPiece& from) {
+void to_json(json& to, const BodyChunk& from) {
   to = json::array(
       {from.stream.value, json::binary(std::vector<std::uint8_t>(
                               from.bytes.begin(), from.bytes.end()))});
 }
 
-void from_json(const json& from, BodyPiece& to) {
+void from_json(const json& from, BodyChunk& to) {
   from.at(0).get_to(to.stream.value);
   const auto& bytes = from.at(1).get_binary();
   to.bytes.assign(bytes.begin(), bytes.end());
--- a/src/adapters/wire.h
+++ b/src/adapters/wire.h
@@ -83,7 +83,7 @@
 };
 
 // A piece of a submission's body, in order.
-struct BodyPiece {
+struct BodyChunk {
   StreamId stream;
   std::string bytes;
 };
@@ -202,7 +202,7 @@
   StreamId stream;
 };
 
-using Message = std::variant<Hello, Submit, BodyPiece, Revoke, Cancel, Credit,
+using Message = std::variant<Hello, Submit, BodyChunk, Revoke, Cancel, Credit,
                              TicketRequest, TicketRevoke, Reserve, Welcome,
                              Pulse, Accepted, Started, Output, Finished,
                              Refused, Failed, TicketAnswer, Reserved>;
--- a/src/adapters/wire_test.cc
+++ b/src/adapters/wire_test.cc
@@ -44,7 +44,7 @@
 
 TEST_CASE("A piece may end inside a character") {
   const std::string bytes("\xC3\x28\x00\xFF", 4);
-  CHECK(RoundTrip(BodyPiece{StreamId{1}, bytes}).bytes == bytes);
+  CHECK(RoundTrip(BodyChunk{StreamId{1}, bytes}).bytes == bytes);
 }
 
 TEST_CASE("A pulse is small") {
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -68,7 +68,7 @@
     return false;
   }
   for (std::size_t at = 0; at < body.size(); at += wire::kPieceBytes) {
-    wire::BodyPiece piece{stream_, body.substr(at, wire::kPieceBytes)};
+    wire::BodyChunk piece{stream_, body.substr(at, wire::kPieceBytes)};
     if (!ports_.links->Send(link_, std::move(piece))) {
       return false;
     }
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -228,7 +228,7 @@
   for (std::size_t at = 0; sent && at < body.size(); at += wire::kPieceBytes) {
     sent = ports_.attempt.links->Send(
         member->link,
-        wire::BodyPiece{member->prefill, body.substr(at, wire::kPieceBytes)});
+        wire::BodyChunk{member->prefill, body.substr(at, wire::kPieceBytes)});
   }
   member->lost = !sent;
 }
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -231,7 +231,7 @@
   }
 }
 
-void SidecarNode::On(ConnectionId connection, wire::BodyPiece& piece) {
+void SidecarNode::On(ConnectionId connection, wire::BodyChunk& piece) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const StreamPtr stream = Find(connection, piece.stream);
   if (stream == nullptr || stream->state != StreamState::kReceiving) {
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -62,7 +62,7 @@
   // One overload for each message that an entry host may send.
   void On(ConnectionId connection, const wire::Hello& hello);
   void On(ConnectionId connection, wire::Submit& submit);
-  void On(ConnectionId connection, wire::BodyPiece& piece);
+  void On(ConnectionId connection, wire::BodyChunk& piece);
   void On(ConnectionId connection, const wire::Revoke& revoke);
   void On(ConnectionId connection, const wire::Cancel& cancel);
   void On(ConnectionId connection, const wire::Credit& credit);
