--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -67,8 +67,8 @@
   if (!ports_.links->Send(link_, std::move(submit))) {
     return false;
   }
-  for (std::size_t at = 0; at < body.size(); at += wire::kPieceBytes) {
-    wire::BodyChunk piece{stream_, body.substr(at, wire::kPieceBytes)};
+  for (std::size_t at = 0; at < body.size(); at += wire::kChunkBytes) {
+    wire::BodyChunk piece{stream_, body.substr(at, wire::kChunkBytes)};
     if (!ports_.links->Send(link_, std::move(piece))) {
       return false;
     }
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -225,10 +225,10 @@
   submit.reservation = member->reservation;
   submit.body_bytes = body.size();
   bool sent = ports_.attempt.links->Send(member->link, submit);
-  for (std::size_t at = 0; sent && at < body.size(); at += wire::kPieceBytes) {
+  for (std::size_t at = 0; sent && at < body.size(); at += wire::kChunkBytes) {
     sent = ports_.attempt.links->Send(
         member->link,
-        wire::BodyChunk{member->prefill, body.substr(at, wire::kPieceBytes)});
+        wire::BodyChunk{member->prefill, body.substr(at, wire::kChunkBytes)});
   }
   member->lost = !sent;
 }
