--- a/src/adapters/websocket_config.h
+++ b/src/adapters/websocket_config.h
@@ -18,7 +18,7 @@
   endpoint->clear_access_channels(websocketpp::log::alevel::all);
   endpoint->clear_error_channels(websocketpp::log::elevel::all);
   endpoint->init_asio();
-  endpoint->set_max_message_size(wire::kMostFrameBytes);
+  endpoint->set_max_message_size(wire::kMaxFrameBytes);
   endpoint->set_tcp_post_init_handler(
       [endpoint](const websocketpp::connection_hdl& handle) {
         websocketpp::lib::error_code none;
--- a/src/adapters/wire.h
+++ b/src/adapters/wire.h
@@ -22,7 +22,7 @@
 
 constexpr int kProtocolVersion = 1;
 // The largest frame that is read, and the largest piece of a body in one.
-constexpr std::size_t kMostFrameBytes = 1U << 20U;
+constexpr std::size_t kMaxFrameBytes = 1U << 20U;
 constexpr std::size_t kChunkBytes = 256U << 10U;
 // The largest body that a sidecar takes for one request.
 constexpr std::size_t kMostBodyBytes = 64U << 20U;
