--- a/src/adapters/wire.h
+++ b/src/adapters/wire.h
@@ -25,7 +25,7 @@
 constexpr std::size_t kMaxFrameBytes = 1U << 20U;
 constexpr std::size_t kChunkBytes = 256U << 10U;
 // The largest body that a sidecar takes for one request.
-constexpr std::size_t kMostBodyBytes = 64U << 20U;
+constexpr std::size_t kMaxBodyBytes = 64U << 20U;
 
 // Entry host to sidecar: the first message of a link.
 struct Hello {
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -214,7 +214,7 @@
 void SidecarNode::On(ConnectionId connection, wire::Submit& submit) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const StreamName name{connection, submit.stream};
-  if (streams_.count(name) > 0 || submit.body_bytes > wire::kMostBodyBytes) {
+  if (streams_.count(name) > 0 || submit.body_bytes > wire::kMaxBodyBytes) {
     links_->Send(connection,
                  wire::Refused{submit.stream, "bad_request",
                                "a stream number used twice, or too large"});
