--- a/src/adapters/wire.cc
+++ b/src/adapters/wire.cc
@@ -102,11 +102,11 @@
   to.bytes.assign(bytes.begin(), bytes.end());
 }
 
-void to_json(json& to, const Pulse& from) {
+void to_json(json& to, const SidecarHeartbeat& from) {
   to = json::array({from.clock.value, from.load, from.draining});
 }
 
-void from_json(const json& from, Pulse& to) {
+void from_json(const json& from, SidecarHeartbeat& to) {
   from.at(0).get_to(to.clock.value);
   from.at(1).get_to(to.load);
   from.at(2).get_to(to.draining);
--- a/src/adapters/wire.h
+++ b/src/adapters/wire.h
@@ -136,7 +136,7 @@
 };
 
 // The sidecar's clock and load, sent at intervals and when load changes much.
-struct Pulse {
+struct SidecarHeartbeat {
   RemoteMillis clock;
   LoadReport load;
   bool draining = false;
@@ -204,8 +204,8 @@
 
 using Message = std::variant<Hello, Submit, BodyChunk, Revoke, Cancel, Credit,
                              TicketRequest, TicketRevoke, Reserve, Welcome,
-                             Pulse, Accepted, Started, Output, Finished,
-                             Refused, Failed, TicketAnswer, Reserved>;
+                             SidecarHeartbeat, Accepted, Started, Output,
+                             Finished, Refused, Failed, TicketAnswer, Reserved>;
 
 // Why bytes are no message.
 struct NotCbor {};
--- a/src/adapters/wire_test.cc
+++ b/src/adapters/wire_test.cc
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("A pulse is small") {
-  Pulse pulse;
+  SidecarHeartbeat pulse;
   pulse.clock = RemoteMillis{123456789};
   pulse.load.memory = Tokens{500000};
   const std::size_t size = Encode(pulse).size();
--- a/src/entry/link_pool.cc
+++ b/src/entry/link_pool.cc
@@ -245,7 +245,7 @@
   {
     const std::lock_guard<std::mutex> lock(link->mutex_);
     link->last_heard_ = now;
-    if (const auto* pulse = std::get_if<wire::Pulse>(&message)) {
+    if (const auto* pulse = std::get_if<wire::SidecarHeartbeat>(&message)) {
       pulses_->Add();
       link->remote_clock_.OnPulse(pulse->clock, now);
       link->load_ = pulse->load;
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -206,9 +206,9 @@
                              incarnation_, settings_.pulse_interval});
   const std::lock_guard<std::mutex> lock(mutex_);
   connections_.insert(connection);
-  links_->Send(connection,
-               wire::Pulse{RemoteMillis{ToMillis(clock_())},
-                           scheduler_.Report(), scheduler_.IsDraining()});
+  links_->Send(connection, wire::SidecarHeartbeat{
+                               RemoteMillis{ToMillis(clock_())},
+                               scheduler_.Report(), scheduler_.IsDraining()});
 }
 
 void SidecarNode::On(ConnectionId connection, wire::Submit& submit) {
@@ -683,7 +683,7 @@
 
 void SidecarNode::SendPulses(bool all) {
   std::set<ConnectionId> to;
-  wire::Pulse pulse;
+  wire::SidecarHeartbeat pulse;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     load_changed_ = false;
