--- a/src/adapters/event_log.cc
+++ b/src/adapters/event_log.cc
@@ -23,7 +23,7 @@
       writer_(STDOUT_FILENO) {}
 
 void EventLog::Write(const char* kind, nlohmann::json fields,
-                     LogWeight weight) {
+                     LogRateLimit weight) {
   if (!Admit(kind, weight, &fields)) {
     ++dropped_;
     return;
@@ -43,7 +43,7 @@
   no_room_ = written ? 0 : no_room_ + 1;
 }
 
-bool EventLog::Admit(const char* kind, LogWeight weight,
+bool EventLog::Admit(const char* kind, LogRateLimit weight,
                      nlohmann::json* fields) {
   Rate& rate = rates_[kind];
   const TimePoint now = clock_();
@@ -52,7 +52,7 @@
     rate.lines = 0;
   }
   ++rate.lines;
-  if (weight == LogWeight::kOrdinary && rate.lines > kLinesPerSecond) {
+  if (weight == LogRateLimit::kOrdinary && rate.lines > kLinesPerSecond) {
     ++rate.left_out;
     return false;
   }
--- a/src/adapters/event_log.h
+++ b/src/adapters/event_log.h
@@ -18,7 +18,7 @@
 namespace harecrank {
 
 // Whether a line may be left out when its kind exceeds its rate.
-enum class LogWeight { kOrdinary, kAlwaysKept };
+enum class LogRateLimit { kOrdinary, kAlwaysKept };
 
 // Thread-compatible: one thread writes.
 class EventLog {
@@ -28,7 +28,7 @@
 
   // Writes a line of `kind` with `fields`.
   void Write(const char* kind, nlohmann::json fields,
-             LogWeight weight = LogWeight::kOrdinary);
+             LogRateLimit weight = LogRateLimit::kOrdinary);
 
   // Lines that were left out: beyond their kind's rate, or because the reader
   // of standard output did not keep up.
@@ -46,7 +46,7 @@
     std::uint64_t left_out = 0;
   };
 
-  bool Admit(const char* kind, LogWeight weight, nlohmann::json* fields);
+  bool Admit(const char* kind, LogRateLimit weight, nlohmann::json* fields);
 
   std::string node_;
   MonotonicClock clock_;
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -72,7 +72,7 @@
   fields.update(more);
   services_->metrics->GetCounter("harecrank_gateway_sent_again_total")->Add();
   services_->log->Write("sent_again", std::move(fields),
-                        LogWeight::kAlwaysKept);
+                        LogRateLimit::kAlwaysKept);
 }
 
 void ExchangeLog::Ended(const ExchangeEnd& end,
@@ -100,8 +100,9 @@
   fields["prompt"] = end.prompt.value;
   fields["endpoint"] = end.endpoint.value;
   const bool failed = std::string_view(end.outcome) != "completed";
-  services_->log->Write("ended", std::move(fields),
-                        failed ? LogWeight::kAlwaysKept : LogWeight::kOrdinary);
+  services_->log->Write(
+      "ended", std::move(fields),
+      failed ? LogRateLimit::kAlwaysKept : LogRateLimit::kOrdinary);
 }
 
 }  // namespace harecrank
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -84,7 +84,7 @@
   ports.on_silent = [this](const HostAddress& host) {
     book_->OnUnresponsive(host);
     log_->Write("planner_silent", {{"planner", host.value}, {"by", "ask"}},
-                LogWeight::kAlwaysKept);
+                LogRateLimit::kAlwaysKept);
     FollowPlanner();
   };
   ports.on_redirect = [this](const HostAddress& host,
@@ -299,7 +299,7 @@
               {{"planner", planner.value_or(HostAddress{}).value},
                {"own", planner == self_.address},
                {"hosts", book_->ObservedHosts()}},
-              LogWeight::kAlwaysKept);
+              LogRateLimit::kAlwaysKept);
   if (planned) {
     planner_->Clear();
   }
@@ -325,7 +325,7 @@
   if (follows_other && clock_() - planner_heard_ > kWordSilence) {
     log_->Write("planner_silent",
                 {{"planner", followed_->value}, {"by", "word"}},
-                LogWeight::kAlwaysKept);
+                LogRateLimit::kAlwaysKept);
     book_->OnUnresponsive(*followed_);
   }
   FollowPlanner();
