--- a/src/adapters/event_log.cc
+++ b/src/adapters/event_log.cc
@@ -52,7 +52,7 @@
     rate.lines = 0;
   }
   ++rate.lines;
-  if (weight == LogRateLimit::kOrdinary && rate.lines > kLinesPerSecond) {
+  if (weight == LogRateLimit::kLimited && rate.lines > kLinesPerSecond) {
     ++rate.left_out;
     return false;
   }
--- a/src/adapters/event_log.h
+++ b/src/adapters/event_log.h
@@ -18,7 +18,7 @@
 namespace harecrank {
 
 // Whether a line may be left out when its kind exceeds its rate.
-enum class LogRateLimit { kOrdinary, kAlwaysKept };
+enum class LogRateLimit { kLimited, kAlwaysKept };
 
 // Thread-compatible: one thread writes.
 class EventLog {
@@ -28,7 +28,7 @@
 
   // Writes a line of `kind` with `fields`.
   void Write(const char* kind, nlohmann::json fields,
-             LogRateLimit weight = LogRateLimit::kOrdinary);
+             LogRateLimit weight = LogRateLimit::kLimited);
 
   // Lines that were left out: beyond their kind's rate, or because the reader
   // of standard output did not keep up.
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -102,7 +102,7 @@
   const bool failed = std::string_view(end.outcome) != "completed";
   services_->log->Write(
       "ended", std::move(fields),
-      failed ? LogRateLimit::kAlwaysKept : LogRateLimit::kOrdinary);
+      failed ? LogRateLimit::kAlwaysKept : LogRateLimit::kLimited);
 }
 
 }  // namespace harecrank
