--- a/src/adapters/event_log.h
+++ b/src/adapters/event_log.h
@@ -18,7 +18,7 @@
 namespace harecrank {
 
 // Whether a line may be left out when its kind exceeds its rate.
-enum class LogRateLimit { kLimited, kAlwaysKept };
+enum class LogRateLimit { kLimited, kExempt };
 
 // Thread-compatible: one thread writes.
 class EventLog {
--- a/src/adapters/event_log_test.cc
+++ b/src/adapters/event_log_test.cc
@@ -72,7 +72,7 @@
   auto work = std::async(std::launch::async, [&dropped] {
     EventLog log("node-1", SystemClock());
     for (int i = 0; i < kManyLines; ++i) {
-      log.Write("placed", {{"number", i}}, LogRateLimit::kAlwaysKept);
+      log.Write("placed", {{"number", i}}, LogRateLimit::kExempt);
     }
     dropped = log.Dropped();
   });
@@ -99,7 +99,7 @@
       log.Write("placed", {{"number", i}});
     }
     CHECK(log.Dropped() == 1);
-    log.Write("ended", {{"kept", true}}, LogRateLimit::kAlwaysKept);
+    log.Write("ended", {{"kept", true}}, LogRateLimit::kExempt);
     now += std::chrono::seconds(1);
     log.Write("placed", {{"number", -1}});
   }
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -42,7 +42,7 @@
   log_->Write("request_tried",
               {{"fingerprint", LogName(request)},
                {"crashes", quarantine_->CrashCount(request)}},
-              LogRateLimit::kAlwaysKept);
+              LogRateLimit::kExempt);
   tell_(request);
 }
 
@@ -88,7 +88,7 @@
                {"account", request.account.value},
                {"endpoint", endpoint.id.value},
                {"crashes", quarantine_->CrashCount(request)}},
-              LogRateLimit::kAlwaysKept);
+              LogRateLimit::kExempt);
   tell_(request);
   EndHeld(request);
 }
@@ -100,7 +100,7 @@
   }
   log_->Write("request_cleared",
               {{"fingerprint", LogName(request->Fingerprint())}},
-              LogRateLimit::kAlwaysKept);
+              LogRateLimit::kExempt);
   tell_(request->Fingerprint());
 }
 
@@ -128,7 +128,7 @@
               {{"fingerprint", LogName(request)},
                {"account", request.account.value},
                {"crashes", quarantine_->CrashCount(request)}},
-              LogRateLimit::kAlwaysKept);
+              LogRateLimit::kExempt);
   metrics_->GetCounter("harecrank_gateway_requests_held_total")->Add();
   // A copy: a request that ends is watched no more.
   const Watched watched = *watched_;
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -133,7 +133,7 @@
                {"known", !endpoints.empty()},
                {"endpoints", endpoints.size()},
                {"revision", order.revision.value}},
-              LogRateLimit::kAlwaysKept);
+              LogRateLimit::kExempt);
 }
 
 void EndpointNews::NoteOpened(const DrainedDataCentre& order) {
@@ -141,7 +141,7 @@
               {{"data_centre", order.id.value},
                {"endpoints", directory_->In(order.id).size()},
                {"revision", order.revision.value}},
-              LogRateLimit::kAlwaysKept);
+              LogRateLimit::kExempt);
 }
 
 int EndpointNews::BusyClosed(const EndpointLoads& loads) const {
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -209,7 +209,7 @@
         nlohmann::json line = fields;
         line["connection"] = Name(result);
         services->log->Write("broken_off", std::move(line),
-                             LogRateLimit::kAlwaysKept);
+                             LogRateLimit::kExempt);
         const auto self = weak.lock();
         if (goes_on && self != nullptr && !self->finished_) {
           self->OnMayHaveRun(reason);
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -71,8 +71,7 @@
   fields["reason"] = reason;
   fields.update(more);
   services_->metrics->GetCounter("harecrank_gateway_sent_again_total")->Add();
-  services_->log->Write("sent_again", std::move(fields),
-                        LogRateLimit::kAlwaysKept);
+  services_->log->Write("sent_again", std::move(fields), LogRateLimit::kExempt);
 }
 
 void ExchangeLog::Ended(const ExchangeEnd& end,
@@ -102,7 +101,7 @@
   const bool failed = std::string_view(end.outcome) != "completed";
   services_->log->Write(
       "ended", std::move(fields),
-      failed ? LogRateLimit::kAlwaysKept : LogRateLimit::kLimited);
+      failed ? LogRateLimit::kExempt : LogRateLimit::kLimited);
 }
 
 }  // namespace harecrank
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -84,7 +84,7 @@
   ports.on_silent = [this](const HostAddress& host) {
     book_->OnUnresponsive(host);
     log_->Write("planner_silent", {{"planner", host.value}, {"by", "ask"}},
-                LogRateLimit::kAlwaysKept);
+                LogRateLimit::kExempt);
     FollowPlanner();
   };
   ports.on_redirect = [this](const HostAddress& host,
@@ -299,7 +299,7 @@
               {{"planner", planner.value_or(HostAddress{}).value},
                {"own", planner == self_.address},
                {"hosts", book_->ObservedHosts()}},
-              LogRateLimit::kAlwaysKept);
+              LogRateLimit::kExempt);
   if (planned) {
     planner_->Clear();
   }
@@ -325,7 +325,7 @@
   if (follows_other && clock_() - planner_heard_ > kWordSilence) {
     log_->Write("planner_silent",
                 {{"planner", followed_->value}, {"by", "word"}},
-                LogRateLimit::kAlwaysKept);
+                LogRateLimit::kExempt);
     book_->OnUnresponsive(*followed_);
   }
   FollowPlanner();
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -122,7 +122,7 @@
              {{"version", HARECRANK_VERSION},
               {"data_centre", settings_.data_centre.value},
               {"callers_address", settings_.callers_address}},
-             LogRateLimit::kAlwaysKept);
+             LogRateLimit::kExempt);
   started_ = clock_();
   fleet_.Start();
   readiness_.Start();
@@ -131,7 +131,7 @@
   Tick();
   io_.run();
   log_.Write("stop", {{"requests_cut", callers_.BusyCount()}},
-             LogRateLimit::kAlwaysKept);
+             LogRateLimit::kExempt);
 }
 
 GatewayServices GatewayNode::MakeServices() {
@@ -324,7 +324,7 @@
                         const char* cause) {
   if (!fresh.has_value()) {
     log_.Write("reload", {{"cause", cause}, {"taken", false}},
-               LogRateLimit::kAlwaysKept);
+               LogRateLimit::kExempt);
     return;
   }
   // Addresses are those of this incarnation of the process; a change of them
@@ -336,7 +336,7 @@
              {{"cause", cause},
               {"taken", true},
               {"seed_peers", fresh->seed_peers.size()}},
-             LogRateLimit::kAlwaysKept);
+             LogRateLimit::kExempt);
 }
 
 void GatewayNode::BeginDrain() {
@@ -346,7 +346,7 @@
   draining_ = true;
   drain_began_ = clock_();
   log_.Write("drain", {{"requests", callers_.BusyCount()}},
-             LogRateLimit::kAlwaysKept);
+             LogRateLimit::kExempt);
   fleet_.Leave();
 }
 
--- a/src/gateway/loop_holds.cc
+++ b/src/gateway/loop_holds.cc
@@ -38,7 +38,7 @@
       {{"what", what},
        {"longest_ms", std::chrono::duration_cast<Millis>(work.longest).count()},
        {"holds", work.long_holds}},
-      LogRateLimit::kAlwaysKept);
+      LogRateLimit::kExempt);
   work.told = now;
   work.was_told = true;
   work.long_holds = 0;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -29,7 +29,7 @@
               {{"version", table->Version().value},
                {"routes", table->Document().routes.size()},
                {"services", table->Document().services.size()}},
-              LogRateLimit::kAlwaysKept);
+              LogRateLimit::kExempt);
   on_usable_();
 }
 
@@ -93,7 +93,7 @@
                                const std::string& reason) {
   metrics_->GetCounter("harecrank_gateway_unusable_entries_total")->Add();
   log_->Write("unusable", {{"what", what}, {"reason", reason}},
-              LogRateLimit::kAlwaysKept);
+              LogRateLimit::kExempt);
 }
 
 }  // namespace harecrank
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -112,7 +112,7 @@
   fields["endpoint"] = endpoint_.id.value;
   fields["at_fault"] = named;
   services_->log->Write("endpoint_blamed", std::move(fields),
-                        LogRateLimit::kAlwaysKept);
+                        LogRateLimit::kExempt);
   for (const EndpointId& helper : helpers_) {
     const EndpointRecord* record = services_->directory->Find(helper);
     const bool is_address = record != nullptr && record->address == named;
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -75,11 +75,11 @@
   is_well_ = is_well;
   if (is_well) {
     log_->Write("source_regained", {{"at", known_up_to_.value}},
-                LogRateLimit::kAlwaysKept);
+                LogRateLimit::kExempt);
   } else {
     log_->Write("source_lost",
                 {{"reason", reason}, {"known_up_to", known_up_to_.value}},
-                LogRateLimit::kAlwaysKept);
+                LogRateLimit::kExempt);
   }
 }
 
