--- a/src/adapters/event_log.cc
+++ b/src/adapters/event_log.cc
@@ -52,7 +52,7 @@
     rate.lines = 0;
   }
   ++rate.lines;
-  if (weight == LogRateLimit::kLimited && rate.lines > kLinesPerSecond) {
+  if (weight == LogRateLimit::kLimited && rate.lines > kMaxLinesPerSecond) {
     ++rate.left_out;
     return false;
   }
--- a/src/adapters/event_log.h
+++ b/src/adapters/event_log.h
@@ -37,7 +37,7 @@
   // Lines of one kind in a second, beyond which they are counted only. Some
   // hundred requests a second and host are the most that its share of a core
   // carries; failures are always kept.
-  static constexpr int kLinesPerSecond = 300;
+  static constexpr int kMaxLinesPerSecond = 300;
 
  private:
   struct Rate {
--- a/src/adapters/event_log_test.cc
+++ b/src/adapters/event_log_test.cc
@@ -95,7 +95,7 @@
   TimePoint now{std::chrono::hours(1)};
   {
     EventLog log("node-1", [&now] { return now; });
-    for (int i = 0; i <= EventLog::kLinesPerSecond; ++i) {
+    for (int i = 0; i <= EventLog::kMaxLinesPerSecond; ++i) {
       log.Write("placed", {{"number", i}});
     }
     CHECK(log.Dropped() == 1);
