--- a/src/adapters/line_writer.cc
+++ b/src/adapters/line_writer.cc
@@ -36,7 +36,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     // Without what is in hand the bound held for half: a writer that was stuck
     // with a full batch let a second one grow, 512 kB instead of 256 kB.
-    if (in_hand_ + buffered_.size() + line.size() >= kMostBytes) {
+    if (in_hand_ + buffered_.size() + line.size() >= kMaxBufferedBytes) {
       return false;
     }
     buffered_ += line;
--- a/src/adapters/line_writer.h
+++ b/src/adapters/line_writer.h
@@ -35,7 +35,7 @@
 
   // What waits for the reader, with what the thread is writing: about five
   // hundred lines of a request.
-  static constexpr std::size_t kMostBytes = 256U << 10U;
+  static constexpr std::size_t kMaxBufferedBytes = 256U << 10U;
   // What a process that stops still gives to a slow reader.
   static constexpr Millis kFlushLimit{300};
 
--- a/src/adapters/line_writer_test.cc
+++ b/src/adapters/line_writer_test.cc
@@ -51,14 +51,14 @@
   LineWriter writer(pipe.WritingEnd());
   const std::string line(kLineBytes - 1, 'x');
   std::size_t taken = 0;
-  while (taken < LineWriter::kMostBytes / 2 && writer.Append(line)) {
+  while (taken < LineWriter::kMaxBufferedBytes / 2 && writer.Append(line)) {
     taken += kLineBytes;
   }
   std::this_thread::sleep_for(kTakesBatch);
-  while (taken < 4 * LineWriter::kMostBytes && writer.Append(line)) {
+  while (taken < 4 * LineWriter::kMaxBufferedBytes && writer.Append(line)) {
     taken += kLineBytes;
   }
-  CHECK(taken <= LineWriter::kMostBytes);
+  CHECK(taken <= LineWriter::kMaxBufferedBytes);
 }
 
 }  // namespace
