--- a/src/cli/explain.cc
+++ b/src/cli/explain.cc
@@ -43,7 +43,7 @@
 }  // namespace
 
 void ReadStory(std::istream* input, const std::string& request,
-               RequestStory* story) {
+               RequestTimeline* story) {
   std::string text;
   while (std::getline(*input, text)) {
     // Collectors put words of their own before a line.
@@ -64,7 +64,7 @@
   }
 }
 
-void FinishStory(const std::string& request, RequestStory* story) {
+void FinishStory(const std::string& request, RequestTimeline* story) {
   std::set<std::string> nodes;
   std::int64_t first = INT64_MAX;
   std::int64_t last = 0;
@@ -96,7 +96,8 @@
                    });
 }
 
-std::string TellStory(const std::string& request, const RequestStory& story) {
+std::string TellStory(const std::string& request,
+                      const RequestTimeline& story) {
   std::ostringstream text;
   const auto first_own =
       std::find_if(story.lines.begin(), story.lines.end(),
--- a/src/cli/explain.h
+++ b/src/cli/explain.h
@@ -11,7 +11,7 @@
 namespace harecrank {
 
 // What was found in the logs.
-struct RequestStory {
+struct RequestTimeline {
   // The request's lines, and those on what its hosts believed around it, by
   // time of day.
   std::vector<nlohmann::json> lines;
@@ -23,13 +23,13 @@
 
 // Reads `input` to its end and adds what concerns `request`.
 void ReadStory(std::istream* input, const std::string& request,
-               RequestStory* story);
+               RequestTimeline* story);
 
 // Sorts the lines and drops beliefs of hosts that never saw the request.
-void FinishStory(const std::string& request, RequestStory* story);
+void FinishStory(const std::string& request, RequestTimeline* story);
 
 // Returns the story for a person, one line a decision.
-std::string TellStory(const std::string& request, const RequestStory& story);
+std::string TellStory(const std::string& request, const RequestTimeline& story);
 
 }  // namespace harecrank
 
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -18,7 +18,7 @@
 };
 
 int Explain(const ExplainOptions& options) {
-  RequestStory story;
+  RequestTimeline story;
   if (options.files.empty()) {
     ReadStory(&std::cin, options.request, &story);
   }
--- a/src/cli/explain_test.cc
+++ b/src/cli/explain_test.cc
@@ -17,8 +17,8 @@
 {"event":"placed","node":"c","request":"r3","time_ms":1,"left_out_before":4}
 )";
 
-RequestStory StoryOf(const std::string& request) {
-  RequestStory story;
+RequestTimeline StoryOf(const std::string& request) {
+  RequestTimeline story;
   std::istringstream input(kLogs);
   ReadStory(&input, request, &story);
   FinishStory(request, &story);
@@ -28,7 +28,7 @@
 TEST_CASE(
     "A story has the request's lines in order and what its host "
     "believed") {
-  const RequestStory story = StoryOf("r1");
+  const RequestTimeline story = StoryOf("r1");
   REQUIRE(story.lines.size() == 3);
   CHECK(story.lines[0]["event"] == "source_lost");
   CHECK(story.lines[1]["event"] == "placed");
