--- a/src/cli/explain.cc
+++ b/src/cli/explain.cc
@@ -42,8 +42,8 @@
 
 }  // namespace
 
-void ReadStory(std::istream* input, const std::string& request,
-               RequestTimeline* story) {
+void ReadTimeline(std::istream* input, const std::string& request,
+                  RequestTimeline* story) {
   std::string text;
   while (std::getline(*input, text)) {
     // Collectors put words of their own before a line.
--- a/src/cli/explain.h
+++ b/src/cli/explain.h
@@ -22,8 +22,8 @@
 };
 
 // Reads `input` to its end and adds what concerns `request`.
-void ReadStory(std::istream* input, const std::string& request,
-               RequestTimeline* story);
+void ReadTimeline(std::istream* input, const std::string& request,
+                  RequestTimeline* story);
 
 // Sorts the lines and drops beliefs of hosts that never saw the request.
 void FinishStory(const std::string& request, RequestTimeline* story);
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -20,7 +20,7 @@
 int Explain(const ExplainOptions& options) {
   RequestTimeline story;
   if (options.files.empty()) {
-    ReadStory(&std::cin, options.request, &story);
+    ReadTimeline(&std::cin, options.request, &story);
   }
   for (const std::string& path : options.files) {
     std::ifstream file(path);
@@ -28,7 +28,7 @@
       std::cerr << "harecrank: cannot read the file " << path << "\n";
       return kExitBadInput;
     }
-    ReadStory(&file, options.request, &story);
+    ReadTimeline(&file, options.request, &story);
   }
   FinishStory(options.request, &story);
   if (options.as_json) {
--- a/src/cli/explain_test.cc
+++ b/src/cli/explain_test.cc
@@ -20,7 +20,7 @@
 RequestTimeline StoryOf(const std::string& request) {
   RequestTimeline story;
   std::istringstream input(kLogs);
-  ReadStory(&input, request, &story);
+  ReadTimeline(&input, request, &story);
   FinishStory(request, &story);
   return story;
 }
