--- a/src/cli/explain.cc
+++ b/src/cli/explain.cc
@@ -64,7 +64,7 @@
   }
 }
 
-void FinishStory(const std::string& request, RequestTimeline* story) {
+void FinalizeTimeline(const std::string& request, RequestTimeline* story) {
   std::set<std::string> nodes;
   std::int64_t first = INT64_MAX;
   std::int64_t last = 0;
--- a/src/cli/explain.h
+++ b/src/cli/explain.h
@@ -26,7 +26,7 @@
                   RequestTimeline* story);
 
 // Sorts the lines and drops beliefs of hosts that never saw the request.
-void FinishStory(const std::string& request, RequestTimeline* story);
+void FinalizeTimeline(const std::string& request, RequestTimeline* story);
 
 // Returns the story for a person, one line a decision.
 std::string TellStory(const std::string& request, const RequestTimeline& story);
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -30,7 +30,7 @@
     }
     ReadTimeline(&file, options.request, &story);
   }
-  FinishStory(options.request, &story);
+  FinalizeTimeline(options.request, &story);
   if (options.as_json) {
     std::cout << nlohmann::json{{"lines", story.lines},
                                 {"unreadable", story.unreadable},
--- a/src/cli/explain_test.cc
+++ b/src/cli/explain_test.cc
@@ -21,7 +21,7 @@
   RequestTimeline story;
   std::istringstream input(kLogs);
   ReadTimeline(&input, request, &story);
-  FinishStory(request, &story);
+  FinalizeTimeline(request, &story);
   return story;
 }
 
