--- a/src/cli/explain.cc
+++ b/src/cli/explain.cc
@@ -96,8 +96,8 @@
                    });
 }
 
-std::string TellStory(const std::string& request,
-                      const RequestTimeline& story) {
+std::string FormatTimeline(const std::string& request,
+                           const RequestTimeline& story) {
   std::ostringstream text;
   const auto first_own =
       std::find_if(story.lines.begin(), story.lines.end(),
--- a/src/cli/explain.h
+++ b/src/cli/explain.h
@@ -29,7 +29,8 @@
 void FinalizeTimeline(const std::string& request, RequestTimeline* story);
 
 // Returns the story for a person, one line a decision.
-std::string TellStory(const std::string& request, const RequestTimeline& story);
+std::string FormatTimeline(const std::string& request,
+                           const RequestTimeline& story);
 
 }  // namespace harecrank
 
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -38,7 +38,7 @@
                      .dump(2)
               << "\n";
   } else {
-    std::cout << TellStory(options.request, story);
+    std::cout << FormatTimeline(options.request, story);
   }
   return story.lines.empty() ? kExitRefused : kExitOk;
 }
--- a/src/cli/explain_test.cc
+++ b/src/cli/explain_test.cc
@@ -39,14 +39,14 @@
 }
 
 TEST_CASE("Times are told from the request's arrival") {
-  const std::string text = TellStory("r1", StoryOf("r1"));
+  const std::string text = FormatTimeline("r1", StoryOf("r1"));
   CHECK(text.find("100 ms  b  placed") != std::string::npos);
   CHECK(text.find("900 ms  b  ended outcome=\"refused\"") != std::string::npos);
   CHECK(text.find("4 lines were left out") != std::string::npos);
 }
 
 TEST_CASE("A request without lines is said to have none") {
-  const std::string text = TellStory("r9", StoryOf("r9"));
+  const std::string text = FormatTimeline("r9", StoryOf("r9"));
   CHECK(text.find("no line in these logs") != std::string::npos);
 }
 
