--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -11,7 +11,7 @@
 // What the process tells its caller.
 constexpr int kExitOk = 0;
 // The command ran and the answer is no: a check failed, a call was refused.
-constexpr int kExitRefused = 1;
+constexpr int kExitFailure = 1;
 // The command line is wrong.
 constexpr int kExitUsage = 2;
 // Settings or files cannot be used.
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -40,7 +40,7 @@
   } else {
     std::cout << FormatTimeline(options.request, story);
   }
-  return story.lines.empty() ? kExitRefused : kExitOk;
+  return story.lines.empty() ? kExitFailure : kExitOk;
 }
 
 }  // namespace
--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -44,7 +44,7 @@
     if (!json_path->empty()) {
       std::ofstream(*json_path) << report.json << "\n";
     }
-    *exit_code = report.answered > 0 ? kExitOk : kExitRefused;
+    *exit_code = report.answered > 0 ? kExitOk : kExitFailure;
   });
 }
 
--- a/src/cli/operator_commands.cc
+++ b/src/cli/operator_commands.cc
@@ -39,7 +39,7 @@
       [&]() -> leaf::result<int> {
         BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
         std::cout << answer.body << "\n";
-        return answer.status == http_status::kOk ? kExitOk : kExitRefused;
+        return answer.status == http_status::kOk ? kExitOk : kExitFailure;
       },
       [&](const HttpError& error) {
         std::cerr << "harecrank: " << asked.node << ": " << Describe(error)
@@ -76,14 +76,14 @@
         const auto* invalid = std::get_if<InvalidDocument>(&error);
         if (invalid == nullptr) {
           std::cerr << path << ": " << Describe(error) << "\n";
-          return kExitRefused;
+          return kExitFailure;
         }
         for (const ConfigProblem& problem : invalid->problems) {
           std::cerr << path << ": " << Describe(problem) << "\n";
         }
-        return kExitRefused;
+        return kExitFailure;
       },
-      [] { return kExitRefused; });
+      [] { return kExitFailure; });
 }
 
 template <typename Parse>
@@ -100,9 +100,9 @@
       },
       [&](const SettingsError& error) {
         std::cerr << path << ": " << Describe(error) << "\n";
-        return kExitRefused;
+        return kExitFailure;
       },
-      [] { return kExitRefused; });
+      [] { return kExitFailure; });
 }
 
 }  // namespace
