--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -39,7 +39,7 @@
                       "call the engine stand-in here and not a target");
   command->add_option("--json", *json_path, "write the report here as JSON");
   command->callback([plan, json_path, exit_code] {
-    const LoadReportText report = RunLoad(*plan);
+    const LoadRunReport report = RunLoad(*plan);
     std::cout << report.text;
     if (!json_path->empty()) {
       std::ofstream(*json_path) << report.json << "\n";
--- a/src/cli/load_run.cc
+++ b/src/cli/load_run.cc
@@ -247,10 +247,10 @@
               {"errors", errors}};
 }
 
-LoadReportText Report(const LoadPlan& plan, const std::vector<Sample>& samples,
-                      double elapsed) {
+LoadRunReport Report(const LoadPlan& plan, const std::vector<Sample>& samples,
+                     double elapsed) {
   std::map<std::int64_t, std::vector<Sample>> by_length;
-  LoadReportText report;
+  LoadRunReport report;
   for (const Sample& sample : samples) {
     by_length[sample.tokens].push_back(sample);
     report.answered += sample.answered ? 1 : 0;
@@ -284,7 +284,7 @@
 
 }  // namespace
 
-LoadReportText RunLoad(const LoadPlan& plan) {
+LoadRunReport RunLoad(const LoadPlan& plan) {
   const auto began = Clock::now();
   std::deque<Arrival> arrivals = DrawArrivals(plan, began);
   std::mutex mutex;
--- a/src/cli/load_run.h
+++ b/src/cli/load_run.h
@@ -29,7 +29,7 @@
 };
 
 // What came of it.
-struct LoadReportText {
+struct LoadRunReport {
   std::string text;
   std::string json;
   std::int64_t answered = 0;
@@ -37,7 +37,7 @@
 
 // Sends by `plan`, waits for every answer, and reports. Arrivals do not wait
 // for answers: a slow system meets the load that it would meet in life.
-LoadReportText RunLoad(const LoadPlan& plan);
+LoadRunReport RunLoad(const LoadPlan& plan);
 
 }  // namespace harecrank
 
