--- a/bench/load_runs.cc
+++ b/bench/load_runs.cc
@@ -209,7 +209,7 @@
       plan.threads = 1;
       plan.time_limit_ms = 60000;
       plan.answer_tokens = 4;
-      plan.one_only = true;
+      plan.single_request = true;
       const json result = Load(plan);
       first.push_back(result["lengths"][std::to_string(tokens)]["first_ms_p50"]
                           .get<double>());
--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -32,7 +32,7 @@
                       "tokens asked for in each answer");
   command->add_option("--time-limit-ms", plan->time_limit_ms,
                       "the time limit of each request");
-  command->add_flag("--one", plan->one_only, "send a single request");
+  command->add_flag("--one", plan->single_request, "send a single request");
   command->add_option("--seed", plan->seed, "the seed of arrivals and prompts");
   command->add_option("--threads", plan->threads, "requests at once at most");
   command->add_option("--engine", plan->engine_direct,
--- a/src/cli/load_run.cc
+++ b/src/cli/load_run.cc
@@ -82,10 +82,10 @@
   std::discrete_distribution<std::size_t> pick(shares.begin(), shares.end());
   std::deque<Arrival> arrivals;
   auto due = began;
-  while (!plan.one_only || arrivals.empty()) {
+  while (!plan.single_request || arrivals.empty()) {
     due += std::chrono::duration_cast<Clock::duration>(
         std::chrono::duration<double>(gap(random)));
-    if (plan.one_only) {
+    if (plan.single_request) {
       due = began;
     } else if (due - began >= std::chrono::duration<double>(plan.seconds)) {
       break;
--- a/src/cli/load_run.h
+++ b/src/cli/load_run.h
@@ -23,7 +23,7 @@
   std::uint64_t seed = 1;
   int threads = 512;
   // Sends a single request at once in place of a rate.
-  bool one_only = false;
+  bool single_request = false;
   // Where set, the engine stand-in's own address: the baseline without hops.
   std::string engine_direct;
 };
