--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -35,7 +35,7 @@
   command->add_flag("--one", plan->single_request, "send a single request");
   command->add_option("--seed", plan->seed, "the seed of arrivals and prompts");
   command->add_option("--threads", plan->threads, "requests at once at most");
-  command->add_option("--engine", plan->engine_direct,
+  command->add_option("--engine", plan->engine_address,
                       "call the engine stand-in here and not a target");
   command->add_option("--json", *json_path, "write the report here as JSON");
   command->callback([plan, json_path, exit_code] {
--- a/src/cli/load_run.cc
+++ b/src/cli/load_run.cc
@@ -118,7 +118,7 @@
   json body{{"model", plan.model},
             {"prompt", MakePrompt(arrival.tokens, arrival.seed)},
             {"max_tokens", plan.answer_tokens}};
-  if (plan.engine_direct.empty()) {
+  if (plan.engine_address.empty()) {
     call.address = arrival.target;
     call.path = "/v1/completions";
     body["stream"] = true;
@@ -126,7 +126,7 @@
         {"Authorization", "Bearer " + plan.key},
         {"Harecrank-Time-Limit-Ms", std::to_string(plan.time_limit_ms)}};
   } else {
-    call.address = plan.engine_direct;
+    call.address = plan.engine_address;
     call.path = "/v1/streams";
     body["id"] = "load-" + std::to_string(arrival.seed);
     body["owner"] = 1;
@@ -204,7 +204,7 @@
   const HttpCall call = MakeCall(plan, arrival);
   // Counted from when the request was due: a sender that lags must not hide
   // the wait that it caused.
-  AnswerReader reader(arrival.due, !plan.engine_direct.empty(), &sample);
+  AnswerReader reader(arrival.due, !plan.engine_address.empty(), &sample);
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         return StreamHttp(call, [&](int status, std::istream& body) {
--- a/src/cli/load_run.h
+++ b/src/cli/load_run.h
@@ -25,7 +25,7 @@
   // Sends a single request at once in place of a rate.
   bool single_request = false;
   // Where set, the engine stand-in's own address: the baseline without hops.
-  std::string engine_direct;
+  std::string engine_address;
 };
 
 // What came of it.
