--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -65,7 +65,7 @@
   return number == 1.0 ? LeavingHint::kLeaving : LeavingHint::kUnreadable;
 }
 
-EndpointResponse DecodeAnswer(const AnswerHead& head,
+EndpointResponse DecodeAnswer(const ResponseHead& head,
                               const ProtocolNames& names) {
   EndpointResponse answer;
   answer.status = head.result_int();
--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/answer_decoder.h
@@ -13,7 +13,7 @@
 
 // Returns what `head` says. All that endpoints may say of themselves there is
 // read here and nowhere else; docs/design/endpoint-answers.md lists it.
-EndpointResponse DecodeAnswer(const AnswerHead& head,
+EndpointResponse DecodeAnswer(const ResponseHead& head,
                               const ProtocolNames& names);
 
 // Reads the time for which an endpoint wants nothing, as HTTP has it: seconds,
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -17,8 +17,8 @@
   return names;
 }
 
-AnswerHead Head(unsigned status) {
-  AnswerHead head;
+ResponseHead Head(unsigned status) {
+  ResponseHead head;
   head.result(status);
   return head;
 }
@@ -81,7 +81,7 @@
 }
 
 TEST_CASE("All that an answer says of its endpoint is read") {
-  AnswerHead head = Head(503);
+  ResponseHead head = Head(503);
   head.set("Signature", "s");
   head.set("Not-Run", "1");
   head.set("At-Fault", "e7");
@@ -109,7 +109,7 @@
 
 TEST_CASE("Only an answer that turns a request away asks for rest") {
   const unsigned status = GENERATE(200U, 302U, 413U, 421U, 500U, 504U);
-  AnswerHead head = Head(status);
+  ResponseHead head = Head(status);
   head.set(http::field::retry_after, "2");
   CHECK(std::holds_alternative<NoBackoff>(DecodeAnswer(head, Names()).backoff));
 }
--- a/src/gateway/answer_port.h
+++ b/src/gateway/answer_port.h
@@ -11,7 +11,7 @@
 namespace harecrank {
 
 // Status, reason and headers of an answer, without framing headers.
-using AnswerHead =
+using ResponseHead =
     boost::beast::http::response_header<boost::beast::http::fields>;
 
 // One request's way back to its caller. Exactly one of these sequences is
@@ -25,10 +25,10 @@
   virtual ~AnswerPort() = default;
 
   // Sends a whole answer.
-  virtual void SendWhole(AnswerHead head, std::string body) = 0;
+  virtual void SendWhole(ResponseHead head, std::string body) = 0;
 
   // Sends the head of an answer whose length is not known yet.
-  virtual void BeginStream(AnswerHead head) = 0;
+  virtual void BeginStream(ResponseHead head) = 0;
   virtual void SendEvents(std::string bytes) = 0;
   virtual void EndStream() = 0;
   // Closes the connection so that the answer does not look complete.
--- a/src/gateway/answer_relay.cc
+++ b/src/gateway/answer_relay.cc
@@ -21,7 +21,7 @@
   head_.reset();
 }
 
-void AnswerRelay::RelayEvents(const AnswerHead& head) {
+void AnswerRelay::RelayEvents(const ResponseHead& head) {
   is_stream_ = true;
   if (!stream_begun_) {
     stream_begun_ = true;
@@ -29,7 +29,7 @@
   }
 }
 
-void AnswerRelay::KeepWhole(AnswerHead head) { head_ = std::move(head); }
+void AnswerRelay::KeepWhole(ResponseHead head) { head_ = std::move(head); }
 
 AnswerRelay::Accepted AnswerRelay::Accept(std::string_view bytes) {
   if (!is_stream_) {
--- a/src/gateway/answer_relay.h
+++ b/src/gateway/answer_relay.h
@@ -25,9 +25,9 @@
 
   // The answer under way is a series of events. The caller gets the head of the
   // first such answer only.
-  void RelayEvents(const AnswerHead& head);
+  void RelayEvents(const ResponseHead& head);
   // The answer under way is kept whole.
-  void KeepWhole(AnswerHead head);
+  void KeepWhole(ResponseHead head);
 
   // What became of bytes of the body.
   enum class Accepted {
@@ -66,7 +66,7 @@
   std::shared_ptr<AnswerPort> answer_;
   MonotonicClock clock_;
   EventScanner scanner_;
-  std::optional<AnswerHead> head_;
+  std::optional<ResponseHead> head_;
   std::string body_;
   bool is_stream_ = false;
   bool stream_begun_ = false;
--- a/src/gateway/attempt.cc
+++ b/src/gateway/attempt.cc
@@ -133,7 +133,7 @@
     Break("answer", error);
     return;
   }
-  const AnswerHead& head = parser_->get();
+  const ResponseHead& head = parser_->get();
   if (head.result_int() / 100 == 1) {
     ReadHead();
     return;
@@ -221,7 +221,7 @@
   observer_->OnAnswerEnd();
 }
 
-void Attempt::NoteKeepAlive(const AnswerHead& head) {
+void Attempt::NoteKeepAlive(const ResponseHead& head) {
   const auto field = head.find(http::field::keep_alive);
   if (field == head.end()) {
     return;
--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -58,7 +58,7 @@
   virtual ~AttemptObserver() = default;
 
   virtual void OnSent() = 0;
-  virtual void OnAnswerHead(const AnswerHead& head) = 0;
+  virtual void OnAnswerHead(const ResponseHead& head) = 0;
   virtual void OnAnswerBytes(std::string_view bytes) = 0;
   // The answer is whole.
   virtual void OnAnswerEnd() = 0;
@@ -99,7 +99,7 @@
   void ReadBody();
   void OnBody(const Error& error);
   void OnMessageEnd();
-  void NoteKeepAlive(const AnswerHead& head);
+  void NoteKeepAlive(const ResponseHead& head);
   void Fail(const AttemptFailure& failure);
   void Break(const std::string& step, const Error& error);
 
--- a/src/gateway/attempt_test.cc
+++ b/src/gateway/attempt_test.cc
@@ -21,7 +21,7 @@
 class RecordingObserver : public AttemptObserver {
  public:
   void OnSent() override { ++sent_; }
-  void OnAnswerHead(const AnswerHead&) override {}
+  void OnAnswerHead(const ResponseHead&) override {}
   void OnAnswerBytes(std::string_view) override {}
   void OnAnswerEnd() override {}
   void OnFailure(const AttemptFailure& failure) override {
--- a/src/gateway/caller_session.cc
+++ b/src/gateway/caller_session.cc
@@ -198,13 +198,13 @@
 void CallerSession::AnswerAndClose(unsigned status, const std::string& reason) {
   state_ = State::kAnswering;
   keep_alive_ = false;
-  AnswerHead head;
+  ResponseHead head;
   head.result(status);
   head.set(http::field::content_type, "text/plain");
   SendWhole(std::move(head), reason + "\n");
 }
 
-void CallerSession::SendWhole(AnswerHead head, std::string body) {
+void CallerSession::SendWhole(ResponseHead head, std::string body) {
   if (state_ != State::kAnswering) {
     return;
   }
@@ -235,7 +235,7 @@
   FinishAnswer();
 }
 
-void CallerSession::BeginStream(AnswerHead head) {
+void CallerSession::BeginStream(ResponseHead head) {
   if (state_ != State::kAnswering) {
     return;
   }
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -70,8 +70,8 @@
   bool IsBusy() const { return state_ != State::kIdle; }
   bool IsClosed() const { return state_ == State::kClosed; }
 
-  void SendWhole(AnswerHead head, std::string body) override;
-  void BeginStream(AnswerHead head) override;
+  void SendWhole(ResponseHead head, std::string body) override;
+  void BeginStream(ResponseHead head) override;
   void SendEvents(std::string bytes) override;
   void EndStream() override;
   void AbortStream() override;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -42,7 +42,7 @@
   void OnNoEndpoint() override;
   void OnWaits() override;
   void OnSent() override;
-  void OnAnswerHead(const AnswerHead& head) override;
+  void OnAnswerHead(const ResponseHead& head) override;
   void OnAnswerBytes(std::string_view bytes) override;
   void OnAnswerEnd() override;
   void OnFailure(const AttemptFailure& failure) override;
@@ -60,7 +60,7 @@
   void OnFirstEvent();
 
   // What is made of an answer's head: the first that applies is done.
-  void JudgeHead(const EndpointResponse& answer, const AnswerHead& head);
+  void JudgeHead(const EndpointResponse& answer, const ResponseHead& head);
   void OnNotRunAnswer(const EndpointResponse& answer);
   // Returns whether another endpoint is asked instead.
   bool TakeUpElsewhere(unsigned status);
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -20,7 +20,7 @@
 // The reason of the final answer to a request that ends endpoints.
 constexpr char kHeldReason[] = "ends_endpoints";
 
-bool IsEventStream(const AnswerHead& head) {
+bool IsEventStream(const ResponseHead& head) {
   const std::string_view wanted = "text/event-stream";
   return View(head[http::field::content_type]).substr(0, wanted.size()) ==
          wanted;
@@ -47,7 +47,7 @@
   sender_->OnSent();
 }
 
-void Exchange::OnAnswerHead(const AnswerHead& head) {
+void Exchange::OnAnswerHead(const ResponseHead& head) {
   const auto self = shared_from_this();
   const EndpointResponse answer = DecodeAnswer(head, *services_->names);
   sender_->OnAnswer(answer);
@@ -57,7 +57,7 @@
 }
 
 void Exchange::JudgeHead(const EndpointResponse& answer,
-                         const AnswerHead& head) {
+                         const ResponseHead& head) {
   const unsigned status = answer.status;
   const bool says_not_run = answer.not_run || answer.IsMisdirected();
   if (says_not_run && status != http_status::kBadRequest) {
--- a/src/gateway/message_text.cc
+++ b/src/gateway/message_text.cc
@@ -44,7 +44,7 @@
   text->append("\r\n");
 }
 
-void AppendAnswerHead(const AnswerHead& head, std::string* text) {
+void AppendAnswerHead(const ResponseHead& head, std::string* text) {
   text->append("HTTP/1.1 ");
   text->append(std::to_string(head.result_int()));
   text->append(" ");
--- a/src/gateway/message_text.h
+++ b/src/gateway/message_text.h
@@ -23,7 +23,7 @@
 
 // Appends status line and headers of an answer, without the empty line that
 // ends a head.
-void AppendAnswerHead(const AnswerHead& head, std::string* text);
+void AppendAnswerHead(const ResponseHead& head, std::string* text);
 
 // Appends `bytes` as one chunk. Appends nothing if there are none, since an
 // empty chunk ends a body.
--- a/src/gateway/own_answer.cc
+++ b/src/gateway/own_answer.cc
@@ -4,10 +4,10 @@
 
 namespace harecrank {
 
-AnswerHead HeadOf(const OwnAnswer& answer, const ProtocolNames& names,
-                  const std::string& request_id) {
+ResponseHead HeadOf(const OwnAnswer& answer, const ProtocolNames& names,
+                    const std::string& request_id) {
   namespace http = boost::beast::http;
-  AnswerHead head;
+  ResponseHead head;
   head.result(answer.status);
   head.set(names.request_id, request_id);
   head.set(http::field::content_type, "application/json");
--- a/src/gateway/own_answer.h
+++ b/src/gateway/own_answer.h
@@ -24,8 +24,8 @@
 };
 
 // Returns the head of `answer` to the request called `request_id`.
-AnswerHead HeadOf(const OwnAnswer& answer, const ProtocolNames& names,
-                  const std::string& request_id);
+ResponseHead HeadOf(const OwnAnswer& answer, const ProtocolNames& names,
+                    const std::string& request_id);
 
 // Returns its body, a JSON object.
 std::string BodyOf(const OwnAnswer& answer);
