--- a/src/gateway/answer_port.h
+++ b/src/gateway/answer_port.h
@@ -17,12 +17,12 @@
 // One request's way back to its caller. Exactly one of these sequences is
 // called: SendWhole; or BeginStream, SendEvents any number of times, and
 // EndStream or AbortStream.
-class AnswerPort {
+class ResponseSink {
  public:
-  AnswerPort() = default;
-  AnswerPort(const AnswerPort&) = delete;
-  AnswerPort& operator=(const AnswerPort&) = delete;
-  virtual ~AnswerPort() = default;
+  ResponseSink() = default;
+  ResponseSink(const ResponseSink&) = delete;
+  ResponseSink& operator=(const ResponseSink&) = delete;
+  virtual ~ResponseSink() = default;
 
   // Sends a whole answer.
   virtual void SendWhole(ResponseHead head, std::string body) = 0;
--- a/src/gateway/answer_relay.cc
+++ b/src/gateway/answer_relay.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-AnswerRelay::AnswerRelay(std::shared_ptr<AnswerPort> answer,
+AnswerRelay::AnswerRelay(std::shared_ptr<ResponseSink> answer,
                          MonotonicClock clock)
     : answer_(std::move(answer)), clock_(std::move(clock)) {}
 
--- a/src/gateway/answer_relay.h
+++ b/src/gateway/answer_relay.h
@@ -18,7 +18,7 @@
 // they are whole. Not thread-safe.
 class AnswerRelay {
  public:
-  AnswerRelay(std::shared_ptr<AnswerPort> answer, MonotonicClock clock);
+  AnswerRelay(std::shared_ptr<ResponseSink> answer, MonotonicClock clock);
 
   // A new attempt begins. A stream that has begun goes on where it stands.
   void BeginAttempt();
@@ -63,7 +63,7 @@
  private:
   void NotePause();
 
-  std::shared_ptr<AnswerPort> answer_;
+  std::shared_ptr<ResponseSink> answer_;
   MonotonicClock clock_;
   EventScanner scanner_;
   std::optional<ResponseHead> head_;
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -39,7 +39,7 @@
 // to `answer`. Returns nothing if it was given at once.
 using RequestStarter = std::function<std::shared_ptr<RequestHandle>(
     CallerRequest request, TimePoint arrived,
-    std::shared_ptr<AnswerPort> answer)>;
+    std::shared_ptr<ResponseSink> answer)>;
 
 // What sessions ask of their owner.
 struct SessionContext {
@@ -52,7 +52,7 @@
 };
 
 // Not thread-safe; runs on its socket's io_context.
-class CallerSession : public AnswerPort,
+class CallerSession : public ResponseSink,
                       public std::enable_shared_from_this<CallerSession> {
  public:
   // `context` must outlive this.
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 Exchange::Exchange(const GatewayServices* services, CallerRequest request,
-                   TimePoint arrived, std::shared_ptr<AnswerPort> answer)
+                   TimePoint arrived, std::shared_ptr<ResponseSink> answer)
     : services_(services),
       request_(std::move(request)),
       arrived_(arrived),
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -31,7 +31,7 @@
  public:
   // `services` must outlive this.
   Exchange(const GatewayServices* services, CallerRequest request,
-           TimePoint arrived, std::shared_ptr<AnswerPort> answer);
+           TimePoint arrived, std::shared_ptr<ResponseSink> answer);
 
   // Admits the request and sends it, or answers it at once.
   void Start();
@@ -100,7 +100,7 @@
   const GatewayServices* services_;
   CallerRequest request_;
   TimePoint arrived_;
-  std::shared_ptr<AnswerPort> answer_;
+  std::shared_ptr<ResponseSink> answer_;
   Timer timer_;
   std::string id_;
   ExchangeLog log_;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -174,7 +174,7 @@
 SessionContext GatewayNode::MakeSessionContext() {
   SessionContext context;
   context.start_request = [this](CallerRequest request, TimePoint arrived,
-                                 std::shared_ptr<AnswerPort> answer) {
+                                 std::shared_ptr<ResponseSink> answer) {
     auto exchange = std::make_shared<Exchange>(&services_, std::move(request),
                                                arrived, std::move(answer));
     exchange->Start();
