--- a/src/gateway/answer_relay.cc
+++ b/src/gateway/answer_relay.cc
@@ -11,17 +11,17 @@
 
 }  // namespace
 
-AnswerRelay::AnswerRelay(std::shared_ptr<ResponseSink> answer,
-                         MonotonicClock clock)
+ResponseRelay::ResponseRelay(std::shared_ptr<ResponseSink> answer,
+                             MonotonicClock clock)
     : answer_(std::move(answer)), clock_(std::move(clock)) {}
 
-void AnswerRelay::BeginAttempt() {
+void ResponseRelay::BeginAttempt() {
   is_stream_ = false;
   body_.clear();
   head_.reset();
 }
 
-void AnswerRelay::RelayEvents(const ResponseHead& head) {
+void ResponseRelay::RelayEvents(const ResponseHead& head) {
   is_stream_ = true;
   if (!stream_begun_) {
     stream_begun_ = true;
@@ -29,9 +29,9 @@
   }
 }
 
-void AnswerRelay::KeepWhole(ResponseHead head) { head_ = std::move(head); }
+void ResponseRelay::KeepWhole(ResponseHead head) { head_ = std::move(head); }
 
-AnswerRelay::Accepted AnswerRelay::Accept(std::string_view bytes) {
+ResponseRelay::Accepted ResponseRelay::Accept(std::string_view bytes) {
   if (!is_stream_) {
     body_.append(bytes);
     return body_.size() > kMostAnswerBytes ? Accepted::kTooLarge
@@ -46,7 +46,7 @@
   return Accepted::kEvents;
 }
 
-void AnswerRelay::NotePause() {
+void ResponseRelay::NotePause() {
   const TimePoint now = clock_();
   if (last_event_at_ != TimePoint{}) {
     longest_pause_ = std::max(longest_pause_, now - last_event_at_);
@@ -54,11 +54,11 @@
   last_event_at_ = now;
 }
 
-void AnswerRelay::EndStream() { answer_->EndStream(); }
+void ResponseRelay::EndStream() { answer_->EndStream(); }
 
-void AnswerRelay::AbortStream() { answer_->AbortStream(); }
+void ResponseRelay::AbortStream() { answer_->AbortStream(); }
 
-unsigned AnswerRelay::SendKept() {
+unsigned ResponseRelay::SendKept() {
   const unsigned status = KeptStatus();
   answer_->SendWhole(*std::move(head_), std::move(body_));
   return status;
--- a/src/gateway/answer_relay.h
+++ b/src/gateway/answer_relay.h
@@ -16,9 +16,9 @@
 
 // Events go on as they come, and only whole ones; other answers are kept until
 // they are whole. Not thread-safe.
-class AnswerRelay {
+class ResponseRelay {
  public:
-  AnswerRelay(std::shared_ptr<ResponseSink> answer, MonotonicClock clock);
+  ResponseRelay(std::shared_ptr<ResponseSink> answer, MonotonicClock clock);
 
   // A new attempt begins. A stream that has begun goes on where it stands.
   void BeginAttempt();
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -104,7 +104,7 @@
   Timer timer_;
   std::string id_;
   ExchangeLog log_;
-  AnswerRelay relay_;
+  ResponseRelay relay_;
   std::optional<RequestFingerprint> fingerprint_;
   std::unique_ptr<CrashGuard::Watching> watching_;
   std::shared_ptr<const std::string> body_;
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -116,14 +116,14 @@
 void Exchange::OnAnswerBytes(std::string_view bytes) {
   sender_->OnBytes();
   switch (relay_.Accept(bytes)) {
-    case AnswerRelay::Accepted::kEvents:
+    case ResponseRelay::Accepted::kEvents:
       OnFirstEvent();
       break;
-    case AnswerRelay::Accepted::kTooLarge:
+    case ResponseRelay::Accepted::kTooLarge:
       AbandonAttempt();
       OnMayHaveRun("answer_too_large");
       break;
-    case AnswerRelay::Accepted::kKept:
+    case ResponseRelay::Accepted::kKept:
       break;
   }
 }
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -75,7 +75,7 @@
 }
 
 void ExchangeLog::Ended(const ExchangeEnd& end,
-                        const AnswerRelay& relay) const {
+                        const ResponseRelay& relay) const {
   Metrics& metrics = *services_->metrics;
   const std::string label = std::string("outcome=\"") + end.outcome + "\"";
   metrics.GetCounter("harecrank_gateway_requests_total", label)->Add();
