--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -263,10 +263,10 @@
 void Exchange::Refuse(unsigned status, const std::string& code,
                       std::optional<Millis> retry_after) {
   // Whoever is told when to come again is told that it has not run, too.
-  Answer(OwnAnswer{status, code, retry_after, retry_after.has_value()});
+  Answer(GatewayResponse{status, code, retry_after, retry_after.has_value()});
 }
 
-void Exchange::Answer(const OwnAnswer& answer) {
+void Exchange::Answer(const GatewayResponse& answer) {
   answer_->SendWhole(HeadOf(answer, *services_->names, id_), BodyOf(answer));
   Finish(answer.not_run ? "refused" : "failed", answer.status, answer.code);
 }
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -93,7 +93,7 @@
   // Answers.
   void Refuse(unsigned status, const std::string& code,
               std::optional<Millis> retry_after);
-  void Answer(const OwnAnswer& answer);
+  void Answer(const GatewayResponse& answer);
   void GiveUp(const std::string& reason);
   void Finish(const char* outcome, unsigned status, const std::string& reason);
 
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -253,7 +253,8 @@
   }
   // Without a time to come back: it will be refused then too. An own 4xx would
   // say more plainly whose fault it is, but platforms bound those.
-  Answer(OwnAnswer{http_status::kUnavailable, kHeldReason, std::nullopt, true});
+  Answer(GatewayResponse{http_status::kUnavailable, kHeldReason, std::nullopt,
+                         true});
 }
 
 void Exchange::NoteEnd() {
--- a/src/gateway/own_answer.cc
+++ b/src/gateway/own_answer.cc
@@ -4,7 +4,7 @@
 
 namespace harecrank {
 
-ResponseHead HeadOf(const OwnAnswer& answer, const ProtocolNames& names,
+ResponseHead HeadOf(const GatewayResponse& answer, const ProtocolNames& names,
                     const std::string& request_id) {
   namespace http = boost::beast::http;
   ResponseHead head;
@@ -20,7 +20,7 @@
   return head;
 }
 
-std::string BodyOf(const OwnAnswer& answer) {
+std::string BodyOf(const GatewayResponse& answer) {
   const nlohmann::json body = {
       {"error", answer.code},
       {"outcome", answer.not_run ? "not_run" : "failed"}};
--- a/src/gateway/own_answer.h
+++ b/src/gateway/own_answer.h
@@ -12,7 +12,7 @@
 
 namespace harecrank {
 
-struct OwnAnswer {
+struct GatewayResponse {
   unsigned status = 0;
   // Names the cause for callers and logs.
   std::string code;
@@ -24,11 +24,11 @@
 };
 
 // Returns the head of `answer` to the request called `request_id`.
-ResponseHead HeadOf(const OwnAnswer& answer, const ProtocolNames& names,
+ResponseHead HeadOf(const GatewayResponse& answer, const ProtocolNames& names,
                     const std::string& request_id);
 
 // Returns its body, a JSON object.
-std::string BodyOf(const OwnAnswer& answer);
+std::string BodyOf(const GatewayResponse& answer);
 
 }  // namespace harecrank
 
