--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -65,8 +65,8 @@
   return number == 1.0 ? LeavingHint::kLeaving : LeavingHint::kUnreadable;
 }
 
-EndpointResponse DecodeAnswer(const ResponseHead& head,
-                              const ProtocolNames& names) {
+EndpointResponse DecodeResponse(const ResponseHead& head,
+                                const ProtocolNames& names) {
   EndpointResponse answer;
   answer.status = head.result_int();
   answer.is_signed = head.count(names.answer_signature) != 0;
--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/answer_decoder.h
@@ -13,8 +13,8 @@
 
 // Returns what `head` says. All that endpoints may say of themselves there is
 // read here and nowhere else; docs/design/endpoint-answers.md lists it.
-EndpointResponse DecodeAnswer(const ResponseHead& head,
-                              const ProtocolNames& names);
+EndpointResponse DecodeResponse(const ResponseHead& head,
+                                const ProtocolNames& names);
 
 // Reads the time for which an endpoint wants nothing, as HTTP has it: seconds,
 // with a fraction if it likes, or a date. A date counts from `answered`, the
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -70,7 +70,7 @@
 }
 
 TEST_CASE("An answer without any of the headers says nothing") {
-  const EndpointResponse answer = DecodeAnswer(Head(200), Names());
+  const EndpointResponse answer = DecodeResponse(Head(200), Names());
   CHECK(answer.IsSuccess());
   CHECK_FALSE(answer.is_signed);
   CHECK_FALSE(answer.not_run);
@@ -88,7 +88,7 @@
   head.set("Limit", "0.5");
   head.set("Leaving", "1");
   head.set(http::field::retry_after, "2");
-  const EndpointResponse answer = DecodeAnswer(head, Names());
+  const EndpointResponse answer = DecodeResponse(head, Names());
   CHECK(answer.status == 503);
   CHECK(answer.is_signed);
   CHECK(answer.not_run);
@@ -111,7 +111,8 @@
   const unsigned status = GENERATE(200U, 302U, 413U, 421U, 500U, 504U);
   ResponseHead head = Head(status);
   head.set(http::field::retry_after, "2");
-  CHECK(std::holds_alternative<NoBackoff>(DecodeAnswer(head, Names()).backoff));
+  CHECK(
+      std::holds_alternative<NoBackoff>(DecodeResponse(head, Names()).backoff));
 }
 
 }  // namespace
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -49,7 +49,7 @@
 
 void Exchange::OnAnswerHead(const ResponseHead& head) {
   const auto self = shared_from_this();
-  const EndpointResponse answer = DecodeAnswer(head, *services_->names);
+  const EndpointResponse answer = DecodeResponse(head, *services_->names);
   sender_->OnAnswer(answer);
   has_framed_end_ = head.count(http::field::content_length) != 0 ||
                     head.count(http::field::transfer_encoding) != 0;
