--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -4,11 +4,10 @@
 
 namespace harecrank {
 
-EndpointAnswers::EndpointAnswers(const EndpointDirectory* directory,
-                                 EndpointHealth* health,
-                                 EndpointNews* endpoint_news,
-                                 StartGate* start_gate, RestWatch* rest_watch,
-                                 std::function<void()> on_news)
+EndpointResponseHandler::EndpointResponseHandler(
+    const EndpointDirectory* directory, EndpointHealth* health,
+    EndpointNews* endpoint_news, StartGate* start_gate, RestWatch* rest_watch,
+    std::function<void()> on_news)
     : directory_(directory),
       health_(health),
       endpoint_news_(endpoint_news),
@@ -16,9 +15,9 @@
       rest_watch_(rest_watch),
       on_news_(std::move(on_news)) {}
 
-void EndpointAnswers::OnAnswer(const EndpointRecord& endpoint,
-                               const EndpointResponse& answer,
-                               TimePoint sent_at) {
+void EndpointResponseHandler::OnAnswer(const EndpointRecord& endpoint,
+                                       const EndpointResponse& answer,
+                                       TimePoint sent_at) {
   const EndpointRecord* held = directory_->Find(endpoint.id);
   const bool is_of_earlier_incarnation =
       held != nullptr && held->incarnation != endpoint.incarnation;
@@ -33,8 +32,8 @@
   TakeLeaving(endpoint, answer.leaving);
 }
 
-void EndpointAnswers::TakeLeaving(const EndpointRecord& endpoint,
-                                  LeavingHint word) {
+void EndpointResponseHandler::TakeLeaving(const EndpointRecord& endpoint,
+                                          LeavingHint word) {
   const bool is_readable = word == LeavingHint::kLeaving;
   if (word == LeavingHint::kNone ||
       !endpoint_news_->OnSaysItLeaves(endpoint, is_readable)) {
@@ -45,9 +44,9 @@
   on_news_();
 }
 
-void EndpointAnswers::TakeLimit(const EndpointId& endpoint,
-                                const EndpointResponse& answer,
-                                TimePoint sent_at) {
+void EndpointResponseHandler::TakeLimit(const EndpointId& endpoint,
+                                        const EndpointResponse& answer,
+                                        TimePoint sent_at) {
   const bool names_none = std::holds_alternative<NoRateLimit>(answer.limit);
   if (names_none && !(answer.IsSuccess() && answer.is_signed)) {
     return;  // Refusals and failures may be given without a look at the need.
--- a/src/gateway/endpoint_answers.h
+++ b/src/gateway/endpoint_answers.h
@@ -17,13 +17,14 @@
 
 // The one place where such words are acted on, whoever got the answer. Not
 // thread-safe.
-class EndpointAnswers {
+class EndpointResponseHandler {
  public:
   // All pointers must outlive this. `on_news` is called when other hosts should
   // hear of it soon.
-  EndpointAnswers(const EndpointDirectory* directory, EndpointHealth* health,
-                  EndpointNews* endpoint_news, StartGate* start_gate,
-                  RestWatch* rest_watch, std::function<void()> on_news);
+  EndpointResponseHandler(const EndpointDirectory* directory,
+                          EndpointHealth* health, EndpointNews* endpoint_news,
+                          StartGate* start_gate, RestWatch* rest_watch,
+                          std::function<void()> on_news);
 
   // Takes the answer to what was sent to `endpoint` at `sent_at`. One that
   // comes from an earlier incarnation of it says nothing of the present one.
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -62,8 +62,8 @@
   int told_ = 0;
   int rests_looked_at_ = 0;
   RestWatch rest_watch_{[this](const auto& /*look*/) { ++rests_looked_at_; }};
-  EndpointAnswers answers_{&directory_, &health_,     &news_,
-                           &gate_,      &rest_watch_, [this] { ++told_; }};
+  EndpointResponseHandler answers_{
+      &directory_, &health_, &news_, &gate_, &rest_watch_, [this] { ++told_; }};
 };
 
 TEST_CASE_METHOD(AnswersFixture,
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -119,7 +119,7 @@
   FleetMember fleet_;
   CrashGuard crashes_;
   RestWatch rest_watch_;
-  EndpointAnswers answers_;
+  EndpointResponseHandler answers_;
   GatewayServices services_;
   SourceState source_;
   PublishedNews news_;
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -75,7 +75,7 @@
   const PlacementPolicy* policy = nullptr;
   RepeatBudgets* budgets = nullptr;
   StartGate* start_gate = nullptr;
-  EndpointAnswers* answers = nullptr;
+  EndpointResponseHandler* answers = nullptr;
   RestWatch* rest_watch = nullptr;
   DispatchQueue* queue = nullptr;
   MemoryOrders* orders = nullptr;
