--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-BackoffHint ReadRest(std::string_view text, std::string_view answered) {
+BackoffHint ParseRetryAfter(std::string_view text, std::string_view answered) {
   const auto longest = static_cast<double>(kLongestRest.count());
   if (const auto seconds = ParseDecimal(text)) {
     const double backoff = std::min(longest, *seconds * kMillisPerSecond);
@@ -79,7 +79,7 @@
   const auto backoff = head.find(http::field::retry_after);
   if (backoff != head.end() && MayAskForRest(answer.status)) {
     answer.backoff =
-        ReadRest(View(backoff->value()), View(head[http::field::date]));
+        ParseRetryAfter(View(backoff->value()), View(head[http::field::date]));
   }
   const auto leaving = head.find(names.leaving);
   if (leaving != head.end()) {
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -26,13 +26,14 @@
 constexpr const char* kDate = "Fri, 31 Dec 2027 23:59:50 GMT";
 
 Millis RestOf(const std::string& text, const std::string& answered = "") {
-  const BackoffHint word = ReadRest(text, answered);
+  const BackoffHint word = ParseRetryAfter(text, answered);
   REQUIRE(std::holds_alternative<Millis>(word));
   return std::get<Millis>(word);
 }
 
 bool IsUnreadable(const std::string& text, const std::string& answered = "") {
-  return std::holds_alternative<UnreadableBackoff>(ReadRest(text, answered));
+  return std::holds_alternative<UnreadableBackoff>(
+      ParseRetryAfter(text, answered));
 }
 
 TEST_CASE("A rest is read in seconds, with a fraction or without") {
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -45,7 +45,7 @@
   if (field == reply.end()) {
     return std::nullopt;
   }
-  const BackoffHint rest = ReadRest(View(field->value()), "");
+  const BackoffHint rest = ParseRetryAfter(View(field->value()), "");
   const auto* after = std::get_if<Millis>(&rest);
   return after == nullptr ? std::nullopt : std::make_optional(*after);
 }
