--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -57,7 +57,7 @@
   return std::clamp(backoff, Millis(0), kLongestRest);
 }
 
-LeavingHint ReadLeaving(std::string_view text) {
+LeavingHint ParseLeavingHint(std::string_view text) {
   const auto number = ParseDecimal(text);
   if (number == 0.0) {
     return LeavingHint::kNone;
@@ -83,7 +83,7 @@
   }
   const auto leaving = head.find(names.leaving);
   if (leaving != head.end()) {
-    answer.leaving = ReadLeaving(View(leaving->value()));
+    answer.leaving = ParseLeavingHint(View(leaving->value()));
   }
   return answer;
 }
--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/answer_decoder.h
@@ -22,7 +22,7 @@
 BackoffHint ParseRetryAfter(std::string_view text, std::string_view answered);
 
 // Reads whether an endpoint says that it is about to end.
-LeavingHint ReadLeaving(std::string_view text);
+LeavingHint ParseLeavingHint(std::string_view text);
 
 // A longer rest counts as this long.
 constexpr Millis kLongestRest = std::chrono::hours(24);
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -100,12 +100,12 @@
 }
 
 TEST_CASE("An endpoint leaves unless it says that it does not") {
-  CHECK(ReadLeaving("1") == LeavingHint::kLeaving);
-  CHECK(ReadLeaving(" 1 ") == LeavingHint::kLeaving);
-  CHECK(ReadLeaving("0") == LeavingHint::kNone);
-  CHECK(ReadLeaving("") == LeavingHint::kUnreadable);
-  CHECK(ReadLeaving("true") == LeavingHint::kUnreadable);
-  CHECK(ReadLeaving("2") == LeavingHint::kUnreadable);
+  CHECK(ParseLeavingHint("1") == LeavingHint::kLeaving);
+  CHECK(ParseLeavingHint(" 1 ") == LeavingHint::kLeaving);
+  CHECK(ParseLeavingHint("0") == LeavingHint::kNone);
+  CHECK(ParseLeavingHint("") == LeavingHint::kUnreadable);
+  CHECK(ParseLeavingHint("true") == LeavingHint::kUnreadable);
+  CHECK(ParseLeavingHint("2") == LeavingHint::kUnreadable);
 }
 
 TEST_CASE("Only an answer that turns a request away asks for rest") {
