--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/answer_decoder.cc
@@ -42,7 +42,7 @@
 }  // namespace
 
 BackoffHint ParseRetryAfter(std::string_view text, std::string_view answered) {
-  const auto longest = static_cast<double>(kLongestRest.count());
+  const auto longest = static_cast<double>(kMaxBackoff.count());
   if (const auto seconds = ParseDecimal(text)) {
     const double backoff = std::min(longest, *seconds * kMillisPerSecond);
     return Millis(static_cast<std::int64_t>(std::ceil(backoff)));
@@ -54,7 +54,7 @@
   }
   const Millis backoff = std::chrono::duration_cast<Millis>(
       std::chrono::microseconds(*until - *since));
-  return std::clamp(backoff, Millis(0), kLongestRest);
+  return std::clamp(backoff, Millis(0), kMaxBackoff);
 }
 
 LeavingHint ParseLeavingHint(std::string_view text) {
--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/answer_decoder.h
@@ -25,7 +25,7 @@
 LeavingHint ParseLeavingHint(std::string_view text);
 
 // A longer rest counts as this long.
-constexpr Millis kLongestRest = std::chrono::hours(24);
+constexpr Millis kMaxBackoff = std::chrono::hours(24);
 
 }  // namespace harecrank
 
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/answer_decoder_test.cc
@@ -46,8 +46,8 @@
 }
 
 TEST_CASE("A rest beyond the longest is the longest") {
-  CHECK(RestOf("1e300") == kLongestRest);
-  CHECK(RestOf("99999999999") == kLongestRest);
+  CHECK(RestOf("1e300") == kMaxBackoff);
+  CHECK(RestOf("99999999999") == kMaxBackoff);
 }
 
 TEST_CASE("A rest that is no time is told as such") {
@@ -62,7 +62,7 @@
   CHECK(RestOf("Fri, 31 Dec 2027 23:59:57 GMT", kDate) == Millis(7000));
   CHECK(RestOf("Sat, 01 Jan 2028 00:00:00 GMT", kDate) == Millis(10000));
   CHECK(RestOf("Fri, 31 Dec 2027 23:59:00 GMT", kDate) == Millis(0));
-  CHECK(RestOf("Fri, 31 Dec 9999 23:59:00 GMT", kDate) == kLongestRest);
+  CHECK(RestOf("Fri, 31 Dec 9999 23:59:00 GMT", kDate) == kMaxBackoff);
 }
 
 TEST_CASE("A date in an answer that has none itself cannot be read") {
