--- a/src/gateway/answer_relay.cc
+++ b/src/gateway/answer_relay.cc
@@ -29,7 +29,7 @@
   }
 }
 
-void ResponseRelay::KeepWhole(ResponseHead head) { head_ = std::move(head); }
+void ResponseRelay::BufferWhole(ResponseHead head) { head_ = std::move(head); }
 
 ResponseRelay::Accepted ResponseRelay::Accept(std::string_view bytes) {
   if (!is_stream_) {
--- a/src/gateway/answer_relay.h
+++ b/src/gateway/answer_relay.h
@@ -27,7 +27,7 @@
   // first such answer only.
   void RelayEvents(const ResponseHead& head);
   // The answer under way is kept whole.
-  void KeepWhole(ResponseHead head);
+  void BufferWhole(ResponseHead head);
 
   // What became of bytes of the body.
   enum class Accepted {
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -81,7 +81,7 @@
     relay_.RelayEvents(head);
     return;
   }
-  relay_.KeepWhole(head);
+  relay_.BufferWhole(head);
 }
 
 void Exchange::OnNotRunAnswer(const EndpointResponse& answer) {
