--- a/src/gateway/answer_relay.cc
+++ b/src/gateway/answer_relay.cc
@@ -58,7 +58,7 @@
 
 void ResponseRelay::AbortStream() { answer_->AbortStream(); }
 
-unsigned ResponseRelay::SendKept() {
+unsigned ResponseRelay::SendBuffered() {
   const unsigned status = KeptStatus();
   answer_->SendWhole(*std::move(head_), std::move(body_));
   return status;
--- a/src/gateway/answer_relay.h
+++ b/src/gateway/answer_relay.h
@@ -48,7 +48,7 @@
   // Closes the caller's connection, so that the stream does not look complete.
   void AbortStream();
   // Sends the answer that was kept, and returns its status.
-  unsigned SendKept();
+  unsigned SendBuffered();
   // Returns the status of the answer that is kept.
   unsigned KeptStatus() const { return head_->result_int(); }
 
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -151,7 +151,7 @@
   if (completed) {
     OnFirstEvent();
   }
-  const unsigned status = relay_.SendKept();
+  const unsigned status = relay_.SendBuffered();
   Finish(completed ? "completed" : "failed", status,
          completed ? "" : "endpoint_answer");
 }
