--- a/src/gateway/answer_relay.cc
+++ b/src/gateway/answer_relay.cc
@@ -59,7 +59,7 @@
 void ResponseRelay::AbortStream() { answer_->AbortStream(); }
 
 unsigned ResponseRelay::SendBuffered() {
-  const unsigned status = KeptStatus();
+  const unsigned status = BufferedStatus();
   answer_->SendWhole(*std::move(head_), std::move(body_));
   return status;
 }
--- a/src/gateway/answer_relay.h
+++ b/src/gateway/answer_relay.h
@@ -50,7 +50,7 @@
   // Sends the answer that was kept, and returns its status.
   unsigned SendBuffered();
   // Returns the status of the answer that is kept.
-  unsigned KeptStatus() const { return head_->result_int(); }
+  unsigned BufferedStatus() const { return head_->result_int(); }
 
   bool IsStream() const { return is_stream_; }
   // Whether the caller has been sent the head of a stream.
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -147,7 +147,7 @@
     Finish("completed", http_status::kOk, "");
     return;
   }
-  const bool completed = relay_.KeptStatus() < http_status::kBadRequest;
+  const bool completed = relay_.BufferedStatus() < http_status::kBadRequest;
   if (completed) {
     OnFirstEvent();
   }
