--- a/src/gateway/answer_relay.cc
+++ b/src/gateway/answer_relay.cc
@@ -35,11 +35,11 @@
   if (!is_stream_) {
     body_.append(bytes);
     return body_.size() > kMostAnswerBytes ? Accepted::kTooLarge
-                                           : Accepted::kKept;
+                                           : Accepted::kBuffered;
   }
   std::string events = scanner_.Accept(bytes);
   if (events.empty()) {
-    return Accepted::kKept;
+    return Accepted::kBuffered;
   }
   NotePause();
   answer_->SendEvents(std::move(events));
--- a/src/gateway/answer_relay.h
+++ b/src/gateway/answer_relay.h
@@ -31,7 +31,7 @@
 
   // What became of bytes of the body.
   enum class Accepted {
-    kKept,
+    kBuffered,
     // At least one whole event went on.
     kEvents,
     // The answer is larger than may be kept.
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -123,7 +123,7 @@
       AbandonAttempt();
       OnMayHaveRun("answer_too_large");
       break;
-    case ResponseRelay::Accepted::kKept:
+    case ResponseRelay::Accepted::kBuffered:
       break;
   }
 }
