--- a/src/gateway/caller_session.cc
+++ b/src/gateway/caller_session.cc
@@ -347,7 +347,7 @@
   // The handle may drop the last reference to this.
   const auto self = shared_from_this();
   if (const auto request = std::move(request_)) {
-    request->OnCallerLeft();
+    request->OnCallerDisconnected();
   }
   Error ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -32,7 +32,7 @@
   virtual ~RequestHandle() = default;
 
   // The caller has closed its connection: nobody waits for the answer.
-  virtual void OnCallerLeft() = 0;
+  virtual void OnCallerDisconnected() = 0;
 };
 
 // Starts the handling of one request that arrived at `arrived`. The answer goes
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -271,7 +271,7 @@
   Finish(answer.not_run ? "refused" : "failed", answer.status, answer.code);
 }
 
-void Exchange::OnCallerLeft() {
+void Exchange::OnCallerDisconnected() {
   const auto self = shared_from_this();
   if (!finished_) {
     Finish("caller_left", 0, "");
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -36,7 +36,7 @@
   // Admits the request and sends it, or answers it at once.
   void Start();
 
-  void OnCallerLeft() override;
+  void OnCallerDisconnected() override;
   void OnPlace(const Placement& placement) override;
   void OnTurnedAway(TurnAwayReason reason, Millis pause) override;
   void OnNoEndpoint() override;
