--- a/src/gateway/admission.cc
+++ b/src/gateway/admission.cc
@@ -11,7 +11,7 @@
 namespace http = boost::beast::http;
 
 // Each step returns a refusal, or nothing if the request goes on.
-using Step = std::optional<Refusal>;
+using Step = std::optional<Rejection>;
 
 // Judges one request, step by step.
 class Judge {
@@ -26,14 +26,14 @@
   Step FindRoute() {
     admitted_->table = services_.routing->InForce();
     if (admitted_->table == nullptr) {
-      return Refusal{http_status::kUnavailable, "no_configuration",
-                     kRetryAfterRefusal};
+      return Rejection{http_status::kUnavailable, "no_configuration",
+                       kRetryAfterRefusal};
     }
     const std::string_view target = View(request_.target());
     const RouteRule* route = admitted_->table->FindRoute(
         View(request_[http::field::host]), PathOf(target));
     if (route == nullptr) {
-      return Refusal{http_status::kNotFound, "no_route", std::nullopt};
+      return Rejection{http_status::kNotFound, "no_route", std::nullopt};
     }
     admitted_->route = route;
     Millis held = route->timeout;
@@ -55,7 +55,7 @@
     const bool is_public = admitted_->route->is_public;
     admitted_->strip_key = !is_public || admitted_->account != nullptr;
     if (admitted_->account == nullptr && !is_public) {
-      return Refusal{http_status::kUnauthorised, "unknown_key", std::nullopt};
+      return Rejection{http_status::kUnauthorised, "unknown_key", std::nullopt};
     }
     return std::nullopt;
   }
@@ -67,7 +67,7 @@
     }
     if (admitted_->route->kind == RequestKind::kStreaming) {
       // Nobody knows how long a stream takes, and the stop would cut it.
-      return Refusal{http_status::kUnavailable, "stopping", kRetryElsewhere};
+      return Rejection{http_status::kUnavailable, "stopping", kRetryElsewhere};
     }
     admitted_->deadline = std::min(admitted_->deadline, *stop);
     return std::nullopt;
@@ -77,8 +77,8 @@
     ReadSizes();
     admitted_->service = DrawService();
     if (admitted_->service == nullptr) {
-      return Refusal{http_status::kUnavailable, "no_service",
-                     kRetryAfterRefusal};
+      return Rejection{http_status::kUnavailable, "no_service",
+                       kRetryAfterRefusal};
     }
     admitted_->placement.service = admitted_->service;
     admitted_->placement.tightest_gap =
--- a/src/gateway/admission.h
+++ b/src/gateway/admission.h
@@ -15,7 +15,7 @@
 namespace harecrank {
 
 // A caller's request that is answered without an endpoint.
-struct Refusal {
+struct Rejection {
   unsigned status = 0;
   std::string code;
   // Set where the request has not run and may be sent again after this.
@@ -34,7 +34,7 @@
   bool strip_key = false;
   TimePoint deadline{};
   PlacementRequest placement;
-  std::optional<Refusal> refusal;
+  std::optional<Rejection> refusal;
 };
 
 // A caller that was refused comes back after about as long as short requests
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -42,7 +42,7 @@
   prompt_ = admitted.placement.prompt;
   log_.SetRoute(route_ == nullptr ? "" : route_->name,
                 table_ == nullptr ? RoutingVersion{} : table_->Version());
-  if (const std::optional<Refusal>& refusal = admitted.refusal) {
+  if (const std::optional<Rejection>& refusal = admitted.refusal) {
     Refuse(refusal->status, refusal->code, refusal->retry_after);
     return;
   }
