--- a/src/gateway/admission.cc
+++ b/src/gateway/admission.cc
@@ -27,7 +27,7 @@
     admitted_->table = services_.routing->InForce();
     if (admitted_->table == nullptr) {
       return Rejection{http_status::kUnavailable, "no_configuration",
-                       kRetryAfterRefusal};
+                       kRetryAfterRejection};
     }
     const std::string_view target = View(request_.target());
     const RouteRule* route = admitted_->table->FindRoute(
@@ -78,7 +78,7 @@
     admitted_->service = DrawService();
     if (admitted_->service == nullptr) {
       return Rejection{http_status::kUnavailable, "no_service",
-                       kRetryAfterRefusal};
+                       kRetryAfterRejection};
     }
     admitted_->placement.service = admitted_->service;
     admitted_->placement.tightest_gap =
--- a/src/gateway/admission.h
+++ b/src/gateway/admission.h
@@ -39,7 +39,7 @@
 
 // A caller that was refused comes back after about as long as short requests
 // take; it waits at most a third of what it has left.
-inline constexpr Millis kRetryAfterRefusal{500};
+inline constexpr Millis kRetryAfterRejection{500};
 // A caller of a host that stops goes to another one, at once.
 inline constexpr Millis kRetryElsewhere{50};
 
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -252,7 +252,7 @@
     const auto pause =
         place_ == nullptr ? std::nullopt : place_->PauseOfRests();
     Refuse(http_status::kUnavailable, reason,
-           std::max(kRetryAfterRefusal, pause.value_or(Millis(0))));
+           std::max(kRetryAfterRejection, pause.value_or(Millis(0))));
     return;
   }
   Refuse(TimeLeft() == Millis(0) ? http_status::kGatewayTimeout
