--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -49,8 +49,8 @@
   admitted.placement.origin = RequestOrigin{Fingerprint(), Priority()};
   SoughtPlace sought{std::move(admitted.placement),
                      arrived_ + route_->target_latency, deadline_, id_};
-  place_ = std::make_shared<PlaceSeeker>(services_, std::move(sought), this,
-                                         [this] { return log_.Fields(); });
+  place_ = std::make_shared<PlacementSearch>(services_, std::move(sought), this,
+                                             [this] { return log_.Fields(); });
   sender_.emplace(services_, route_, this);
   watching_ = services_->crashes->Watch(this);
   services_->budgets->OnFirstAttempt(service_->name);
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -116,7 +116,7 @@
   TimePoint deadline_{};
   Tokens prompt_;
   // Both are set once the request has been admitted.
-  std::shared_ptr<PlaceSeeker> place_;
+  std::shared_ptr<PlacementSearch> place_;
   std::optional<RequestSender> sender_;
   int connect_failures_ = 0;
   bool may_have_run_ = false;
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -19,16 +19,16 @@
 
 }  // namespace
 
-PlaceSeeker::PlaceSeeker(const GatewayServices* services, SoughtPlace sought,
-                         PlaceObserver* observer,
-                         std::function<nlohmann::json()> log_fields)
+PlacementSearch::PlacementSearch(const GatewayServices* services,
+                                 SoughtPlace sought, PlaceObserver* observer,
+                                 std::function<nlohmann::json()> log_fields)
     : services_(services),
       sought_(std::move(sought)),
       observer_(observer),
       log_fields_(std::move(log_fields)),
       retry_timer_(*services->io) {}
 
-void PlaceSeeker::Seek(SendingHistory history) {
+void PlacementSearch::Seek(SendingHistory history) {
   history_ = history;
   if (EndByBounds()) {
     return;
@@ -43,18 +43,18 @@
   }
 }
 
-void PlaceSeeker::SetTimes() {
+void PlacementSearch::SetTimes() {
   const TimePoint now = services_->clock();
   sought_.request.until_late = sought_.late_at - now;
   sought_.request.until_deadline = sought_.deadline - now;
 }
 
-void PlaceSeeker::SetWithheld() {
+void PlacementSearch::SetWithheld() {
   sought_.request.withheld =
       services_->start_gate->Withheld(*sought_.request.service);
 }
 
-void PlaceSeeker::Ask() {
+void PlacementSearch::Ask() {
   SetTimes();
   SetWithheld();
   ask_ = services_->places->Ask(
@@ -68,7 +68,7 @@
   observer_->OnWaits();
 }
 
-void PlaceSeeker::OnResult(const AskResult& result) {
+void PlacementSearch::OnResult(const AskResult& result) {
   if (std::holds_alternative<QueryQueued>(result)) {
     waits_at_planner_ = true;
     NoteWaiting();
@@ -93,12 +93,12 @@
   }
 }
 
-void PlaceSeeker::NotePlacedAlone() {
+void PlacementSearch::NotePlacedAlone() {
   services_->metrics->GetCounter("harecrank_gateway_placed_alone_total")->Add();
   services_->log->Write("placed_alone", log_fields_());
 }
 
-void PlaceSeeker::UsePlanned(const PlannedPlacement& planned) {
+void PlacementSearch::UsePlanned(const PlannedPlacement& planned) {
   std::optional<Placement> placement = PlacementOf(planned);
   if (placement.has_value() && MayStart(*placement)) {
     Prepare(*placement);
@@ -116,7 +116,7 @@
   }
 }
 
-void PlaceSeeker::ExcludeUnusable(const PlannedPlacement& planned) {
+void PlacementSearch::ExcludeUnusable(const PlannedPlacement& planned) {
   std::vector<EndpointId> named = {planned.endpoint};
   for (const PlannedHelper& helper : planned.helpers) {
     named.push_back(helper.endpoint);
@@ -128,7 +128,7 @@
   }
 }
 
-std::optional<Placement> PlaceSeeker::PlacementOf(
+std::optional<Placement> PlacementSearch::PlacementOf(
     const PlannedPlacement& planned) const {
   const EndpointRecord* endpoint = Usable(planned.endpoint);
   if (endpoint == nullptr) {
@@ -150,15 +150,15 @@
   return placement;
 }
 
-const EndpointRecord* PlaceSeeker::Usable(const EndpointId& id) const {
+const EndpointRecord* PlacementSearch::Usable(const EndpointId& id) const {
   return services_->directory->FindUsable(id, sought_.request.service->name);
 }
 
-bool PlaceSeeker::MayStart(const Placement& placement) const {
+bool PlacementSearch::MayStart(const Placement& placement) const {
   return services_->start_gate->MayStart(placement, *sought_.request.service);
 }
 
-bool PlaceSeeker::IsStillUsable(const Placement& placement) const {
+bool PlacementSearch::IsStillUsable(const Placement& placement) const {
   const auto usable = [this](const PrefillHelper& helper) {
     return Usable(helper.record.id) != nullptr;
   };
@@ -167,7 +167,7 @@
                      usable);
 }
 
-std::optional<ShareClaim> PlaceSeeker::Claim() const {
+std::optional<ShareClaim> PlacementSearch::Claim() const {
   if (!sought_.request.service->engine.has_value()) {
     return std::nullopt;
   }
@@ -176,7 +176,7 @@
                  table != nullptr && table->HasSeveralAccounts());
 }
 
-void PlaceSeeker::PlaceAlone() {
+void PlacementSearch::PlaceAlone() {
   const auto claim = Claim();
   const ShareRank turn = claim.has_value()
                              ? services_->queue->ShareRankOf(*claim)
@@ -198,14 +198,14 @@
   Wait();
 }
 
-std::optional<StartAvailability> PlaceSeeker::Outlook(
+std::optional<StartAvailability> PlacementSearch::Outlook(
     const std::set<EndpointId>& tried) const {
   const ServiceProfile& service = *sought_.request.service;
   return services_->start_gate->StartAvailabilityOf(
       services_->directory->UsableOf(service.name), tried, service);
 }
 
-TimePoint PlaceSeeker::WaitsOfUseUntil(SendingHistory history) const {
+TimePoint PlacementSearch::WaitsOfUseUntil(SendingHistory history) const {
   // One that has waited for an endpoint already and is late all the same is
   // still served late.
   const bool is_late = sought_.late_at <= services_->clock();
@@ -214,12 +214,12 @@
   return serves_late ? sought_.deadline : sought_.late_at;
 }
 
-bool PlaceSeeker::IsLeftOut(SendingHistory history) const {
+bool PlacementSearch::IsLeftOut(SendingHistory history) const {
   const auto outlook = Outlook(sought_.request.tried);
   return outlook.has_value() && outlook->next > WaitsOfUseUntil(history);
 }
 
-bool PlaceSeeker::EndByBounds() {
+bool PlacementSearch::EndByBounds() {
   const auto outlook = Outlook(sought_.request.tried);
   if (!outlook.has_value() || outlook->next <= WaitsOfUseUntil(history_)) {
     return false;
@@ -232,13 +232,13 @@
   return true;
 }
 
-void PlaceSeeker::TurnAwayByBounds(const StartAvailability& outlook) {
+void PlacementSearch::TurnAwayByBounds(const StartAvailability& outlook) {
   observer_->OnTurnedAway(
       TurnAwayReason::kStartsUsedUp,
       services_->start_gate->TurnAway(sought_.request.service->name, outlook));
 }
 
-bool PlaceSeeker::TurnAwayAtRest() {
+bool PlacementSearch::TurnAwayAtRest() {
   const auto outlook = Outlook(sought_.request.tried);
   const bool all_rest =
       outlook.has_value() && outlook->backoff_until > services_->clock();
@@ -250,7 +250,7 @@
   return true;
 }
 
-std::optional<Millis> PlaceSeeker::PauseOfRests() const {
+std::optional<Millis> PlacementSearch::PauseOfRests() const {
   const auto outlook = Outlook({});
   if (!outlook.has_value() || outlook->backoff_until <= services_->clock()) {
     return std::nullopt;
@@ -259,7 +259,7 @@
                                          *outlook);
 }
 
-void PlaceSeeker::WaitForStart() {
+void PlacementSearch::WaitForStart() {
   if (EndByBounds()) {
     return;
   }
@@ -275,7 +275,7 @@
   observer_->OnWaits();
 }
 
-bool PlaceSeeker::WaitsInVain() const {
+bool PlacementSearch::WaitsInVain() const {
   if (WasSent()) {
     return false;
   }
@@ -285,7 +285,7 @@
   return least.has_value() && *least <= work;
 }
 
-Millis PlaceSeeker::PauseForReturn() const {
+Millis PlacementSearch::PauseForReturn() const {
   const PlacementPolicy& policy = *services_->policy;
   const double share = IsShortPrompt(sought_.request, policy)
                            ? policy.short_retry_after_share
@@ -295,7 +295,7 @@
   return std::chrono::duration_cast<Millis>(pause);
 }
 
-bool PlaceSeeker::TryPlace() {
+bool PlacementSearch::TryPlace() {
   SetTimes();
   SetWithheld();
   const PlacementResult result = services_->placer->Choose(sought_.request);
@@ -313,7 +313,7 @@
   return true;
 }
 
-void PlaceSeeker::Wait() {
+void PlacementSearch::Wait() {
   NoteWaiting();
   waiter_ = services_->queue->Add(AsWaiter(), [weak = weak_from_this()] {
     const auto self = weak.lock();
@@ -329,20 +329,20 @@
   observer_->OnWaits();
 }
 
-void PlaceSeeker::NoteWaiting() {
+void PlacementSearch::NoteWaiting() {
   if (waits_since_ == TimePoint{}) {
     waits_since_ = services_->clock();
   }
 }
 
-std::optional<Millis> PlaceSeeker::Waited() const {
+std::optional<Millis> PlacementSearch::Waited() const {
   if (waits_since_ == TimePoint{}) {
     return std::nullopt;
   }
   return std::chrono::duration_cast<Millis>(services_->clock() - waits_since_);
 }
 
-WaitingRequest PlaceSeeker::AsWaiter() const {
+WaitingRequest PlacementSearch::AsWaiter() const {
   const FractionalMillis work =
       PrefillTime(*sought_.request.service->engine, sought_.request.prompt);
   WaitingRequest waiter;
@@ -353,7 +353,7 @@
   return waiter;
 }
 
-std::optional<TimePoint> PlaceSeeker::WaitEnd(bool may_have_run) const {
+std::optional<TimePoint> PlacementSearch::WaitEnd(bool may_have_run) const {
   const PlacementRequest& request = sought_.request;
   const Tokens needed = request.prompt + request.answer;
   if (!IsWaiting() || may_have_run || !IsOversize(*request.service, needed)) {
@@ -368,7 +368,7 @@
                          sought_.deadline);
 }
 
-void PlaceSeeker::LeaveQueue() {
+void PlacementSearch::LeaveQueue() {
   if (waits_at_planner_) {
     EndAsk();
   }
@@ -378,7 +378,7 @@
   }
 }
 
-void PlaceSeeker::Prepare(const Placement& placement) {
+void PlacementSearch::Prepare(const Placement& placement) {
   ++placements_;
   BeginWork(placement);
   std::vector<MemoryNeed> needs;
@@ -407,12 +407,12 @@
   observer_->OnWaits();
 }
 
-void PlaceSeeker::GivePlace(const Placement& placement) {
+void PlacementSearch::GivePlace(const Placement& placement) {
   services_->start_gate->OnStart(placement, *sought_.request.service);
   observer_->OnPlace(placement);
 }
 
-void PlaceSeeker::OnMemory(const Placement& placement, bool held) {
+void PlacementSearch::OnMemory(const Placement& placement, bool held) {
   nlohmann::json fields = log_fields_();
   // Memory is waited for up to 300 ms. With the wait for a connection an
   // endpoint that was heard to leave meanwhile would be sent to 0.6 s later.
@@ -438,13 +438,13 @@
       });
 }
 
-MemoryTicket PlaceSeeker::TicketFor(const EndpointId& holder) const {
+MemoryTicket PlacementSearch::TicketFor(const EndpointId& holder) const {
   // One for each placement: memory of an earlier one may still be ending.
   return MemoryTicket{sought_.request_id + "-" + std::to_string(placements_) +
                       "-" + holder.value};
 }
 
-void PlaceSeeker::BeginWork(const Placement& placement) {
+void PlacementSearch::BeginWork(const Placement& placement) {
   failed_ = false;
   std::vector<WorkPart> parts = PartsOf(placement, sought_.request);
   for (const WorkPart& part : parts) {
@@ -459,7 +459,7 @@
   services_->places->OnStarted(*ask_, std::move(parts));
 }
 
-void PlaceSeeker::OnPrefillDone(double pace) {
+void PlacementSearch::OnPrefillDone(double pace) {
   if (ask_.has_value()) {
     services_->places->OnPrefillDone(*ask_, pace);
   }
@@ -468,7 +468,7 @@
   }
 }
 
-void PlaceSeeker::End() {
+void PlacementSearch::End() {
   services_->queue->PumpSoon();
   for (const WorkId id : work_) {
     services_->loads->End(id);
@@ -481,7 +481,7 @@
   }
 }
 
-void PlaceSeeker::EndAsk() {
+void PlacementSearch::EndAsk() {
   if (ask_.has_value()) {
     services_->places->OnEnd(*ask_, failed_);
     ask_.reset();
@@ -489,7 +489,7 @@
   waits_at_planner_ = false;
 }
 
-void PlaceSeeker::Close() {
+void PlacementSearch::Close() {
   LeaveQueue();
   End();
   retry_timer_.cancel();
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -65,14 +65,14 @@
 
 // Asks the planner, and places by itself where none answers. Not thread-safe;
 // runs on its io_context.
-class PlaceSeeker : public std::enable_shared_from_this<PlaceSeeker> {
+class PlacementSearch : public std::enable_shared_from_this<PlacementSearch> {
  public:
   // `services` must outlive this. `observer` must stay until Close has been
   // called; it may be called from within Seek. `log_fields` returns what names
   // the request in log lines.
-  PlaceSeeker(const GatewayServices* services, SoughtPlace sought,
-              PlaceObserver* observer,
-              std::function<nlohmann::json()> log_fields);
+  PlacementSearch(const GatewayServices* services, SoughtPlace sought,
+                  PlaceObserver* observer,
+                  std::function<nlohmann::json()> log_fields);
 
   // Looks for a place.
   void Seek(SendingHistory history);
