--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -25,7 +25,7 @@
 // relay's. Not thread-safe; runs on its io_context.
 class Exchange : public RequestHandle,
                  public AttemptObserver,
-                 public PlaceObserver,
+                 public PlacementObserver,
                  public GuardedRequest,
                  public std::enable_shared_from_this<Exchange> {
  public:
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -20,7 +20,8 @@
 }  // namespace
 
 PlacementSearch::PlacementSearch(const GatewayServices* services,
-                                 SoughtPlace sought, PlaceObserver* observer,
+                                 SoughtPlace sought,
+                                 PlacementObserver* observer,
                                  std::function<nlohmann::json()> log_fields)
     : services_(services),
       sought_(std::move(sought)),
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -37,12 +37,12 @@
 };
 
 // Told what a seeker found. Each call but the last one ends the search.
-class PlaceObserver {
+class PlacementObserver {
  public:
-  PlaceObserver() = default;
-  PlaceObserver(const PlaceObserver&) = delete;
-  PlaceObserver& operator=(const PlaceObserver&) = delete;
-  virtual ~PlaceObserver() = default;
+  PlacementObserver() = default;
+  PlacementObserver(const PlacementObserver&) = delete;
+  PlacementObserver& operator=(const PlacementObserver&) = delete;
+  virtual ~PlacementObserver() = default;
 
   // The request may go there now; the memory that it needs on helpers is held.
   virtual void OnPlace(const Placement& placement) = 0;
@@ -71,7 +71,7 @@
   // called; it may be called from within Seek. `log_fields` returns what names
   // the request in log lines.
   PlacementSearch(const GatewayServices* services, SoughtPlace sought,
-                  PlaceObserver* observer,
+                  PlacementObserver* observer,
                   std::function<nlohmann::json()> log_fields);
 
   // Looks for a place.
@@ -175,7 +175,7 @@
   const GatewayServices* services_;
   SoughtPlace sought_;
   // Null once this is closed.
-  PlaceObserver* observer_;
+  PlacementObserver* observer_;
   std::function<nlohmann::json()> log_fields_;
   // Until it seeks again, after memory was not to be had or while endpoints are
   // withheld.
