--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -47,8 +47,9 @@
     return;
   }
   admitted.placement.origin = RequestOrigin{Fingerprint(), Priority()};
-  SoughtPlace sought{std::move(admitted.placement),
-                     arrived_ + route_->target_latency, deadline_, id_};
+  PlacementSearchParams sought{std::move(admitted.placement),
+                               arrived_ + route_->target_latency, deadline_,
+                               id_};
   place_ = std::make_shared<PlacementSearch>(services_, std::move(sought), this,
                                              [this] { return log_.Fields(); });
   sender_.emplace(services_, route_, this);
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 PlacementSearch::PlacementSearch(const GatewayServices* services,
-                                 SoughtPlace sought,
+                                 PlacementSearchParams sought,
                                  PlacementObserver* observer,
                                  std::function<nlohmann::json()> log_fields)
     : services_(services),
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -55,7 +55,7 @@
 };
 
 // What a seeker seeks a place for.
-struct SoughtPlace {
+struct PlacementSearchParams {
   // Its times are set anew at each try.
   PlacementRequest request;
   TimePoint late_at{};
@@ -70,7 +70,7 @@
   // `services` must outlive this. `observer` must stay until Close has been
   // called; it may be called from within Seek. `log_fields` returns what names
   // the request in log lines.
-  PlacementSearch(const GatewayServices* services, SoughtPlace sought,
+  PlacementSearch(const GatewayServices* services, PlacementSearchParams sought,
                   PlacementObserver* observer,
                   std::function<nlohmann::json()> log_fields);
 
@@ -173,7 +173,7 @@
   void EndAsk();
 
   const GatewayServices* services_;
-  SoughtPlace sought_;
+  PlacementSearchParams sought_;
   // Null once this is closed.
   PlacementObserver* observer_;
   std::function<nlohmann::json()> log_fields_;
