--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -63,7 +63,7 @@
     RefuseHeld();
     return;
   }
-  place_->Seek(History());
+  place_->Search(History());
 }
 
 SendingHistory Exchange::History() const {
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -29,7 +29,7 @@
       log_fields_(std::move(log_fields)),
       retry_timer_(*services->io) {}
 
-void PlacementSearch::Seek(SendingHistory history) {
+void PlacementSearch::Search(SendingHistory history) {
   history_ = history;
   if (EndByBounds()) {
     return;
@@ -434,7 +434,7 @@
       [weak = weak_from_this()](const boost::system::error_code& error) {
         const auto self = weak.lock();
         if (!error && self != nullptr && self->observer_ != nullptr) {
-          self->Seek(self->history_);
+          self->Search(self->history_);
         }
       });
 }
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -68,14 +68,14 @@
 class PlacementSearch : public std::enable_shared_from_this<PlacementSearch> {
  public:
   // `services` must outlive this. `observer` must stay until Close has been
-  // called; it may be called from within Seek. `log_fields` returns what names
-  // the request in log lines.
+  // called; it may be called from within Search. `log_fields` returns what
+  // names the request in log lines.
   PlacementSearch(const GatewayServices* services, PlacementSearchParams sought,
                   PlacementObserver* observer,
                   std::function<nlohmann::json()> log_fields);
 
   // Looks for a place.
-  void Seek(SendingHistory history);
+  void Search(SendingHistory history);
 
   // Whether this host may begin the request nowhere before waiting for that is
   // of no more use.
