--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -99,7 +99,7 @@
   });
 }
 
-void Exchange::OnPlace(const Placement& placement) {
+void Exchange::OnPlaced(const Placement& placement) {
   const auto self = shared_from_this();
   // Others may have ended endpoints while this one waited for its place.
   if (!services_->crashes->TryAdmit(this, &is_trial_)) {
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -37,7 +37,7 @@
   void Start();
 
   void OnCallerDisconnected() override;
-  void OnPlace(const Placement& placement) override;
+  void OnPlaced(const Placement& placement) override;
   void OnTurnedAway(TurnAwayReason reason, Millis pause) override;
   void OnNoEndpoint() override;
   void OnWaits() override;
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -410,7 +410,7 @@
 
 void PlacementSearch::GivePlace(const Placement& placement) {
   services_->start_gate->OnStart(placement, *sought_.request.service);
-  observer_->OnPlace(placement);
+  observer_->OnPlaced(placement);
 }
 
 void PlacementSearch::OnMemory(const Placement& placement, bool held) {
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -45,7 +45,7 @@
   virtual ~PlacementObserver() = default;
 
   // The request may go there now; the memory that it needs on helpers is held.
-  virtual void OnPlace(const Placement& placement) = 0;
+  virtual void OnPlaced(const Placement& placement) = 0;
   // Its caller may come again after `pause`.
   virtual void OnTurnedAway(TurnAwayReason reason, Millis pause) = 0;
   // No endpoint of the service may be used.
