--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -74,7 +74,7 @@
                                  : SendingHistory::kNew;
 }
 
-void Exchange::OnTurnedAway(TurnAwayReason reason, Millis pause) {
+void Exchange::OnRejected(TurnAwayReason reason, Millis pause) {
   const auto self = shared_from_this();
   const char* code = reason == TurnAwayReason::kStartsUsedUp ? "starts_used_up"
                                                              : "waits_in_vain";
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -83,7 +83,7 @@
   }
   ask_.reset();
   if (std::holds_alternative<QueryRejected>(result)) {
-    observer_->OnTurnedAway(
+    observer_->OnRejected(
         TurnAwayReason::kWaitsInVain,
         std::get<QueryRejected>(result).retry_after.value_or(PauseForReturn()));
   } else if (std::holds_alternative<NoEndpoint>(result)) {
@@ -193,7 +193,7 @@
   }
   if (services_->policy->refuses_by_precedent && turn != ShareRank::kBefore &&
       WaitsInVain()) {
-    observer_->OnTurnedAway(TurnAwayReason::kWaitsInVain, PauseForReturn());
+    observer_->OnRejected(TurnAwayReason::kWaitsInVain, PauseForReturn());
     return;
   }
   Wait();
@@ -234,7 +234,7 @@
 }
 
 void PlacementSearch::TurnAwayByBounds(const StartAvailability& outlook) {
-  observer_->OnTurnedAway(
+  observer_->OnRejected(
       TurnAwayReason::kStartsUsedUp,
       services_->start_gate->TurnAway(sought_.request.service->name, outlook));
 }
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -47,7 +47,7 @@
   // The request may go there now; the memory that it needs on helpers is held.
   virtual void OnPlaced(const Placement& placement) = 0;
   // Its caller may come again after `pause`.
-  virtual void OnTurnedAway(TurnAwayReason reason, Millis pause) = 0;
+  virtual void OnRejected(TurnAwayReason reason, Millis pause) = 0;
   // No endpoint of the service may be used.
   virtual void OnNoEndpoint() = 0;
   // It waits, or waits for something else now.
