--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -74,10 +74,10 @@
                                  : SendingHistory::kNew;
 }
 
-void Exchange::OnRejected(TurnAwayReason reason, Millis pause) {
+void Exchange::OnRejected(RejectionReason reason, Millis pause) {
   const auto self = shared_from_this();
-  const char* code = reason == TurnAwayReason::kStartsUsedUp ? "starts_used_up"
-                                                             : "waits_in_vain";
+  const char* code = reason == RejectionReason::kStartsUsedUp ? "starts_used_up"
+                                                              : "waits_in_vain";
   Refuse(http_status::kUnavailable, code, pause);
 }
 
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -38,7 +38,7 @@
 
   void OnCallerDisconnected() override;
   void OnPlaced(const Placement& placement) override;
-  void OnRejected(TurnAwayReason reason, Millis pause) override;
+  void OnRejected(RejectionReason reason, Millis pause) override;
   void OnNoEndpoint() override;
   void OnWaits() override;
   void OnSent() override;
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -18,7 +18,7 @@
 namespace harecrank {
 
 // Why a request is turned away that was sent to no endpoint.
-enum class TurnAwayReason {
+enum class RejectionReason {
   // Engines are busy for longer than waiting is of use.
   kWaitsInVain,
   // This host's part of what the endpoints take from all hosts is used up for
@@ -47,7 +47,7 @@
   // The request may go there now; the memory that it needs on helpers is held.
   virtual void OnPlaced(const Placement& placement) = 0;
   // Its caller may come again after `pause`.
-  virtual void OnRejected(TurnAwayReason reason, Millis pause) = 0;
+  virtual void OnRejected(RejectionReason reason, Millis pause) = 0;
   // No endpoint of the service may be used.
   virtual void OnNoEndpoint() = 0;
   // It waits, or waits for something else now.
