--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -84,7 +84,7 @@
   ask_.reset();
   if (std::holds_alternative<QueryRejected>(result)) {
     observer_->OnRejected(
-        RejectionReason::kWaitsInVain,
+        RejectionReason::kCannotMeetTarget,
         std::get<QueryRejected>(result).retry_after.value_or(PauseForReturn()));
   } else if (std::holds_alternative<NoEndpoint>(result)) {
     observer_->OnNoEndpoint();
@@ -193,7 +193,7 @@
   }
   if (services_->policy->refuses_by_precedent && turn != ShareRank::kBefore &&
       WaitsInVain()) {
-    observer_->OnRejected(RejectionReason::kWaitsInVain, PauseForReturn());
+    observer_->OnRejected(RejectionReason::kCannotMeetTarget, PauseForReturn());
     return;
   }
   Wait();
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -20,7 +20,7 @@
 // Why a request is turned away that was sent to no endpoint.
 enum class RejectionReason {
   // Engines are busy for longer than waiting is of use.
-  kWaitsInVain,
+  kCannotMeetTarget,
   // This host's part of what the endpoints take from all hosts is used up for
   // as long.
   kStartsUsedUp
