--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -76,8 +76,9 @@
 
 void Exchange::OnRejected(RejectionReason reason, Millis pause) {
   const auto self = shared_from_this();
-  const char* code = reason == RejectionReason::kStartsUsedUp ? "starts_used_up"
-                                                              : "waits_in_vain";
+  const char* code = reason == RejectionReason::kStartQuotaExhausted
+                         ? "starts_used_up"
+                         : "waits_in_vain";
   Refuse(http_status::kUnavailable, code, pause);
 }
 
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -235,7 +235,7 @@
 
 void PlacementSearch::TurnAwayByBounds(const StartAvailability& outlook) {
   observer_->OnRejected(
-      RejectionReason::kStartsUsedUp,
+      RejectionReason::kStartQuotaExhausted,
       services_->start_gate->TurnAway(sought_.request.service->name, outlook));
 }
 
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -23,7 +23,7 @@
   kCannotMeetTarget,
   // This host's part of what the endpoints take from all hosts is used up for
   // as long.
-  kStartsUsedUp
+  kStartQuotaExhausted
 };
 
 // What has become of a request so far.
