--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -202,7 +202,7 @@
     }
     return true;
   }
-  if (place_->IsWaiting() && place_->TurnAwayAtRest()) {
+  if (place_->IsWaiting() && place_->RejectIfAllBackingOff()) {
     return true;
   }
   const auto wait_end = place_->WaitEnd(may_have_run_);
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -239,7 +239,7 @@
       services_->start_gate->TurnAway(sought_.request.service->name, outlook));
 }
 
-bool PlacementSearch::TurnAwayAtRest() {
+bool PlacementSearch::RejectIfAllBackingOff() {
   const auto outlook = Outlook(sought_.request.tried);
   const bool all_rest =
       outlook.has_value() && outlook->backoff_until > services_->clock();
@@ -321,7 +321,7 @@
     if (self == nullptr || self->observer_ == nullptr) {
       return true;
     }
-    if (!self->TurnAwayAtRest() && !self->TryPlace()) {
+    if (!self->RejectIfAllBackingOff() && !self->TryPlace()) {
       return false;
     }
     self->waiter_.reset();
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -83,7 +83,7 @@
 
   // Turns away a request that waits if all endpoints have come to rest for
   // longer than waiting is of use. Returns whether it did.
-  bool TurnAwayAtRest();
+  bool RejectIfAllBackingOff();
 
   // Returns after which time a caller may come again, if all endpoints rest.
   std::optional<Millis> PauseOfRests() const;
