--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -252,7 +252,7 @@
   }
   if (!may_have_run_) {
     const auto pause =
-        place_ == nullptr ? std::nullopt : place_->PauseOfRests();
+        place_ == nullptr ? std::nullopt : place_->RetryAfterBackoffs();
     Refuse(http_status::kUnavailable, reason,
            std::max(kRetryAfterRejection, pause.value_or(Millis(0))));
     return;
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -251,7 +251,7 @@
   return true;
 }
 
-std::optional<Millis> PlacementSearch::PauseOfRests() const {
+std::optional<Millis> PlacementSearch::RetryAfterBackoffs() const {
   const auto outlook = Outlook({});
   if (!outlook.has_value() || outlook->backoff_until <= services_->clock()) {
     return std::nullopt;
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -86,7 +86,7 @@
   bool RejectIfAllBackingOff();
 
   // Returns after which time a caller may come again, if all endpoints rest.
-  std::optional<Millis> PauseOfRests() const;
+  std::optional<Millis> RetryAfterBackoffs() const;
 
   // Whether it stands in a queue, of the planner or of this host.
   bool IsWaiting() const { return waiter_.has_value() || waits_at_planner_; }
