--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -289,7 +289,8 @@
 
 bool Exchange::MaySendAgain() {
   if (sender_->Sendings() >= route_->max_attempts ||
-      TimeLeft() < kLeastTimeForAttempt || place_->IsLeftOut(History())) {
+      TimeLeft() < kLeastTimeForAttempt ||
+      place_->CannotStartInTime(History())) {
     return false;
   }
   budget_refused_ = !services_->budgets->TryRepeat(service_->name);
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -215,7 +215,7 @@
   return serves_late ? sought_.deadline : sought_.late_at;
 }
 
-bool PlacementSearch::IsLeftOut(SendingHistory history) const {
+bool PlacementSearch::CannotStartInTime(SendingHistory history) const {
   const auto outlook = Outlook(sought_.request.tried);
   return outlook.has_value() && outlook->next > WaitsOfUseUntil(history);
 }
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -79,7 +79,7 @@
 
   // Whether this host may begin the request nowhere before waiting for that is
   // of no more use.
-  bool IsLeftOut(SendingHistory history) const;
+  bool CannotStartInTime(SendingHistory history) const;
 
   // Turns away a request that waits if all endpoints have come to rest for
   // longer than waiting is of use. Returns whether it did.
@@ -143,7 +143,7 @@
   // Waits while all endpoints of a plain service are withheld, at most until
   // the request is late.
   void WaitForStart();
-  // Ends the search if IsLeftOut. Returns whether it did.
+  // Ends the search if CannotStartInTime. Returns whether it did.
   bool EndByBounds();
   // Returns when this host may begin a request at an endpoint that is not among
   // `tried`; nothing if no bound stands against one of them.
