--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -87,7 +87,7 @@
   GiveUp("no_endpoint");
 }
 
-void Exchange::OnWaits() {
+void Exchange::OnWaiting() {
   ArmTimer();
   if (rest_look_.has_value()) {
     return;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -40,7 +40,7 @@
   void OnPlaced(const Placement& placement) override;
   void OnRejected(RejectionReason reason, Millis pause) override;
   void OnNoEndpoint() override;
-  void OnWaits() override;
+  void OnWaiting() override;
   void OnSent() override;
   void OnAnswerHead(const ResponseHead& head) override;
   void OnAnswerBytes(std::string_view bytes) override;
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -66,14 +66,14 @@
           self->OnResult(result);
         }
       });
-  observer_->OnWaits();
+  observer_->OnWaiting();
 }
 
 void PlacementSearch::OnResult(const AskResult& result) {
   if (std::holds_alternative<QueryQueued>(result)) {
     waits_at_planner_ = true;
     NoteWaiting();
-    observer_->OnWaits();
+    observer_->OnWaiting();
     return;
   }
   waits_at_planner_ = false;
@@ -273,7 +273,7 @@
           self->PlaceAlone();
         }
       });
-  observer_->OnWaits();
+  observer_->OnWaiting();
 }
 
 bool PlacementSearch::WaitsInVain() const {
@@ -327,7 +327,7 @@
     self->waiter_.reset();
     return true;
   });
-  observer_->OnWaits();
+  observer_->OnWaiting();
 }
 
 void PlacementSearch::NoteWaiting() {
@@ -405,7 +405,7 @@
       self->OnMemory(placement, held);
     }
   });
-  observer_->OnWaits();
+  observer_->OnWaiting();
 }
 
 void PlacementSearch::GivePlace(const Placement& placement) {
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -51,7 +51,7 @@
   // No endpoint of the service may be used.
   virtual void OnNoEndpoint() = 0;
   // It waits, or waits for something else now.
-  virtual void OnWaits() = 0;
+  virtual void OnWaiting() = 0;
 };
 
 // What a seeker seeks a place for.
