--- a/src/gateway/memory_hold.cc
+++ b/src/gateway/memory_hold.cc
@@ -4,15 +4,16 @@
 
 namespace harecrank {
 
-MemoryHold::MemoryHold(boost::asio::io_context* io, MemoryOrders* orders,
-                       std::vector<MemoryNeed> needs,
-                       OnEndpointAnswer on_answer)
+MemoryReservation::MemoryReservation(boost::asio::io_context* io,
+                                     MemoryOrders* orders,
+                                     std::vector<MemoryNeed> needs,
+                                     OnEndpointAnswer on_answer)
     : orders_(orders),
       needs_(std::move(needs)),
       on_answer_(std::move(on_answer)),
       timer_(*io) {}
 
-MemoryOrders::OnResult MemoryHold::Telling(
+MemoryOrders::OnResult MemoryReservation::Telling(
     const EndpointRecord& endpoint, std::function<void(bool done)> then) const {
   return [endpoint, on_answer = on_answer_,
           then = std::move(then)](const OrderResult& result) {
@@ -23,13 +24,13 @@
   };
 }
 
-void MemoryHold::Reserve(const MemoryNeed& need,
-                         std::function<void(bool done)> then) {
+void MemoryReservation::Reserve(const MemoryNeed& need,
+                                std::function<void(bool done)> then) {
   orders_->Reserve(need.endpoint.address, need.ticket, need.amount, kHold,
                    Telling(need.endpoint, std::move(then)));
 }
 
-void MemoryHold::Acquire(std::function<void(bool held)> done) {
+void MemoryReservation::Acquire(std::function<void(bool held)> done) {
   done_ = std::move(done);
   unanswered_ = needs_.size();
   for (const MemoryNeed& need : needs_) {
@@ -38,7 +39,7 @@
   }
 }
 
-void MemoryHold::OnReserved(bool held) {
+void MemoryReservation::OnReserved(bool held) {
   failed_ = failed_ || !held;
   --unanswered_;
   if (unanswered_ > 0 || released_) {
@@ -53,7 +54,7 @@
   done(!failed_);
 }
 
-void MemoryHold::Release() {
+void MemoryReservation::Release() {
   if (released_) {
     return;
   }
@@ -65,7 +66,7 @@
   }
 }
 
-void MemoryHold::RenewLater() {
+void MemoryReservation::RenewLater() {
   timer_.expires_after(kRenewal);
   timer_.async_wait([weak = weak_from_this()](boost::system::error_code error) {
     const auto self = weak.lock();
@@ -75,7 +76,7 @@
   });
 }
 
-void MemoryHold::Renew() {
+void MemoryReservation::Renew() {
   for (const MemoryNeed& need : needs_) {
     // A renewal that fails needs no answer here: the engine cuts the request,
     // and that is told on the request's own connection.
--- a/src/gateway/memory_hold.h
+++ b/src/gateway/memory_hold.h
@@ -24,15 +24,16 @@
 
 // Never waits for memory, so that holds of several hosts cannot lock each other
 // out: what is not free now is given up with the rest. Not thread-safe.
-class MemoryHold : public std::enable_shared_from_this<MemoryHold> {
+class MemoryReservation
+    : public std::enable_shared_from_this<MemoryReservation> {
  public:
   // Told of each answer, also of those that come when this has ended.
   using OnEndpointAnswer = std::function<void(const EndpointRecord& endpoint,
                                               const EndpointResponse& answer)>;
 
   // `orders` must outlive this.
-  MemoryHold(boost::asio::io_context* io, MemoryOrders* orders,
-             std::vector<MemoryNeed> needs, OnEndpointAnswer on_answer);
+  MemoryReservation(boost::asio::io_context* io, MemoryOrders* orders,
+                    std::vector<MemoryNeed> needs, OnEndpointAnswer on_answer);
 
   // Calls `done` once with whether all of it is held. Holds are renewed until
   // Release.
--- a/src/gateway/memory_hold_test.cc
+++ b/src/gateway/memory_hold_test.cc
@@ -47,8 +47,8 @@
 
 class HoldFixture {
  protected:
-  std::shared_ptr<MemoryHold> Acquire() {
-    auto hold = std::make_shared<MemoryHold>(
+  std::shared_ptr<MemoryReservation> Acquire() {
+    auto hold = std::make_shared<MemoryReservation>(
         &io_, &orders_,
         std::vector<MemoryNeed>{Need("a", "t1"), Need("b", "t2")},
         [this](const EndpointRecord& endpoint, const EndpointResponse&) {
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -393,7 +393,7 @@
     GivePlace(placement);
     return;
   }
-  hold_ = std::make_shared<MemoryHold>(
+  hold_ = std::make_shared<MemoryReservation>(
       services_->io, services_->orders, std::move(needs),
       [answers = services_->answers, asked_at = services_->clock()](
           const EndpointRecord& endpoint, const EndpointResponse& answer) {
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/place_seeker.h
@@ -190,7 +190,7 @@
   int unusable_places_ = 0;
   // Of the endpoint first, then of the helpers.
   std::vector<WorkId> work_;
-  std::shared_ptr<MemoryHold> hold_;
+  std::shared_ptr<MemoryReservation> hold_;
   bool failed_ = false;
 };
 
