--- a/src/gateway/memory_hold.cc
+++ b/src/gateway/memory_hold.cc
@@ -26,8 +26,8 @@
 
 void MemoryReservation::Reserve(const MemoryNeed& need,
                                 std::function<void(bool done)> then) {
-  orders_->Reserve(need.endpoint.address, need.ticket, need.amount, kHold,
-                   Telling(need.endpoint, std::move(then)));
+  orders_->Reserve(need.endpoint.address, need.ticket, need.amount,
+                   kLeaseDuration, Telling(need.endpoint, std::move(then)));
 }
 
 void MemoryReservation::Acquire(std::function<void(bool held)> done) {
--- a/src/gateway/memory_hold.h
+++ b/src/gateway/memory_hold.h
@@ -45,7 +45,7 @@
   // How long the memory stays set aside without a word from here: shorter than
   // the time for which engines may keep memory that no request uses, so that a
   // host that died leaves nothing behind for longer.
-  static constexpr Millis kHold{3000};
+  static constexpr Millis kLeaseDuration{3000};
   // Several renewals fit in one hold, so that one may be lost.
   static constexpr Millis kRenewal{900};
 
