--- a/src/gateway/memory_hold.cc
+++ b/src/gateway/memory_hold.cc
@@ -67,7 +67,7 @@
 }
 
 void MemoryReservation::RenewLater() {
-  timer_.expires_after(kRenewal);
+  timer_.expires_after(kRenewalInterval);
   timer_.async_wait([weak = weak_from_this()](boost::system::error_code error) {
     const auto self = weak.lock();
     if (!error && self != nullptr && !self->released_) {
--- a/src/gateway/memory_hold.h
+++ b/src/gateway/memory_hold.h
@@ -47,7 +47,7 @@
   // host that died leaves nothing behind for longer.
   static constexpr Millis kLeaseDuration{3000};
   // Several renewals fit in one hold, so that one may be lost.
-  static constexpr Millis kRenewal{900};
+  static constexpr Millis kRenewalInterval{900};
 
  private:
   void OnReserved(bool held);
