--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -6,8 +6,8 @@
 
 EndpointResponseHandler::EndpointResponseHandler(
     const EndpointDirectory* directory, EndpointHealth* health,
-    EndpointNews* endpoint_news, StartGate* start_gate, RestWatch* rest_watch,
-    std::function<void()> on_news)
+    EndpointNews* endpoint_news, StartLimiter* start_gate,
+    RestWatch* rest_watch, std::function<void()> on_news)
     : directory_(directory),
       health_(health),
       endpoint_news_(endpoint_news),
--- a/src/gateway/endpoint_answers.h
+++ b/src/gateway/endpoint_answers.h
@@ -23,7 +23,7 @@
   // hear of it soon.
   EndpointResponseHandler(const EndpointDirectory* directory,
                           EndpointHealth* health, EndpointNews* endpoint_news,
-                          StartGate* start_gate, RestWatch* rest_watch,
+                          StartLimiter* start_gate, RestWatch* rest_watch,
                           std::function<void()> on_news);
 
   // Takes the answer to what was sent to `endpoint` at `sent_at`. One that
@@ -39,7 +39,7 @@
   const EndpointDirectory* directory_;
   EndpointHealth* health_;
   EndpointNews* endpoint_news_;
-  StartGate* start_gate_;
+  StartLimiter* start_gate_;
   RestWatch* rest_watch_;
   std::function<void()> on_news_;
 };
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -52,13 +52,13 @@
   EndpointHealth health_{clock_};
   EndpointConnections connections_{&io_, clock_};
   EndpointNews news_{&directory_, &health_, &connections_, &log_, &metrics_};
-  StartGate gate_{HostAddress{"h"},
-                  ColdLimit{},
-                  [] { return 1; },
-                  [] { return nullptr; },
-                  &log_,
-                  &metrics_,
-                  clock_};
+  StartLimiter gate_{HostAddress{"h"},
+                     ColdLimit{},
+                     [] { return 1; },
+                     [] { return nullptr; },
+                     &log_,
+                     &metrics_,
+                     clock_};
   int told_ = 0;
   int rests_looked_at_ = 0;
   RestWatch rest_watch_{[this](const auto& /*look*/) { ++rests_looked_at_; }};
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -31,7 +31,7 @@
   RequestQuarantine* quarantine;
   DispatchQueue* queue;
   Membership* hosts;
-  StartGate* start_gate;
+  StartLimiter* start_gate;
   Planner* planner;
   FleetMember* fleet;
   SourceState* source;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -7,8 +7,8 @@
 
 PublishedNews::PublishedNews(RoutingState* routing,
                              EndpointDirectory* directory,
-                             EndpointNews* endpoint_news, StartGate* start_gate,
-                             SourceState* source,
+                             EndpointNews* endpoint_news,
+                             StartLimiter* start_gate, SourceState* source,
                              std::function<void()> on_usable, EventLog* log,
                              Metrics* metrics)
     : routing_(routing),
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -23,7 +23,7 @@
   // All pointers must outlive this. `on_usable` is called when there may be
   // enough to serve by.
   PublishedNews(RoutingState* routing, EndpointDirectory* directory,
-                EndpointNews* endpoint_news, StartGate* start_gate,
+                EndpointNews* endpoint_news, StartLimiter* start_gate,
                 SourceState* source, std::function<void()> on_usable,
                 EventLog* log, Metrics* metrics);
 
@@ -51,7 +51,7 @@
   RoutingState* routing_;
   EndpointDirectory* directory_;
   EndpointNews* endpoint_news_;
-  StartGate* start_gate_;
+  StartLimiter* start_gate_;
   SourceState* source_;
   std::function<void()> on_usable_;
   EventLog* log_;
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -5,10 +5,10 @@
 
 namespace harecrank {
 
-StartGate::StartGate(HostAddress self, ColdLimit cold_limit,
-                     std::function<std::optional<int>()> hosts,
-                     RoutingTableProvider routing, EventLog* log,
-                     Metrics* metrics, MonotonicClock clock)
+StartLimiter::StartLimiter(HostAddress self, ColdLimit cold_limit,
+                           std::function<std::optional<int>()> hosts,
+                           RoutingTableProvider routing, EventLog* log,
+                           Metrics* metrics, MonotonicClock clock)
     : self_(std::move(self)),
       routing_(std::move(routing)),
       log_(log),
@@ -21,7 +21,7 @@
               HostBackoffs{self_, &rests_}, std::move(hosts), clock),
       starts_(std::move(clock)) {}
 
-void StartGate::OnListing(const std::vector<EndpointRecord>& records) {
+void StartLimiter::OnListing(const std::vector<EndpointRecord>& records) {
   for (const EndpointRecord& record : records) {
     if (has_listing_) {
       OnEndpoint(record);
@@ -32,14 +32,14 @@
   has_listing_ = true;
 }
 
-void StartGate::OnEndpoint(const EndpointRecord& record) {
+void StartLimiter::OnEndpoint(const EndpointRecord& record) {
   const auto table = routing_();
   const ServiceProfile* service =
       table == nullptr ? nullptr : table->FindService(record.service);
   TakeCold(record, service == nullptr ? Millis(0) : service->cold_period);
 }
 
-void StartGate::TakeCold(const EndpointRecord& record, Millis after_start) {
+void StartLimiter::TakeCold(const EndpointRecord& record, Millis after_start) {
   const ColdChange change = cold_endpoints_.OnRecord(record, after_start);
   if (change == ColdChange::kTurnedCold) {
     log_->Write("endpoint_cold",
@@ -52,8 +52,8 @@
   }
 }
 
-bool StartGate::OnAnswer(const EndpointId& endpoint, const RateLimitHint& word,
-                         TimePoint sent_at) {
+bool StartLimiter::OnAnswer(const EndpointId& endpoint,
+                            const RateLimitHint& word, TimePoint sent_at) {
   if (std::holds_alternative<UnreadableRateLimit>(word)) {
     metrics_->GetCounter("harecrank_gateway_limits_unreadable_total")->Add();
     log_->Write("limit_unreadable", {{"endpoint", endpoint.value}});
@@ -64,8 +64,8 @@
          change == RateLimitChange::kEnded;
 }
 
-void StartGate::OnRest(const EndpointRecord& endpoint,
-                       const BackoffHint& word) {
+void StartLimiter::OnRest(const EndpointRecord& endpoint,
+                          const BackoffHint& word) {
   const bool is_unreadable = std::holds_alternative<UnreadableBackoff>(word);
   if (is_unreadable) {
     metrics_->GetCounter("harecrank_gateway_rests_unreadable_total")->Add();
@@ -82,14 +82,14 @@
        {"readable", !is_unreadable}});
 }
 
-void StartGate::MergeFromPeer(const std::vector<RateLimitReport>& reports) {
+void StartLimiter::MergeFromPeer(const std::vector<RateLimitReport>& reports) {
   for (const RateLimitReport& report : reports) {
     NoteLimit(report.endpoint, limits_.MergeFromPeer(report), "host");
   }
 }
 
-void StartGate::NoteLimit(const EndpointId& endpoint, RateLimitChange change,
-                          const char* told_by) {
+void StartLimiter::NoteLimit(const EndpointId& endpoint, RateLimitChange change,
+                             const char* told_by) {
   if (change == RateLimitChange::kNone) {
     return;
   }
@@ -103,7 +103,7 @@
   log_->Write("limit_named", std::move(fields));
 }
 
-void StartGate::Tick() {
+void StartLimiter::Tick() {
   for (const EndpointId& id : cold_endpoints_.TakeWarmed()) {
     log_->Write("endpoint_warm", {{"endpoint", id.value}, {"by", "time"}});
   }
@@ -115,7 +115,7 @@
   }
 }
 
-std::set<EndpointId> StartGate::Withheld(const ServiceProfile& service) {
+std::set<EndpointId> StartLimiter::Withheld(const ServiceProfile& service) {
   std::set<EndpointId> withheld = shares_.Withheld(starts_, self_, service);
   if (!withheld.empty()) {
     CountWithheld();
@@ -123,8 +123,8 @@
   return withheld;
 }
 
-bool StartGate::MayStart(const Placement& placement,
-                         const ServiceProfile& service) {
+bool StartLimiter::MayStart(const Placement& placement,
+                            const ServiceProfile& service) {
   const bool may = shares_.MayStart(starts_, self_, placement, service);
   if (!may) {
     CountWithheld();
@@ -132,17 +132,17 @@
   return may;
 }
 
-void StartGate::CountWithheld() {
+void StartLimiter::CountWithheld() {
   metrics_->GetCounter("harecrank_gateway_starts_withheld_total")->Add();
 }
 
-void StartGate::OnStart(const Placement& placement,
-                        const ServiceProfile& service) {
+void StartLimiter::OnStart(const Placement& placement,
+                           const ServiceProfile& service) {
   shares_.Add(placement, service, self_, &starts_);
 }
 
-Millis StartGate::TurnAway(const ServiceName& service,
-                           const StartAvailability& outlook) {
+Millis StartLimiter::TurnAway(const ServiceName& service,
+                              const StartAvailability& outlook) {
   metrics_->GetCounter("harecrank_gateway_turned_away_by_bounds_total")->Add();
   constexpr double kMillisPerSecond = 1000;
   const TimePoint now = clock_();
@@ -157,7 +157,7 @@
   return std::chrono::ceil<Millis>(last - now);
 }
 
-nlohmann::json StartGate::Describe() const {
+nlohmann::json StartLimiter::Describe() const {
   nlohmann::json cold = nlohmann::json::array();
   for (const EndpointId& id : cold_endpoints_.LimitedEndpoints()) {
     cold.push_back({{"endpoint", id.value},
@@ -177,14 +177,14 @@
           {"resting", std::move(resting)}};
 }
 
-nlohmann::json StartGate::DescribeRest(const EndpointId& id) const {
+nlohmann::json StartLimiter::DescribeRest(const EndpointId& id) const {
   const StartLimit bound = rests_.StartLimitOf(id).value_or(StartLimit{});
   return {{"endpoint", id.value},
           {"rest_ms", rests_.RemainingBackoff(id).value_or(Millis(0)).count()},
           {"raise", bound.multiplier}};
 }
 
-nlohmann::json StartGate::DescribeLimit(const EndpointId& id) const {
+nlohmann::json StartLimiter::DescribeLimit(const EndpointId& id) const {
   // A service that bounds nothing by itself: what is left is the limit.
   const ServiceProfile unbounded;
   const StartLimit bound = limits_.StartLimitOf(id).value_or(StartLimit{});
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -22,14 +22,14 @@
 // limit, as their answers and other hosts tell, and which have asked this host
 // for rest; counts what this host begins there. Each change of an endpoint's
 // state leaves a line in the log. Not thread-safe.
-class StartGate {
+class StartLimiter {
  public:
   // All pointers must outlive this. `hosts` returns how many hosts the fleet
   // may have, or nothing while that is not known.
-  StartGate(HostAddress self, ColdLimit cold_limit,
-            std::function<std::optional<int>()> hosts,
-            RoutingTableProvider routing, EventLog* log, Metrics* metrics,
-            MonotonicClock clock);
+  StartLimiter(HostAddress self, ColdLimit cold_limit,
+               std::function<std::optional<int>()> hosts,
+               RoutingTableProvider routing, EventLog* log, Metrics* metrics,
+               MonotonicClock clock);
 
   // Takes what was published.
   void OnListing(const std::vector<EndpointRecord>& records);
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -42,13 +42,13 @@
     record.service = kService;
     return record;
   }();
-  StartGate gate_{HostAddress{"h"},
-                  ColdLimit{},
-                  [] { return 1; },
-                  [] { return nullptr; },
-                  &log_,
-                  &metrics_,
-                  clock_};
+  StartLimiter gate_{HostAddress{"h"},
+                     ColdLimit{},
+                     [] { return 1; },
+                     [] { return nullptr; },
+                     &log_,
+                     &metrics_,
+                     clock_};
 };
 
 TEST_CASE_METHOD(GateFixture, "An endpoint without a bound takes what comes") {
@@ -86,7 +86,7 @@
   for (int i = 0; i < 20; ++i) {
     gate_.TurnAway(kService, *Outlook());
   }
-  CHECK(gate_.TurnAway(kService, *Outlook()) == StartGate::kLongestReturn);
+  CHECK(gate_.TurnAway(kService, *Outlook()) == StartLimiter::kLongestReturn);
 }
 
 TEST_CASE_METHOD(GateFixture,
@@ -95,7 +95,7 @@
   REQUIRE(Outlook().has_value());
   const Millis pause = gate_.TurnAway(kService, *Outlook());
   CHECK(pause > Millis(0));
-  CHECK(pause <= StartGate::kLongestReturn);
+  CHECK(pause <= StartLimiter::kLongestReturn);
 }
 
 TEST_CASE_METHOD(GateFixture, "A limit that cannot be read is counted") {
