--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -6,12 +6,12 @@
 
 EndpointResponseHandler::EndpointResponseHandler(
     const EndpointDirectory* directory, EndpointHealth* health,
-    EndpointNews* endpoint_news, StartLimiter* start_gate,
+    EndpointNews* endpoint_news, StartLimiter* start_limiter,
     RestWatch* rest_watch, std::function<void()> on_news)
     : directory_(directory),
       health_(health),
       endpoint_news_(endpoint_news),
-      start_gate_(start_gate),
+      start_gate_(start_limiter),
       rest_watch_(rest_watch),
       on_news_(std::move(on_news)) {}
 
--- a/src/gateway/endpoint_answers.h
+++ b/src/gateway/endpoint_answers.h
@@ -23,7 +23,7 @@
   // hear of it soon.
   EndpointResponseHandler(const EndpointDirectory* directory,
                           EndpointHealth* health, EndpointNews* endpoint_news,
-                          StartLimiter* start_gate, RestWatch* rest_watch,
+                          StartLimiter* start_limiter, RestWatch* rest_watch,
                           std::function<void()> on_news);
 
   // Takes the answer to what was sent to `endpoint` at `sent_at`. One that
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -58,16 +58,16 @@
     return static_cast<double>(parts.directory->MissingCount());
   });
   metrics->AddGauge("harecrank_gateway_endpoints_cold", [parts] {
-    return static_cast<double>(parts.start_gate->ColdCount());
+    return static_cast<double>(parts.start_limiter->ColdCount());
   });
   metrics->AddGauge("harecrank_gateway_endpoints_limited", [parts] {
-    return static_cast<double>(parts.start_gate->LimitedCount());
+    return static_cast<double>(parts.start_limiter->LimitedCount());
   });
   metrics->AddGauge("harecrank_gateway_endpoints_leaving", [parts] {
     return static_cast<double>(parts.directory->Leaving().size());
   });
   metrics->AddGauge("harecrank_gateway_endpoints_resting", [parts] {
-    return static_cast<double>(parts.start_gate->RestingCount());
+    return static_cast<double>(parts.start_limiter->RestingCount());
   });
   metrics->AddGauge("harecrank_gateway_fleet_size", [parts] {
     return static_cast<double>(parts.hosts->Size().MaxHosts().value_or(0));
@@ -133,7 +133,7 @@
             {"waiting_at_planner", parts.planner->WaitingCount()},
             {"held", parts.quarantine->QuarantinedCount()}}},
           {"copies_under_way", parts.copies->ActiveTransfers()},
-          {"bounds", parts.start_gate->Describe()}};
+          {"bounds", parts.start_limiter->Describe()}};
 }
 
 }  // namespace harecrank
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -31,7 +31,7 @@
   RequestQuarantine* quarantine;
   DispatchQueue* queue;
   Membership* hosts;
-  StartLimiter* start_gate;
+  StartLimiter* start_limiter;
   Planner* planner;
   FleetMember* fleet;
   SourceState* source;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -147,7 +147,7 @@
   services.placer = &placer_;
   services.policy = &settings_.placement;
   services.budgets = &budgets_;
-  services.start_gate = &start_gate_;
+  services.start_limiter = &start_gate_;
   services.answers = &answers_;
   services.rest_watch = &rest_watch_;
   services.queue = &queue_;
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -74,7 +74,7 @@
   const Placer* placer = nullptr;
   const PlacementPolicy* policy = nullptr;
   RepeatBudgets* budgets = nullptr;
-  StartLimiter* start_gate = nullptr;
+  StartLimiter* start_limiter = nullptr;
   EndpointResponseHandler* answers = nullptr;
   RestWatch* rest_watch = nullptr;
   DispatchQueue* queue = nullptr;
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -52,7 +52,7 @@
 
 void PlacementSearch::SetWithheld() {
   sought_.request.withheld =
-      services_->start_gate->Withheld(*sought_.request.service);
+      services_->start_limiter->Withheld(*sought_.request.service);
 }
 
 void PlacementSearch::Ask() {
@@ -156,7 +156,8 @@
 }
 
 bool PlacementSearch::MayStart(const Placement& placement) const {
-  return services_->start_gate->MayStart(placement, *sought_.request.service);
+  return services_->start_limiter->MayStart(placement,
+                                            *sought_.request.service);
 }
 
 bool PlacementSearch::IsStillUsable(const Placement& placement) const {
@@ -202,7 +203,7 @@
 std::optional<StartAvailability> PlacementSearch::Outlook(
     const std::set<EndpointId>& tried) const {
   const ServiceProfile& service = *sought_.request.service;
-  return services_->start_gate->StartAvailabilityOf(
+  return services_->start_limiter->StartAvailabilityOf(
       services_->directory->UsableOf(service.name), tried, service);
 }
 
@@ -234,9 +235,9 @@
 }
 
 void PlacementSearch::TurnAwayByBounds(const StartAvailability& outlook) {
-  observer_->OnRejected(
-      RejectionReason::kStartQuotaExhausted,
-      services_->start_gate->TurnAway(sought_.request.service->name, outlook));
+  observer_->OnRejected(RejectionReason::kStartQuotaExhausted,
+                        services_->start_limiter->TurnAway(
+                            sought_.request.service->name, outlook));
 }
 
 bool PlacementSearch::RejectIfAllBackingOff() {
@@ -256,8 +257,8 @@
   if (!outlook.has_value() || outlook->backoff_until <= services_->clock()) {
     return std::nullopt;
   }
-  return services_->start_gate->TurnAway(sought_.request.service->name,
-                                         *outlook);
+  return services_->start_limiter->TurnAway(sought_.request.service->name,
+                                            *outlook);
 }
 
 void PlacementSearch::WaitForStart() {
@@ -409,7 +410,7 @@
 }
 
 void PlacementSearch::GivePlace(const Placement& placement) {
-  services_->start_gate->OnStart(placement, *sought_.request.service);
+  services_->start_limiter->OnStart(placement, *sought_.request.service);
   observer_->OnPlaced(placement);
 }
 
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -23,7 +23,7 @@
   // All pointers must outlive this. `on_usable` is called when there may be
   // enough to serve by.
   PublishedNews(RoutingState* routing, EndpointDirectory* directory,
-                EndpointNews* endpoint_news, StartLimiter* start_gate,
+                EndpointNews* endpoint_news, StartLimiter* start_limiter,
                 SourceState* source, std::function<void()> on_usable,
                 EventLog* log, Metrics* metrics);
 
