--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -11,7 +11,7 @@
     : directory_(directory),
       health_(health),
       endpoint_news_(endpoint_news),
-      start_gate_(start_limiter),
+      start_limiter_(start_limiter),
       rest_watch_(rest_watch),
       on_news_(std::move(on_news)) {}
 
@@ -25,7 +25,7 @@
     return;
   }
   TakeLimit(endpoint.id, answer, sent_at);
-  start_gate_->OnRest(endpoint, answer.backoff);
+  start_limiter_->OnRest(endpoint, answer.backoff);
   if (!std::holds_alternative<NoBackoff>(answer.backoff)) {
     rest_watch_->NoteRest();
   }
@@ -51,7 +51,7 @@
   if (names_none && !(answer.IsSuccess() && answer.is_signed)) {
     return;  // Refusals and failures may be given without a look at the need.
   }
-  if (start_gate_->OnAnswer(endpoint, answer.limit, sent_at)) {
+  if (start_limiter_->OnAnswer(endpoint, answer.limit, sent_at)) {
     on_news_();
   }
 }
--- a/src/gateway/endpoint_answers.h
+++ b/src/gateway/endpoint_answers.h
@@ -39,7 +39,7 @@
   const EndpointDirectory* directory_;
   EndpointHealth* health_;
   EndpointNews* endpoint_news_;
-  StartLimiter* start_gate_;
+  StartLimiter* start_limiter_;
   RestWatch* rest_watch_;
   std::function<void()> on_news_;
 };
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -69,12 +69,12 @@
              settings_.placement.shares_by_account),
       orders_(platform.make_orders(&io_)),
       hosts_(Self(settings_), Addresses(settings_.seed_peers), clock_, random_),
-      start_gate_(
+      start_limiter_(
           Self(settings_).address, settings_.cold_limit,
           [this] { return hosts_.Size().MaxHosts(); },
           [this] { return routing_.InForce(); }, &log_, &metrics_, clock_),
       planner_(
-          &directory_, &health_, start_gate_.Shares(), settings_.data_centre,
+          &directory_, &health_, start_limiter_.Shares(), settings_.data_centre,
           [this] { return routing_.InForce(); }, settings_.placement, clock_,
           random_),
       fleet_socket_(&io_, settings_.peers_address, &metrics_),
@@ -83,7 +83,7 @@
              &log_, &metrics_, clock_, random_),
       crashes_(
           &quarantine_, &prober_, &directory_,
-          [this](const EndpointId& id) { return start_gate_.IsResting(id); },
+          [this](const EndpointId& id) { return start_limiter_.IsResting(id); },
           [this](const RequestFingerprint& request) {
             fleet_.TellCrash(quarantine_.ReportOf(request));
           },
@@ -91,13 +91,13 @@
       rest_watch_([this](std::function<void()> run) {
         boost::asio::post(io_, std::move(run));
       }),
-      answers_(&directory_, &health_, &endpoint_news_, &start_gate_,
+      answers_(&directory_, &health_, &endpoint_news_, &start_limiter_,
                &rest_watch_, [this] { fleet_.TellSoon(); }),
       services_(MakeServices()),
       source_(IsSeed(settings_), MakeReadingPorts(), MakeSourcePorts(),
               &directory_, &log_, clock_, random_),
       news_(
-          &routing_, &directory_, &endpoint_news_, &start_gate_, &source_,
+          &routing_, &directory_, &endpoint_news_, &start_limiter_, &source_,
           [this] { AcceptCallers(); }, &log_, &metrics_),
       feed_(platform.make_feed(&io_, settings_, &news_, &holds_)),
       copies_(
@@ -147,7 +147,7 @@
   services.placer = &placer_;
   services.policy = &settings_.placement;
   services.budgets = &budgets_;
-  services.start_limiter = &start_gate_;
+  services.start_limiter = &start_limiter_;
   services.answers = &answers_;
   services.rest_watch = &rest_watch_;
   services.queue = &queue_;
@@ -230,7 +230,7 @@
 GatewayParts GatewayNode::MakeParts() {
   return GatewayParts{&routing_,     &directory_,     &loads_,      &health_,
                       &connections_, &endpoint_news_, &quarantine_, &queue_,
-                      &hosts_,       &start_gate_,    &planner_,    &fleet_,
+                      &hosts_,       &start_limiter_, &planner_,    &fleet_,
                       &source_,      &copies_,        &callers_,    &log_};
 }
 
@@ -267,9 +267,9 @@
     return crashes_.OnReports(reports, missing);
   };
   ports.shared_crashes = [this] { return quarantine_.SharedReports(); };
-  ports.limits = [this] { return start_gate_.Reports(); };
+  ports.limits = [this] { return start_limiter_.Reports(); };
   ports.on_limits = [this](const std::vector<RateLimitReport>& reports) {
-    start_gate_.MergeFromPeer(reports);
+    start_limiter_.MergeFromPeer(reports);
   };
   ports.published = [this](StoreRevision since, std::size_t most_bytes) {
     return feed_->ExportNews(since, most_bytes);
@@ -365,7 +365,7 @@
   AcceptCallers();
   endpoint_news_.RemoveExpired();
   hosts_.RecordFleetSize();
-  start_gate_.Tick();
+  start_limiter_.Tick();
   source_.Tick();
   if (now - swept_ >= kSweepInterval) {
     swept_ = now;
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -113,7 +113,7 @@
   DispatchQueue queue_;
   std::unique_ptr<MemoryOrders> orders_;
   Membership hosts_;
-  StartLimiter start_gate_;
+  StartLimiter start_limiter_;
   Planner planner_;
   FleetSocket fleet_socket_;
   FleetMember fleet_;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -14,7 +14,7 @@
     : routing_(routing),
       directory_(directory),
       endpoint_news_(endpoint_news),
-      start_gate_(start_limiter),
+      start_limiter_(start_limiter),
       source_(source),
       on_usable_(std::move(on_usable)),
       log_(log),
@@ -36,7 +36,7 @@
 void PublishedNews::OnListing(std::vector<EndpointRecord> records,
                               std::vector<DrainedDataCentre> closed,
                               StoreRevision at) {
-  start_gate_->OnListing(records);
+  start_limiter_->OnListing(records);
   endpoint_news_->OnListing(records, at);
   for (const EndpointRecord& record : records) {
     NoteIncarnation(record.id);
@@ -46,7 +46,7 @@
 }
 
 void PublishedNews::OnEndpoint(const EndpointRecord& record) {
-  start_gate_->OnEndpoint(record);
+  start_limiter_->OnEndpoint(record);
   endpoint_news_->OnEndpoint(record);
   NoteIncarnation(record.id);
 }
@@ -54,13 +54,13 @@
 void PublishedNews::NoteIncarnation(const EndpointId& id) {
   const EndpointRecord* held = directory_->Find(id);
   if (held != nullptr) {
-    start_gate_->OnIncarnation(id, held->incarnation);
+    start_limiter_->OnIncarnation(id, held->incarnation);
   }
 }
 
 void PublishedNews::OnEndpointGone(const EndpointId& id,
                                    StoreRevision revision) {
-  start_gate_->OnGone(id);
+  start_limiter_->OnGone(id);
   endpoint_news_->OnGone(id, revision);
 }
 
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -51,7 +51,7 @@
   RoutingState* routing_;
   EndpointDirectory* directory_;
   EndpointNews* endpoint_news_;
-  StartLimiter* start_gate_;
+  StartLimiter* start_limiter_;
   SourceState* source_;
   std::function<void()> on_usable_;
   EventLog* log_;
