--- a/src/gateway/endpoint_answers.cc
+++ b/src/gateway/endpoint_answers.cc
@@ -25,7 +25,7 @@
     return;
   }
   TakeLimit(endpoint.id, answer, sent_at);
-  start_limiter_->OnRest(endpoint, answer.backoff);
+  start_limiter_->OnBackoffHint(endpoint, answer.backoff);
   if (!std::holds_alternative<NoBackoff>(answer.backoff)) {
     rest_watch_->NoteRest();
   }
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -64,8 +64,8 @@
          change == RateLimitChange::kEnded;
 }
 
-void StartLimiter::OnRest(const EndpointRecord& endpoint,
-                          const BackoffHint& word) {
+void StartLimiter::OnBackoffHint(const EndpointRecord& endpoint,
+                                 const BackoffHint& word) {
   const bool is_unreadable = std::holds_alternative<UnreadableBackoff>(word);
   if (is_unreadable) {
     metrics_->GetCounter("harecrank_gateway_rests_unreadable_total")->Add();
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -42,7 +42,7 @@
                 TimePoint sent_at);
 
   // Takes what an answer says of when this host may come again.
-  void OnRest(const EndpointRecord& endpoint, const BackoffHint& word);
+  void OnBackoffHint(const EndpointRecord& endpoint, const BackoffHint& word);
 
   // The endpoint runs in `incarnation`: it owes nothing of an earlier one.
   void OnIncarnation(const EndpointId& id,
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -131,7 +131,7 @@
 }
 
 TEST_CASE_METHOD(GateFixture, "A rest lets nothing through until its end") {
-  gate_.OnRest(record_, Millis(3000));
+  gate_.OnBackoffHint(record_, Millis(3000));
   CHECK_FALSE(MayBegin());
   CHECK(gate_.RestingCount() == 1);
   CHECK(Outlook()->backoff_until == now_ + Millis(3000));
@@ -146,7 +146,7 @@
 
 TEST_CASE_METHOD(GateFixture, "A rest and a limit bind together") {
   gate_.OnAnswer(kEndpoint, RequestRate{2}, now_);
-  gate_.OnRest(record_, Millis(1500));
+  gate_.OnBackoffHint(record_, Millis(1500));
   Pass(Millis(1000));
   CHECK_FALSE(MayBegin());
   Pass(Millis(1500));
@@ -158,14 +158,14 @@
 TEST_CASE_METHOD(GateFixture,
                  "Callers are told to come after a rest that is longer than "
                  "the longest pause, one by one") {
-  gate_.OnRest(record_, Millis(60000));
+  gate_.OnBackoffHint(record_, Millis(60000));
   const Millis first = gate_.TurnAway(kService, *Outlook());
   CHECK(first >= Millis(60000));
   CHECK(gate_.TurnAway(kService, *Outlook()) >= first);
 }
 
 TEST_CASE_METHOD(GateFixture, "Rests are counted, and told in the dump") {
-  gate_.OnRest(record_, UnreadableBackoff{});
+  gate_.OnBackoffHint(record_, UnreadableBackoff{});
   const nlohmann::json dump = gate_.Describe();
   REQUIRE(dump["resting"].size() == 1);
   CHECK(dump["resting"].front()["endpoint"] == kEndpoint.value);
