--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -79,7 +79,7 @@
   news_.OnEndpoint(Record(1000, 2));
   Answer(Record(1000, 2), FullAnswer());
   CHECK(gate_.LimitedCount() == 1);
-  CHECK(gate_.IsResting(kEndpoint));
+  CHECK(gate_.IsBackingOff(kEndpoint));
   CHECK(directory_.UsableOf(kService).empty());
   CHECK(health_.IsSuspect(kEndpoint));
   // Of the limit, and of its leaving.
@@ -107,7 +107,7 @@
 
 TEST_CASE_METHOD(AnswersFixture, "An endpoint whose entry is gone is heard") {
   Answer(Record(1000, 2), FullAnswer());
-  CHECK(gate_.IsResting(kEndpoint));
+  CHECK(gate_.IsBackingOff(kEndpoint));
   news_.OnEndpoint(Record(1000, 3));
   CHECK(directory_.UsableOf(kService).empty());
 }
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -83,7 +83,9 @@
              &log_, &metrics_, clock_, random_),
       crashes_(
           &quarantine_, &prober_, &directory_,
-          [this](const EndpointId& id) { return start_limiter_.IsResting(id); },
+          [this](const EndpointId& id) {
+            return start_limiter_.IsBackingOff(id);
+          },
           [this](const RequestFingerprint& request) {
             fleet_.TellCrash(quarantine_.ReportOf(request));
           },
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -91,7 +91,7 @@
 
   std::size_t ColdCount() const { return cold_endpoints_.Count(); }
   std::size_t LimitedCount() const { return limits_.Count(); }
-  bool IsResting(const EndpointId& id) const {
+  bool IsBackingOff(const EndpointId& id) const {
     return rests_.RemainingBackoff(id).has_value();
   }
   std::size_t RestingCount() const { return rests_.Count(); }
