--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -38,7 +38,7 @@
   }
 
   bool IsKnownOf() const {
-    return gate_.RestingCount() + gate_.LimitedCount() +
+    return gate_.BackoffCount() + gate_.LimitedCount() +
                directory_.Leaving().size() >
            0;
   }
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -67,7 +67,7 @@
     return static_cast<double>(parts.directory->Leaving().size());
   });
   metrics->AddGauge("harecrank_gateway_endpoints_resting", [parts] {
-    return static_cast<double>(parts.start_limiter->RestingCount());
+    return static_cast<double>(parts.start_limiter->BackoffCount());
   });
   metrics->AddGauge("harecrank_gateway_fleet_size", [parts] {
     return static_cast<double>(parts.hosts->Size().MaxHosts().value_or(0));
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -94,7 +94,7 @@
   bool IsBackingOff(const EndpointId& id) const {
     return rests_.RemainingBackoff(id).has_value();
   }
-  std::size_t RestingCount() const { return rests_.Count(); }
+  std::size_t BackoffCount() const { return rests_.Count(); }
 
   // Returns all bounds, and what this host has begun under them, for operators.
   nlohmann::json Describe() const;
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -133,7 +133,7 @@
 TEST_CASE_METHOD(GateFixture, "A rest lets nothing through until its end") {
   gate_.OnBackoffHint(record_, Millis(3000));
   CHECK_FALSE(MayBegin());
-  CHECK(gate_.RestingCount() == 1);
+  CHECK(gate_.BackoffCount() == 1);
   CHECK(Outlook()->backoff_until == now_ + Millis(3000));
   CHECK(Outlook()->next >= now_ + Millis(3000));
   CHECK(gate_.Withheld(service_).count(kEndpoint) == 1);
