--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/place_seeker.cc
@@ -236,7 +236,7 @@
 
 void PlacementSearch::TurnAwayByBounds(const StartAvailability& outlook) {
   observer_->OnRejected(RejectionReason::kStartQuotaExhausted,
-                        services_->start_limiter->TurnAway(
+                        services_->start_limiter->NextRetryAfter(
                             sought_.request.service->name, outlook));
 }
 
@@ -257,8 +257,8 @@
   if (!outlook.has_value() || outlook->backoff_until <= services_->clock()) {
     return std::nullopt;
   }
-  return services_->start_limiter->TurnAway(sought_.request.service->name,
-                                            *outlook);
+  return services_->start_limiter->NextRetryAfter(sought_.request.service->name,
+                                                  *outlook);
 }
 
 void PlacementSearch::WaitForStart() {
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -141,8 +141,8 @@
   shares_.Add(placement, service, self_, &starts_);
 }
 
-Millis StartLimiter::TurnAway(const ServiceName& service,
-                              const StartAvailability& outlook) {
+Millis StartLimiter::NextRetryAfter(const ServiceName& service,
+                                    const StartAvailability& outlook) {
   metrics_->GetCounter("harecrank_gateway_turned_away_by_bounds_total")->Add();
   constexpr double kMillisPerSecond = 1000;
   const TimePoint now = clock_();
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -84,7 +84,8 @@
   // endpoints of `service` leave out, at most kLongestReturn unless all rest
   // for longer. Each is told a later time than the one before, as far apart as
   // requests may be begun.
-  Millis TurnAway(const ServiceName& service, const StartAvailability& outlook);
+  Millis NextRetryAfter(const ServiceName& service,
+                        const StartAvailability& outlook);
 
   // The parts of all hosts, for the planner.
   const StartQuotas* Shares() const { return &shares_; }
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -79,21 +79,22 @@
   gate_.OnAnswer(kEndpoint, RequestRate{1}, now_);
   Pass(Millis(1000));
   Begin();
-  CHECK(gate_.TurnAway(kService, *Outlook()) == Millis(1000));
-  CHECK(gate_.TurnAway(kService, *Outlook()) == Millis(2000));
+  CHECK(gate_.NextRetryAfter(kService, *Outlook()) == Millis(1000));
+  CHECK(gate_.NextRetryAfter(kService, *Outlook()) == Millis(2000));
   Pass(Millis(500));
-  CHECK(gate_.TurnAway(kService, *Outlook()) == Millis(2500));
+  CHECK(gate_.NextRetryAfter(kService, *Outlook()) == Millis(2500));
   for (int i = 0; i < 20; ++i) {
-    gate_.TurnAway(kService, *Outlook());
+    gate_.NextRetryAfter(kService, *Outlook());
   }
-  CHECK(gate_.TurnAway(kService, *Outlook()) == StartLimiter::kLongestReturn);
+  CHECK(gate_.NextRetryAfter(kService, *Outlook()) ==
+        StartLimiter::kLongestReturn);
 }
 
 TEST_CASE_METHOD(GateFixture,
                  "Callers are told when to come where nothing may begin") {
   gate_.OnAnswer(kEndpoint, RequestRate{0}, now_);
   REQUIRE(Outlook().has_value());
-  const Millis pause = gate_.TurnAway(kService, *Outlook());
+  const Millis pause = gate_.NextRetryAfter(kService, *Outlook());
   CHECK(pause > Millis(0));
   CHECK(pause <= StartLimiter::kLongestReturn);
 }
@@ -159,9 +160,9 @@
                  "Callers are told to come after a rest that is longer than "
                  "the longest pause, one by one") {
   gate_.OnBackoffHint(record_, Millis(60000));
-  const Millis first = gate_.TurnAway(kService, *Outlook());
+  const Millis first = gate_.NextRetryAfter(kService, *Outlook());
   CHECK(first >= Millis(60000));
-  CHECK(gate_.TurnAway(kService, *Outlook()) >= first);
+  CHECK(gate_.NextRetryAfter(kService, *Outlook()) >= first);
 }
 
 TEST_CASE_METHOD(GateFixture, "Rests are counted, and told in the dump") {
