--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -74,7 +74,7 @@
           [this] { return hosts_.Size().MaxHosts(); },
           [this] { return routing_.InForce(); }, &log_, &metrics_, clock_),
       planner_(
-          &directory_, &health_, start_limiter_.Shares(), settings_.data_centre,
+          &directory_, &health_, start_limiter_.Quotas(), settings_.data_centre,
           [this] { return routing_.InForce(); }, settings_.placement, clock_,
           random_),
       fleet_socket_(&io_, settings_.peers_address, &metrics_),
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -88,7 +88,7 @@
                         const StartAvailability& outlook);
 
   // The parts of all hosts, for the planner.
-  const StartQuotas* Shares() const { return &shares_; }
+  const StartQuotas* Quotas() const { return &shares_; }
 
   std::size_t ColdCount() const { return cold_endpoints_.Count(); }
   std::size_t LimitedCount() const { return limits_.Count(); }
