--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_gate.cc
@@ -153,7 +153,7 @@
     next = std::max(
         next, last + std::chrono::duration_cast<TimePoint::duration>(pause));
   }
-  last = std::min(next, std::max(now + kLongestReturn, outlook.backoff_until));
+  last = std::min(next, std::max(now + kMaxRetryAfter, outlook.backoff_until));
   return std::chrono::ceil<Millis>(last - now);
 }
 
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_gate.h
@@ -81,7 +81,7 @@
   }
 
   // Returns after which time a caller may come again whom the bounds of all
-  // endpoints of `service` leave out, at most kLongestReturn unless all rest
+  // endpoints of `service` leave out, at most kMaxRetryAfter unless all rest
   // for longer. Each is told a later time than the one before, as far apart as
   // requests may be begun.
   Millis NextRetryAfter(const ServiceName& service,
@@ -102,7 +102,7 @@
 
   // Callers honour a pause up to a third of the time that they have left; after
   // this long most bounds are others.
-  static constexpr Millis kLongestReturn{10000};
+  static constexpr Millis kMaxRetryAfter{10000};
 
  private:
   nlohmann::json DescribeLimit(const EndpointId& id) const;
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_gate_test.cc
@@ -87,7 +87,7 @@
     gate_.NextRetryAfter(kService, *Outlook());
   }
   CHECK(gate_.NextRetryAfter(kService, *Outlook()) ==
-        StartLimiter::kLongestReturn);
+        StartLimiter::kMaxRetryAfter);
 }
 
 TEST_CASE_METHOD(GateFixture,
@@ -96,7 +96,7 @@
   REQUIRE(Outlook().has_value());
   const Millis pause = gate_.NextRetryAfter(kService, *Outlook());
   CHECK(pause > Millis(0));
-  CHECK(pause <= StartLimiter::kLongestReturn);
+  CHECK(pause <= StartLimiter::kMaxRetryAfter);
 }
 
 TEST_CASE_METHOD(GateFixture, "A limit that cannot be read is counted") {
