--- a/src/gateway/attempt.cc
+++ b/src/gateway/attempt.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Attempt::Attempt(asio::io_context* io, EndpointConnections* connections,
+Attempt::Attempt(asio::io_context* io, EndpointConnectionPool* connections,
                  const ProtocolNames* names, AttemptObserver* observer)
     : io_(io),
       connections_(connections),
@@ -237,7 +237,7 @@
   std::from_chars(digits.data(), digits.data() + digits.size(), seconds);
   connection_->idle_limit =
       std::max(Millis(1), Millis(std::chrono::seconds(seconds)) -
-                              EndpointConnections::kIdleMargin);
+                              EndpointConnectionPool::kIdleMargin);
 }
 
 void Attempt::Fail(const AttemptFailure& failure) {
--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -70,7 +70,7 @@
  public:
   // `observer` must stay until the attempt has ended or was cancelled.
   // `connections` gets the connection back if it can be used again.
-  Attempt(boost::asio::io_context* io, EndpointConnections* connections,
+  Attempt(boost::asio::io_context* io, EndpointConnectionPool* connections,
           const ProtocolNames* names, AttemptObserver* observer);
 
   // Sends over `connection`, which is opened to `address` first if it is new.
@@ -104,7 +104,7 @@
   void Break(const std::string& step, const Error& error);
 
   boost::asio::io_context* io_;
-  EndpointConnections* connections_;
+  EndpointConnectionPool* connections_;
   const ProtocolNames* names_;
   AttemptObserver* observer_;
   std::unique_ptr<EndpointConnection> connection_;
--- a/src/gateway/attempt_test.cc
+++ b/src/gateway/attempt_test.cc
@@ -62,7 +62,7 @@
   }
 
   asio::io_context io_;
-  EndpointConnections connections_{&io_, SystemClock()};
+  EndpointConnectionPool connections_{&io_, SystemClock()};
   ProtocolNames names_;
   RecordingObserver observer_;
   std::shared_ptr<Attempt> attempt_ =
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_answers_test.cc
@@ -50,7 +50,7 @@
   Metrics metrics_;
   EndpointDirectory directory_{clock_};
   EndpointHealth health_{clock_};
-  EndpointConnections connections_{&io_, clock_};
+  EndpointConnectionPool connections_{&io_, clock_};
   EndpointNews news_{&directory_, &health_, &connections_, &log_, &metrics_};
   StartLimiter gate_{HostAddress{"h"},
                      ColdLimit{},
--- a/src/gateway/endpoint_connections.cc
+++ b/src/gateway/endpoint_connections.cc
@@ -7,11 +7,11 @@
 
 namespace harecrank {
 
-EndpointConnections::EndpointConnections(boost::asio::io_context* io,
-                                         MonotonicClock clock)
+EndpointConnectionPool::EndpointConnectionPool(boost::asio::io_context* io,
+                                               MonotonicClock clock)
     : io_(io), clock_(std::move(clock)) {}
 
-std::unique_ptr<EndpointConnection> EndpointConnections::TakeIdle(
+std::unique_ptr<EndpointConnection> EndpointConnectionPool::TakeIdle(
     const EndpointId& endpoint) {
   const auto found = idle_.find(endpoint);
   if (found == idle_.end()) {
@@ -31,7 +31,7 @@
   return taken;
 }
 
-std::unique_ptr<EndpointConnection> EndpointConnections::MakeNew(
+std::unique_ptr<EndpointConnection> EndpointConnectionPool::MakeNew(
     const EndpointId& endpoint) {
   auto connection = std::make_unique<EndpointConnection>(io_);
   connection->endpoint = endpoint;
@@ -39,7 +39,7 @@
   return connection;
 }
 
-void EndpointConnections::PutIdle(
+void EndpointConnectionPool::PutIdle(
     std::unique_ptr<EndpointConnection> connection) {
   // Kept, a connection that was in use while its endpoint began a new
   // incarnation elsewhere took every further request to the incarnation before.
@@ -60,12 +60,12 @@
   connections.push_back(std::move(connection));
 }
 
-void EndpointConnections::Forget(const EndpointId& endpoint) {
+void EndpointConnectionPool::Forget(const EndpointId& endpoint) {
   idle_.erase(endpoint);
   forgotten_[endpoint] = clock_();
 }
 
-void EndpointConnections::Sweep() {
+void EndpointConnectionPool::Sweep() {
   for (auto it = forgotten_.begin(); it != forgotten_.end();) {
     const bool is_old = clock_() - it->second >= kForgottenKept;
     it = is_old ? forgotten_.erase(it) : std::next(it);
@@ -80,7 +80,7 @@
   }
 }
 
-std::size_t EndpointConnections::IdleCount() const {
+std::size_t EndpointConnectionPool::IdleCount() const {
   std::size_t count = 0;
   for (const auto& [endpoint, connections] : idle_) {
     count += connections.size();
@@ -88,7 +88,7 @@
   return count;
 }
 
-bool EndpointConnections::IsSpent(EndpointConnection* connection) const {
+bool EndpointConnectionPool::IsSpent(EndpointConnection* connection) const {
   if (clock_() - connection->idle_since >= connection->idle_limit) {
     return true;
   }
--- a/src/gateway/endpoint_connections.h
+++ b/src/gateway/endpoint_connections.h
@@ -31,9 +31,9 @@
 };
 
 // Not thread-safe; runs on its io_context.
-class EndpointConnections {
+class EndpointConnectionPool {
  public:
-  EndpointConnections(boost::asio::io_context* io, MonotonicClock clock);
+  EndpointConnectionPool(boost::asio::io_context* io, MonotonicClock clock);
 
   // Returns the idle connection to `endpoint` that was used last, or null. One
   // that its endpoint has closed, or on which bytes have come that nobody asked
--- a/src/gateway/endpoint_connections_test.cc
+++ b/src/gateway/endpoint_connections_test.cc
@@ -23,7 +23,7 @@
   asio::ip::tcp::acceptor acceptor_{
       io_, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
   TimePoint now_{std::chrono::hours(1)};
-  EndpointConnections connections_{&io_, [this] { return now_; }};
+  EndpointConnectionPool connections_{&io_, [this] { return now_; }};
 };
 
 TEST_CASE_METHOD(ConnectionsFixture,
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 EndpointNews::EndpointNews(EndpointDirectory* directory, EndpointHealth* health,
-                           EndpointConnections* connections, EventLog* log,
+                           EndpointConnectionPool* connections, EventLog* log,
                            Metrics* metrics)
     : directory_(directory),
       health_(health),
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -23,7 +23,7 @@
  public:
   // All pointers must outlive this.
   EndpointNews(EndpointDirectory* directory, EndpointHealth* health,
-               EndpointConnections* connections, EventLog* log,
+               EndpointConnectionPool* connections, EventLog* log,
                Metrics* metrics);
 
   // All endpoints as published at `at`.
@@ -80,7 +80,7 @@
 
   EndpointDirectory* directory_;
   EndpointHealth* health_;
-  EndpointConnections* connections_;
+  EndpointConnectionPool* connections_;
   EventLog* log_;
   Metrics* metrics_;
   std::optional<Told> told_;
--- a/src/gateway/endpoint_news_test.cc
+++ b/src/gateway/endpoint_news_test.cc
@@ -33,7 +33,7 @@
   boost::asio::io_context io_;
   EndpointDirectory directory_{clock_};
   EndpointHealth health_{clock_};
-  EndpointConnections connections_{&io_, clock_};
+  EndpointConnectionPool connections_{&io_, clock_};
   EventLog log_{"node-1", clock_};
   Metrics metrics_;
   EndpointNews news_{&directory_, &health_, &connections_, &log_, &metrics_};
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -26,7 +26,7 @@
   EndpointDirectory* directory;
   EndpointLoads* loads;
   EndpointHealth* health;
-  EndpointConnections* connections;
+  EndpointConnectionPool* connections;
   EndpointNews* endpoint_news;
   RequestQuarantine* quarantine;
   DispatchQueue* queue;
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -104,7 +104,7 @@
   EndpointDirectory directory_;
   EndpointLoads loads_;
   EndpointHealth health_;
-  EndpointConnections connections_;
+  EndpointConnectionPool connections_;
   EndpointProber prober_;
   RequestQuarantine quarantine_;
   EndpointNews endpoint_news_;
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -69,7 +69,7 @@
   EndpointDirectory* directory = nullptr;
   EndpointLoads* loads = nullptr;
   EndpointHealth* health = nullptr;
-  EndpointConnections* connections = nullptr;
+  EndpointConnectionPool* connections = nullptr;
   CrashGuard* crashes = nullptr;
   const Placer* placer = nullptr;
   const PlacementPolicy* policy = nullptr;
