--- a/src/gateway/endpoint_connections.cc
+++ b/src/gateway/endpoint_connections.cc
@@ -49,7 +49,7 @@
     return;
   }
   auto& connections = idle_[connection->endpoint];
-  if (connections.size() >= kMostIdle) {
+  if (connections.size() >= kMaxIdlePerEndpoint) {
     return;
   }
   connection->kept = true;
--- a/src/gateway/endpoint_connections.h
+++ b/src/gateway/endpoint_connections.h
@@ -58,7 +58,7 @@
 
   // Idle connections kept for one endpoint: as many as answers that end within
   // one another's round trips, with room for a burst.
-  static constexpr std::size_t kMostIdle = 8;
+  static constexpr std::size_t kMaxIdlePerEndpoint = 8;
   // How long a connection is kept whose endpoint said nothing of it.
   static constexpr Millis kIdleUnlessTold{2500};
   // How long before the endpoint's own limit a connection is given up, so that
