--- a/src/gateway/endpoint_connections.cc
+++ b/src/gateway/endpoint_connections.cc
@@ -55,7 +55,7 @@
   connection->kept = true;
   connection->idle_since = clock_();
   if (connection->idle_limit == Millis(0)) {
-    connection->idle_limit = kIdleUnlessTold;
+    connection->idle_limit = kDefaultIdleLimit;
   }
   connections.push_back(std::move(connection));
 }
--- a/src/gateway/endpoint_connections.h
+++ b/src/gateway/endpoint_connections.h
@@ -60,7 +60,7 @@
   // one another's round trips, with room for a burst.
   static constexpr std::size_t kMaxIdlePerEndpoint = 8;
   // How long a connection is kept whose endpoint said nothing of it.
-  static constexpr Millis kIdleUnlessTold{2500};
+  static constexpr Millis kDefaultIdleLimit{2500};
   // How long before the endpoint's own limit a connection is given up, so that
   // the two do not cross on the way.
   static constexpr Millis kIdleMargin{800};
