--- a/src/gateway/endpoint_connections.cc
+++ b/src/gateway/endpoint_connections.cc
@@ -67,7 +67,7 @@
 
 void EndpointConnectionPool::Sweep() {
   for (auto it = forgotten_.begin(); it != forgotten_.end();) {
-    const bool is_old = clock_() - it->second >= kForgottenKept;
+    const bool is_old = clock_() - it->second >= kForgottenRetention;
     it = is_old ? forgotten_.erase(it) : std::next(it);
   }
   for (auto it = idle_.begin(); it != idle_.end();) {
--- a/src/gateway/endpoint_connections.h
+++ b/src/gateway/endpoint_connections.h
@@ -66,7 +66,7 @@
   static constexpr Millis kIdleMargin{800};
 
   // Longer than any request may take.
-  static constexpr Millis kForgottenKept{600000};
+  static constexpr Millis kForgottenRetention{600000};
 
  private:
   bool IsSpent(EndpointConnection* connection) const;
