--- a/src/gateway/admission.cc
+++ b/src/gateway/admission.cc
@@ -37,7 +37,7 @@
     }
     admitted_->route = route;
     Millis held = route->timeout;
-    const auto asked = ReadNumber(View(request_[services_.names->time_left]));
+    const auto asked = ParseInteger(View(request_[services_.names->time_left]));
     if (asked.has_value()) {
       held = std::min(held, Millis(*asked));
     }
@@ -93,14 +93,14 @@
     placement.target_gap = admitted_->route->target_gap;
     const std::string_view counts =
         View(request_[services_.names->token_counts]);
-    placement.prompt = Tokens{ReadNumber(counts).value_or(0)};
+    placement.prompt = Tokens{ParseInteger(counts).value_or(0)};
     const std::size_t comma = counts.find(',');
     std::int64_t answer = 0;
     if (comma != std::string_view::npos) {
-      answer = ReadNumber(counts.substr(comma + 1)).value_or(0);
+      answer = ParseInteger(counts.substr(comma + 1)).value_or(0);
     }
     const auto guess =
-        ReadNumber(View(request_[services_.names->answer_guess]));
+        ParseInteger(View(request_[services_.names->answer_guess]));
     if (guess.has_value()) {
       answer = answer > 0 ? std::min(answer, *guess) : *guess;
     }
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -51,7 +51,8 @@
 }
 
 SmallReply CopyServer::Answer(std::string_view target) {
-  const auto number = ReadNumber(target.substr(std::string_view(kPath).size()));
+  const auto number =
+      ParseInteger(target.substr(std::string_view(kPath).size()));
   const StoreRevision since{static_cast<std::uint64_t>(
       std::max<std::int64_t>(0, number.value_or(0)))};
   const SnapshotDecision decision = desk_->OnRequest(Elsewhere());
--- a/src/gateway/endpoint_request.cc
+++ b/src/gateway/endpoint_request.cc
@@ -71,7 +71,7 @@
   return head;
 }
 
-std::optional<std::int64_t> ReadNumber(std::string_view text) {
+std::optional<std::int64_t> ParseInteger(std::string_view text) {
   while (!text.empty() && text.front() == ' ') {
     text.remove_prefix(1);
   }
--- a/src/gateway/endpoint_request.h
+++ b/src/gateway/endpoint_request.h
@@ -38,7 +38,7 @@
                          const HeadChanges& changes);
 
 // Reads a whole number at the start of `text`, after spaces.
-std::optional<std::int64_t> ReadNumber(std::string_view text);
+std::optional<std::int64_t> ParseInteger(std::string_view text);
 
 // Returns the key of an "Authorization: Bearer KEY", or empty.
 std::string BearerKey(std::string_view authorization);
--- a/src/gateway/endpoint_request_test.cc
+++ b/src/gateway/endpoint_request_test.cc
@@ -65,9 +65,9 @@
 }
 
 TEST_CASE("Numbers and keys are read strictly") {
-  CHECK(ReadNumber(" 12,7") == 12);
-  CHECK_FALSE(ReadNumber("x1").has_value());
-  CHECK_FALSE(ReadNumber("").has_value());
+  CHECK(ParseInteger(" 12,7") == 12);
+  CHECK_FALSE(ParseInteger("x1").has_value());
+  CHECK_FALSE(ParseInteger("").has_value());
   CHECK(BearerKey("bearer k1") == "k1");
   CHECK(BearerKey("Basic k1").empty());
   CHECK(BearerKey("Bearer ").empty());
