--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -70,8 +70,8 @@
   if (may_have_run_) {
     return SendingHistory::kMayHaveRun;
   }
-  return sender_->Sendings() > 0 ? SendingHistory::kNotRun
-                                 : SendingHistory::kNew;
+  return sender_->SendCount() > 0 ? SendingHistory::kNotRun
+                                  : SendingHistory::kNew;
 }
 
 void Exchange::OnRejected(RejectionReason reason, Millis pause) {
@@ -232,7 +232,7 @@
 
 std::optional<TimePoint> Exchange::PatienceEnd() const {
   if (!sender_->IsUnderWay() || !route_->MayRepeat() || budget_refused_ ||
-      sender_->Sendings() >= route_->max_attempts) {
+      sender_->SendCount() >= route_->max_attempts) {
     return std::nullopt;
   }
   return sender_->OverdueAt();
@@ -294,7 +294,7 @@
   ExchangeEnd end{outcome, status, reason, 0, prompt_, {}, {}};
   if (place_ != nullptr) {
     place_->Close();
-    end.sendings = sender_->Sendings();
+    end.sendings = sender_->SendCount();
     end.endpoint = sender_->Endpoint().id;
     end.first_event = sender_->FirstEventAt();
   }
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -288,7 +288,7 @@
 }
 
 bool Exchange::MaySendAgain() {
-  if (sender_->Sendings() >= route_->max_attempts ||
+  if (sender_->SendCount() >= route_->max_attempts ||
       TimeLeft() < kLeastTimeForAttempt ||
       place_->CannotStartInTime(History())) {
     return false;
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -52,7 +52,7 @@
   // Returns when its answer is overdue.
   TimePoint OverdueAt() const;
 
-  int Sendings() const { return sendings_; }
+  int SendCount() const { return sendings_; }
   // Where it was sent last.
   const EndpointRecord& Endpoint() const { return endpoint_; }
   FractionalMillis Predicted() const { return predicted_; }
