--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -237,7 +237,7 @@
   // One that an endpoint runs already shows by itself what it does, and one
   // that may run once is not broken off.
   const bool sent = sender_->IsUnderWay() && sender_->WasSent();
-  const bool runs = sent && (sender_->HasBegun() || !route_->MayRepeat());
+  const bool runs = sent && (sender_->HasFirstEvent() || !route_->MayRepeat());
   if (finished_ || runs) {
     return;
   }
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -46,7 +46,7 @@
   bool IsUnderWay() const { return attempt_ != nullptr; }
   // Whether the endpoint may have the request of the last attempt.
   bool WasSent() const { return was_sent_; }
-  bool HasBegun() const { return began_at_.has_value(); }
+  bool HasFirstEvent() const { return began_at_.has_value(); }
   // Whether the endpoint has begun to run it only now, if it has at all.
   bool IsBeginning() const;
   // Returns when its answer is overdue.
