--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -202,7 +202,7 @@
   const bool goes_on = route_->MayRepeat();
   services_->crashes->OnBrokenOff(
       Fingerprint(), sender_->Endpoint(),
-      broken.by_endpoint && sender_->IsBeginning(),
+      broken.by_endpoint && sender_->IsStarting(),
       [weak = weak_from_this(), services = services_, goes_on,
        reason = broken.reason,
        fields = BrokenFields(broken)](ProbeResult result) {
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -123,7 +123,7 @@
   }
 }
 
-bool RequestSender::IsBeginning() const {
+bool RequestSender::IsStarting() const {
   return !began_at_.has_value() || services_->clock() - *began_at_ < kBeginning;
 }
 
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -48,7 +48,7 @@
   bool WasSent() const { return was_sent_; }
   bool HasFirstEvent() const { return began_at_.has_value(); }
   // Whether the endpoint has begun to run it only now, if it has at all.
-  bool IsBeginning() const;
+  bool IsStarting() const;
   // Returns when its answer is overdue.
   TimePoint OverdueAt() const;
 
