--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -291,7 +291,7 @@
     services_->rest_watch->Remove(*rest_look_);
   }
   AbandonAttempt();
-  ExchangeEnd end{outcome, status, reason, 0, prompt_, {}, {}};
+  ExchangeResult end{outcome, status, reason, 0, prompt_, {}, {}};
   if (place_ != nullptr) {
     place_->Close();
     end.sendings = sender_->SendCount();
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -74,7 +74,7 @@
   services_->log->Write("sent_again", std::move(fields), LogRateLimit::kExempt);
 }
 
-void ExchangeLog::Ended(const ExchangeEnd& end,
+void ExchangeLog::Ended(const ExchangeResult& end,
                         const ResponseRelay& relay) const {
   Metrics& metrics = *services_->metrics;
   const std::string label = std::string("outcome=\"") + end.outcome + "\"";
--- a/src/gateway/exchange_log.h
+++ b/src/gateway/exchange_log.h
@@ -14,7 +14,7 @@
 namespace harecrank {
 
 // How a request ended.
-struct ExchangeEnd {
+struct ExchangeResult {
   // "completed", "refused", "failed", "broken_off" or "caller_left".
   const char* outcome = "";
   // Zero where no answer was given.
@@ -47,7 +47,7 @@
   // It is sent once more, since `reason`. `more` has further fields.
   void SentAgain(const EndpointId& endpoint, const std::string& reason,
                  const nlohmann::json& more) const;
-  void Ended(const ExchangeEnd& end, const ResponseRelay& relay) const;
+  void Ended(const ExchangeResult& end, const ResponseRelay& relay) const;
 
  private:
   const GatewayServices* services_;
