--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -109,7 +109,7 @@
   }
   place_->MarkTried(placement.endpoint.id);
   relay_.BeginAttempt();
-  log_.Placed(placement, prompt_, place_->Waited());
+  log_.LogPlaced(placement, prompt_, place_->Waited());
   OutgoingRequest outgoing;
   outgoing.request_id = id_;
   outgoing.head = HeadFor(placement);
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -40,8 +40,8 @@
   return fields;
 }
 
-void ExchangeLog::Placed(const Placement& placement, Tokens prompt,
-                         std::optional<Millis> waited) const {
+void ExchangeLog::LogPlaced(const Placement& placement, Tokens prompt,
+                            std::optional<Millis> waited) const {
   nlohmann::json fields = Fields();
   const EndpointId& endpoint = placement.endpoint.id;
   fields["endpoint"] = endpoint.value;
--- a/src/gateway/exchange_log.h
+++ b/src/gateway/exchange_log.h
@@ -42,8 +42,8 @@
 
   // It is sent to the endpoint of `placement`. `waited` is unset where it did
   // not wait.
-  void Placed(const Placement& placement, Tokens prompt,
-              std::optional<Millis> waited) const;
+  void LogPlaced(const Placement& placement, Tokens prompt,
+                 std::optional<Millis> waited) const;
   // It is sent once more, since `reason`. `more` has further fields.
   void SentAgain(const EndpointId& endpoint, const std::string& reason,
                  const nlohmann::json& more) const;
