--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -223,9 +223,9 @@
   AbandonAttempt();
   sender_->OnOverdue();
   relay_.DropPartial();
-  log_.SentAgain(sender_->Endpoint().id, "overdue",
-                 {{"predicted_ms", sender_->Predicted().count()},
-                  {"resumes_after", relay_.LastEventId()}});
+  log_.LogRetry(sender_->Endpoint().id, "overdue",
+                {{"predicted_ms", sender_->Predicted().count()},
+                 {"resumes_after", relay_.LastEventId()}});
   TryNext();
   return true;
 }
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -106,9 +106,9 @@
   }
   may_have_run_ = true;
   AbandonAttempt();
-  log_.SentAgain(sender_->Endpoint().id,
-                 "endpoint_answered_" + std::to_string(status),
-                 nlohmann::json::object());
+  log_.LogRetry(sender_->Endpoint().id,
+                "endpoint_answered_" + std::to_string(status),
+                nlohmann::json::object());
   TryNext();
   return true;
 }
@@ -265,7 +265,7 @@
 
 void Exchange::OnNotRun(const std::string& reason) {
   if (MaySendAgain()) {
-    log_.SentAgain(sender_->Endpoint().id, reason, nlohmann::json::object());
+    log_.LogRetry(sender_->Endpoint().id, reason, nlohmann::json::object());
     TryNext();
     return;
   }
@@ -279,8 +279,8 @@
     return;
   }
   if (route_->MayRepeat() && MaySendAgain()) {
-    log_.SentAgain(sender_->Endpoint().id, reason,
-                   {{"resumes_after", relay_.LastEventId()}});
+    log_.LogRetry(sender_->Endpoint().id, reason,
+                  {{"resumes_after", relay_.LastEventId()}});
     TryNext();
     return;
   }
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -63,9 +63,9 @@
   services_->log->Write("placed", std::move(fields));
 }
 
-void ExchangeLog::SentAgain(const EndpointId& endpoint,
-                            const std::string& reason,
-                            const nlohmann::json& more) const {
+void ExchangeLog::LogRetry(const EndpointId& endpoint,
+                           const std::string& reason,
+                           const nlohmann::json& more) const {
   nlohmann::json fields = Fields();
   fields["endpoint"] = endpoint.value;
   fields["reason"] = reason;
--- a/src/gateway/exchange_log.h
+++ b/src/gateway/exchange_log.h
@@ -45,8 +45,8 @@
   void LogPlaced(const Placement& placement, Tokens prompt,
                  std::optional<Millis> waited) const;
   // It is sent once more, since `reason`. `more` has further fields.
-  void SentAgain(const EndpointId& endpoint, const std::string& reason,
-                 const nlohmann::json& more) const;
+  void LogRetry(const EndpointId& endpoint, const std::string& reason,
+                const nlohmann::json& more) const;
   void Ended(const ExchangeResult& end, const ResponseRelay& relay) const;
 
  private:
