--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -298,7 +298,7 @@
     end.endpoint = sender_->Endpoint().id;
     end.first_event = sender_->FirstEventAt();
   }
-  log_.Ended(end, relay_);
+  log_.LogEnd(end, relay_);
 }
 
 }  // namespace harecrank
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -74,8 +74,8 @@
   services_->log->Write("sent_again", std::move(fields), LogRateLimit::kExempt);
 }
 
-void ExchangeLog::Ended(const ExchangeResult& end,
-                        const ResponseRelay& relay) const {
+void ExchangeLog::LogEnd(const ExchangeResult& end,
+                         const ResponseRelay& relay) const {
   Metrics& metrics = *services_->metrics;
   const std::string label = std::string("outcome=\"") + end.outcome + "\"";
   metrics.GetCounter("harecrank_gateway_requests_total", label)->Add();
--- a/src/gateway/exchange_log.h
+++ b/src/gateway/exchange_log.h
@@ -47,7 +47,7 @@
   // It is sent once more, since `reason`. `more` has further fields.
   void LogRetry(const EndpointId& endpoint, const std::string& reason,
                 const nlohmann::json& more) const;
-  void Ended(const ExchangeResult& end, const ResponseRelay& relay) const;
+  void LogEnd(const ExchangeResult& end, const ResponseRelay& relay) const;
 
  private:
   const GatewayServices* services_;
