--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/answer_decoder.h
@@ -6,8 +6,8 @@
 #include <string_view>
 
 #include "harecrank/core/endpoint_response.h"
-#include "src/gateway/answer_port.h"
 #include "src/gateway/protocol_names.h"
+#include "src/gateway/response_sink.h"
 
 namespace harecrank {
 
--- a/src/gateway/answer_relay.h
+++ b/src/gateway/answer_relay.h
@@ -10,7 +10,7 @@
 
 #include "harecrank/core/clock.h"
 #include "harecrank/core/event_scanner.h"
-#include "src/gateway/answer_port.h"
+#include "src/gateway/response_sink.h"
 
 namespace harecrank {
 
--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -14,9 +14,9 @@
 #include <string_view>
 #include <variant>
 
-#include "src/gateway/answer_port.h"
 #include "src/gateway/endpoint_connections.h"
 #include "src/gateway/protocol_names.h"
+#include "src/gateway/response_sink.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -15,7 +15,7 @@
 
 #include "harecrank/core/clock.h"
 #include "harecrank/core/routing_table.h"
-#include "src/gateway/answer_port.h"
+#include "src/gateway/response_sink.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
--- a/src/gateway/message_text.h
+++ b/src/gateway/message_text.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "src/gateway/answer_port.h"
+#include "src/gateway/response_sink.h"
 
 namespace harecrank {
 
--- a/src/gateway/own_answer.h
+++ b/src/gateway/own_answer.h
@@ -7,8 +7,8 @@
 #include <string>
 
 #include "harecrank/core/strong_types.h"
-#include "src/gateway/answer_port.h"
 #include "src/gateway/protocol_names.h"
+#include "src/gateway/response_sink.h"
 
 namespace harecrank {
 
--- a/src/gateway/answer_port.h
+++ b/src/gateway/response_sink.h
@@ -1,7 +1,7 @@
 // Where the answer to one request goes.
 
-#ifndef HARECRANK_SRC_GATEWAY_ANSWER_PORT_H_
-#define HARECRANK_SRC_GATEWAY_ANSWER_PORT_H_
+#ifndef HARECRANK_SRC_GATEWAY_RESPONSE_SINK_H_
+#define HARECRANK_SRC_GATEWAY_RESPONSE_SINK_H_
 
 #include <boost/beast/http/fields.hpp>
 #include <boost/beast/http/message.hpp>
@@ -37,4 +37,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_ANSWER_PORT_H_
+#endif  // HARECRANK_SRC_GATEWAY_RESPONSE_SINK_H_
