--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -10,13 +10,13 @@
 
 #include "harecrank/core/endpoint_response.h"
 #include "harecrank/core/request_fingerprint.h"
-#include "src/gateway/answer_relay.h"
 #include "src/gateway/caller_session.h"
 #include "src/gateway/exchange_log.h"
 #include "src/gateway/gateway_services.h"
 #include "src/gateway/own_answer.h"
 #include "src/gateway/place_seeker.h"
 #include "src/gateway/request_sender.h"
+#include "src/gateway/response_relay.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
--- a/src/gateway/exchange_log.h
+++ b/src/gateway/exchange_log.h
@@ -8,8 +8,8 @@
 #include <string>
 
 #include "harecrank/core/placement.h"
-#include "src/gateway/answer_relay.h"
 #include "src/gateway/gateway_services.h"
+#include "src/gateway/response_relay.h"
 
 namespace harecrank {
 
--- a/src/gateway/answer_relay.cc
+++ b/src/gateway/response_relay.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/answer_relay.h"
+#include "src/gateway/response_relay.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/answer_relay.h
+++ b/src/gateway/response_relay.h
@@ -1,7 +1,7 @@
 // Passes an endpoint's answer on to its caller, across several attempts.
 
-#ifndef HARECRANK_SRC_GATEWAY_ANSWER_RELAY_H_
-#define HARECRANK_SRC_GATEWAY_ANSWER_RELAY_H_
+#ifndef HARECRANK_SRC_GATEWAY_RESPONSE_RELAY_H_
+#define HARECRANK_SRC_GATEWAY_RESPONSE_RELAY_H_
 
 #include <memory>
 #include <optional>
@@ -76,4 +76,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_ANSWER_RELAY_H_
+#endif  // HARECRANK_SRC_GATEWAY_RESPONSE_RELAY_H_
