--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -4,9 +4,9 @@
 #include <utility>
 
 #include "harecrank/core/http_status.h"
-#include "src/gateway/answer_decoder.h"
 #include "src/gateway/endpoint_request.h"
 #include "src/gateway/exchange.h"
+#include "src/gateway/response_decoder.h"
 
 namespace harecrank {
 namespace {
--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/response_decoder.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/answer_decoder.h"
+#include "src/gateway/response_decoder.h"
 
 #include <Poco/DateTime.h>
 #include <Poco/DateTimeFormat.h>
--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/response_decoder.h
@@ -1,7 +1,7 @@
 // Reads the heads of endpoints' answers.
 
-#ifndef HARECRANK_SRC_GATEWAY_ANSWER_DECODER_H_
-#define HARECRANK_SRC_GATEWAY_ANSWER_DECODER_H_
+#ifndef HARECRANK_SRC_GATEWAY_RESPONSE_DECODER_H_
+#define HARECRANK_SRC_GATEWAY_RESPONSE_DECODER_H_
 
 #include <string_view>
 
@@ -29,4 +29,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_ANSWER_DECODER_H_
+#endif  // HARECRANK_SRC_GATEWAY_RESPONSE_DECODER_H_
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/response_decoder_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/answer_decoder.h"
+#include "src/gateway/response_decoder.h"
 
 #include <catch2/catch.hpp>
 
