--- a/src/gateway/own_answer.cc
+++ b/src/gateway/gateway_response.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/own_answer.h"
+#include "src/gateway/gateway_response.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/gateway/own_answer.h
+++ b/src/gateway/gateway_response.h
@@ -1,7 +1,7 @@
 // Answers that the gateway gives itself.
 
-#ifndef HARECRANK_SRC_GATEWAY_OWN_ANSWER_H_
-#define HARECRANK_SRC_GATEWAY_OWN_ANSWER_H_
+#ifndef HARECRANK_SRC_GATEWAY_GATEWAY_RESPONSE_H_
+#define HARECRANK_SRC_GATEWAY_GATEWAY_RESPONSE_H_
 
 #include <optional>
 #include <string>
@@ -32,4 +32,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_OWN_ANSWER_H_
+#endif  // HARECRANK_SRC_GATEWAY_GATEWAY_RESPONSE_H_
