--- a/src/gateway/endpoint_answers.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -1,8 +1,8 @@
 // Takes what endpoints say of themselves in their answers into what this host
 // knows of them.
 
-#ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_ANSWERS_H_
-#define HARECRANK_SRC_GATEWAY_ENDPOINT_ANSWERS_H_
+#ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_RESPONSE_HANDLER_H_
+#define HARECRANK_SRC_GATEWAY_ENDPOINT_RESPONSE_HANDLER_H_
 
 #include <functional>
 
@@ -46,4 +46,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_ENDPOINT_ANSWERS_H_
+#endif  // HARECRANK_SRC_GATEWAY_ENDPOINT_RESPONSE_HANDLER_H_
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_response_handler_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/endpoint_answers.h"
+#include "src/gateway/endpoint_response_handler.h"
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
