--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -14,7 +14,7 @@
 #include "src/gateway/exchange_log.h"
 #include "src/gateway/gateway_response.h"
 #include "src/gateway/gateway_services.h"
-#include "src/gateway/place_seeker.h"
+#include "src/gateway/placement_search.h"
 #include "src/gateway/request_sender.h"
 #include "src/gateway/response_relay.h"
 #include "src/gateway/timer.h"
--- a/src/gateway/place_seeker.cc
+++ b/src/gateway/placement_search.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/place_seeker.h"
+#include "src/gateway/placement_search.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/placement_search.h
@@ -1,7 +1,7 @@
 // Finds a place for one request, and counts what it has under way there.
 
-#ifndef HARECRANK_SRC_GATEWAY_PLACE_SEEKER_H_
-#define HARECRANK_SRC_GATEWAY_PLACE_SEEKER_H_
+#ifndef HARECRANK_SRC_GATEWAY_PLACEMENT_SEARCH_H_
+#define HARECRANK_SRC_GATEWAY_PLACEMENT_SEARCH_H_
 
 #include <functional>
 #include <memory>
@@ -196,4 +196,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_PLACE_SEEKER_H_
+#endif  // HARECRANK_SRC_GATEWAY_PLACEMENT_SEARCH_H_
