--- a/src/gateway/memory_hold.cc
+++ b/src/gateway/memory_reservation.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/memory_hold.h"
+#include "src/gateway/memory_reservation.h"
 
 #include <utility>
 
--- a/src/gateway/memory_hold.h
+++ b/src/gateway/memory_reservation.h
@@ -1,7 +1,7 @@
 // Memory of several engines that one request needs: all of it or none.
 
-#ifndef HARECRANK_SRC_GATEWAY_MEMORY_HOLD_H_
-#define HARECRANK_SRC_GATEWAY_MEMORY_HOLD_H_
+#ifndef HARECRANK_SRC_GATEWAY_MEMORY_RESERVATION_H_
+#define HARECRANK_SRC_GATEWAY_MEMORY_RESERVATION_H_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -71,4 +71,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_MEMORY_HOLD_H_
+#endif  // HARECRANK_SRC_GATEWAY_MEMORY_RESERVATION_H_
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "src/gateway/gateway_services.h"
-#include "src/gateway/memory_hold.h"
+#include "src/gateway/memory_reservation.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
