--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -11,7 +11,7 @@
 #include "harecrank/core/endpoint_response.h"
 #include "src/gateway/endpoint_news.h"
 #include "src/gateway/rest_watch.h"
-#include "src/gateway/start_gate.h"
+#include "src/gateway/start_limiter.h"
 
 namespace harecrank {
 
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -16,7 +16,7 @@
 #include "src/gateway/fleet_member.h"
 #include "src/gateway/gateway_services.h"
 #include "src/gateway/source_state.h"
-#include "src/gateway/start_gate.h"
+#include "src/gateway/start_limiter.h"
 
 namespace harecrank {
 
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -25,7 +25,7 @@
 #include "src/gateway/place_client.h"
 #include "src/gateway/protocol_names.h"
 #include "src/gateway/rest_watch.h"
-#include "src/gateway/start_gate.h"
+#include "src/gateway/start_limiter.h"
 
 namespace harecrank {
 
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -13,7 +13,7 @@
 #include "src/gateway/endpoint_news.h"
 #include "src/gateway/gateway_services.h"
 #include "src/gateway/source_state.h"
-#include "src/gateway/start_gate.h"
+#include "src/gateway/start_limiter.h"
 
 namespace harecrank {
 
--- a/src/gateway/start_gate.cc
+++ b/src/gateway/start_limiter.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/start_gate.h"
+#include "src/gateway/start_limiter.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_limiter.h
@@ -1,8 +1,8 @@
 // Keeps this host to its part of what endpoints take from all hosts together,
 // and to the rests that they ask it for.
 
-#ifndef HARECRANK_SRC_GATEWAY_START_GATE_H_
-#define HARECRANK_SRC_GATEWAY_START_GATE_H_
+#ifndef HARECRANK_SRC_GATEWAY_START_LIMITER_H_
+#define HARECRANK_SRC_GATEWAY_START_LIMITER_H_
 
 #include <functional>
 #include <map>
@@ -130,4 +130,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_START_GATE_H_
+#endif  // HARECRANK_SRC_GATEWAY_START_LIMITER_H_
