--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <variant>
 
-#include "src/gateway/endpoint_connections.h"
+#include "src/gateway/endpoint_connection_pool.h"
 #include "src/gateway/protocol_names.h"
 #include "src/gateway/response_sink.h"
 #include "src/gateway/timer.h"
--- a/src/gateway/endpoint_connections.cc
+++ b/src/gateway/endpoint_connection_pool.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/endpoint_connections.h"
+#include "src/gateway/endpoint_connection_pool.h"
 
 #include <sys/socket.h>
 
--- a/src/gateway/endpoint_connections.h
+++ b/src/gateway/endpoint_connection_pool.h
@@ -1,7 +1,7 @@
 // Kept connections to endpoints.
 
-#ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTIONS_H_
-#define HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTIONS_H_
+#ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTION_POOL_H_
+#define HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTION_POOL_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -83,4 +83,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTIONS_H_
+#endif  // HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTION_POOL_H_
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -12,7 +12,7 @@
 #include "harecrank/core/endpoint_loads.h"
 #include "src/adapters/event_log.h"
 #include "src/adapters/metrics.h"
-#include "src/gateway/endpoint_connections.h"
+#include "src/gateway/endpoint_connection_pool.h"
 
 namespace harecrank {
 
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -11,7 +11,7 @@
 #include "src/gateway/caller_listener.h"
 #include "src/gateway/copy_server.h"
 #include "src/gateway/dispatch_queue.h"
-#include "src/gateway/endpoint_connections.h"
+#include "src/gateway/endpoint_connection_pool.h"
 #include "src/gateway/endpoint_news.h"
 #include "src/gateway/fleet_member.h"
 #include "src/gateway/gateway_services.h"
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -19,7 +19,7 @@
 #include "src/adapters/metrics.h"
 #include "src/gateway/crash_guard.h"
 #include "src/gateway/dispatch_queue.h"
-#include "src/gateway/endpoint_connections.h"
+#include "src/gateway/endpoint_connection_pool.h"
 #include "src/gateway/endpoint_response_handler.h"
 #include "src/gateway/memory_orders.h"
 #include "src/gateway/place_client.h"
