--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -96,8 +96,8 @@
   return ports;
 }
 
-PlanningDeskPorts FleetMember::MakeDeskPorts() {
-  PlanningDeskPorts ports;
+PlannerServicePorts FleetMember::MakeDeskPorts() {
+  PlannerServicePorts ports;
   ports.planner = [this] { return book_->Planner(); };
   ports.send = [this](const HostAddress& to, const FleetMessage& message) {
     Send(to, message);
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -105,7 +105,7 @@
   struct Receiver;
 
   PlaceClientPorts MakePlacePorts();
-  PlanningDeskPorts MakeDeskPorts();
+  PlannerServicePorts MakeDeskPorts();
   PublicationRelayPorts MakeRelayPorts();
   void Send(const HostAddress& to, const FleetMessage& message);
   void OnMessage(const FleetMessage& message);
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -5,7 +5,7 @@
 namespace harecrank {
 
 PlanningDesk::PlanningDesk(boost::asio::io_context* io, HostAddress self,
-                           Planner* planner, PlanningDeskPorts ports,
+                           Planner* planner, PlannerServicePorts ports,
                            EventLog* log, Metrics* metrics,
                            MonotonicClock clock)
     : self_(std::move(self)),
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planning_desk.h
@@ -15,7 +15,7 @@
 namespace harecrank {
 
 // What the desk asks of its owner.
-struct PlanningDeskPorts {
+struct PlannerServicePorts {
   // Returns the host that plans, or nothing if it is not known yet.
   std::function<std::optional<HostAddress>()> planner;
   std::function<void(const HostAddress& to, const FleetMessage& message)> send;
@@ -26,7 +26,7 @@
  public:
   // All pointers must outlive this.
   PlanningDesk(boost::asio::io_context* io, HostAddress self, Planner* planner,
-               PlanningDeskPorts ports, EventLog* log, Metrics* metrics,
+               PlannerServicePorts ports, EventLog* log, Metrics* metrics,
                MonotonicClock clock);
 
   void OnQuery(const PlacementQuery& ask);
@@ -52,7 +52,7 @@
 
   HostAddress self_;
   Planner* planner_;
-  PlanningDeskPorts ports_;
+  PlannerServicePorts ports_;
   EventLog* log_;
   Metrics* metrics_;
   MonotonicClock clock_;
