--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -145,7 +145,7 @@
   MonotonicClock clock_;
   RandomSource random_;
   PlaceClient places_;
-  PlanningDesk desk_;
+  PlannerService desk_;
   PublicationRelay relay_;
   CrashRelay crashes_;
   PeersLog peers_log_;
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planning_desk.cc
@@ -4,10 +4,10 @@
 
 namespace harecrank {
 
-PlanningDesk::PlanningDesk(boost::asio::io_context* io, HostAddress self,
-                           Planner* planner, PlannerServicePorts ports,
-                           EventLog* log, Metrics* metrics,
-                           MonotonicClock clock)
+PlannerService::PlannerService(boost::asio::io_context* io, HostAddress self,
+                               Planner* planner, PlannerServicePorts ports,
+                               EventLog* log, Metrics* metrics,
+                               MonotonicClock clock)
     : self_(std::move(self)),
       planner_(planner),
       ports_(std::move(ports)),
@@ -16,7 +16,7 @@
       clock_(std::move(clock)),
       timer_(*io) {}
 
-void PlanningDesk::OnQuery(const PlacementQuery& ask) {
+void PlannerService::OnQuery(const PlacementQuery& ask) {
   PlacementReply answer{self_, ask.incarnation, ask.id, NotPlanner{}};
   const std::optional<HostAddress> planner = ports_.planner();
   if (planner == self_) {
@@ -29,8 +29,8 @@
   ports_.send(ask.host, answer);
 }
 
-void PlanningDesk::NoteTurnedAway(const HostAddress& host, QueryId id,
-                                  const PlacementDecision& decision) {
+void PlannerService::NoteTurnedAway(const HostAddress& host, QueryId id,
+                                    const PlacementDecision& decision) {
   const auto* refused = std::get_if<QueryRejected>(&decision);
   if (refused == nullptr || !refused->retry_after.has_value()) {
     return;
@@ -42,28 +42,28 @@
                {"promises", planner_->ReservationCount()}});
 }
 
-void PlanningDesk::OnProgressReport(const ProgressReport& note) {
+void PlannerService::OnProgressReport(const ProgressReport& note) {
   if (IsPlanner()) {
     planner_->OnProgressReport(note);
     TryWaitingSoon();
   }
 }
 
-void PlanningDesk::OnHeartbeat(const Heartbeat& word) {
+void PlannerService::OnHeartbeat(const Heartbeat& word) {
   if (IsPlanner()) {
     planner_->OnHeartbeat(word);
     TryWaitingSoon();
   }
 }
 
-void PlanningDesk::Tick() {
+void PlannerService::Tick() {
   planner_->RemoveSilentHosts();
   if (clock_() - tried_at_ >= kTryInterval) {
     ProcessWaitQueue();
   }
 }
 
-void PlanningDesk::ProcessWaitQueue() {
+void PlannerService::ProcessWaitQueue() {
   tried_at_ = clock_();
   if (planner_->WaitingCount() == 0) {
     return;
@@ -75,7 +75,7 @@
   }
 }
 
-void PlanningDesk::TryWaitingSoon() {
+void PlannerService::TryWaitingSoon() {
   if (tries_soon_ || planner_->WaitingCount() == 0) {
     return;
   }
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planning_desk.h
@@ -22,12 +22,12 @@
 };
 
 // Not thread-safe; runs on its io_context.
-class PlanningDesk {
+class PlannerService {
  public:
   // All pointers must outlive this.
-  PlanningDesk(boost::asio::io_context* io, HostAddress self, Planner* planner,
-               PlannerServicePorts ports, EventLog* log, Metrics* metrics,
-               MonotonicClock clock);
+  PlannerService(boost::asio::io_context* io, HostAddress self,
+                 Planner* planner, PlannerServicePorts ports, EventLog* log,
+                 Metrics* metrics, MonotonicClock clock);
 
   void OnQuery(const PlacementQuery& ask);
   void OnProgressReport(const ProgressReport& note);
