--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -19,17 +19,18 @@
 
 }  // namespace
 
-EndpointNews::EndpointNews(EndpointDirectory* directory, EndpointHealth* health,
-                           EndpointConnectionPool* connections, EventLog* log,
-                           Metrics* metrics)
+EndpointUpdater::EndpointUpdater(EndpointDirectory* directory,
+                                 EndpointHealth* health,
+                                 EndpointConnectionPool* connections,
+                                 EventLog* log, Metrics* metrics)
     : directory_(directory),
       health_(health),
       connections_(connections),
       log_(log),
       metrics_(metrics) {}
 
-void EndpointNews::OnListing(const std::vector<EndpointRecord>& records,
-                             StoreRevision at) {
+void EndpointUpdater::OnListing(const std::vector<EndpointRecord>& records,
+                                StoreRevision at) {
   for (const EndpointRecord& record : records) {
     NoteIncarnation(record);
   }
@@ -40,7 +41,7 @@
                           {"at", at.value}});
 }
 
-void EndpointNews::OnEndpoint(const EndpointRecord& record) {
+void EndpointUpdater::OnEndpoint(const EndpointRecord& record) {
   NoteIncarnation(record);
   if (!directory_->Upsert(record)) {
     return;
@@ -59,7 +60,7 @@
        {"revision", record.revision.value}});
 }
 
-void EndpointNews::OnGone(const EndpointId& id, StoreRevision revision) {
+void EndpointUpdater::OnGone(const EndpointId& id, StoreRevision revision) {
   const RemovalResult absence = directory_->Remove(id, revision);
   // Should it still be there, or come back under its id, it is learned anew.
   health_->Forget(id);
@@ -76,8 +77,8 @@
                {"revision", revision.value}});
 }
 
-bool EndpointNews::OnSaysItLeaves(const EndpointRecord& endpoint,
-                                  bool readable) {
+bool EndpointUpdater::OnSaysItLeaves(const EndpointRecord& endpoint,
+                                     bool readable) {
   if (!directory_->MarkLeaving(endpoint.id, endpoint.incarnation)) {
     return false;
   }
@@ -88,8 +89,8 @@
   return true;
 }
 
-void EndpointNews::OnUnusable(const EndpointId& id, StoreRevision revision,
-                              const std::string& reason) {
+void EndpointUpdater::OnUnusable(const EndpointId& id, StoreRevision revision,
+                                 const std::string& reason) {
   if (directory_->Withdraw(id, revision)) {
     Forget(id);
   }
@@ -99,8 +100,8 @@
                                     {"reason", reason}});
 }
 
-void EndpointNews::OnClosedListed(const std::vector<DrainedDataCentre>& drained,
-                                  StoreRevision at) {
+void EndpointUpdater::OnClosedListed(
+    const std::vector<DrainedDataCentre>& drained, StoreRevision at) {
   const DrainChange change = directory_->ReplaceDrained(drained, at);
   for (const DrainedDataCentre& order : change.drained) {
     NoteClosed(order);
@@ -110,19 +111,19 @@
   }
 }
 
-void EndpointNews::OnClosed(const DrainedDataCentre& order) {
+void EndpointUpdater::OnClosed(const DrainedDataCentre& order) {
   if (directory_->DrainDataCentre(order)) {
     NoteClosed(order);
   }
 }
 
-void EndpointNews::OnOpened(const DataCentreId& id, StoreRevision revision) {
+void EndpointUpdater::OnOpened(const DataCentreId& id, StoreRevision revision) {
   if (directory_->RestoreDataCentre(id, revision)) {
     NoteOpened(DrainedDataCentre{id, revision});
   }
 }
 
-void EndpointNews::NoteClosed(const DrainedDataCentre& order) {
+void EndpointUpdater::NoteClosed(const DrainedDataCentre& order) {
   const std::vector<EndpointId> endpoints = directory_->In(order.id);
   for (const EndpointId& id : endpoints) {
     // Nothing is to be sent there any more, and they may be stopped soon.
@@ -136,7 +137,7 @@
               LogRateLimit::kExempt);
 }
 
-void EndpointNews::NoteOpened(const DrainedDataCentre& order) {
+void EndpointUpdater::NoteOpened(const DrainedDataCentre& order) {
   log_->Write("data_centre_opened",
               {{"data_centre", order.id.value},
                {"endpoints", directory_->In(order.id).size()},
@@ -144,7 +145,7 @@
               LogRateLimit::kExempt);
 }
 
-int EndpointNews::BusyClosed(const EndpointLoads& loads) const {
+int EndpointUpdater::BusyClosed(const EndpointLoads& loads) const {
   int busy = 0;
   if (directory_->Drained().Count() == 0) {
     return busy;
@@ -159,9 +160,9 @@
   return busy;
 }
 
-void EndpointNews::BeginTold() { told_.emplace(); }
+void EndpointUpdater::BeginTold() { told_.emplace(); }
 
-void EndpointNews::EndTold() {
+void EndpointUpdater::EndTold() {
   const Told told = *std::exchange(told_, std::nullopt);
   if (told.changed.empty() && told.gone.empty()) {
     return;
@@ -172,7 +173,7 @@
                                  {"gone_ids", FirstOf(told.gone)}});
 }
 
-void EndpointNews::RemoveExpired() {
+void EndpointUpdater::RemoveExpired() {
   for (const ExpiredEndpoint& dropped : directory_->RemoveExpired()) {
     connections_->Forget(dropped.id);
     log_->Write("endpoint_dropped", {{"endpoint", dropped.id.value},
@@ -180,7 +181,7 @@
   }
 }
 
-void EndpointNews::NoteIncarnation(const EndpointRecord& record) {
+void EndpointUpdater::NoteIncarnation(const EndpointRecord& record) {
   const EndpointRecord* held = directory_->Find(record.id);
   const bool is_new_incarnation = held != nullptr &&
                                   held->incarnation != record.incarnation &&
@@ -193,7 +194,7 @@
                                      {"revision", record.revision.value}});
 }
 
-void EndpointNews::Forget(const EndpointId& id) {
+void EndpointUpdater::Forget(const EndpointId& id) {
   // Failures of an earlier incarnation would keep a sound endpoint unused, and
   // a connection to it cannot answer.
   health_->Forget(id);
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -19,12 +19,12 @@
 // Keeps the directory, and forgets what was seen of endpoints that have left or
 // have begun a new incarnation. Each piece of news leaves a line in the log.
 // Not thread-safe.
-class EndpointNews {
+class EndpointUpdater {
  public:
   // All pointers must outlive this.
-  EndpointNews(EndpointDirectory* directory, EndpointHealth* health,
-               EndpointConnectionPool* connections, EventLog* log,
-               Metrics* metrics);
+  EndpointUpdater(EndpointDirectory* directory, EndpointHealth* health,
+                  EndpointConnectionPool* connections, EventLog* log,
+                  Metrics* metrics);
 
   // All endpoints as published at `at`.
   void OnListing(const std::vector<EndpointRecord>& records, StoreRevision at);
--- a/src/gateway/endpoint_news_test.cc
+++ b/src/gateway/endpoint_news_test.cc
@@ -36,7 +36,7 @@
   EndpointConnectionPool connections_{&io_, clock_};
   EventLog log_{"node-1", clock_};
   Metrics metrics_;
-  EndpointNews news_{&directory_, &health_, &connections_, &log_, &metrics_};
+  EndpointUpdater news_{&directory_, &health_, &connections_, &log_, &metrics_};
 };
 
 TEST_CASE_METHOD(NewsFixture,
--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -6,7 +6,7 @@
 
 EndpointResponseHandler::EndpointResponseHandler(
     const EndpointDirectory* directory, EndpointHealth* health,
-    EndpointNews* endpoint_news, StartLimiter* start_limiter,
+    EndpointUpdater* endpoint_news, StartLimiter* start_limiter,
     RestWatch* rest_watch, std::function<void()> on_news)
     : directory_(directory),
       health_(health),
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -22,7 +22,8 @@
   // All pointers must outlive this. `on_news` is called when other hosts should
   // hear of it soon.
   EndpointResponseHandler(const EndpointDirectory* directory,
-                          EndpointHealth* health, EndpointNews* endpoint_news,
+                          EndpointHealth* health,
+                          EndpointUpdater* endpoint_news,
                           StartLimiter* start_limiter, RestWatch* rest_watch,
                           std::function<void()> on_news);
 
@@ -38,7 +39,7 @@
 
   const EndpointDirectory* directory_;
   EndpointHealth* health_;
-  EndpointNews* endpoint_news_;
+  EndpointUpdater* endpoint_news_;
   StartLimiter* start_limiter_;
   RestWatch* rest_watch_;
   std::function<void()> on_news_;
--- a/src/gateway/endpoint_response_handler_test.cc
+++ b/src/gateway/endpoint_response_handler_test.cc
@@ -51,7 +51,7 @@
   EndpointDirectory directory_{clock_};
   EndpointHealth health_{clock_};
   EndpointConnectionPool connections_{&io_, clock_};
-  EndpointNews news_{&directory_, &health_, &connections_, &log_, &metrics_};
+  EndpointUpdater news_{&directory_, &health_, &connections_, &log_, &metrics_};
   StartLimiter gate_{HostAddress{"h"},
                      ColdLimit{},
                      [] { return 1; },
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -27,7 +27,7 @@
   EndpointLoads* loads;
   EndpointHealth* health;
   EndpointConnectionPool* connections;
-  EndpointNews* endpoint_news;
+  EndpointUpdater* endpoint_news;
   RequestQuarantine* quarantine;
   DispatchQueue* queue;
   Membership* hosts;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -7,7 +7,7 @@
 
 PublishedNews::PublishedNews(RoutingState* routing,
                              EndpointDirectory* directory,
-                             EndpointNews* endpoint_news,
+                             EndpointUpdater* endpoint_news,
                              StartLimiter* start_limiter, SourceState* source,
                              std::function<void()> on_usable, EventLog* log,
                              Metrics* metrics)
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -23,7 +23,7 @@
   // All pointers must outlive this. `on_usable` is called when there may be
   // enough to serve by.
   PublishedNews(RoutingState* routing, EndpointDirectory* directory,
-                EndpointNews* endpoint_news, StartLimiter* start_limiter,
+                EndpointUpdater* endpoint_news, StartLimiter* start_limiter,
                 SourceState* source, std::function<void()> on_usable,
                 EventLog* log, Metrics* metrics);
 
@@ -50,7 +50,7 @@
 
   RoutingState* routing_;
   EndpointDirectory* directory_;
-  EndpointNews* endpoint_news_;
+  EndpointUpdater* endpoint_news_;
   StartLimiter* start_limiter_;
   SourceState* source_;
   std::function<void()> on_usable_;
