--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -10,7 +10,7 @@
     RestWatch* rest_watch, std::function<void()> on_news)
     : directory_(directory),
       health_(health),
-      endpoint_news_(endpoint_news),
+      endpoint_updater_(endpoint_news),
       start_limiter_(start_limiter),
       rest_watch_(rest_watch),
       on_news_(std::move(on_news)) {}
@@ -36,7 +36,7 @@
                                           LeavingHint word) {
   const bool is_readable = word == LeavingHint::kLeaving;
   if (word == LeavingHint::kNone ||
-      !endpoint_news_->OnSaysItLeaves(endpoint, is_readable)) {
+      !endpoint_updater_->OnSaysItLeaves(endpoint, is_readable)) {
     return;
   }
   // Hosts that have not been told themselves leave it alone for a while, too.
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -39,7 +39,7 @@
 
   const EndpointDirectory* directory_;
   EndpointHealth* health_;
-  EndpointUpdater* endpoint_news_;
+  EndpointUpdater* endpoint_updater_;
   StartLimiter* start_limiter_;
   RestWatch* rest_watch_;
   std::function<void()> on_news_;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -54,7 +54,7 @@
       connections_(&io_, clock_),
       prober_(&io_),
       quarantine_(clock_),
-      endpoint_news_(&directory_, &health_, &connections_, &log_, &metrics_),
+      endpoint_updater_(&directory_, &health_, &connections_, &log_, &metrics_),
       placer_(
           &directory_, &loads_, &health_, settings_.data_centre,
           LoadScope::kThisHost, [this] { return KnownHosts(); },
@@ -93,13 +93,13 @@
       rest_watch_([this](std::function<void()> run) {
         boost::asio::post(io_, std::move(run));
       }),
-      answers_(&directory_, &health_, &endpoint_news_, &start_limiter_,
+      answers_(&directory_, &health_, &endpoint_updater_, &start_limiter_,
                &rest_watch_, [this] { fleet_.TellSoon(); }),
       services_(MakeServices()),
       source_(IsSeed(settings_), MakeReadingPorts(), MakeSourcePorts(),
               &directory_, &log_, clock_, random_),
       news_(
-          &routing_, &directory_, &endpoint_news_, &start_limiter_, &source_,
+          &routing_, &directory_, &endpoint_updater_, &start_limiter_, &source_,
           [this] { AcceptCallers(); }, &log_, &metrics_),
       feed_(platform.make_feed(&io_, settings_, &news_, &holds_)),
       copies_(
@@ -230,10 +230,10 @@
 }
 
 GatewayParts GatewayNode::MakeParts() {
-  return GatewayParts{&routing_,     &directory_,     &loads_,      &health_,
-                      &connections_, &endpoint_news_, &quarantine_, &queue_,
-                      &hosts_,       &start_limiter_, &planner_,    &fleet_,
-                      &source_,      &copies_,        &callers_,    &log_};
+  return GatewayParts{&routing_,     &directory_,        &loads_,      &health_,
+                      &connections_, &endpoint_updater_, &quarantine_, &queue_,
+                      &hosts_,       &start_limiter_,    &planner_,    &fleet_,
+                      &source_,      &copies_,           &callers_,    &log_};
 }
 
 PollSchedulePorts GatewayNode::MakeReadingPorts() {
@@ -283,9 +283,9 @@
   };
   ports.on_published = [this](const std::string& changes,
                               bool store_data_fresh) {
-    endpoint_news_.BeginTold();
+    endpoint_updater_.BeginTold();
     const auto at = feed_->Import(changes, store_data_fresh);
-    endpoint_news_.EndTold();
+    endpoint_updater_.EndTold();
     if (at.has_value()) {
       source_.OnTaken(*at);
     }
@@ -365,7 +365,7 @@
 void GatewayNode::Tick() {
   const TimePoint now = clock_();
   AcceptCallers();
-  endpoint_news_.RemoveExpired();
+  endpoint_updater_.RemoveExpired();
   hosts_.RecordFleetSize();
   start_limiter_.Tick();
   source_.Tick();
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -107,7 +107,7 @@
   EndpointConnectionPool connections_;
   EndpointProber prober_;
   RequestQuarantine quarantine_;
-  EndpointUpdater endpoint_news_;
+  EndpointUpdater endpoint_updater_;
   Placer placer_;
   RepeatBudgets budgets_;
   DispatchQueue queue_;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -13,7 +13,7 @@
                              Metrics* metrics)
     : routing_(routing),
       directory_(directory),
-      endpoint_news_(endpoint_news),
+      endpoint_updater_(endpoint_news),
       start_limiter_(start_limiter),
       source_(source),
       on_usable_(std::move(on_usable)),
@@ -37,17 +37,17 @@
                               std::vector<DrainedDataCentre> closed,
                               StoreRevision at) {
   start_limiter_->OnListing(records);
-  endpoint_news_->OnListing(records, at);
+  endpoint_updater_->OnListing(records, at);
   for (const EndpointRecord& record : records) {
     NoteIncarnation(record.id);
   }
-  endpoint_news_->OnClosedListed(closed, at);
+  endpoint_updater_->OnClosedListed(closed, at);
   on_usable_();
 }
 
 void PublishedNews::OnEndpoint(const EndpointRecord& record) {
   start_limiter_->OnEndpoint(record);
-  endpoint_news_->OnEndpoint(record);
+  endpoint_updater_->OnEndpoint(record);
   NoteIncarnation(record.id);
 }
 
@@ -61,22 +61,22 @@
 void PublishedNews::OnEndpointGone(const EndpointId& id,
                                    StoreRevision revision) {
   start_limiter_->OnGone(id);
-  endpoint_news_->OnGone(id, revision);
+  endpoint_updater_->OnGone(id, revision);
 }
 
 void PublishedNews::OnEndpointUnusable(const EndpointId& id,
                                        StoreRevision revision,
                                        const std::string& reason) {
-  endpoint_news_->OnUnusable(id, revision, reason);
+  endpoint_updater_->OnUnusable(id, revision, reason);
 }
 
 void PublishedNews::OnDataCentreClosed(const DrainedDataCentre& order) {
-  endpoint_news_->OnClosed(order);
+  endpoint_updater_->OnClosed(order);
 }
 
 void PublishedNews::OnDataCentreOpened(const DataCentreId& id,
                                        StoreRevision revision) {
-  endpoint_news_->OnOpened(id, revision);
+  endpoint_updater_->OnOpened(id, revision);
 }
 
 void PublishedNews::OnSourceWell(StoreRevision at) {
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -50,7 +50,7 @@
 
   RoutingState* routing_;
   EndpointDirectory* directory_;
-  EndpointUpdater* endpoint_news_;
+  EndpointUpdater* endpoint_updater_;
   StartLimiter* start_limiter_;
   SourceState* source_;
   std::function<void()> on_usable_;
