--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -6,11 +6,11 @@
 
 EndpointResponseHandler::EndpointResponseHandler(
     const EndpointDirectory* directory, EndpointHealth* health,
-    EndpointUpdater* endpoint_news, StartLimiter* start_limiter,
+    EndpointUpdater* endpoint_updater, StartLimiter* start_limiter,
     RestWatch* rest_watch, std::function<void()> on_news)
     : directory_(directory),
       health_(health),
-      endpoint_updater_(endpoint_news),
+      endpoint_updater_(endpoint_updater),
       start_limiter_(start_limiter),
       rest_watch_(rest_watch),
       on_news_(std::move(on_news)) {}
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -23,7 +23,7 @@
   // hear of it soon.
   EndpointResponseHandler(const EndpointDirectory* directory,
                           EndpointHealth* health,
-                          EndpointUpdater* endpoint_news,
+                          EndpointUpdater* endpoint_updater,
                           StartLimiter* start_limiter, RestWatch* rest_watch,
                           std::function<void()> on_news);
 
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -76,7 +76,8 @@
     return static_cast<double>(parts.directory->Drained().Count());
   });
   metrics->AddGauge("harecrank_gateway_closed_endpoints_busy", [parts] {
-    return static_cast<double>(parts.endpoint_news->BusyClosed(*parts.loads));
+    return static_cast<double>(
+        parts.endpoint_updater->BusyClosed(*parts.loads));
   });
   metrics->AddGauge("harecrank_gateway_source_well", [parts] {
     return parts.source->HasFreshData() ? 1.0 : 0.0;
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -27,7 +27,7 @@
   EndpointLoads* loads;
   EndpointHealth* health;
   EndpointConnectionPool* connections;
-  EndpointUpdater* endpoint_news;
+  EndpointUpdater* endpoint_updater;
   RequestQuarantine* quarantine;
   DispatchQueue* queue;
   Membership* hosts;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -7,13 +7,13 @@
 
 PublishedNews::PublishedNews(RoutingState* routing,
                              EndpointDirectory* directory,
-                             EndpointUpdater* endpoint_news,
+                             EndpointUpdater* endpoint_updater,
                              StartLimiter* start_limiter, SourceState* source,
                              std::function<void()> on_usable, EventLog* log,
                              Metrics* metrics)
     : routing_(routing),
       directory_(directory),
-      endpoint_updater_(endpoint_news),
+      endpoint_updater_(endpoint_updater),
       start_limiter_(start_limiter),
       source_(source),
       on_usable_(std::move(on_usable)),
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -23,7 +23,7 @@
   // All pointers must outlive this. `on_usable` is called when there may be
   // enough to serve by.
   PublishedNews(RoutingState* routing, EndpointDirectory* directory,
-                EndpointUpdater* endpoint_news, StartLimiter* start_limiter,
+                EndpointUpdater* endpoint_updater, StartLimiter* start_limiter,
                 SourceState* source, std::function<void()> on_usable,
                 EventLog* log, Metrics* metrics);
 
