--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -122,7 +122,7 @@
   EndpointResponseHandler answers_;
   GatewayServices services_;
   SourceState source_;
-  PublishedNews news_;
+  StoreUpdateHandler news_;
   std::unique_ptr<DirectoryFeed> feed_;
   CopyServer copies_;
   CallerListener callers_;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -5,12 +5,13 @@
 
 namespace harecrank {
 
-PublishedNews::PublishedNews(RoutingState* routing,
-                             EndpointDirectory* directory,
-                             EndpointUpdater* endpoint_updater,
-                             StartLimiter* start_limiter, SourceState* source,
-                             std::function<void()> on_usable, EventLog* log,
-                             Metrics* metrics)
+StoreUpdateHandler::StoreUpdateHandler(RoutingState* routing,
+                                       EndpointDirectory* directory,
+                                       EndpointUpdater* endpoint_updater,
+                                       StartLimiter* start_limiter,
+                                       SourceState* source,
+                                       std::function<void()> on_usable,
+                                       EventLog* log, Metrics* metrics)
     : routing_(routing),
       directory_(directory),
       endpoint_updater_(endpoint_updater),
@@ -20,7 +21,7 @@
       log_(log),
       metrics_(metrics) {}
 
-void PublishedNews::OnRouting(RoutingDocument document) {
+void StoreUpdateHandler::OnRouting(RoutingDocument document) {
   const auto table = std::make_shared<const RoutingTable>(std::move(document));
   if (!routing_->Offer(table)) {
     return;
@@ -33,9 +34,9 @@
   on_usable_();
 }
 
-void PublishedNews::OnListing(std::vector<EndpointRecord> records,
-                              std::vector<DrainedDataCentre> closed,
-                              StoreRevision at) {
+void StoreUpdateHandler::OnListing(std::vector<EndpointRecord> records,
+                                   std::vector<DrainedDataCentre> closed,
+                                   StoreRevision at) {
   start_limiter_->OnListing(records);
   endpoint_updater_->OnListing(records, at);
   for (const EndpointRecord& record : records) {
@@ -45,52 +46,52 @@
   on_usable_();
 }
 
-void PublishedNews::OnEndpoint(const EndpointRecord& record) {
+void StoreUpdateHandler::OnEndpoint(const EndpointRecord& record) {
   start_limiter_->OnEndpoint(record);
   endpoint_updater_->OnEndpoint(record);
   NoteIncarnation(record.id);
 }
 
-void PublishedNews::NoteIncarnation(const EndpointId& id) {
+void StoreUpdateHandler::NoteIncarnation(const EndpointId& id) {
   const EndpointRecord* held = directory_->Find(id);
   if (held != nullptr) {
     start_limiter_->OnIncarnation(id, held->incarnation);
   }
 }
 
-void PublishedNews::OnEndpointGone(const EndpointId& id,
-                                   StoreRevision revision) {
+void StoreUpdateHandler::OnEndpointGone(const EndpointId& id,
+                                        StoreRevision revision) {
   start_limiter_->OnGone(id);
   endpoint_updater_->OnGone(id, revision);
 }
 
-void PublishedNews::OnEndpointUnusable(const EndpointId& id,
-                                       StoreRevision revision,
-                                       const std::string& reason) {
+void StoreUpdateHandler::OnEndpointUnusable(const EndpointId& id,
+                                            StoreRevision revision,
+                                            const std::string& reason) {
   endpoint_updater_->OnUnusable(id, revision, reason);
 }
 
-void PublishedNews::OnDataCentreClosed(const DrainedDataCentre& order) {
+void StoreUpdateHandler::OnDataCentreClosed(const DrainedDataCentre& order) {
   endpoint_updater_->OnClosed(order);
 }
 
-void PublishedNews::OnDataCentreOpened(const DataCentreId& id,
-                                       StoreRevision revision) {
+void StoreUpdateHandler::OnDataCentreOpened(const DataCentreId& id,
+                                            StoreRevision revision) {
   endpoint_updater_->OnOpened(id, revision);
 }
 
-void PublishedNews::OnSourceWell(StoreRevision at) {
+void StoreUpdateHandler::OnSourceWell(StoreRevision at) {
   source_->OnPollSucceeded(at);
 }
 
-void PublishedNews::OnInformed(StoreRevision at) { source_->OnTold(at); }
+void StoreUpdateHandler::OnInformed(StoreRevision at) { source_->OnTold(at); }
 
-void PublishedNews::OnStoreUnreachable(const std::string& reason) {
+void StoreUpdateHandler::OnStoreUnreachable(const std::string& reason) {
   source_->OnPollFailed(reason);
 }
 
-void PublishedNews::OnUnusable(const std::string& what,
-                               const std::string& reason) {
+void StoreUpdateHandler::OnUnusable(const std::string& what,
+                                    const std::string& reason) {
   metrics_->GetCounter("harecrank_gateway_unusable_entries_total")->Add();
   log_->Write("unusable", {{"what", what}, {"reason", reason}},
               LogRateLimit::kExempt);
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -18,14 +18,15 @@
 namespace harecrank {
 
 // Not thread-safe.
-class PublishedNews : public DirectorySink {
+class StoreUpdateHandler : public DirectorySink {
  public:
   // All pointers must outlive this. `on_usable` is called when there may be
   // enough to serve by.
-  PublishedNews(RoutingState* routing, EndpointDirectory* directory,
-                EndpointUpdater* endpoint_updater, StartLimiter* start_limiter,
-                SourceState* source, std::function<void()> on_usable,
-                EventLog* log, Metrics* metrics);
+  StoreUpdateHandler(RoutingState* routing, EndpointDirectory* directory,
+                     EndpointUpdater* endpoint_updater,
+                     StartLimiter* start_limiter, SourceState* source,
+                     std::function<void()> on_usable, EventLog* log,
+                     Metrics* metrics);
 
   void OnRouting(RoutingDocument document) override;
   void OnListing(std::vector<EndpointRecord> records,
