--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -35,9 +35,9 @@
 
 }  // namespace
 
-CopyServer::CopyServer(CpuShare power, Membership* book, Source source,
-                       KnownUpTo known_up_to, Metrics* metrics,
-                       MonotonicClock clock)
+SnapshotServer::SnapshotServer(CpuShare power, Membership* book, Source source,
+                               KnownUpTo known_up_to, Metrics* metrics,
+                               MonotonicClock clock)
     : power_(power),
       book_(book),
       source_(std::move(source)),
@@ -45,12 +45,12 @@
       metrics_(metrics),
       desk_(std::make_shared<SnapshotAdmission>(power, std::move(clock))) {}
 
-bool CopyServer::Serves(std::string_view target) {
+bool SnapshotServer::Serves(std::string_view target) {
   const std::string_view path = kPath;
   return target.substr(0, path.size()) == path;
 }
 
-SmallReply CopyServer::Answer(std::string_view target) {
+SmallReply SnapshotServer::Answer(std::string_view target) {
   const auto number =
       ParseInteger(target.substr(std::string_view(kPath).size()));
   const StoreRevision since{static_cast<std::uint64_t>(
@@ -75,7 +75,7 @@
   return Give(since);
 }
 
-SmallReply CopyServer::Give(StoreRevision since) {
+SmallReply SnapshotServer::Give(StoreRevision since) {
   // Made first, so that the desk is told whatever happens.
   std::shared_ptr<const std::string> bytes = source_(since);
   if (bytes == nullptr) {
@@ -87,7 +87,7 @@
                     std::shared_ptr<const std::string>(copy, copy->Bytes())};
 }
 
-std::optional<HostAddress> CopyServer::Elsewhere() const {
+std::optional<HostAddress> SnapshotServer::Elsewhere() const {
   const std::uint64_t known = known_up_to_().value;
   if (known == 0) {
     return std::nullopt;
--- a/src/gateway/copy_server.h
+++ b/src/gateway/copy_server.h
@@ -16,7 +16,7 @@
 namespace harecrank {
 
 // Not thread-safe.
-class CopyServer {
+class SnapshotServer {
  public:
   // Returns what was published after `since`, or all of it; null before
   // anything is known.
@@ -26,8 +26,8 @@
   using KnownUpTo = std::function<StoreRevision()>;
 
   // `book` and `metrics` must outlive this and all replies.
-  CopyServer(CpuShare power, Membership* book, Source source,
-             KnownUpTo known_up_to, Metrics* metrics, MonotonicClock clock);
+  SnapshotServer(CpuShare power, Membership* book, Source source,
+                 KnownUpTo known_up_to, Metrics* metrics, MonotonicClock clock);
 
   // Returns whether `target` is one of this server's pages.
   static bool Serves(std::string_view target);
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -35,7 +35,7 @@
   Planner* planner;
   FleetMember* fleet;
   SourceState* source;
-  CopyServer* copies;
+  SnapshotServer* copies;
   CallerListener* callers;
   EventLog* log;
 };
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -223,7 +223,7 @@
         dump.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
   }
   const std::string_view target = View(request.target());
-  if (CopyServer::Serves(target)) {
+  if (SnapshotServer::Serves(target)) {
     return copies_.Answer(target);
   }
   return MakeReply(http_status::kNotFound, "text/plain", "no such page\n");
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -124,7 +124,7 @@
   SourceState source_;
   StoreUpdateHandler news_;
   std::unique_ptr<DirectoryFeed> feed_;
-  CopyServer copies_;
+  SnapshotServer copies_;
   CallerListener callers_;
   SmallServer readiness_;
   SmallServer operations_;
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -148,7 +148,7 @@
                            bool sent_on) {
   asks_ = true;
   asking_ = std::make_shared<HttpClient>(io_, host.value);
-  asking_->Get(CopyServer::kPath + std::to_string(since.value), kAskTimeout,
+  asking_->Get(SnapshotServer::kPath + std::to_string(since.value), kAskTimeout,
                [this, host, since, sent_on](const CallResult& result) {
                  OnAnswer(host, since, sent_on, result);
                });
