--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -7,7 +7,7 @@
 EndpointResponseHandler::EndpointResponseHandler(
     const EndpointDirectory* directory, EndpointHealth* health,
     EndpointUpdater* endpoint_updater, StartLimiter* start_limiter,
-    RestWatch* rest_watch, std::function<void()> on_news)
+    BackoffNotifier* rest_watch, std::function<void()> on_news)
     : directory_(directory),
       health_(health),
       endpoint_updater_(endpoint_updater),
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -24,7 +24,8 @@
   EndpointResponseHandler(const EndpointDirectory* directory,
                           EndpointHealth* health,
                           EndpointUpdater* endpoint_updater,
-                          StartLimiter* start_limiter, RestWatch* rest_watch,
+                          StartLimiter* start_limiter,
+                          BackoffNotifier* rest_watch,
                           std::function<void()> on_news);
 
   // Takes the answer to what was sent to `endpoint` at `sent_at`. One that
@@ -41,7 +42,7 @@
   EndpointHealth* health_;
   EndpointUpdater* endpoint_updater_;
   StartLimiter* start_limiter_;
-  RestWatch* rest_watch_;
+  BackoffNotifier* rest_watch_;
   std::function<void()> on_news_;
 };
 
--- a/src/gateway/endpoint_response_handler_test.cc
+++ b/src/gateway/endpoint_response_handler_test.cc
@@ -61,7 +61,8 @@
                      clock_};
   int told_ = 0;
   int rests_looked_at_ = 0;
-  RestWatch rest_watch_{[this](const auto& /*look*/) { ++rests_looked_at_; }};
+  BackoffNotifier rest_watch_{
+      [this](const auto& /*look*/) { ++rests_looked_at_; }};
   EndpointResponseHandler answers_{
       &directory_, &health_, &news_, &gate_, &rest_watch_, [this] { ++told_; }};
 };
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -126,7 +126,7 @@
   bool has_framed_end_ = false;
   bool finished_ = false;
   // While it has waited for a place.
-  std::optional<RestWatch::Id> rest_look_;
+  std::optional<BackoffNotifier::Id> rest_look_;
 };
 
 }  // namespace harecrank
--- a/src/gateway/rest_watch.cc
+++ b/src/gateway/rest_watch.cc
@@ -4,15 +4,16 @@
 
 namespace harecrank {
 
-RestWatch::RestWatch(std::function<void(std::function<void()>)> run_soon)
+BackoffNotifier::BackoffNotifier(
+    std::function<void(std::function<void()>)> run_soon)
     : run_soon_(std::move(run_soon)) {}
 
-RestWatch::Id RestWatch::Add(Look look) {
+BackoffNotifier::Id BackoffNotifier::Add(Look look) {
   looks_.emplace(++last_, std::move(look));
   return last_;
 }
 
-void RestWatch::NoteRest() {
+void BackoffNotifier::NoteRest() {
   if (looks_soon_ || looks_.empty()) {
     return;
   }
@@ -23,7 +24,7 @@
   });
 }
 
-void RestWatch::LookAll() {
+void BackoffNotifier::LookAll() {
   // Those that are added meanwhile have seen this rest.
   const Id last = last_;
   for (auto next = looks_.begin();
--- a/src/gateway/rest_watch.h
+++ b/src/gateway/rest_watch.h
@@ -14,13 +14,13 @@
 namespace harecrank {
 
 // Not thread-safe.
-class RestWatch {
+class BackoffNotifier {
  public:
   using Look = std::function<void()>;
   using Id = std::uint64_t;
 
   // `run_soon` runs what it is given once, later, and never from within.
-  explicit RestWatch(std::function<void(std::function<void()>)> run_soon);
+  explicit BackoffNotifier(std::function<void(std::function<void()>)> run_soon);
 
   // `look` is called after each rest until Remove; it may add and remove.
   Id Add(Look look);
--- a/src/gateway/rest_watch_test.cc
+++ b/src/gateway/rest_watch_test.cc
@@ -18,7 +18,7 @@
   }
 
   std::vector<std::function<void()>> due_;
-  RestWatch watch_{
+  BackoffNotifier watch_{
       [this](std::function<void()> run) { due_.push_back(std::move(run)); }};
 };
 
@@ -43,8 +43,8 @@
 TEST_CASE_METHOD(WatchFixture,
                  "A look may end its own wait and that of others") {
   int looks = 0;
-  RestWatch::Id second = 0;
-  RestWatch::Id first = 0;
+  BackoffNotifier::Id second = 0;
+  BackoffNotifier::Id first = 0;
   first = watch_.Add([&] {
     ++looks;
     watch_.Remove(first);
