--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -12,7 +12,7 @@
       health_(health),
       endpoint_updater_(endpoint_updater),
       start_limiter_(start_limiter),
-      rest_watch_(rest_watch),
+      backoff_notifier_(rest_watch),
       on_news_(std::move(on_news)) {}
 
 void EndpointResponseHandler::OnAnswer(const EndpointRecord& endpoint,
@@ -27,7 +27,7 @@
   TakeLimit(endpoint.id, answer, sent_at);
   start_limiter_->OnBackoffHint(endpoint, answer.backoff);
   if (!std::holds_alternative<NoBackoff>(answer.backoff)) {
-    rest_watch_->NoteRest();
+    backoff_notifier_->NoteRest();
   }
   TakeLeaving(endpoint, answer.leaving);
 }
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -42,7 +42,7 @@
   EndpointHealth* health_;
   EndpointUpdater* endpoint_updater_;
   StartLimiter* start_limiter_;
-  BackoffNotifier* rest_watch_;
+  BackoffNotifier* backoff_notifier_;
   std::function<void()> on_news_;
 };
 
--- a/src/gateway/endpoint_response_handler_test.cc
+++ b/src/gateway/endpoint_response_handler_test.cc
@@ -61,15 +61,16 @@
                      clock_};
   int told_ = 0;
   int rests_looked_at_ = 0;
-  BackoffNotifier rest_watch_{
+  BackoffNotifier backoff_notifier_{
       [this](const auto& /*look*/) { ++rests_looked_at_; }};
   EndpointResponseHandler answers_{
-      &directory_, &health_, &news_, &gate_, &rest_watch_, [this] { ++told_; }};
+      &directory_, &health_,           &news_,
+      &gate_,      &backoff_notifier_, [this] { ++told_; }};
 };
 
 TEST_CASE_METHOD(AnswersFixture,
                  "Requests that wait look when an endpoint asks for rest") {
-  rest_watch_.Add([] {});
+  backoff_notifier_.Add([] {});
   Answer(Record(1000, 2), EndpointResponse{});
   CHECK(rests_looked_at_ == 0);
   Answer(Record(1000, 2), FullAnswer());
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -90,11 +90,11 @@
             fleet_.TellCrash(quarantine_.ReportOf(request));
           },
           &log_, &metrics_),
-      rest_watch_([this](std::function<void()> run) {
+      backoff_notifier_([this](std::function<void()> run) {
         boost::asio::post(io_, std::move(run));
       }),
       answers_(&directory_, &health_, &endpoint_updater_, &start_limiter_,
-               &rest_watch_, [this] { fleet_.TellSoon(); }),
+               &backoff_notifier_, [this] { fleet_.TellSoon(); }),
       services_(MakeServices()),
       source_(IsSeed(settings_), MakeReadingPorts(), MakeSourcePorts(),
               &directory_, &log_, clock_, random_),
@@ -151,7 +151,7 @@
   services.budgets = &budgets_;
   services.start_limiter = &start_limiter_;
   services.answers = &answers_;
-  services.rest_watch = &rest_watch_;
+  services.rest_watch = &backoff_notifier_;
   services.queue = &queue_;
   services.orders = orders_.get();
   services.log = &log_;
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -118,7 +118,7 @@
   FleetSocket fleet_socket_;
   FleetMember fleet_;
   CrashGuard crashes_;
-  BackoffNotifier rest_watch_;
+  BackoffNotifier backoff_notifier_;
   EndpointResponseHandler answers_;
   GatewayServices services_;
   SourceState source_;
