--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -7,12 +7,12 @@
 EndpointResponseHandler::EndpointResponseHandler(
     const EndpointDirectory* directory, EndpointHealth* health,
     EndpointUpdater* endpoint_updater, StartLimiter* start_limiter,
-    BackoffNotifier* rest_watch, std::function<void()> on_news)
+    BackoffNotifier* backoff_notifier, std::function<void()> on_news)
     : directory_(directory),
       health_(health),
       endpoint_updater_(endpoint_updater),
       start_limiter_(start_limiter),
-      backoff_notifier_(rest_watch),
+      backoff_notifier_(backoff_notifier),
       on_news_(std::move(on_news)) {}
 
 void EndpointResponseHandler::OnAnswer(const EndpointRecord& endpoint,
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -25,7 +25,7 @@
                           EndpointHealth* health,
                           EndpointUpdater* endpoint_updater,
                           StartLimiter* start_limiter,
-                          BackoffNotifier* rest_watch,
+                          BackoffNotifier* backoff_notifier,
                           std::function<void()> on_news);
 
   // Takes the answer to what was sent to `endpoint` at `sent_at`. One that
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -92,7 +92,7 @@
   if (rest_look_.has_value()) {
     return;
   }
-  rest_look_ = services_->rest_watch->Add([weak = weak_from_this()] {
+  rest_look_ = services_->backoff_notifier->Add([weak = weak_from_this()] {
     const auto self = weak.lock();
     if (self != nullptr && !self->finished_ && self->place_->IsWaiting()) {
       self->EndWaitAt(self->services_->clock());
@@ -288,7 +288,7 @@
   finished_ = true;
   timer_.cancel();
   if (rest_look_.has_value()) {
-    services_->rest_watch->Remove(*rest_look_);
+    services_->backoff_notifier->Remove(*rest_look_);
   }
   AbandonAttempt();
   ExchangeResult end{outcome, status, reason, 0, prompt_, {}, {}};
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -151,7 +151,7 @@
   services.budgets = &budgets_;
   services.start_limiter = &start_limiter_;
   services.answers = &answers_;
-  services.rest_watch = &backoff_notifier_;
+  services.backoff_notifier = &backoff_notifier_;
   services.queue = &queue_;
   services.orders = orders_.get();
   services.log = &log_;
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -76,7 +76,7 @@
   RepeatBudgets* budgets = nullptr;
   StartLimiter* start_limiter = nullptr;
   EndpointResponseHandler* answers = nullptr;
-  BackoffNotifier* rest_watch = nullptr;
+  BackoffNotifier* backoff_notifier = nullptr;
   DispatchQueue* queue = nullptr;
   MemoryOrders* orders = nullptr;
   EventLog* log = nullptr;
