--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -27,7 +27,7 @@
   TakeLimit(endpoint.id, answer, sent_at);
   start_limiter_->OnBackoffHint(endpoint, answer.backoff);
   if (!std::holds_alternative<NoBackoff>(answer.backoff)) {
-    backoff_notifier_->NoteRest();
+    backoff_notifier_->NotifyBackoff();
   }
   TakeLeaving(endpoint, answer.leaving);
 }
--- a/src/gateway/rest_watch.cc
+++ b/src/gateway/rest_watch.cc
@@ -13,7 +13,7 @@
   return last_;
 }
 
-void BackoffNotifier::NoteRest() {
+void BackoffNotifier::NotifyBackoff() {
   if (looks_soon_ || looks_.empty()) {
     return;
   }
--- a/src/gateway/rest_watch.h
+++ b/src/gateway/rest_watch.h
@@ -27,7 +27,7 @@
   void Remove(Id id) { looks_.erase(id); }
 
   // An endpoint has asked for rest. What is told together is looked at once.
-  void NoteRest();
+  void NotifyBackoff();
 
  private:
   void LookAll();
--- a/src/gateway/rest_watch_test.cc
+++ b/src/gateway/rest_watch_test.cc
@@ -28,14 +28,14 @@
   int looks = 0;
   watch_.Add([&looks] { ++looks; });
   watch_.Add([&looks] { ++looks; });
-  watch_.NoteRest();
-  watch_.NoteRest();
+  watch_.NotifyBackoff();
+  watch_.NotifyBackoff();
   CHECK(looks == 0);
   RunSoon();
   CHECK(looks == 2);
   RunSoon();
   CHECK(looks == 2);
-  watch_.NoteRest();
+  watch_.NotifyBackoff();
   RunSoon();
   CHECK(looks == 4);
 }
@@ -51,15 +51,15 @@
     watch_.Remove(second);
   });
   second = watch_.Add([&looks] { ++looks; });
-  watch_.NoteRest();
+  watch_.NotifyBackoff();
   RunSoon();
   CHECK(looks == 1);
-  watch_.NoteRest();
+  watch_.NotifyBackoff();
   CHECK(due_.empty());
 }
 
 TEST_CASE_METHOD(WatchFixture, "Where nobody waits nothing is looked at") {
-  watch_.NoteRest();
+  watch_.NotifyBackoff();
   CHECK(due_.empty());
 }
 
