--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -32,7 +32,7 @@
 // Makes the feed that tells `sink` what the platform publishes.
 using FeedFactory = std::function<std::unique_ptr<DirectoryFeed>(
     boost::asio::io_context* io, const GatewaySettings& settings,
-    DirectorySink* sink, LoopHolds* holds)>;
+    DirectorySink* sink, EventLoopMonitor* holds)>;
 
 // Makes what sends orders to engines.
 using OrdersFactory =
@@ -99,7 +99,7 @@
   boost::asio::io_context io_;
   EventLog log_;
   Metrics metrics_;
-  LoopHolds holds_;
+  EventLoopMonitor holds_;
   RoutingState routing_;
   EndpointDirectory directory_;
   EndpointLoads loads_;
--- a/src/gateway/loop_holds.cc
+++ b/src/gateway/loop_holds.cc
@@ -5,19 +5,20 @@
 
 namespace harecrank {
 
-LoopHolds::LoopHolds(EventLog* log, Metrics* metrics, MonotonicClock clock)
+EventLoopMonitor::EventLoopMonitor(EventLog* log, Metrics* metrics,
+                                   MonotonicClock clock)
     : log_(log), metrics_(metrics), clock_(std::move(clock)) {}
 
-LoopHolds::Span::Span(LoopHolds* holds, const char* what)
+EventLoopMonitor::Span::Span(EventLoopMonitor* holds, const char* what)
     : holds_(holds), what_(what), began_(holds->clock_()) {}
 
-LoopHolds::Span::~Span() { holds_->Note(what_, Elapsed()); }
+EventLoopMonitor::Span::~Span() { holds_->Note(what_, Elapsed()); }
 
-std::chrono::nanoseconds LoopHolds::Span::Elapsed() const {
+std::chrono::nanoseconds EventLoopMonitor::Span::Elapsed() const {
   return holds_->clock_() - began_;
 }
 
-void LoopHolds::Note(const char* what, std::chrono::nanoseconds held) {
+void EventLoopMonitor::Note(const char* what, std::chrono::nanoseconds held) {
   Work& work = works_[what];
   if (work.held == nullptr) {
     work.held = metrics_->GetHistogram("harecrank_gateway_loop_held_seconds",
--- a/src/gateway/loop_holds.h
+++ b/src/gateway/loop_holds.h
@@ -14,16 +14,16 @@
 namespace harecrank {
 
 // Not thread-safe.
-class LoopHolds {
+class EventLoopMonitor {
  public:
   // `log` and `metrics` must outlive this.
-  LoopHolds(EventLog* log, Metrics* metrics, MonotonicClock clock);
+  EventLoopMonitor(EventLog* log, Metrics* metrics, MonotonicClock clock);
 
   // Measures one piece of work, from its construction to its end.
   class Span {
    public:
     // `holds` must outlive this; `what` is one of a few fixed words.
-    Span(LoopHolds* holds, const char* what);
+    Span(EventLoopMonitor* holds, const char* what);
     ~Span();
     Span(const Span&) = delete;
     Span& operator=(const Span&) = delete;
@@ -31,7 +31,7 @@
     std::chrono::nanoseconds Elapsed() const;
 
    private:
-    LoopHolds* holds_;
+    EventLoopMonitor* holds_;
     const char* what_;
     TimePoint began_;
   };
--- a/src/gateway/loop_holds_test.cc
+++ b/src/gateway/loop_holds_test.cc
@@ -10,9 +10,9 @@
   const MonotonicClock clock = [&now] { return now; };
   EventLog log("n", clock);
   Metrics metrics;
-  LoopHolds holds(&log, &metrics, clock);
+  EventLoopMonitor holds(&log, &metrics, clock);
   {
-    const LoopHolds::Span span(&holds, "listing");
+    const EventLoopMonitor::Span span(&holds, "listing");
     now += Millis(40);
     CHECK(span.Elapsed() == Millis(40));
   }
