--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -99,7 +99,7 @@
   boost::asio::io_context io_;
   EventLog log_;
   Metrics metrics_;
-  EventLoopMonitor holds_;
+  EventLoopMonitor loop_monitor_;
   RoutingState routing_;
   EndpointDirectory directory_;
   EndpointLoads loads_;
--- a/src/gateway/loop_holds.cc
+++ b/src/gateway/loop_holds.cc
@@ -10,12 +10,12 @@
     : log_(log), metrics_(metrics), clock_(std::move(clock)) {}
 
 EventLoopMonitor::Span::Span(EventLoopMonitor* holds, const char* what)
-    : holds_(holds), what_(what), began_(holds->clock_()) {}
+    : loop_monitor_(holds), what_(what), began_(holds->clock_()) {}
 
-EventLoopMonitor::Span::~Span() { holds_->Note(what_, Elapsed()); }
+EventLoopMonitor::Span::~Span() { loop_monitor_->Note(what_, Elapsed()); }
 
 std::chrono::nanoseconds EventLoopMonitor::Span::Elapsed() const {
-  return holds_->clock_() - began_;
+  return loop_monitor_->clock_() - began_;
 }
 
 void EventLoopMonitor::Note(const char* what, std::chrono::nanoseconds held) {
--- a/src/gateway/loop_holds.h
+++ b/src/gateway/loop_holds.h
@@ -31,7 +31,7 @@
     std::chrono::nanoseconds Elapsed() const;
 
    private:
-    EventLoopMonitor* holds_;
+    EventLoopMonitor* loop_monitor_;
     const char* what_;
     TimePoint began_;
   };
