--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -126,8 +126,8 @@
   std::unique_ptr<DirectoryFeed> feed_;
   SnapshotServer copies_;
   CallerListener callers_;
-  SmallServer readiness_;
-  SmallServer operations_;
+  SimpleHttpServer readiness_;
+  SimpleHttpServer operations_;
   boost::asio::signal_set signals_;
   Timer tick_timer_;
   TimePoint started_{};
--- a/src/gateway/small_server.cc
+++ b/src/gateway/small_server.cc
@@ -105,20 +105,21 @@
   return acceptor;
 }
 
-SmallServer::SmallServer(asio::io_context* io, const std::string& address,
-                         SmallHandler handler)
+SimpleHttpServer::SimpleHttpServer(asio::io_context* io,
+                                   const std::string& address,
+                                   SmallHandler handler)
     : io_(io),
       acceptor_(Listen(io, address)),
       handler_(std::make_shared<const SmallHandler>(std::move(handler))) {}
 
-void SmallServer::Start() { Accept(); }
+void SimpleHttpServer::Start() { Accept(); }
 
-void SmallServer::Stop() {
+void SimpleHttpServer::Stop() {
   boost::system::error_code ignored;
   acceptor_.close(ignored);
 }
 
-void SmallServer::Accept() {
+void SimpleHttpServer::Accept() {
   acceptor_.async_accept(*io_, [this](boost::system::error_code error,
                                       asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted) {
--- a/src/gateway/small_server.h
+++ b/src/gateway/small_server.h
@@ -34,11 +34,11 @@
                     std::string body);
 
 // Not thread-safe; runs on its io_context.
-class SmallServer {
+class SimpleHttpServer {
  public:
   // Throws boost::system::system_error if `address` cannot be had.
-  SmallServer(boost::asio::io_context* io, const std::string& address,
-              SmallHandler handler);
+  SimpleHttpServer(boost::asio::io_context* io, const std::string& address,
+                   SmallHandler handler);
 
   void Start();
   void Stop();
