--- a/src/gateway/copy_server.cc
+++ b/src/gateway/copy_server.cc
@@ -50,7 +50,7 @@
   return target.substr(0, path.size()) == path;
 }
 
-SmallReply SnapshotServer::Answer(std::string_view target) {
+SimpleHttpReply SnapshotServer::Answer(std::string_view target) {
   const auto number =
       ParseInteger(target.substr(std::string_view(kPath).size()));
   const StoreRevision since{static_cast<std::uint64_t>(
@@ -62,7 +62,7 @@
     reply.set(http::field::location, "http://" + other->host.value + kPath +
                                          std::to_string(since.value));
     metrics_->GetCounter("harecrank_gateway_copies_elsewhere_total")->Add();
-    return SmallReply{std::move(reply), nullptr};
+    return SimpleHttpReply{std::move(reply), nullptr};
   }
   if (const auto* later = std::get_if<RetryLater>(&decision)) {
     HttpReply reply = MakeReply(http_status::kUnavailable, "text/plain", "");
@@ -70,12 +70,12 @@
               std::to_string(static_cast<double>(later->delay.count()) /
                              kMillisOfSecond));
     metrics_->GetCounter("harecrank_gateway_copies_later_total")->Add();
-    return SmallReply{std::move(reply), nullptr};
+    return SimpleHttpReply{std::move(reply), nullptr};
   }
   return Give(since);
 }
 
-SmallReply SnapshotServer::Give(StoreRevision since) {
+SimpleHttpReply SnapshotServer::Give(StoreRevision since) {
   // Made first, so that the desk is told whatever happens.
   std::shared_ptr<const std::string> bytes = source_(since);
   if (bytes == nullptr) {
@@ -83,8 +83,9 @@
   }
   const auto copy = std::make_shared<CopyUnderWay>(std::move(bytes), desk_);
   metrics_->GetCounter("harecrank_gateway_copies_given_total")->Add();
-  return SmallReply{MakeReply(http_status::kOk, "application/cbor", ""),
-                    std::shared_ptr<const std::string>(copy, copy->Bytes())};
+  return SimpleHttpReply{
+      MakeReply(http_status::kOk, "application/cbor", ""),
+      std::shared_ptr<const std::string>(copy, copy->Bytes())};
 }
 
 std::optional<HostAddress> SnapshotServer::Elsewhere() const {
--- a/src/gateway/copy_server.h
+++ b/src/gateway/copy_server.h
@@ -33,7 +33,7 @@
   static bool Serves(std::string_view target);
 
   // Answers a request for `target`, which Serves.
-  SmallReply Answer(std::string_view target);
+  SimpleHttpReply Answer(std::string_view target);
 
   // Copies that are under way.
   int ActiveTransfers() const { return desk_->ActiveTransfers(); }
@@ -46,7 +46,7 @@
   // Returns a host that gives the same, is no weaker by far, and was heard
   // lately.
   std::optional<HostAddress> Elsewhere() const;
-  SmallReply Give(StoreRevision since);
+  SimpleHttpReply Give(StoreRevision since);
 
   CpuShare power_;
   Membership* book_;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -205,7 +205,7 @@
                                "not ready\n");
 }
 
-SmallReply GatewayNode::AnswerOperations(const HttpRequest& request) {
+SimpleHttpReply GatewayNode::AnswerOperations(const HttpRequest& request) {
   if (request.target() == "/metrics") {
     return MakeReply(http_status::kOk, "text/plain; version=0.0.4",
                      metrics_.Text());
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -71,7 +71,7 @@
   GatewayServices MakeServices();
   SessionContext MakeSessionContext();
   HttpReply AnswerReadiness(const HttpRequest& request);
-  SmallReply AnswerOperations(const HttpRequest& request);
+  SimpleHttpReply AnswerOperations(const HttpRequest& request);
   FleetMemberPorts MakeFleetPorts();
   PollSchedulePorts MakeReadingPorts();
   SourceStatePorts MakeSourcePorts();
--- a/src/gateway/small_server.cc
+++ b/src/gateway/small_server.cc
@@ -39,7 +39,7 @@
 
  private:
   void Answer() {
-    SmallReply answer = (*handler_)(request_);
+    SimpleHttpReply answer = (*handler_)(request_);
     reply_ = std::move(answer.reply);
     keeps_alive_ = request_.keep_alive();
     reply_.keep_alive(keeps_alive_);
--- a/src/gateway/small_server.h
+++ b/src/gateway/small_server.h
@@ -16,10 +16,10 @@
 
 // An answer. Its body stands in `reply`, or is shared with other answers and
 // held until it has gone out.
-struct SmallReply {
+struct SimpleHttpReply {
   // NOLINTNEXTLINE(google-explicit-constructor): most answers are their own.
-  SmallReply(HttpReply own) : reply(std::move(own)) {}
-  SmallReply(HttpReply head, std::shared_ptr<const std::string> body)
+  SimpleHttpReply(HttpReply own) : reply(std::move(own)) {}
+  SimpleHttpReply(HttpReply head, std::shared_ptr<const std::string> body)
       : reply(std::move(head)), shared_body(std::move(body)) {}
 
   HttpReply reply;
@@ -27,7 +27,7 @@
 };
 
 // Answers one request at once.
-using SmallHandler = std::function<SmallReply(const HttpRequest& request)>;
+using SmallHandler = std::function<SimpleHttpReply(const HttpRequest& request)>;
 
 // Makes an answer of `status` with `body`.
 HttpReply MakeReply(unsigned status, const std::string& content_type,
