--- a/src/gateway/small_server.cc
+++ b/src/gateway/small_server.cc
@@ -22,7 +22,7 @@
 class SmallSession : public std::enable_shared_from_this<SmallSession> {
  public:
   SmallSession(asio::ip::tcp::socket socket,
-               std::shared_ptr<const SmallHandler> handler)
+               std::shared_ptr<const SimpleHttpHandler> handler)
       : stream_(std::move(socket)), handler_(std::move(handler)) {}
 
   void Read() {
@@ -73,7 +73,7 @@
   }
 
   beast::tcp_stream stream_;
-  std::shared_ptr<const SmallHandler> handler_;
+  std::shared_ptr<const SimpleHttpHandler> handler_;
   beast::flat_buffer buffer_;
   HttpRequest request_;
   HttpReply reply_;
@@ -107,10 +107,10 @@
 
 SimpleHttpServer::SimpleHttpServer(asio::io_context* io,
                                    const std::string& address,
-                                   SmallHandler handler)
+                                   SimpleHttpHandler handler)
     : io_(io),
       acceptor_(Listen(io, address)),
-      handler_(std::make_shared<const SmallHandler>(std::move(handler))) {}
+      handler_(std::make_shared<const SimpleHttpHandler>(std::move(handler))) {}
 
 void SimpleHttpServer::Start() { Accept(); }
 
--- a/src/gateway/small_server.h
+++ b/src/gateway/small_server.h
@@ -27,7 +27,8 @@
 };
 
 // Answers one request at once.
-using SmallHandler = std::function<SimpleHttpReply(const HttpRequest& request)>;
+using SimpleHttpHandler =
+    std::function<SimpleHttpReply(const HttpRequest& request)>;
 
 // Makes an answer of `status` with `body`.
 HttpReply MakeReply(unsigned status, const std::string& content_type,
@@ -38,7 +39,7 @@
  public:
   // Throws boost::system::system_error if `address` cannot be had.
   SimpleHttpServer(boost::asio::io_context* io, const std::string& address,
-                   SmallHandler handler);
+                   SimpleHttpHandler handler);
 
   void Start();
   void Stop();
@@ -48,7 +49,7 @@
 
   boost::asio::io_context* io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::shared_ptr<const SmallHandler> handler_;
+  std::shared_ptr<const SimpleHttpHandler> handler_;
 };
 
 // Opens a listening socket. Throws boost::system::system_error if `address`
