--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -246,8 +246,8 @@
   return ports;
 }
 
-SourceStatePorts GatewayNode::MakeSourcePorts() {
-  SourceStatePorts ports;
+StoreSyncStatePorts GatewayNode::MakeSourcePorts() {
+  StoreSyncStatePorts ports;
   ports.set_reading = [this](PollMode reading) { feed_->SetPollMode(reading); };
   ports.on_published = [this] { fleet_.OnPublished(); };
   ports.on_own_reading = [this] { fleet_.OnOwnReading(); };
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -74,7 +74,7 @@
   SimpleHttpReply AnswerOperations(const HttpRequest& request);
   FleetMemberPorts MakeFleetPorts();
   PollSchedulePorts MakeReadingPorts();
-  SourceStatePorts MakeSourcePorts();
+  StoreSyncStatePorts MakeSourcePorts();
   GatewayParts MakeParts();
   void AwaitSignal();
   void OnSignal(int signal);
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -6,8 +6,9 @@
 namespace harecrank {
 
 SourceState::SourceState(bool is_seed, PollSchedulePorts duty,
-                         SourceStatePorts ports, EndpointDirectory* directory,
-                         EventLog* log, const MonotonicClock& clock,
+                         StoreSyncStatePorts ports,
+                         EndpointDirectory* directory, EventLog* log,
+                         const MonotonicClock& clock,
                          const RandomSource& random)
     : duty_(is_seed, std::move(duty), clock, random),
       ports_(std::move(ports)),
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -15,7 +15,7 @@
 namespace harecrank {
 
 // What the state asks of its owner.
-struct SourceStatePorts {
+struct StoreSyncStatePorts {
   std::function<void(PollMode reading)> set_reading;
   // What is known has changed.
   std::function<void()> on_published;
@@ -31,7 +31,7 @@
  public:
   // All pointers must outlive this. `is_seed`: other hosts turn to this one
   // first.
-  SourceState(bool is_seed, PollSchedulePorts duty, SourceStatePorts ports,
+  SourceState(bool is_seed, PollSchedulePorts duty, StoreSyncStatePorts ports,
               EndpointDirectory* directory, EventLog* log,
               const MonotonicClock& clock, const RandomSource& random);
 
@@ -69,7 +69,7 @@
   void Update(const std::string& reason);
 
   PollSchedule duty_;
-  SourceStatePorts ports_;
+  StoreSyncStatePorts ports_;
   EndpointDirectory* directory_;
   EventLog* log_;
   bool is_well_ = false;
