--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -34,7 +34,7 @@
   StartLimiter* start_limiter;
   Planner* planner;
   FleetMember* fleet;
-  SourceState* source;
+  StoreSyncState* source;
   SnapshotServer* copies;
   CallerListener* callers;
   EventLog* log;
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -121,7 +121,7 @@
   BackoffNotifier backoff_notifier_;
   EndpointResponseHandler answers_;
   GatewayServices services_;
-  SourceState source_;
+  StoreSyncState source_;
   StoreUpdateHandler news_;
   std::unique_ptr<DirectoryFeed> feed_;
   SnapshotServer copies_;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -9,7 +9,7 @@
                                        EndpointDirectory* directory,
                                        EndpointUpdater* endpoint_updater,
                                        StartLimiter* start_limiter,
-                                       SourceState* source,
+                                       StoreSyncState* source,
                                        std::function<void()> on_usable,
                                        EventLog* log, Metrics* metrics)
     : routing_(routing),
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -24,7 +24,7 @@
   // enough to serve by.
   StoreUpdateHandler(RoutingState* routing, EndpointDirectory* directory,
                      EndpointUpdater* endpoint_updater,
-                     StartLimiter* start_limiter, SourceState* source,
+                     StartLimiter* start_limiter, StoreSyncState* source,
                      std::function<void()> on_usable, EventLog* log,
                      Metrics* metrics);
 
@@ -53,7 +53,7 @@
   EndpointDirectory* directory_;
   EndpointUpdater* endpoint_updater_;
   StartLimiter* start_limiter_;
-  SourceState* source_;
+  StoreSyncState* source_;
   std::function<void()> on_usable_;
   EventLog* log_;
   Metrics* metrics_;
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -5,17 +5,17 @@
 
 namespace harecrank {
 
-SourceState::SourceState(bool is_seed, PollSchedulePorts duty,
-                         StoreSyncStatePorts ports,
-                         EndpointDirectory* directory, EventLog* log,
-                         const MonotonicClock& clock,
-                         const RandomSource& random)
+StoreSyncState::StoreSyncState(bool is_seed, PollSchedulePorts duty,
+                               StoreSyncStatePorts ports,
+                               EndpointDirectory* directory, EventLog* log,
+                               const MonotonicClock& clock,
+                               const RandomSource& random)
     : duty_(is_seed, std::move(duty), clock, random),
       ports_(std::move(ports)),
       directory_(directory),
       log_(log) {}
 
-void SourceState::OnPollSucceeded(StoreRevision at) {
+void StoreSyncState::OnPollSucceeded(StoreRevision at) {
   AdvanceTo(at);
   const bool is_late = duty_.IsOverdue();
   duty_.OnPollSucceeded();
@@ -23,41 +23,41 @@
   ports_.on_own_reading();
 }
 
-void SourceState::OnPollFailed(const std::string& reason) {
+void StoreSyncState::OnPollFailed(const std::string& reason) {
   duty_.OnPollFailed();
   directory_->OnStoreUnreachable(duty_.Age());
   Update(reason);
   ports_.on_own_reading();
 }
 
-void SourceState::OnTold(StoreRevision at) {
+void StoreSyncState::OnTold(StoreRevision at) {
   AdvanceTo(at);
   OnNothingNew(Millis(0));
 }
 
-void SourceState::OnNothingNew(Millis age) {
+void StoreSyncState::OnNothingNew(Millis age) {
   const bool is_late = duty_.IsOverdue();
   duty_.OnPeerUpdate(age);
   NoteKnown(age, is_late);
 }
 
-void SourceState::SetPollRank(std::optional<int> turn) {
+void StoreSyncState::SetPollRank(std::optional<int> turn) {
   duty_.SetPollRank(turn);
   Update("told to stop reading");
 }
 
-void SourceState::Describe(Heartbeat* word) const {
+void StoreSyncState::Describe(Heartbeat* word) const {
   word->known_up_to = known_up_to_;
   word->store_data_fresh = is_well_;
   word->store_data_age = duty_.Age();
   word->poll_state = duty_.OwnPollState();
 }
 
-void SourceState::AdvanceTo(StoreRevision at) {
+void StoreSyncState::AdvanceTo(StoreRevision at) {
   known_up_to_ = std::max(known_up_to_, at);
 }
 
-void SourceState::NoteKnown(Millis age, bool is_late) {
+void StoreSyncState::NoteKnown(Millis age, bool is_late) {
   directory_->OnStoreSynced(known_up_to_, age);
   Update("");
   ports_.on_published();
@@ -66,7 +66,7 @@
   }
 }
 
-void SourceState::Update(const std::string& reason) {
+void StoreSyncState::Update(const std::string& reason) {
   duty_.Update();
   ports_.set_reading(duty_.Mode());
   const bool is_well = duty_.HasFreshData();
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -27,13 +27,14 @@
 };
 
 // Not thread-safe.
-class SourceState {
+class StoreSyncState {
  public:
   // All pointers must outlive this. `is_seed`: other hosts turn to this one
   // first.
-  SourceState(bool is_seed, PollSchedulePorts duty, StoreSyncStatePorts ports,
-              EndpointDirectory* directory, EventLog* log,
-              const MonotonicClock& clock, const RandomSource& random);
+  StoreSyncState(bool is_seed, PollSchedulePorts duty,
+                 StoreSyncStatePorts ports, EndpointDirectory* directory,
+                 EventLog* log, const MonotonicClock& clock,
+                 const RandomSource& random);
 
   // The platform has answered this host: what is known is complete up to `at`.
   void OnPollSucceeded(StoreRevision at);
