--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -84,7 +84,9 @@
   source_->OnPollSucceeded(at);
 }
 
-void StoreUpdateHandler::OnInformed(StoreRevision at) { source_->OnTold(at); }
+void StoreUpdateHandler::OnInformed(StoreRevision at) {
+  source_->OnPeerSynced(at);
+}
 
 void StoreUpdateHandler::OnStoreUnreachable(const std::string& reason) {
   source_->OnPollFailed(reason);
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -30,7 +30,7 @@
   ports_.on_own_reading();
 }
 
-void StoreSyncState::OnTold(StoreRevision at) {
+void StoreSyncState::OnPeerSynced(StoreRevision at) {
   AdvanceTo(at);
   OnNothingNew(Millis(0));
 }
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -43,7 +43,7 @@
 
   // Another host, which the platform answers, tells what was published up to
   // `at`.
-  void OnTold(StoreRevision at);
+  void OnPeerSynced(StoreRevision at);
   // Another host knows no more than this one, and the platform answered it
   // `age` ago.
   void OnNothingNew(Millis age);
