--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -277,7 +277,7 @@
     return feed_->ExportNews(since, most_bytes);
   };
   ports.reads_routing = [this] { return feed_->ReadsRouting(); };
-  ports.on_informed = [this](Millis age) { source_.OnNothingNew(age); };
+  ports.on_informed = [this](Millis age) { source_.OnPeerFreshness(age); };
   ports.on_reading_turn = [this](std::optional<int> turn) {
     source_.SetPollRank(turn);
   };
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -32,10 +32,10 @@
 
 void StoreSyncState::OnPeerSynced(StoreRevision at) {
   AdvanceTo(at);
-  OnNothingNew(Millis(0));
+  OnPeerFreshness(Millis(0));
 }
 
-void StoreSyncState::OnNothingNew(Millis age) {
+void StoreSyncState::OnPeerFreshness(Millis age) {
   const bool is_late = duty_.IsOverdue();
   duty_.OnPeerUpdate(age);
   NoteKnown(age, is_late);
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -46,7 +46,7 @@
   void OnPeerSynced(StoreRevision at);
   // Another host knows no more than this one, and the platform answered it
   // `age` ago.
-  void OnNothingNew(Millis age);
+  void OnPeerFreshness(Millis age);
 
   // What another host told is taken: all up to `at` is known.
   void OnTaken(StoreRevision at) { AdvanceTo(at); }
