--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -287,7 +287,7 @@
     const auto at = feed_->Import(changes, store_data_fresh);
     endpoint_updater_.EndTold();
     if (at.has_value()) {
-      source_.OnTaken(*at);
+      source_.OnImported(*at);
     }
     return at.has_value();
   };
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -49,7 +49,7 @@
   void OnPeerFreshness(Millis age);
 
   // What another host told is taken: all up to `at` is known.
-  void OnTaken(StoreRevision at) { AdvanceTo(at); }
+  void OnImported(StoreRevision at) { AdvanceTo(at); }
 
   // This host's turn among those that read for all.
   void SetPollRank(std::optional<int> turn);
