--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -248,7 +248,9 @@
 
 StoreSyncStatePorts GatewayNode::MakeSourcePorts() {
   StoreSyncStatePorts ports;
-  ports.set_reading = [this](PollMode reading) { feed_->SetPollMode(reading); };
+  ports.set_poll_mode = [this](PollMode reading) {
+    feed_->SetPollMode(reading);
+  };
   ports.on_published = [this] { fleet_.OnPublished(); };
   ports.on_own_reading = [this] { fleet_.OnOwnReading(); };
   ports.on_informed_late = [this] { fleet_.OnInformedLate(); };
--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -68,7 +68,7 @@
 
 void StoreSyncState::Update(const std::string& reason) {
   duty_.Update();
-  ports_.set_reading(duty_.Mode());
+  ports_.set_poll_mode(duty_.Mode());
   const bool is_well = duty_.HasFreshData();
   if (is_well == is_well_) {
     return;
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -16,7 +16,7 @@
 
 // What the state asks of its owner.
 struct StoreSyncStatePorts {
-  std::function<void(PollMode reading)> set_reading;
+  std::function<void(PollMode reading)> set_poll_mode;
   // What is known has changed.
   std::function<void()> on_published;
   // The platform has answered this host itself, or failed to.
