--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -20,14 +20,14 @@
   const bool is_late = duty_.IsOverdue();
   duty_.OnPollSucceeded();
   NoteKnown(Millis(0), is_late);
-  ports_.on_own_reading();
+  ports_.on_poll_result();
 }
 
 void StoreSyncState::OnPollFailed(const std::string& reason) {
   duty_.OnPollFailed();
   directory_->OnStoreUnreachable(duty_.Age());
   Update(reason);
-  ports_.on_own_reading();
+  ports_.on_poll_result();
 }
 
 void StoreSyncState::OnPeerSynced(StoreRevision at) {
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -20,7 +20,7 @@
   // What is known has changed.
   std::function<void()> on_published;
   // The platform has answered this host itself, or failed to.
-  std::function<void()> on_own_reading;
+  std::function<void()> on_poll_result;
   // It is known again that the platform answers, after the turns of others to
   // look had begun to come.
   std::function<void()> on_informed_late;
