--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -376,7 +376,7 @@
   }
 }
 
-void FleetMember::OnOwnReading() {
+void FleetMember::OnPollResult() {
   if (IsPlanner()) {
     TellReaders();
   } else {
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -78,7 +78,7 @@
   void OnPublished() { relay_.OnPublished(); }
 
   // The platform has answered this host itself, or failed to.
-  void OnOwnReading();
+  void OnPollResult();
 
   // It is known again, from whomever, that the platform answers, after the
   // turns of others to look had begun to come.
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -252,7 +252,7 @@
     feed_->SetPollMode(reading);
   };
   ports.on_published = [this] { fleet_.OnPublished(); };
-  ports.on_poll_result = [this] { fleet_.OnOwnReading(); };
+  ports.on_poll_result = [this] { fleet_.OnPollResult(); };
   ports.on_informed_late = [this] { fleet_.OnInformedLate(); };
   return ports;
 }
