--- a/src/gateway/source_state.cc
+++ b/src/gateway/source_state.cc
@@ -62,7 +62,7 @@
   Update("");
   ports_.on_published();
   if (is_late) {
-    ports_.on_informed_late();
+    ports_.on_overdue_refresh();
   }
 }
 
--- a/src/gateway/source_state.h
+++ b/src/gateway/source_state.h
@@ -23,7 +23,7 @@
   std::function<void()> on_poll_result;
   // It is known again that the platform answers, after the turns of others to
   // look had begun to come.
-  std::function<void()> on_informed_late;
+  std::function<void()> on_overdue_refresh;
 };
 
 // Not thread-safe.
