--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -385,7 +385,7 @@
   }
 }
 
-void FleetMember::OnInformedLate() {
+void FleetMember::OnOverdueRefresh() {
   if (IsPlanner()) {
     Announce();
   }
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -82,7 +82,7 @@
 
   // It is known again, from whomever, that the platform answers, after the
   // turns of others to look had begun to come.
-  void OnInformedLate();
+  void OnOverdueRefresh();
 
   // Tells the others what this host knows of a request that ends endpoints.
   void TellCrash(CrashReport report) { crashes_.Tell(std::move(report)); }
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -253,7 +253,7 @@
   };
   ports.on_published = [this] { fleet_.OnPublished(); };
   ports.on_poll_result = [this] { fleet_.OnPollResult(); };
-  ports.on_overdue_refresh = [this] { fleet_.OnInformedLate(); };
+  ports.on_overdue_refresh = [this] { fleet_.OnOverdueRefresh(); };
   return ports;
 }
 
