--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -310,9 +310,9 @@
   }
   // Without a planner nobody else tells what this host has read.
   if (planner == self_.address) {
-    ports_.on_reading_turn(0);
+    ports_.on_poll_rank(0);
   } else if (planner.has_value() && planned) {
-    ports_.on_reading_turn(std::nullopt);
+    ports_.on_poll_rank(std::nullopt);
   }
   TellSoon();
   // Not from within what told of the change.
@@ -360,8 +360,8 @@
 void FleetMember::HearOfSource(const Heartbeat& word, const Heartbeat& own) {
   const bool from_planner = word.address == followed_;
   if (from_planner && word.should_poll.has_value()) {
-    ports_.on_reading_turn(
-        *word.should_poll ? std::make_optional(word.poll_rank) : std::nullopt);
+    ports_.on_poll_rank(*word.should_poll ? std::make_optional(word.poll_rank)
+                                          : std::nullopt);
   }
   if (own.known_up_to < word.known_up_to) {
     return;
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -44,7 +44,7 @@
   std::function<void(Millis age)> on_informed;
   // This host's turn among those that read the platform for all; nothing if it
   // is none of them.
-  std::function<void(std::optional<int> turn)> on_reading_turn;
+  std::function<void(std::optional<int> turn)> on_poll_rank;
   // As those of CrashRelayPorts.
   std::function<std::vector<CrashReport>(
       const std::vector<CrashReport>& reports,
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -280,7 +280,7 @@
   };
   ports.reads_routing = [this] { return feed_->ReadsRouting(); };
   ports.on_informed = [this](Millis age) { source_.OnPeerFreshness(age); };
-  ports.on_reading_turn = [this](std::optional<int> turn) {
+  ports.on_poll_rank = [this](std::optional<int> turn) {
     source_.SetPollRank(turn);
   };
   ports.on_published = [this](const std::string& changes,
