--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -372,7 +372,7 @@
       from_planner ? word.store_data_fresh
                    : IsPlanner() && word.poll_state == PollState::kAnswered;
   if (informs) {
-    ports_.on_informed(word.store_data_age);
+    ports_.on_peer_freshness(word.store_data_age);
   }
 }
 
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -41,7 +41,7 @@
   std::function<bool()> reads_routing;
   // Another host, whom the platform answered `age` ago, knows no more than this
   // one.
-  std::function<void(Millis age)> on_informed;
+  std::function<void(Millis age)> on_peer_freshness;
   // This host's turn among those that read the platform for all; nothing if it
   // is none of them.
   std::function<void(std::optional<int> turn)> on_poll_rank;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -279,7 +279,9 @@
     return feed_->ExportNews(since, most_bytes);
   };
   ports.reads_routing = [this] { return feed_->ReadsRouting(); };
-  ports.on_informed = [this](Millis age) { source_.OnPeerFreshness(age); };
+  ports.on_peer_freshness = [this](Millis age) {
+    source_.OnPeerFreshness(age);
+  };
   ports.on_poll_rank = [this](std::optional<int> turn) {
     source_.SetPollRank(turn);
   };
