--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -37,7 +37,7 @@
   virtual void OnEndpointUnusable(const EndpointId& id, StoreRevision revision,
                                   const std::string& reason) = 0;
   // A data centre is to take nothing from now on, or takes work again.
-  virtual void OnDataCentreClosed(const DrainedDataCentre& order) = 0;
+  virtual void OnDataCentreDrained(const DrainedDataCentre& order) = 0;
   virtual void OnDataCentreOpened(const DataCentreId& id,
                                   StoreRevision revision) = 0;
   // The platform has answered: what was told is complete up to `at`.
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -71,7 +71,7 @@
   endpoint_updater_->OnUnusable(id, revision, reason);
 }
 
-void StoreUpdateHandler::OnDataCentreClosed(const DrainedDataCentre& order) {
+void StoreUpdateHandler::OnDataCentreDrained(const DrainedDataCentre& order) {
   endpoint_updater_->OnClosed(order);
 }
 
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -36,7 +36,7 @@
   void OnEndpointGone(const EndpointId& id, StoreRevision revision) override;
   void OnEndpointUnusable(const EndpointId& id, StoreRevision revision,
                           const std::string& reason) override;
-  void OnDataCentreClosed(const DrainedDataCentre& order) override;
+  void OnDataCentreDrained(const DrainedDataCentre& order) override;
   void OnDataCentreOpened(const DataCentreId& id,
                           StoreRevision revision) override;
   void OnSourceWell(StoreRevision at) override;
