--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -38,8 +38,8 @@
                                   const std::string& reason) = 0;
   // A data centre is to take nothing from now on, or takes work again.
   virtual void OnDataCentreDrained(const DrainedDataCentre& order) = 0;
-  virtual void OnDataCentreOpened(const DataCentreId& id,
-                                  StoreRevision revision) = 0;
+  virtual void OnDataCentreRestored(const DataCentreId& id,
+                                    StoreRevision revision) = 0;
   // The platform has answered: what was told is complete up to `at`.
   virtual void OnSourceWell(StoreRevision at) = 0;
   // Another host, which the platform answers, has told what was published up to
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -75,8 +75,8 @@
   endpoint_updater_->OnClosed(order);
 }
 
-void StoreUpdateHandler::OnDataCentreOpened(const DataCentreId& id,
-                                            StoreRevision revision) {
+void StoreUpdateHandler::OnDataCentreRestored(const DataCentreId& id,
+                                              StoreRevision revision) {
   endpoint_updater_->OnOpened(id, revision);
 }
 
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -37,8 +37,8 @@
   void OnEndpointUnusable(const EndpointId& id, StoreRevision revision,
                           const std::string& reason) override;
   void OnDataCentreDrained(const DrainedDataCentre& order) override;
-  void OnDataCentreOpened(const DataCentreId& id,
-                          StoreRevision revision) override;
+  void OnDataCentreRestored(const DataCentreId& id,
+                            StoreRevision revision) override;
   void OnSourceWell(StoreRevision at) override;
   void OnInformed(StoreRevision at) override;
   void OnStoreUnreachable(const std::string& reason) override;
