--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -41,7 +41,7 @@
   virtual void OnDataCentreRestored(const DataCentreId& id,
                                     StoreRevision revision) = 0;
   // The platform has answered: what was told is complete up to `at`.
-  virtual void OnSourceWell(StoreRevision at) = 0;
+  virtual void OnSynced(StoreRevision at) = 0;
   // Another host, which the platform answers, has told what was published up to
   // `at`; what it told follows.
   virtual void OnInformed(StoreRevision at) = 0;
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -80,7 +80,7 @@
   endpoint_updater_->OnOpened(id, revision);
 }
 
-void StoreUpdateHandler::OnSourceWell(StoreRevision at) {
+void StoreUpdateHandler::OnSynced(StoreRevision at) {
   source_->OnPollSucceeded(at);
 }
 
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -39,7 +39,7 @@
   void OnDataCentreDrained(const DrainedDataCentre& order) override;
   void OnDataCentreRestored(const DataCentreId& id,
                             StoreRevision revision) override;
-  void OnSourceWell(StoreRevision at) override;
+  void OnSynced(StoreRevision at) override;
   void OnInformed(StoreRevision at) override;
   void OnStoreUnreachable(const std::string& reason) override;
   void OnUnusable(const std::string& what, const std::string& reason) override;
