--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -44,7 +44,7 @@
   virtual void OnSynced(StoreRevision at) = 0;
   // Another host, which the platform answers, has told what was published up to
   // `at`; what it told follows.
-  virtual void OnInformed(StoreRevision at) = 0;
+  virtual void OnSyncedByPeer(StoreRevision at) = 0;
   // The platform does not answer, or not as it should.
   virtual void OnStoreUnreachable(const std::string& reason) = 0;
   // Something published cannot be used. It was passed over.
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -84,7 +84,7 @@
   source_->OnPollSucceeded(at);
 }
 
-void StoreUpdateHandler::OnInformed(StoreRevision at) {
+void StoreUpdateHandler::OnSyncedByPeer(StoreRevision at) {
   source_->OnPeerSynced(at);
 }
 
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -40,7 +40,7 @@
   void OnDataCentreRestored(const DataCentreId& id,
                             StoreRevision revision) override;
   void OnSynced(StoreRevision at) override;
-  void OnInformed(StoreRevision at) override;
+  void OnSyncedByPeer(StoreRevision at) override;
   void OnStoreUnreachable(const std::string& reason) override;
   void OnUnusable(const std::string& what, const std::string& reason) override;
 
