--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -74,8 +74,8 @@
   // tell how it changed alone. In parts of at most `most_bytes`, each of which
   // follows the one before it; the last one, or one that is alone, may be
   // larger.
-  virtual std::vector<std::string> ExportNews(StoreRevision since,
-                                              std::size_t most_bytes) const = 0;
+  virtual std::vector<std::string> ExportChanges(
+      StoreRevision since, std::size_t most_bytes) const = 0;
 
   // Whether a routing document is known that the sink is yet to be told of.
   virtual bool ReadsRouting() const = 0;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -276,7 +276,7 @@
     start_limiter_.MergeFromPeer(reports);
   };
   ports.published = [this](StoreRevision since, std::size_t most_bytes) {
-    return feed_->ExportNews(since, most_bytes);
+    return feed_->ExportChanges(since, most_bytes);
   };
   ports.reads_routing = [this] { return feed_->ReadsRouting(); };
   ports.on_peer_freshness = [this](Millis age) {
