--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -78,7 +78,7 @@
       StoreRevision since, std::size_t most_bytes) const = 0;
 
   // Whether a routing document is known that the sink is yet to be told of.
-  virtual bool ReadsRouting() const = 0;
+  virtual bool IsParsingRouting() const = 0;
 
   // Takes what another host's feed exported, and tells the sink of it.
   // `store_data_fresh` tells whether the platform answers that host. Returns up
