--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -110,7 +110,7 @@
   ports.describe = [this] { return Described(); };
   ports.published = ports_.published;
   ports.on_published = ports_.on_published;
-  ports.reads_routing = ports_.reads_routing;
+  ports.is_parsing_routing = ports_.is_parsing_routing;
   ports.is_planner = [this] { return IsPlanner(); };
   ports.announce = [this] { Announce(); };
   ports.tell_planner = [this] { TellSoon(); };
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -38,7 +38,7 @@
       published;
   std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
-  std::function<bool()> reads_routing;
+  std::function<bool()> is_parsing_routing;
   // Another host, whom the platform answered `age` ago, knows no more than this
   // one.
   std::function<void(Millis age)> on_peer_freshness;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -278,7 +278,7 @@
   ports.published = [this](StoreRevision since, std::size_t most_bytes) {
     return feed_->ExportChanges(since, most_bytes);
   };
-  ports.reads_routing = [this] { return feed_->IsParsingRouting(); };
+  ports.is_parsing_routing = [this] { return feed_->IsParsingRouting(); };
   ports.on_peer_freshness = [this](Millis age) {
     source_.OnPeerFreshness(age);
   };
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -119,7 +119,7 @@
 void PublicationRelay::AskBetterInformed(const Heartbeat& own) {
   // What this host is reading already need not be asked for.
   const RoutingVersion routing =
-      ports_.reads_routing()
+      ports_.is_parsing_routing()
           ? RoutingVersion{std::numeric_limits<std::uint64_t>::max()}
           : own.routing;
   const auto host = book_->FindMoreUpToDate(routing, own.known_up_to);
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -31,7 +31,7 @@
   std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
   // Whether a newer routing table is known and about to be in force.
-  std::function<bool()> reads_routing;
+  std::function<bool()> is_parsing_routing;
   std::function<bool()> is_planner;
   // Tell this host's word to all others, and to the planner.
   std::function<void()> announce;
