--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -138,7 +138,7 @@
 }
 
 leaf::result<HttpResponse> SendHttpRequest(const HttpCall& call,
-                                           std::size_t most_bytes) {
+                                           std::size_t max_bytes) {
   HttpResponse answer{};
   const auto exchange = [&](HTTPClientSession& session) -> leaf::result<void> {
     SendRequest(session, call);
@@ -147,8 +147,8 @@
     answer.status = response.getStatus();
     answer.content_type = response.getContentType();
     answer.retry_after = response.get("Retry-After", "");
-    if (!ReadAll(body, most_bytes, &answer.body)) {
-      return leaf::new_error(HttpError{ResponseTooLarge{most_bytes}});
+    if (!ReadAll(body, max_bytes, &answer.body)) {
+      return leaf::new_error(HttpError{ResponseTooLarge{max_bytes}});
     }
     // POCO ends a body that was cut as it ends a whole one.
     if (response.hasContentLength() &&
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -63,9 +63,9 @@
   std::string body;
 };
 
-// Makes a call and reads the whole answer, up to `most_bytes`.
+// Makes a call and reads the whole answer, up to `max_bytes`.
 boost::leaf::result<HttpResponse> SendHttpRequest(
-    const HttpCall& call, std::size_t most_bytes = 64U << 20U);
+    const HttpCall& call, std::size_t max_bytes = 64U << 20U);
 
 // Makes a call and gives the answer's body to `read` as it comes. `read` is
 // called once, also for answers that tell of an error.
--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -71,11 +71,11 @@
       StoreRevision since) const = 0;
 
   // As Export, for hosts that hold all that was published up to `since`: may
-  // tell how it changed alone. In parts of at most `most_bytes`, each of which
+  // tell how it changed alone. In parts of at most `max_bytes`, each of which
   // follows the one before it; the last one, or one that is alone, may be
   // larger.
   virtual std::vector<std::string> ExportChanges(
-      StoreRevision since, std::size_t most_bytes) const = 0;
+      StoreRevision since, std::size_t max_bytes) const = 0;
 
   // Whether a routing document is known that the sink is yet to be told of.
   virtual bool IsParsingRouting() const = 0;
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -34,7 +34,7 @@
   std::function<void(Heartbeat* word)> describe;
   // As those of PublicationRelayPorts.
   std::function<std::vector<std::string>(StoreRevision since,
-                                         std::size_t most_bytes)>
+                                         std::size_t max_bytes)>
       published;
   std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -275,8 +275,8 @@
   ports.on_limits = [this](const std::vector<RateLimitReport>& reports) {
     start_limiter_.MergeFromPeer(reports);
   };
-  ports.published = [this](StoreRevision since, std::size_t most_bytes) {
-    return feed_->ExportChanges(since, most_bytes);
+  ports.published = [this](StoreRevision since, std::size_t max_bytes) {
+    return feed_->ExportChanges(since, max_bytes);
   };
   ports.is_parsing_routing = [this] { return feed_->IsParsingRouting(); };
   ports.on_peer_freshness = [this](Millis age) {
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -22,10 +22,10 @@
   // Returns what this host knows of the platform.
   std::function<Heartbeat()> describe;
   // Returns what the platform has published since `since`, for hosts that know
-  // all before it, in parts of at most `most_bytes` that follow each other; the
+  // all before it, in parts of at most `max_bytes` that follow each other; the
   // last one may be larger.
   std::function<std::vector<std::string>(StoreRevision since,
-                                         std::size_t most_bytes)>
+                                         std::size_t max_bytes)>
       published;
   // Takes what another host told of that. Returns false if it cannot be used.
   std::function<bool(const std::string& changes, bool store_data_fresh)>
