--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -77,8 +77,8 @@
                {"revision", revision.value}});
 }
 
-bool EndpointUpdater::OnSaysItLeaves(const EndpointRecord& endpoint,
-                                     bool readable) {
+bool EndpointUpdater::OnLeaveAnnounced(const EndpointRecord& endpoint,
+                                       bool readable) {
   if (!directory_->MarkLeaving(endpoint.id, endpoint.incarnation)) {
     return false;
   }
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -37,7 +37,7 @@
 
   // The endpoint has said in an answer that it leaves. `readable` tells whether
   // it said so in the expected words. Returns whether that is news.
-  bool OnSaysItLeaves(const EndpointRecord& endpoint, bool readable);
+  bool OnLeaveAnnounced(const EndpointRecord& endpoint, bool readable);
 
   // It names no endpoint that can be used, for `reason`.
   void OnUnusable(const EndpointId& id, StoreRevision revision,
--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -36,7 +36,7 @@
                                           LeavingHint word) {
   const bool is_readable = word == LeavingHint::kLeaving;
   if (word == LeavingHint::kNone ||
-      !endpoint_updater_->OnSaysItLeaves(endpoint, is_readable)) {
+      !endpoint_updater_->OnLeaveAnnounced(endpoint, is_readable)) {
     return;
   }
   // Hosts that have not been told themselves leave it alone for a while, too.
