--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -100,7 +100,7 @@
                                     {"reason", reason}});
 }
 
-void EndpointUpdater::OnClosedListed(
+void EndpointUpdater::OnDrainedListing(
     const std::vector<DrainedDataCentre>& drained, StoreRevision at) {
   const DrainChange change = directory_->ReplaceDrained(drained, at);
   for (const DrainedDataCentre& order : change.drained) {
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -44,8 +44,8 @@
                   const std::string& reason);
 
   // All data centres that are to take nothing, as published at `at`.
-  void OnClosedListed(const std::vector<DrainedDataCentre>& closed,
-                      StoreRevision at);
+  void OnDrainedListing(const std::vector<DrainedDataCentre>& closed,
+                        StoreRevision at);
 
   // A data centre is to take nothing, or takes work again.
   void OnClosed(const DrainedDataCentre& order);
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -42,7 +42,7 @@
   for (const EndpointRecord& record : records) {
     NoteIncarnation(record.id);
   }
-  endpoint_updater_->OnClosedListed(closed, at);
+  endpoint_updater_->OnDrainedListing(closed, at);
   on_usable_();
 }
 
