--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -111,7 +111,7 @@
   }
 }
 
-void EndpointUpdater::OnClosed(const DrainedDataCentre& order) {
+void EndpointUpdater::OnDrained(const DrainedDataCentre& order) {
   if (directory_->DrainDataCentre(order)) {
     NoteClosed(order);
   }
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -48,7 +48,7 @@
                         StoreRevision at);
 
   // A data centre is to take nothing, or takes work again.
-  void OnClosed(const DrainedDataCentre& order);
+  void OnDrained(const DrainedDataCentre& order);
   void OnOpened(const DataCentreId& id, StoreRevision revision);
 
   // Returns how many endpoints of closed data centres still have work, as
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -72,7 +72,7 @@
 }
 
 void StoreUpdateHandler::OnDataCentreDrained(const DrainedDataCentre& order) {
-  endpoint_updater_->OnClosed(order);
+  endpoint_updater_->OnDrained(order);
 }
 
 void StoreUpdateHandler::OnDataCentreRestored(const DataCentreId& id,
