--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -117,7 +117,8 @@
   }
 }
 
-void EndpointUpdater::OnOpened(const DataCentreId& id, StoreRevision revision) {
+void EndpointUpdater::OnRestored(const DataCentreId& id,
+                                 StoreRevision revision) {
   if (directory_->RestoreDataCentre(id, revision)) {
     NoteOpened(DrainedDataCentre{id, revision});
   }
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -49,7 +49,7 @@
 
   // A data centre is to take nothing, or takes work again.
   void OnDrained(const DrainedDataCentre& order);
-  void OnOpened(const DataCentreId& id, StoreRevision revision);
+  void OnRestored(const DataCentreId& id, StoreRevision revision);
 
   // Returns how many endpoints of closed data centres still have work, as
   // `loads` tells.
--- a/src/gateway/published_news.cc
+++ b/src/gateway/published_news.cc
@@ -77,7 +77,7 @@
 
 void StoreUpdateHandler::OnDataCentreRestored(const DataCentreId& id,
                                               StoreRevision revision) {
-  endpoint_updater_->OnOpened(id, revision);
+  endpoint_updater_->OnRestored(id, revision);
 }
 
 void StoreUpdateHandler::OnSynced(StoreRevision at) {
