--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -146,7 +146,7 @@
               LogRateLimit::kExempt);
 }
 
-int EndpointUpdater::BusyClosed(const EndpointLoads& loads) const {
+int EndpointUpdater::BusyDrainedCount(const EndpointLoads& loads) const {
   int busy = 0;
   if (directory_->Drained().Count() == 0) {
     return busy;
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -53,7 +53,7 @@
 
   // Returns how many endpoints of closed data centres still have work, as
   // `loads` tells.
-  int BusyClosed(const EndpointLoads& loads) const;
+  int BusyDrainedCount(const EndpointLoads& loads) const;
 
   // Drops endpoints whose entries have been missing for too long.
   void RemoveExpired();
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -77,7 +77,7 @@
   });
   metrics->AddGauge("harecrank_gateway_closed_endpoints_busy", [parts] {
     return static_cast<double>(
-        parts.endpoint_updater->BusyClosed(*parts.loads));
+        parts.endpoint_updater->BusyDrainedCount(*parts.loads));
   });
   metrics->AddGauge("harecrank_gateway_source_well", [parts] {
     return parts.source->HasFreshData() ? 1.0 : 0.0;
