--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -161,7 +161,7 @@
   return busy;
 }
 
-void EndpointUpdater::BeginTold() { told_.emplace(); }
+void EndpointUpdater::BeginPeerUpdate() { told_.emplace(); }
 
 void EndpointUpdater::EndTold() {
   const Told told = *std::exchange(told_, std::nullopt);
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -61,7 +61,7 @@
   // What follows, up to EndTold, was told by another host: it leaves one line
   // in the log and not one for each endpoint, or the lines of all hosts would
   // grow with hosts times endpoints.
-  void BeginTold();
+  void BeginPeerUpdate();
   void EndTold();
 
  private:
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -287,7 +287,7 @@
   };
   ports.on_published = [this](const std::string& changes,
                               bool store_data_fresh) {
-    endpoint_updater_.BeginTold();
+    endpoint_updater_.BeginPeerUpdate();
     const auto at = feed_->Import(changes, store_data_fresh);
     endpoint_updater_.EndTold();
     if (at.has_value()) {
