--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_news.cc
@@ -163,7 +163,7 @@
 
 void EndpointUpdater::BeginPeerUpdate() { told_.emplace(); }
 
-void EndpointUpdater::EndTold() {
+void EndpointUpdater::EndPeerUpdate() {
   const Told told = *std::exchange(told_, std::nullopt);
   if (told.changed.empty() && told.gone.empty()) {
     return;
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_news.h
@@ -58,11 +58,11 @@
   // Drops endpoints whose entries have been missing for too long.
   void RemoveExpired();
 
-  // What follows, up to EndTold, was told by another host: it leaves one line
-  // in the log and not one for each endpoint, or the lines of all hosts would
-  // grow with hosts times endpoints.
+  // What follows, up to EndPeerUpdate, was told by another host: it leaves one
+  // line in the log and not one for each endpoint, or the lines of all hosts
+  // would grow with hosts times endpoints.
   void BeginPeerUpdate();
-  void EndTold();
+  void EndPeerUpdate();
 
  private:
   // What one telling of another host has changed.
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -289,7 +289,7 @@
                               bool store_data_fresh) {
     endpoint_updater_.BeginPeerUpdate();
     const auto at = feed_->Import(changes, store_data_fresh);
-    endpoint_updater_.EndTold();
+    endpoint_updater_.EndPeerUpdate();
     if (at.has_value()) {
       source_.OnImported(*at);
     }
