--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -113,7 +113,7 @@
   ports.is_parsing_routing = ports_.is_parsing_routing;
   ports.is_planner = [this] { return IsPlanner(); };
   ports.announce = [this] { Announce(); };
-  ports.tell_planner = [this] { TellSoon(); };
+  ports.tell_planner = [this] { SendHeartbeatSoon(); };
   return ports;
 }
 
@@ -256,7 +256,7 @@
   Send(*followed_, word);
 }
 
-void FleetMember::TellSoon() {
+void FleetMember::SendHeartbeatSoon() {
   if (tells_soon_) {
     return;
   }
@@ -314,7 +314,7 @@
   } else if (planner.has_value() && planned) {
     ports_.on_poll_rank(std::nullopt);
   }
-  TellSoon();
+  SendHeartbeatSoon();
   // Not from within what told of the change.
   boost::asio::post(*io_, [this] { places_.OnPlannerChanged(); });
 }
@@ -381,7 +381,7 @@
     TellReaders();
   } else {
     // The planner tells the others, and chooses who reads by it.
-    TellSoon();
+    SendHeartbeatSoon();
   }
 }
 
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -72,7 +72,7 @@
   void Leave();
 
   // Tells the planner soon, and not only when the next word is due.
-  void TellSoon();
+  void SendHeartbeatSoon();
 
   // What this host knows of the platform has changed: others are told at once.
   void OnPublished() { relay_.OnPublished(); }
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -94,7 +94,7 @@
         boost::asio::post(io_, std::move(run));
       }),
       answers_(&directory_, &health_, &endpoint_updater_, &start_limiter_,
-               &backoff_notifier_, [this] { fleet_.TellSoon(); }),
+               &backoff_notifier_, [this] { fleet_.SendHeartbeatSoon(); }),
       services_(MakeServices()),
       source_(IsSeed(settings_), MakeReadingPorts(), MakeSourcePorts(),
               &directory_, &log_, clock_, random_),
@@ -163,7 +163,7 @@
     return drain_began_ + settings_.stop_limit - 2 * kStopMargin;
   };
   services.places = fleet_.Places();
-  services.on_news = [this] { fleet_.TellSoon(); };
+  services.on_news = [this] { fleet_.SendHeartbeatSoon(); };
   services.clock = clock_;
   services.random = random_;
   return services;
