--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -85,7 +85,9 @@
   void OnOverdueRefresh();
 
   // Tells the others what this host knows of a request that ends endpoints.
-  void TellCrash(CrashReport report) { crashes_.Tell(std::move(report)); }
+  void ShareCrashReport(CrashReport report) {
+    crashes_.Tell(std::move(report));
+  }
 
   PlaceClient* Places() { return &places_; }
   bool IsPlanner() { return book_->IsPlanner(); }
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -87,7 +87,7 @@
             return start_limiter_.IsBackingOff(id);
           },
           [this](const RequestFingerprint& request) {
-            fleet_.TellCrash(quarantine_.ReportOf(request));
+            fleet_.ShareCrashReport(quarantine_.ReportOf(request));
           },
           &log_, &metrics_),
       backoff_notifier_([this](std::function<void()> run) {
