--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -335,7 +335,7 @@
   const TimePoint now = clock_();
   LookForSilence();
   peers_log_.Tick(book_->ObservedHosts(), IsPlanner());
-  if (now - told_at_ >= kWordInterval) {
+  if (now - told_at_ >= kHeartbeatInterval) {
     TellPlanner();
   }
   const Millis strangers =
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -94,11 +94,12 @@
 
   // The pause between two words to the planner. A planner that dies is noticed
   // by the asks that it does not answer; words find it where nothing is asked.
-  static constexpr Millis kWordInterval{300};
+  static constexpr Millis kHeartbeatInterval{300};
   // How often it looks after itself: words, silence, prompts that wait.
   static constexpr Millis kTick{40};
   // Turns to read the platform count on the pause between two words.
-  static_assert(kWordInterval + kTick <= PollSchedule::kMaxHeartbeatInterval);
+  static_assert(kHeartbeatInterval + kTick <=
+                PollSchedule::kMaxHeartbeatInterval);
   // A planner that answered no word for this long is silent.
   static constexpr Millis kWordSilence{650};
 
