--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -322,7 +322,7 @@
 void FleetMember::LookForSilence() {
   const bool follows_other =
       followed_.has_value() && *followed_ != self_.address;
-  if (follows_other && clock_() - planner_heard_ > kWordSilence) {
+  if (follows_other && clock_() - planner_heard_ > kPlannerTimeout) {
     log_->Write("planner_silent",
                 {{"planner", followed_->value}, {"by", "word"}},
                 LogRateLimit::kExempt);
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -101,7 +101,7 @@
   static_assert(kHeartbeatInterval + kTick <=
                 PollSchedule::kMaxHeartbeatInterval);
   // A planner that answered no word for this long is silent.
-  static constexpr Millis kWordSilence{650};
+  static constexpr Millis kPlannerTimeout{650};
 
  private:
   // Handles each kind of message.
