--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -7,13 +7,13 @@
 EndpointResponseHandler::EndpointResponseHandler(
     const EndpointDirectory* directory, EndpointHealth* health,
     EndpointUpdater* endpoint_updater, StartLimiter* start_limiter,
-    BackoffNotifier* backoff_notifier, std::function<void()> on_news)
+    BackoffNotifier* backoff_notifier, std::function<void()> on_endpoint_fault)
     : directory_(directory),
       health_(health),
       endpoint_updater_(endpoint_updater),
       start_limiter_(start_limiter),
       backoff_notifier_(backoff_notifier),
-      on_news_(std::move(on_news)) {}
+      on_news_(std::move(on_endpoint_fault)) {}
 
 void EndpointResponseHandler::OnAnswer(const EndpointRecord& endpoint,
                                        const EndpointResponse& answer,
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -19,14 +19,14 @@
 // thread-safe.
 class EndpointResponseHandler {
  public:
-  // All pointers must outlive this. `on_news` is called when other hosts should
-  // hear of it soon.
+  // All pointers must outlive this. `on_endpoint_fault` is called when other
+  // hosts should hear of it soon.
   EndpointResponseHandler(const EndpointDirectory* directory,
                           EndpointHealth* health,
                           EndpointUpdater* endpoint_updater,
                           StartLimiter* start_limiter,
                           BackoffNotifier* backoff_notifier,
-                          std::function<void()> on_news);
+                          std::function<void()> on_endpoint_fault);
 
   // Takes the answer to what was sent to `endpoint` at `sent_at`. One that
   // comes from an earlier incarnation of it says nothing of the present one.
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -88,7 +88,7 @@
   PlaceClient* places = nullptr;
   // Called when an endpoint was found at fault: the planner should hear of it
   // soon.
-  std::function<void()> on_news;
+  std::function<void()> on_endpoint_fault;
   MonotonicClock clock;
   RandomSource random;
 };
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -95,12 +95,12 @@
 
 void RequestSender::OnUnreachable() {
   services_->health->OnUnreachable(endpoint_.id);
-  services_->on_news();
+  services_->on_endpoint_fault();
 }
 
 void RequestSender::OnOverdue() {
   services_->health->OnOverdue(endpoint_.id, last_bytes_at_);
-  services_->on_news();
+  services_->on_endpoint_fault();
 }
 
 void RequestSender::OnRefusal(const EndpointResponse& answer,
@@ -118,7 +118,7 @@
     const bool is_address = record != nullptr && record->address == named;
     if (helper.value == named || is_address) {
       services_->health->OnReportedAtFault(helper);
-      services_->on_news();
+      services_->on_endpoint_fault();
     }
   }
 }
