--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -75,8 +75,8 @@
       tick_timer_(*io),
       tell_timer_(*io) {}
 
-PlaceClientPorts FleetMember::MakePlacePorts() {
-  PlaceClientPorts ports;
+PlacementClientPorts FleetMember::MakePlacePorts() {
+  PlacementClientPorts ports;
   ports.planner = [this] { return book_->Planner(); };
   ports.send = [this](const HostAddress& to, const FleetMessage& message) {
     Send(to, message);
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -107,7 +107,7 @@
   // Handles each kind of message.
   struct Receiver;
 
-  PlaceClientPorts MakePlacePorts();
+  PlacementClientPorts MakePlacePorts();
   PlannerServicePorts MakeDeskPorts();
   PublicationRelayPorts MakeRelayPorts();
   void Send(const HostAddress& to, const FleetMessage& message);
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -21,7 +21,7 @@
 }  // namespace
 
 PlaceClient::PlaceClient(boost::asio::io_context* io, HostAddress self,
-                         Incarnation incarnation, PlaceClientPorts ports,
+                         Incarnation incarnation, PlacementClientPorts ports,
                          MonotonicClock clock)
     : self_(std::move(self)),
       incarnation_(incarnation),
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -19,7 +19,7 @@
 namespace harecrank {
 
 // What the client asks of its owner.
-struct PlaceClientPorts {
+struct PlacementClientPorts {
   // Returns the host that plans, if it is known.
   std::function<std::optional<HostAddress>()> planner;
   std::function<void(const HostAddress& to, const FleetMessage& message)> send;
@@ -43,7 +43,7 @@
   using OnResult = std::function<void(const AskResult& result)>;
 
   PlaceClient(boost::asio::io_context* io, HostAddress self,
-              Incarnation incarnation, PlaceClientPorts ports,
+              Incarnation incarnation, PlacementClientPorts ports,
               MonotonicClock clock);
 
   // Asks for a place. Until OnEnd of the id that is returned it counts as under
@@ -113,7 +113,7 @@
 
   HostAddress self_;
   Incarnation incarnation_;
-  PlaceClientPorts ports_;
+  PlacementClientPorts ports_;
   MonotonicClock clock_;
   Timer timer_;
   Timer flush_timer_;
