--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -89,7 +89,7 @@
     crashes_.Tell(std::move(report));
   }
 
-  PlaceClient* Places() { return &places_; }
+  PlacementClient* Places() { return &places_; }
   bool IsPlanner() { return book_->IsPlanner(); }
 
   // The pause between two words to the planner. A planner that dies is noticed
@@ -147,7 +147,7 @@
   EventLog* log_;
   MonotonicClock clock_;
   RandomSource random_;
-  PlaceClient places_;
+  PlacementClient places_;
   PlannerService desk_;
   PublicationRelay relay_;
   CrashRelay crashes_;
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -85,7 +85,7 @@
   // about to stop.
   std::function<std::optional<TimePoint>()> stops_at;
   // Asks the planner for places.
-  PlaceClient* places = nullptr;
+  PlacementClient* places = nullptr;
   // Called when an endpoint was found at fault: the planner should hear of it
   // soon.
   std::function<void()> on_endpoint_fault;
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -20,9 +20,10 @@
 
 }  // namespace
 
-PlaceClient::PlaceClient(boost::asio::io_context* io, HostAddress self,
-                         Incarnation incarnation, PlacementClientPorts ports,
-                         MonotonicClock clock)
+PlacementClient::PlacementClient(boost::asio::io_context* io, HostAddress self,
+                                 Incarnation incarnation,
+                                 PlacementClientPorts ports,
+                                 MonotonicClock clock)
     : self_(std::move(self)),
       incarnation_(incarnation),
       ports_(std::move(ports)),
@@ -30,8 +31,8 @@
       timer_(*io),
       flush_timer_(*io) {}
 
-QueryId PlaceClient::Ask(const PlacementRequest& request, bool may_have_run,
-                         OnResult on_result) {
+QueryId PlacementClient::Ask(const PlacementRequest& request, bool may_have_run,
+                             OnResult on_result) {
   const QueryId id = NewId();
   Pending& pending = pending_[id];
   PlacementQuery& ask = pending.ask;
@@ -57,7 +58,7 @@
   return id;
 }
 
-void PlaceClient::SendToPlanner(QueryId id) {
+void PlacementClient::SendToPlanner(QueryId id) {
   Pending& pending = pending_.at(id);
   const auto planner = ports_.planner();
   const bool again = pending.hosts_asked > 0 && planner == pending.asked;
@@ -79,14 +80,14 @@
   SendAgain(&pending);
 }
 
-void PlaceClient::SendAgain(Pending* pending) {
+void PlacementClient::SendAgain(Pending* pending) {
   pending->sent = clock_();
   pending->ask.until_late = pending->late_at - pending->sent;
   pending->ask.until_deadline = pending->ends_at - pending->sent;
   ports_.send(pending->asked, pending->ask);
 }
 
-void PlaceClient::OnAnswer(const PlacementReply& answer) {
+void PlacementClient::OnAnswer(const PlacementReply& answer) {
   if (answer.incarnation != incarnation_) {
     return;
   }
@@ -135,23 +136,23 @@
   Resolve(answer.id, std::visit(ToResult{}, answer.decision));
 }
 
-void PlaceClient::GiveBack(const HostAddress& host, QueryId id) {
+void PlacementClient::GiveBack(const HostAddress& host, QueryId id) {
   ports_.send(
       host, ProgressReport{self_, incarnation_, {}, {RequestDone{id, false}}});
 }
 
-void PlaceClient::Resolve(QueryId id, const AskResult& result) {
+void PlacementClient::Resolve(QueryId id, const AskResult& result) {
   const auto found = pending_.find(id);
   const OnResult on_result = std::move(found->second.on_result);
   pending_.erase(found);
   on_result(result);
 }
 
-void PlaceClient::OnStarted(QueryId id, std::vector<WorkPart> parts) {
+void PlacementClient::OnStarted(QueryId id, std::vector<WorkPart> parts) {
   under_way_[id] = QueryWork{id, false, std::move(parts)};
 }
 
-void PlaceClient::OnPrefillDone(QueryId id, double pace) {
+void PlacementClient::OnPrefillDone(QueryId id, double pace) {
   const auto found = under_way_.find(id);
   if (found != under_way_.end()) {
     found->second.prefill_done = true;
@@ -160,7 +161,7 @@
   }
 }
 
-void PlaceClient::OnEnd(QueryId id, bool failed) {
+void PlacementClient::OnEnd(QueryId id, bool failed) {
   const bool known = pending_.erase(id) + under_way_.erase(id) > 0;
   if (known) {
     ended_.push_back(RequestDone{id, failed});
@@ -168,7 +169,7 @@
   }
 }
 
-void PlaceClient::OnPlannerChanged() {
+void PlacementClient::OnPlannerChanged() {
   std::vector<QueryId> ids;
   for (const auto& [id, pending] : pending_) {
     ids.push_back(id);
@@ -183,7 +184,7 @@
   Arm();
 }
 
-std::vector<QueryWork> PlaceClient::Work() const {
+std::vector<QueryWork> PlacementClient::Work() const {
   std::vector<QueryWork> work;
   work.reserve(under_way_.size());
   for (const auto& [id, one] : under_way_) {
@@ -192,17 +193,17 @@
   return work;
 }
 
-Millis PlaceClient::Patience(Millis least, double answers) const {
+Millis PlacementClient::Patience(Millis least, double answers) const {
   return std::max(least,
                   std::chrono::duration_cast<Millis>(answers * answer_time_));
 }
 
-TimePoint PlaceClient::DueOf(const Pending& pending) const {
+TimePoint PlacementClient::DueOf(const Pending& pending) const {
   return pending.sent +
          (pending.waits ? kRepeat : Patience(kResend, kResendAnswers));
 }
 
-void PlaceClient::LookAt(QueryId id) {
+void PlacementClient::LookAt(QueryId id) {
   const auto found = pending_.find(id);
   if (found == pending_.end()) {
     return;
@@ -230,7 +231,7 @@
   SendToPlanner(id);
 }
 
-void PlaceClient::Arm() {
+void PlacementClient::Arm() {
   if (pending_.empty()) {
     return;
   }
@@ -246,7 +247,7 @@
   });
 }
 
-void PlaceClient::OnTimer() {
+void PlacementClient::OnTimer() {
   std::vector<QueryId> ids;
   for (const auto& [id, pending] : pending_) {
     ids.push_back(id);
@@ -257,7 +258,7 @@
   Arm();
 }
 
-void PlaceClient::FlushSoon() {
+void PlacementClient::FlushSoon() {
   if (flushes_) {
     return;
   }
@@ -270,7 +271,7 @@
   });
 }
 
-void PlaceClient::Flush() {
+void PlacementClient::Flush() {
   flushes_ = false;
   ProgressReport note{self_, incarnation_, std::move(read_), std::move(ended_)};
   read_.clear();
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -36,15 +36,15 @@
                                NoEndpoint, PlaceYourself>;
 
 // Not thread-safe; runs on its io_context. Never calls back from within Ask.
-class PlaceClient {
+class PlacementClient {
  public:
   // Called once with anything but QueryQueued, before that perhaps with
   // QueryQueued.
   using OnResult = std::function<void(const AskResult& result)>;
 
-  PlaceClient(boost::asio::io_context* io, HostAddress self,
-              Incarnation incarnation, PlacementClientPorts ports,
-              MonotonicClock clock);
+  PlacementClient(boost::asio::io_context* io, HostAddress self,
+                  Incarnation incarnation, PlacementClientPorts ports,
+                  MonotonicClock clock);
 
   // Asks for a place. Until OnEnd of the id that is returned it counts as under
   // way.
