--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -123,13 +123,15 @@
     return;
   }
   struct ToResult {
-    AskResult operator()(const PlannedPlacement& placed) const {
+    QueryResult operator()(const PlannedPlacement& placed) const {
       return placed;
     }
-    AskResult operator()(const QueryQueued& waits) const { return waits; }
-    AskResult operator()(const QueryRejected& refused) const { return refused; }
-    AskResult operator()(const NoEndpoint& none) const { return none; }
-    AskResult operator()(const NotPlanner& /*other*/) const {
+    QueryResult operator()(const QueryQueued& waits) const { return waits; }
+    QueryResult operator()(const QueryRejected& refused) const {
+      return refused;
+    }
+    QueryResult operator()(const NoEndpoint& none) const { return none; }
+    QueryResult operator()(const NotPlanner& /*other*/) const {
       return PlaceYourself{};
     }
   };
@@ -141,7 +143,7 @@
       host, ProgressReport{self_, incarnation_, {}, {RequestDone{id, false}}});
 }
 
-void PlacementClient::Resolve(QueryId id, const AskResult& result) {
+void PlacementClient::Resolve(QueryId id, const QueryResult& result) {
   const auto found = pending_.find(id);
   const OnResult on_result = std::move(found->second.on_result);
   pending_.erase(found);
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -32,15 +32,15 @@
 
 // Nobody answered: the host places by itself, from what it knows.
 struct PlaceYourself {};
-using AskResult = std::variant<PlannedPlacement, QueryQueued, QueryRejected,
-                               NoEndpoint, PlaceYourself>;
+using QueryResult = std::variant<PlannedPlacement, QueryQueued, QueryRejected,
+                                 NoEndpoint, PlaceYourself>;
 
 // Not thread-safe; runs on its io_context. Never calls back from within Ask.
 class PlacementClient {
  public:
   // Called once with anything but QueryQueued, before that perhaps with
   // QueryQueued.
-  using OnResult = std::function<void(const AskResult& result)>;
+  using OnResult = std::function<void(const QueryResult& result)>;
 
   PlacementClient(boost::asio::io_context* io, HostAddress self,
                   Incarnation incarnation, PlacementClientPorts ports,
@@ -101,7 +101,7 @@
   void SendAgain(Pending* pending);
   // Tells `host` that the place it gave, or may yet give, is not used.
   void GiveBack(const HostAddress& host, QueryId id);
-  void Resolve(QueryId id, const AskResult& result);
+  void Resolve(QueryId id, const QueryResult& result);
   // Returns when the ask is looked at next.
   TimePoint DueOf(const Pending& pending) const;
   void LookAt(QueryId id);
--- a/src/gateway/placement_search.cc
+++ b/src/gateway/placement_search.cc
@@ -60,7 +60,7 @@
   SetWithheld();
   ask_ = services_->places->Ask(
       sought_.request, WasSent(),
-      [weak = weak_from_this()](const AskResult& result) {
+      [weak = weak_from_this()](const QueryResult& result) {
         const auto self = weak.lock();
         if (self != nullptr && self->observer_ != nullptr) {
           self->OnResult(result);
@@ -69,7 +69,7 @@
   observer_->OnWaiting();
 }
 
-void PlacementSearch::OnResult(const AskResult& result) {
+void PlacementSearch::OnResult(const QueryResult& result) {
   if (std::holds_alternative<QueryQueued>(result)) {
     waits_at_planner_ = true;
     NoteWaiting();
