--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -132,7 +132,7 @@
     }
     QueryResult operator()(const NoEndpoint& none) const { return none; }
     QueryResult operator()(const NotPlanner& /*other*/) const {
-      return PlaceYourself{};
+      return PlaceLocally{};
     }
   };
   Resolve(answer.id, std::visit(ToResult{}, answer.decision));
@@ -215,7 +215,7 @@
   if (pending.asked.value.empty()) {
     pending.sent = now;
     if (now - pending.since >= kNoPlanner) {
-      Resolve(id, PlaceYourself{});
+      Resolve(id, PlaceLocally{});
     }
     return;
   }
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -31,9 +31,9 @@
 };
 
 // Nobody answered: the host places by itself, from what it knows.
-struct PlaceYourself {};
+struct PlaceLocally {};
 using QueryResult = std::variant<PlannedPlacement, QueryQueued, QueryRejected,
-                                 NoEndpoint, PlaceYourself>;
+                                 NoEndpoint, PlaceLocally>;
 
 // Not thread-safe; runs on its io_context. Never calls back from within Ask.
 class PlacementClient {
