--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -31,8 +31,8 @@
       timer_(*io),
       flush_timer_(*io) {}
 
-QueryId PlacementClient::Ask(const PlacementRequest& request, bool may_have_run,
-                             OnResult on_result) {
+QueryId PlacementClient::SendQuery(const PlacementRequest& request,
+                                   bool may_have_run, OnResult on_result) {
   const QueryId id = NewId();
   Pending& pending = pending_[id];
   PlacementQuery& ask = pending.ask;
@@ -68,7 +68,7 @@
     return;
   }
   if (!planner.has_value() || again || pending.hosts_asked >= kMostHostsAsked) {
-    // Looked at by the timer, so that Ask never calls back from within.
+    // Looked at by the timer, so that SendQuery never calls back from within.
     pending.asked = HostAddress{};
     pending.since = pending.sent = TimePoint{};
     return;
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -35,7 +35,8 @@
 using QueryResult = std::variant<PlannedPlacement, QueryQueued, QueryRejected,
                                  NoEndpoint, PlaceLocally>;
 
-// Not thread-safe; runs on its io_context. Never calls back from within Ask.
+// Not thread-safe; runs on its io_context. Never calls back from within
+// SendQuery.
 class PlacementClient {
  public:
   // Called once with anything but QueryQueued, before that perhaps with
@@ -48,8 +49,8 @@
 
   // Asks for a place. Until OnEnd of the id that is returned it counts as under
   // way.
-  QueryId Ask(const PlacementRequest& request, bool may_have_run,
-              OnResult on_result);
+  QueryId SendQuery(const PlacementRequest& request, bool may_have_run,
+                    OnResult on_result);
 
   // Returns an id for a place that this host has chosen itself.
   QueryId NewId() { return QueryId{next_id_++}; }
--- a/src/gateway/placement_search.cc
+++ b/src/gateway/placement_search.cc
@@ -37,7 +37,7 @@
   // Plain services have few endpoints and short work: this host's own knowledge
   // serves them as well, without the way to the planner.
   if (sought_.request.service->engine.has_value()) {
-    Ask();
+    SendQuery();
   } else {
     NotePlacedAlone();
     PlaceAlone();
@@ -55,10 +55,10 @@
       services_->start_limiter->Withheld(*sought_.request.service);
 }
 
-void PlacementSearch::Ask() {
+void PlacementSearch::SendQuery() {
   SetTimes();
   SetWithheld();
-  ask_ = services_->places->Ask(
+  ask_ = services_->places->SendQuery(
       sought_.request, WasSent(),
       [weak = weak_from_this()](const QueryResult& result) {
         const auto self = weak.lock();
@@ -111,7 +111,7 @@
   ExcludeUnusable(planned);
   ++unusable_places_;
   if (unusable_places_ < kMostUnusablePlaces) {
-    Ask();
+    SendQuery();
   } else {
     PlaceAlone();
   }
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -114,7 +114,7 @@
 
  private:
   // Asks the planner; the answer comes to OnResult.
-  void Ask();
+  void SendQuery();
   void OnResult(const QueryResult& result);
   // Takes the place that the planner gave, unless this host knows better of its
   // endpoints: then it asks again.
