--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -89,7 +89,7 @@
     crashes_.Tell(std::move(report));
   }
 
-  PlacementClient* Places() { return &places_; }
+  PlacementClient* Placements() { return &places_; }
   bool IsPlanner() { return book_->IsPlanner(); }
 
   // The pause between two words to the planner. A planner that dies is noticed
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -162,7 +162,7 @@
     }
     return drain_began_ + settings_.stop_limit - 2 * kStopMargin;
   };
-  services.places = fleet_.Places();
+  services.places = fleet_.Placements();
   services.on_endpoint_fault = [this] { fleet_.SendHeartbeatSoon(); };
   services.clock = clock_;
   services.random = random_;
