--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -31,7 +31,7 @@
     if (answer.from == member->followed_) {
       member->planner_heard_ = member->clock_();
     }
-    member->places_.OnAnswer(answer);
+    member->places_.OnReply(answer);
   }
   void operator()(const ProgressReport& note) const {
     member->desk_.OnProgressReport(note);
--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -87,7 +87,7 @@
   ports_.send(pending->asked, pending->ask);
 }
 
-void PlacementClient::OnAnswer(const PlacementReply& answer) {
+void PlacementClient::OnReply(const PlacementReply& answer) {
   if (answer.incarnation != incarnation_) {
     return;
   }
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -62,7 +62,7 @@
   // It ended, or is not wanted any more. Ids that have ended are passed over.
   void OnEnd(QueryId id, bool failed);
 
-  void OnAnswer(const PlacementReply& answer);
+  void OnReply(const PlacementReply& answer);
 
   // Another host plans now: what is not answered is asked there.
   void OnPlannerChanged();
