--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -202,7 +202,7 @@
 
 TimePoint PlacementClient::DueOf(const Pending& pending) const {
   return pending.sent +
-         (pending.waits ? kRepeat : Patience(kResend, kResendAnswers));
+         (pending.waits ? kRepeat : Patience(kResendAfter, kResendAnswers));
 }
 
 void PlacementClient::LookAt(QueryId id) {
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -74,7 +74,7 @@
   // host counts as silent: a lost datagram costs the first, a planner that died
   // the second. Answers take 2 ms within a region; between regions the pauses
   // follow what answers take.
-  static constexpr Millis kResend{30};
+  static constexpr Millis kResendAfter{30};
   static constexpr Millis kSilent{100};
   // How long an ask waits for a planner to be found, after a start of this host
   // or of all.
