--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -222,8 +222,8 @@
   if (now < DueOf(pending)) {
     return;
   }
-  const Millis silent =
-      Patience(kSilent, kSilentAnswers) + (pending.waits ? kRepeat : Millis(0));
+  const Millis silent = Patience(kUnresponsiveAfter, kSilentAnswers) +
+                        (pending.waits ? kRepeat : Millis(0));
   if (now - pending.since < silent) {
     SendAgain(&pending);
     return;
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -75,7 +75,7 @@
   // the second. Answers take 2 ms within a region; between regions the pauses
   // follow what answers take.
   static constexpr Millis kResendAfter{30};
-  static constexpr Millis kSilent{100};
+  static constexpr Millis kUnresponsiveAfter{100};
   // How long an ask waits for a planner to be found, after a start of this host
   // or of all.
   static constexpr Millis kNoPlanner{150};
