--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -214,7 +214,7 @@
   const TimePoint now = clock_();
   if (pending.asked.value.empty()) {
     pending.sent = now;
-    if (now - pending.since >= kNoPlanner) {
+    if (now - pending.since >= kPlannerSearchTimeout) {
       Resolve(id, PlaceLocally{});
     }
     return;
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -78,7 +78,7 @@
   static constexpr Millis kUnresponsiveAfter{100};
   // How long an ask waits for a planner to be found, after a start of this host
   // or of all.
-  static constexpr Millis kNoPlanner{150};
+  static constexpr Millis kPlannerSearchTimeout{150};
   // How often an ask that waits is repeated, so that a planner that died, or a
   // place that was lost, is noticed.
   static constexpr Millis kRepeat{200};
