--- a/src/gateway/place_client.cc
+++ b/src/gateway/place_client.cc
@@ -201,8 +201,9 @@
 }
 
 TimePoint PlacementClient::DueOf(const Pending& pending) const {
-  return pending.sent +
-         (pending.waits ? kRepeat : Patience(kResendAfter, kResendAnswers));
+  return pending.sent + (pending.waits
+                             ? kQueuedRepeatInterval
+                             : Patience(kResendAfter, kResendAnswers));
 }
 
 void PlacementClient::LookAt(QueryId id) {
@@ -223,7 +224,7 @@
     return;
   }
   const Millis silent = Patience(kUnresponsiveAfter, kSilentAnswers) +
-                        (pending.waits ? kRepeat : Millis(0));
+                        (pending.waits ? kQueuedRepeatInterval : Millis(0));
   if (now - pending.since < silent) {
     SendAgain(&pending);
     return;
--- a/src/gateway/place_client.h
+++ b/src/gateway/place_client.h
@@ -81,7 +81,7 @@
   static constexpr Millis kPlannerSearchTimeout{150};
   // How often an ask that waits is repeated, so that a planner that died, or a
   // place that was lost, is noticed.
-  static constexpr Millis kRepeat{200};
+  static constexpr Millis kQueuedRepeatInterval{200};
 
  private:
   struct Pending {
