--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -172,7 +172,7 @@
   const Heartbeat own = Described();
   HearOfSource(word, own);
   crashes_.Repair(word, own.crash_digest);
-  relay_.AskBetterInformed(own);
+  relay_.FetchIfBehind(own);
   desk_.OnHeartbeat(word);
   if (word.wants_reply) {
     Reply(word);
@@ -348,7 +348,7 @@
     is_answered_ = Described().poll_state == PollState::kAnswered;
     desk_.Tick();
   }
-  relay_.AskBetterInformed(Described());
+  relay_.FetchIfBehind(Described());
   tick_timer_.expires_after(kTick);
   tick_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) {
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -116,7 +116,7 @@
   ports_.on_published(published.changes, true);
 }
 
-void PublicationRelay::AskBetterInformed(const Heartbeat& own) {
+void PublicationRelay::FetchIfBehind(const Heartbeat& own) {
   // What this host is reading already need not be asked for.
   const RoutingVersion routing =
       ports_.is_parsing_routing()
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -59,7 +59,7 @@
   // Asks a host that knows more of the platform, unless this one, which knows
   // what `own` says, is about to learn it by itself. To be called with each
   // word and every few tens of milliseconds.
-  void AskBetterInformed(const Heartbeat& own);
+  void FetchIfBehind(const Heartbeat& own);
 
  private:
   void TellPublished();
