--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -304,7 +304,7 @@
     planner_->Clear();
   }
   if (planner == self_.address) {
-    relay_.BeginToPlan();
+    relay_.OnBecamePlanner();
     planner_->Begin(book_->OtherAliveHosts());
     Announce();
   }
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -75,7 +75,7 @@
   boost::asio::post(*io_, [this] { TellPublished(); });
 }
 
-void PublicationRelay::BeginToPlan() {
+void PublicationRelay::OnBecamePlanner() {
   told_up_to_ = ports_.describe().known_up_to;
 }
 
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -51,7 +51,7 @@
   void OnPublished();
 
   // This host plans from now on, and tells the others what follows.
-  void BeginToPlan();
+  void OnBecamePlanner();
 
   // The planner tells what has changed.
   void OnChanges(const PublishedChanges& published);
