--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -134,7 +134,7 @@
   const Watched watched = *watched_;
   for (GuardedRequest* one : watched) {
     if (watched_->count(one) != 0 && one->Fingerprint() == request) {
-      one->OnHeld();
+      one->OnQuarantined();
     }
   }
 }
--- a/src/gateway/crash_guard.h
+++ b/src/gateway/crash_guard.h
@@ -31,7 +31,7 @@
 
   virtual const RequestFingerprint& Fingerprint() = 0;
   // It is held from now on.
-  virtual void OnHeld() = 0;
+  virtual void OnQuarantined() = 0;
 };
 
 // Not thread-safe; runs on its io_context.
--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -16,7 +16,7 @@
       : fingerprint_{AccountId{"acme"}, number, number} {}
 
   const RequestFingerprint& Fingerprint() override { return fingerprint_; }
-  void OnHeld() override { ++held; }
+  void OnQuarantined() override { ++held; }
 
   int held = 0;
 
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -48,7 +48,7 @@
   void OnFailure(const AttemptFailure& failure) override;
   // Taken when it is first wanted, and kept.
   const RequestFingerprint& Fingerprint() override;
-  void OnHeld() override;
+  void OnQuarantined() override;
 
  private:
   void TryNext();
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -232,7 +232,7 @@
   return *fingerprint_;
 }
 
-void Exchange::OnHeld() {
+void Exchange::OnQuarantined() {
   const auto self = shared_from_this();
   // One that an endpoint runs already shows by itself what it does, and one
   // that may run once is not broken off.
