--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -59,7 +59,7 @@
          !is_resting_(endpoint.id);
 }
 
-void CrashGuard::OnBrokenOff(
+void CrashGuard::OnResponseAborted(
     const RequestFingerprint& request, const EndpointRecord& endpoint,
     bool was_beginning, std::function<void(ProbeResult result)> on_judged) {
   if (!MayProbe(endpoint)) {
--- a/src/gateway/crash_guard.h
+++ b/src/gateway/crash_guard.h
@@ -84,9 +84,9 @@
   // `was_beginning`, its end is counted against the request before that. An
   // endpoint of a closed data centre is not asked, and its end counts for
   // nothing.
-  void OnBrokenOff(const RequestFingerprint& request,
-                   const EndpointRecord& endpoint, bool was_beginning,
-                   std::function<void(ProbeResult result)> on_judged);
+  void OnResponseAborted(const RequestFingerprint& request,
+                         const EndpointRecord& endpoint, bool was_beginning,
+                         std::function<void(ProbeResult result)> on_judged);
 
   // An endpoint has answered it whole.
   void OnCompleted(GuardedRequest* request);
--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -92,8 +92,8 @@
 std::optional<ProbeResult> Judged(Host* host, const EndpointRecord& endpoint) {
   OneRequest request(1);
   std::optional<ProbeResult> result;
-  host->guard.OnBrokenOff(request.Fingerprint(), endpoint, true,
-                          [&result](ProbeResult told) { result = told; });
+  host->guard.OnResponseAborted(request.Fingerprint(), endpoint, true,
+                                [&result](ProbeResult told) { result = told; });
   CHECK_FALSE(result.has_value());
   host->io.restart();
   host->io.run();
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -200,7 +200,7 @@
   // What is sent on is judged first: it may have ended its third endpoint.
   may_have_run_ = true;
   const bool goes_on = route_->MayRepeat();
-  services_->crashes->OnBrokenOff(
+  services_->crashes->OnResponseAborted(
       Fingerprint(), sender_->Endpoint(),
       broken.by_endpoint && sender_->IsStarting(),
       [weak = weak_from_this(), services = services_, goes_on,
