--- a/src/gateway/endpoint_prober.cc
+++ b/src/gateway/endpoint_prober.cc
@@ -32,7 +32,7 @@
   }
   // An endpoint that has all the connections it takes resets a further one.
   return timed_out || error != asio::error::connection_reset
-             ? ProbeResult::kSilent
+             ? ProbeResult::kTimedOut
              : ProbeResult::kAccepted;
 }
 
@@ -46,7 +46,7 @@
       return "accepted";
     case ProbeResult::kNotAsked:
       return "not_asked";
-    case ProbeResult::kSilent:
+    case ProbeResult::kTimedOut:
       break;
   }
   return "silent";
@@ -61,7 +61,7 @@
   const auto endpoint = ParseTcpEndpoint(address);
   if (!endpoint.has_value()) {
     asio::post(*io_,
-               [this, address] { OnDone(address, ProbeResult::kSilent); });
+               [this, address] { OnDone(address, ProbeResult::kTimedOut); });
     return;
   }
   const auto attempted = std::make_shared<Attempted>(io_);
--- a/src/gateway/endpoint_prober.h
+++ b/src/gateway/endpoint_prober.h
@@ -20,7 +20,7 @@
   // Its process runs.
   kAccepted,
   // No word in time: a link may be cut, or its whole machine be gone.
-  kSilent,
+  kTimedOut,
   // It was not asked.
   kNotAsked
 };
