--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -107,10 +107,10 @@
   EndpointRecord endpoint = EndedEndpoint();
   endpoint.incarnation = EndpointIncarnation{1};
   host.rests = true;
-  CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
+  CHECK(Judged(&host, endpoint) == ProbeResult::kSkipped);
   host.rests = false;
   host.directory.MarkLeaving(endpoint.id, endpoint.incarnation);
-  CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
+  CHECK(Judged(&host, endpoint) == ProbeResult::kSkipped);
   CHECK(host.quarantine.Count() == 0);
   endpoint.incarnation = EndpointIncarnation{2};
   CHECK(Judged(&host, endpoint) == ProbeResult::kRefused);
@@ -123,7 +123,7 @@
   Host host;
   const EndpointRecord endpoint = EndedEndpoint();
   host.directory.DrainDataCentre({endpoint.data_centre, StoreRevision{2}});
-  CHECK(Judged(&host, endpoint) == ProbeResult::kNotAsked);
+  CHECK(Judged(&host, endpoint) == ProbeResult::kSkipped);
   CHECK(host.quarantine.Count() == 0);
   host.directory.RestoreDataCentre(endpoint.data_centre, StoreRevision{3});
   CHECK(Judged(&host, endpoint) == ProbeResult::kRefused);
--- a/src/gateway/endpoint_prober.cc
+++ b/src/gateway/endpoint_prober.cc
@@ -44,7 +44,7 @@
       return "refused";
     case ProbeResult::kAccepted:
       return "accepted";
-    case ProbeResult::kNotAsked:
+    case ProbeResult::kSkipped:
       return "not_asked";
     case ProbeResult::kTimedOut:
       break;
@@ -84,7 +84,7 @@
 
 void EndpointProber::PassOver(OnResult on_result) {
   asio::post(*io_, [on_result = std::move(on_result)] {
-    on_result(ProbeResult::kNotAsked);
+    on_result(ProbeResult::kSkipped);
   });
 }
 
--- a/src/gateway/endpoint_prober.h
+++ b/src/gateway/endpoint_prober.h
@@ -22,7 +22,7 @@
   // No word in time: a link may be cut, or its whole machine be gone.
   kTimedOut,
   // It was not asked.
-  kNotAsked
+  kSkipped
 };
 
 // Names it in logs.
@@ -41,7 +41,7 @@
   // dozens of requests at once, and each connection has a price.
   void Probe(const std::string& address, OnResult on_result);
 
-  // Calls `on_result` with kNotAsked, never from within.
+  // Calls `on_result` with kSkipped, never from within.
   void PassOver(OnResult on_result);
 
   // How long a connection may take to come up, as for requests.
