--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -63,7 +63,7 @@
     const RequestFingerprint& request, const EndpointRecord& endpoint,
     bool was_beginning, std::function<void(ProbeResult result)> on_judged) {
   if (!MayProbe(endpoint)) {
-    prober_->PassOver(std::move(on_judged));
+    prober_->Skip(std::move(on_judged));
     return;
   }
   prober_->Probe(endpoint.address,
--- a/src/gateway/endpoint_prober.cc
+++ b/src/gateway/endpoint_prober.cc
@@ -82,7 +82,7 @@
       });
 }
 
-void EndpointProber::PassOver(OnResult on_result) {
+void EndpointProber::Skip(OnResult on_result) {
   asio::post(*io_, [on_result = std::move(on_result)] {
     on_result(ProbeResult::kSkipped);
   });
--- a/src/gateway/endpoint_prober.h
+++ b/src/gateway/endpoint_prober.h
@@ -42,7 +42,7 @@
   void Probe(const std::string& address, OnResult on_result);
 
   // Calls `on_result` with kSkipped, never from within.
-  void PassOver(OnResult on_result);
+  void Skip(OnResult on_result);
 
   // How long a connection may take to come up, as for requests.
   static constexpr Millis kTimeout{250};
