--- a/src/gateway/settings_views.cc
+++ b/src/gateway/settings_views.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-std::size_t MostSessions(std::size_t descriptors) {
+std::size_t MaxSessions(std::size_t descriptors) {
   return descriptors > kReservedDescriptors + kLeastSessions
              ? descriptors - kReservedDescriptors
              : kLeastSessions;
--- a/src/gateway/settings_views.h
+++ b/src/gateway/settings_views.h
@@ -12,7 +12,7 @@
 namespace harecrank {
 
 // Returns how many callers' connections fit into `descriptors`.
-std::size_t MostSessions(std::size_t descriptors);
+std::size_t MaxSessions(std::size_t descriptors);
 
 // Returns this host as others know it.
 KnownHost Self(const GatewaySettings& settings);
