--- a/src/gateway/socket_options.cc
+++ b/src/gateway/socket_options.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 void SetConnectionOptions(boost::asio::ip::tcp::socket* socket) {
-  SetOptions(socket, kUnacknowledgedLimit);
+  SetOptions(socket, kUnacknowledgedTimeout);
 }
 
 void SetEndpointOptions(boost::asio::ip::tcp::socket* socket) {
--- a/src/gateway/socket_options.h
+++ b/src/gateway/socket_options.h
@@ -12,7 +12,7 @@
 // How long bytes may stay unacknowledged before the connection counts as lost.
 // A peer that lost power or is cut off says nothing; without this a write to it
 // hangs for minutes.
-constexpr Millis kUnacknowledgedLimit{4000};
+constexpr Millis kUnacknowledgedTimeout{4000};
 
 // Sets them, as far as the system takes them.
 void SetConnectionOptions(boost::asio::ip::tcp::socket* socket);
