--- a/src/gateway/attempt_test.cc
+++ b/src/gateway/attempt_test.cc
@@ -115,12 +115,12 @@
   socket.get_option(count);
   const Millis given_up(1000 *
                         (idle.value() + interval.value() * count.value()));
-  CHECK(given_up == kSilentHostLimit);
+  CHECK(given_up == kKeepaliveTimeout);
   asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT> limit;
   socket.get_option(limit);
-  CHECK(Millis(limit.value()) == kSilentHostLimit);
+  CHECK(Millis(limit.value()) == kKeepaliveTimeout);
   // Engines must have back what nobody uses after four seconds.
-  CHECK(kSilentHostLimit < Millis(4000));
+  CHECK(kKeepaliveTimeout < Millis(4000));
 }
 
 }  // namespace
--- a/src/gateway/socket_options.cc
+++ b/src/gateway/socket_options.cc
@@ -25,7 +25,7 @@
 
 void SetEndpointOptions(boost::asio::ip::tcp::socket* socket) {
   // Where it is set, this limit also decides for unanswered probes.
-  SetOptions(socket, kSilentHostLimit);
+  SetOptions(socket, kKeepaliveTimeout);
   using Idle =
       boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
   using Interval =
--- a/src/gateway/socket_options.h
+++ b/src/gateway/socket_options.h
@@ -20,7 +20,7 @@
 // The same for a connection to an endpoint, and asks the peer's host now and
 // then whether it is there: an endpoint that is silent may be reading a long
 // prompt, or may have lost power. One that does not answer is given up within
-// kSilentHostLimit, well before memory that other engines hold for its request
+// kKeepaliveTimeout, well before memory that other engines hold for its request
 // must be free again.
 void SetEndpointOptions(boost::asio::ip::tcp::socket* socket);
 
@@ -28,8 +28,8 @@
 constexpr int kProbeIntervalSeconds = 1;
 // How many stay unanswered: one may be lost on the way.
 constexpr int kUnansweredProbes = 2;
-constexpr Millis kSilentHostLimit{1000 * kProbeIntervalSeconds *
-                                  (1 + kUnansweredProbes)};
+constexpr Millis kKeepaliveTimeout{1000 * kProbeIntervalSeconds *
+                                   (1 + kUnansweredProbes)};
 
 }  // namespace harecrank
 
