--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -22,7 +22,7 @@
 #include "src/gateway/fleet_socket.h"
 #include "src/gateway/peers_log.h"
 #include "src/gateway/place_client.h"
-#include "src/gateway/planning_desk.h"
+#include "src/gateway/planner_service.h"
 #include "src/gateway/publication_relay.h"
 #include "src/gateway/timer.h"
 
--- a/src/gateway/planning_desk.cc
+++ b/src/gateway/planner_service.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/planning_desk.h"
+#include "src/gateway/planner_service.h"
 
 #include <utility>
 
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planner_service.h
@@ -1,7 +1,7 @@
 // Answers asks for places, on the host that plans.
 
-#ifndef HARECRANK_SRC_GATEWAY_PLANNING_DESK_H_
-#define HARECRANK_SRC_GATEWAY_PLANNING_DESK_H_
+#ifndef HARECRANK_SRC_GATEWAY_PLANNER_SERVICE_H_
+#define HARECRANK_SRC_GATEWAY_PLANNER_SERVICE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -63,4 +63,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_PLANNING_DESK_H_
+#endif  // HARECRANK_SRC_GATEWAY_PLANNER_SERVICE_H_
