--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -9,7 +9,7 @@
 #include "harecrank/core/endpoint_directory.h"
 #include "harecrank/core/endpoint_health.h"
 #include "harecrank/core/endpoint_response.h"
-#include "src/gateway/endpoint_news.h"
+#include "src/gateway/endpoint_updater.h"
 #include "src/gateway/rest_watch.h"
 #include "src/gateway/start_limiter.h"
 
--- a/src/gateway/endpoint_news.cc
+++ b/src/gateway/endpoint_updater.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/endpoint_news.h"
+#include "src/gateway/endpoint_updater.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/endpoint_news.h
+++ b/src/gateway/endpoint_updater.h
@@ -1,7 +1,7 @@
 // Takes what the platform tells of endpoints into what this host knows of them.
 
-#ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_NEWS_H_
-#define HARECRANK_SRC_GATEWAY_ENDPOINT_NEWS_H_
+#ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_UPDATER_H_
+#define HARECRANK_SRC_GATEWAY_ENDPOINT_UPDATER_H_
 
 #include <optional>
 #include <string>
@@ -88,4 +88,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_ENDPOINT_NEWS_H_
+#endif  // HARECRANK_SRC_GATEWAY_ENDPOINT_UPDATER_H_
--- a/src/gateway/endpoint_news_test.cc
+++ b/src/gateway/endpoint_updater_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/endpoint_news.h"
+#include "src/gateway/endpoint_updater.h"
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -12,7 +12,7 @@
 #include "src/gateway/copy_server.h"
 #include "src/gateway/dispatch_queue.h"
 #include "src/gateway/endpoint_connection_pool.h"
-#include "src/gateway/endpoint_news.h"
+#include "src/gateway/endpoint_updater.h"
 #include "src/gateway/fleet_member.h"
 #include "src/gateway/gateway_services.h"
 #include "src/gateway/source_state.h"
--- a/src/gateway/published_news.h
+++ b/src/gateway/published_news.h
@@ -10,7 +10,7 @@
 #include "src/adapters/event_log.h"
 #include "src/adapters/metrics.h"
 #include "src/gateway/directory_feed.h"
-#include "src/gateway/endpoint_news.h"
+#include "src/gateway/endpoint_updater.h"
 #include "src/gateway/gateway_services.h"
 #include "src/gateway/source_state.h"
 #include "src/gateway/start_limiter.h"
