--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -22,9 +22,9 @@
 #include "src/gateway/gateway_gauges.h"
 #include "src/gateway/gateway_services.h"
 #include "src/gateway/loop_holds.h"
-#include "src/gateway/published_news.h"
 #include "src/gateway/small_server.h"
 #include "src/gateway/source_state.h"
+#include "src/gateway/store_update_handler.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
--- a/src/gateway/published_news.cc
+++ b/src/gateway/store_update_handler.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/published_news.h"
+#include "src/gateway/store_update_handler.h"
 
 #include <memory>
 #include <utility>
--- a/src/gateway/published_news.h
+++ b/src/gateway/store_update_handler.h
@@ -1,7 +1,7 @@
 // Takes what the platform publishes into what this host knows.
 
-#ifndef HARECRANK_SRC_GATEWAY_PUBLISHED_NEWS_H_
-#define HARECRANK_SRC_GATEWAY_PUBLISHED_NEWS_H_
+#ifndef HARECRANK_SRC_GATEWAY_STORE_UPDATE_HANDLER_H_
+#define HARECRANK_SRC_GATEWAY_STORE_UPDATE_HANDLER_H_
 
 #include <functional>
 #include <string>
@@ -61,4 +61,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_PUBLISHED_NEWS_H_
+#endif  // HARECRANK_SRC_GATEWAY_STORE_UPDATE_HANDLER_H_
