--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -9,12 +9,12 @@
 #include "harecrank/core/planner.h"
 #include "harecrank/core/request_quarantine.h"
 #include "src/gateway/caller_listener.h"
-#include "src/gateway/copy_server.h"
 #include "src/gateway/dispatch_queue.h"
 #include "src/gateway/endpoint_connection_pool.h"
 #include "src/gateway/endpoint_updater.h"
 #include "src/gateway/fleet_member.h"
 #include "src/gateway/gateway_services.h"
+#include "src/gateway/snapshot_server.h"
 #include "src/gateway/source_state.h"
 #include "src/gateway/start_limiter.h"
 
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -12,7 +12,6 @@
 
 #include "src/adapters/settings.h"
 #include "src/gateway/caller_listener.h"
-#include "src/gateway/copy_server.h"
 #include "src/gateway/crash_guard.h"
 #include "src/gateway/directory_feed.h"
 #include "src/gateway/endpoint_prober.h"
@@ -23,6 +22,7 @@
 #include "src/gateway/gateway_services.h"
 #include "src/gateway/loop_holds.h"
 #include "src/gateway/small_server.h"
+#include "src/gateway/snapshot_server.h"
 #include "src/gateway/source_state.h"
 #include "src/gateway/store_update_handler.h"
 #include "src/gateway/timer.h"
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -6,9 +6,9 @@
 #include <utility>
 
 #include "harecrank/core/http_status.h"
-#include "src/gateway/copy_server.h"
 #include "src/gateway/endpoint_request.h"
 #include "src/gateway/response_decoder.h"
+#include "src/gateway/snapshot_server.h"
 
 namespace harecrank {
 namespace {
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/snapshot_server.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/copy_server.h"
+#include "src/gateway/snapshot_server.h"
 
 #include <boost/beast/http/field.hpp>
 #include <limits>
--- a/src/gateway/copy_server.h
+++ b/src/gateway/snapshot_server.h
@@ -1,7 +1,7 @@
 // Gives other hosts copies of what is published.
 
-#ifndef HARECRANK_SRC_GATEWAY_COPY_SERVER_H_
-#define HARECRANK_SRC_GATEWAY_COPY_SERVER_H_
+#ifndef HARECRANK_SRC_GATEWAY_SNAPSHOT_SERVER_H_
+#define HARECRANK_SRC_GATEWAY_SNAPSHOT_SERVER_H_
 
 #include <functional>
 #include <memory>
@@ -59,4 +59,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_COPY_SERVER_H_
+#endif  // HARECRANK_SRC_GATEWAY_SNAPSHOT_SERVER_H_
