--- a/src/gateway/rest_watch.h
+++ b/src/gateway/backoff_notifier.h
@@ -4,8 +4,8 @@
 // after the other. Whoever waits for a place has to be told as soon as the last
 // of them rests for longer than waiting is of use, and not when it looks next.
 
-#ifndef HARECRANK_SRC_GATEWAY_REST_WATCH_H_
-#define HARECRANK_SRC_GATEWAY_REST_WATCH_H_
+#ifndef HARECRANK_SRC_GATEWAY_BACKOFF_NOTIFIER_H_
+#define HARECRANK_SRC_GATEWAY_BACKOFF_NOTIFIER_H_
 
 #include <cstdint>
 #include <functional>
@@ -40,4 +40,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_REST_WATCH_H_
+#endif  // HARECRANK_SRC_GATEWAY_BACKOFF_NOTIFIER_H_
--- a/src/gateway/rest_watch_test.cc
+++ b/src/gateway/backoff_notifier_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/rest_watch.h"
+#include "src/gateway/backoff_notifier.h"
 
 #include <catch2/catch.hpp>
 #include <utility>
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -9,8 +9,8 @@
 #include "harecrank/core/endpoint_directory.h"
 #include "harecrank/core/endpoint_health.h"
 #include "harecrank/core/endpoint_response.h"
+#include "src/gateway/backoff_notifier.h"
 #include "src/gateway/endpoint_updater.h"
-#include "src/gateway/rest_watch.h"
 #include "src/gateway/start_limiter.h"
 
 namespace harecrank {
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -17,6 +17,7 @@
 #include "harecrank/core/routing_table.h"
 #include "src/adapters/event_log.h"
 #include "src/adapters/metrics.h"
+#include "src/gateway/backoff_notifier.h"
 #include "src/gateway/crash_guard.h"
 #include "src/gateway/dispatch_queue.h"
 #include "src/gateway/endpoint_connection_pool.h"
@@ -24,7 +25,6 @@
 #include "src/gateway/memory_orders.h"
 #include "src/gateway/place_client.h"
 #include "src/gateway/protocol_names.h"
-#include "src/gateway/rest_watch.h"
 #include "src/gateway/start_limiter.h"
 
 namespace harecrank {
