--- a/src/gateway/loop_holds.h
+++ b/src/gateway/event_loop_monitor.h
@@ -1,7 +1,7 @@
 // How long single pieces of work hold the thread that carries all streams.
 
-#ifndef HARECRANK_SRC_GATEWAY_LOOP_HOLDS_H_
-#define HARECRANK_SRC_GATEWAY_LOOP_HOLDS_H_
+#ifndef HARECRANK_SRC_GATEWAY_EVENT_LOOP_MONITOR_H_
+#define HARECRANK_SRC_GATEWAY_EVENT_LOOP_MONITOR_H_
 
 #include <chrono>
 #include <map>
@@ -63,4 +63,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_LOOP_HOLDS_H_
+#endif  // HARECRANK_SRC_GATEWAY_EVENT_LOOP_MONITOR_H_
--- a/src/gateway/loop_holds_test.cc
+++ b/src/gateway/event_loop_monitor_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/loop_holds.h"
+#include "src/gateway/event_loop_monitor.h"
 
 #include <catch2/catch.hpp>
 
