--- a/src/gateway/caller_listener.cc
+++ b/src/gateway/caller_listener.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "src/gateway/small_server.h"
+#include "src/gateway/simple_http_server.h"
 
 namespace harecrank {
 namespace {
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -21,7 +21,7 @@
 #include "src/gateway/fleet_member.h"
 #include "src/gateway/gateway_gauges.h"
 #include "src/gateway/gateway_services.h"
-#include "src/gateway/small_server.h"
+#include "src/gateway/simple_http_server.h"
 #include "src/gateway/snapshot_server.h"
 #include "src/gateway/source_state.h"
 #include "src/gateway/store_update_handler.h"
--- a/src/gateway/small_server.cc
+++ b/src/gateway/simple_http_server.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/small_server.h"
+#include "src/gateway/simple_http_server.h"
 
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/span_body.hpp>
--- a/src/gateway/small_server.h
+++ b/src/gateway/simple_http_server.h
@@ -1,7 +1,7 @@
 // A server of small answers: readiness, metrics, and what peers ask.
 
-#ifndef HARECRANK_SRC_GATEWAY_SMALL_SERVER_H_
-#define HARECRANK_SRC_GATEWAY_SMALL_SERVER_H_
+#ifndef HARECRANK_SRC_GATEWAY_SIMPLE_HTTP_SERVER_H_
+#define HARECRANK_SRC_GATEWAY_SIMPLE_HTTP_SERVER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -59,4 +59,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_SMALL_SERVER_H_
+#endif  // HARECRANK_SRC_GATEWAY_SIMPLE_HTTP_SERVER_H_
--- a/src/gateway/snapshot_server.h
+++ b/src/gateway/snapshot_server.h
@@ -11,7 +11,7 @@
 #include "harecrank/core/membership.h"
 #include "harecrank/core/snapshot_admission.h"
 #include "src/adapters/metrics.h"
-#include "src/gateway/small_server.h"
+#include "src/gateway/simple_http_server.h"
 
 namespace harecrank {
 
