--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -15,8 +15,8 @@
 #include "src/gateway/fleet_member.h"
 #include "src/gateway/gateway_services.h"
 #include "src/gateway/snapshot_server.h"
-#include "src/gateway/source_state.h"
 #include "src/gateway/start_limiter.h"
+#include "src/gateway/store_sync_state.h"
 
 namespace harecrank {
 
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -23,7 +23,7 @@
 #include "src/gateway/gateway_services.h"
 #include "src/gateway/simple_http_server.h"
 #include "src/gateway/snapshot_server.h"
-#include "src/gateway/source_state.h"
+#include "src/gateway/store_sync_state.h"
 #include "src/gateway/store_update_handler.h"
 #include "src/gateway/timer.h"
 
--- a/src/gateway/source_state.cc
+++ b/src/gateway/store_sync_state.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/source_state.h"
+#include "src/gateway/store_sync_state.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/source_state.h
+++ b/src/gateway/store_sync_state.h
@@ -1,8 +1,8 @@
 // What this host knows of the platform's publications, from whomever, and
 // whether it reads them itself.
 
-#ifndef HARECRANK_SRC_GATEWAY_SOURCE_STATE_H_
-#define HARECRANK_SRC_GATEWAY_SOURCE_STATE_H_
+#ifndef HARECRANK_SRC_GATEWAY_STORE_SYNC_STATE_H_
+#define HARECRANK_SRC_GATEWAY_STORE_SYNC_STATE_H_
 
 #include <functional>
 #include <optional>
@@ -79,4 +79,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_SOURCE_STATE_H_
+#endif  // HARECRANK_SRC_GATEWAY_STORE_SYNC_STATE_H_
--- a/src/gateway/store_update_handler.h
+++ b/src/gateway/store_update_handler.h
@@ -12,8 +12,8 @@
 #include "src/gateway/directory_feed.h"
 #include "src/gateway/endpoint_updater.h"
 #include "src/gateway/gateway_services.h"
-#include "src/gateway/source_state.h"
 #include "src/gateway/start_limiter.h"
+#include "src/gateway/store_sync_state.h"
 
 namespace harecrank {
 
