--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -21,7 +21,7 @@
 #include "src/gateway/crash_relay.h"
 #include "src/gateway/fleet_socket.h"
 #include "src/gateway/peers_log.h"
-#include "src/gateway/place_client.h"
+#include "src/gateway/placement_client.h"
 #include "src/gateway/planner_service.h"
 #include "src/gateway/publication_relay.h"
 #include "src/gateway/timer.h"
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -23,7 +23,7 @@
 #include "src/gateway/endpoint_connection_pool.h"
 #include "src/gateway/endpoint_response_handler.h"
 #include "src/gateway/memory_orders.h"
-#include "src/gateway/place_client.h"
+#include "src/gateway/placement_client.h"
 #include "src/gateway/protocol_names.h"
 #include "src/gateway/start_limiter.h"
 
--- a/src/gateway/place_client.cc
+++ b/src/gateway/placement_client.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/place_client.h"
+#include "src/gateway/placement_client.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/place_client.h
+++ b/src/gateway/placement_client.h
@@ -1,7 +1,7 @@
 // Asks the planner for places, and tells it what became of them.
 
-#ifndef HARECRANK_SRC_GATEWAY_PLACE_CLIENT_H_
-#define HARECRANK_SRC_GATEWAY_PLACE_CLIENT_H_
+#ifndef HARECRANK_SRC_GATEWAY_PLACEMENT_CLIENT_H_
+#define HARECRANK_SRC_GATEWAY_PLACEMENT_CLIENT_H_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -130,4 +130,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_PLACE_CLIENT_H_
+#endif  // HARECRANK_SRC_GATEWAY_PLACEMENT_CLIENT_H_
