--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -150,7 +150,7 @@
   services.policy = &settings_.placement;
   services.budgets = &budgets_;
   services.start_limiter = &start_limiter_;
-  services.answers = &answers_;
+  services.response_handler = &answers_;
   services.backoff_notifier = &backoff_notifier_;
   services.queue = &queue_;
   services.orders = orders_.get();
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -75,7 +75,7 @@
   const PlacementPolicy* policy = nullptr;
   RepeatBudgets* budgets = nullptr;
   StartLimiter* start_limiter = nullptr;
-  EndpointResponseHandler* answers = nullptr;
+  EndpointResponseHandler* response_handler = nullptr;
   BackoffNotifier* backoff_notifier = nullptr;
   DispatchQueue* queue = nullptr;
   MemoryOrders* orders = nullptr;
--- a/src/gateway/placement_search.cc
+++ b/src/gateway/placement_search.cc
@@ -396,7 +396,7 @@
   }
   hold_ = std::make_shared<MemoryReservation>(
       services_->io, services_->orders, std::move(needs),
-      [answers = services_->answers, asked_at = services_->clock()](
+      [answers = services_->response_handler, asked_at = services_->clock()](
           const EndpointRecord& endpoint, const EndpointResponse& answer) {
         answers->OnAnswer(endpoint, answer, asked_at);
       });
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -65,7 +65,7 @@
 
 void RequestSender::OnAnswer(const EndpointResponse& answer) {
   last_bytes_at_ = services_->clock();
-  services_->answers->OnAnswer(endpoint_, answer, sent_at_);
+  services_->response_handler->OnAnswer(endpoint_, answer, sent_at_);
 }
 
 void RequestSender::OnBytes() {
