--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -4,13 +4,13 @@
 
 namespace harecrank {
 
-CrashGuard::Watching::Watching(const std::shared_ptr<Watched>& watched,
-                               GuardedRequest* request)
+CrashGuard::Registration::Registration(const std::shared_ptr<Watched>& watched,
+                                       GuardedRequest* request)
     : watched_(watched), request_(request) {
   watched->insert(request);
 }
 
-CrashGuard::Watching::~Watching() {
+CrashGuard::Registration::~Registration() {
   if (const auto watched = watched_.lock()) {
     watched->erase(request_);
   }
--- a/src/gateway/crash_guard.h
+++ b/src/gateway/crash_guard.h
@@ -51,12 +51,13 @@
   using Watched = std::set<GuardedRequest*>;
 
   // Watches `request` for as long as this lives.
-  class Watching {
+  class Registration {
    public:
-    Watching(const std::shared_ptr<Watched>& watched, GuardedRequest* request);
-    ~Watching();
-    Watching(const Watching&) = delete;
-    Watching& operator=(const Watching&) = delete;
+    Registration(const std::shared_ptr<Watched>& watched,
+                 GuardedRequest* request);
+    ~Registration();
+    Registration(const Registration&) = delete;
+    Registration& operator=(const Registration&) = delete;
 
    private:
     std::weak_ptr<Watched> watched_;
@@ -64,8 +65,8 @@
   };
 
   // Returns what stands for `request` until it ends.
-  std::unique_ptr<Watching> Watch(GuardedRequest* request) const {
-    return std::make_unique<Watching>(watched_, request);
+  std::unique_ptr<Registration> Watch(GuardedRequest* request) const {
+    return std::make_unique<Registration>(watched_, request);
   }
 
   // Returns whether `request` may be sent nowhere now. Takes its fingerprint
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -106,7 +106,7 @@
   ExchangeLog log_;
   ResponseRelay relay_;
   std::optional<RequestFingerprint> fingerprint_;
-  std::unique_ptr<CrashGuard::Watching> watching_;
+  std::unique_ptr<CrashGuard::Registration> watching_;
   std::shared_ptr<const std::string> body_;
   std::shared_ptr<const RoutingTable> table_;
   const RouteRule* route_ = nullptr;
