--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -33,10 +33,10 @@
   std::string operator()(const Unreachable& error) const {
     return "no connection: " + error.reason;
   }
-  std::string operator()(const NoAnswer& error) const {
+  std::string operator()(const NoResponse& error) const {
     return "no answer: " + error.reason;
   }
-  std::string operator()(const AnswerTooLarge& error) const {
+  std::string operator()(const ResponseTooLarge& error) const {
     return "the answer is larger than " + std::to_string(error.limit) +
            " bytes";
   }
@@ -63,7 +63,7 @@
 
 void SendRequest(HTTPClientSession& session, const HttpCall& call) {
   HTTPRequest request(call.method, call.path, HTTPMessage::HTTP_1_1);
-  for (const HttpField& field : call.fields) {
+  for (const HttpHeader& field : call.fields) {
     request.set(field.name, field.value);
   }
   if (!call.body.empty() || call.method == HTTPRequest::HTTP_POST) {
@@ -91,7 +91,7 @@
     session.setTimeout(ToTimespan(call.timeout));
     return exchange(session);
   } catch (const Poco::Exception& error) {
-    return leaf::new_error(HttpError{NoAnswer{error.displayText()}});
+    return leaf::new_error(HttpError{NoResponse{error.displayText()}});
   }
 }
 
@@ -137,9 +137,9 @@
   return std::visit(Describer{}, error);
 }
 
-leaf::result<HttpAnswer> CallHttp(const HttpCall& call,
-                                  std::size_t most_bytes) {
-  HttpAnswer answer{};
+leaf::result<HttpResponse> SendHttpRequest(const HttpCall& call,
+                                           std::size_t max_bytes) {
+  HttpResponse answer{};
   const auto exchange = [&](HTTPClientSession& session) -> leaf::result<void> {
     SendRequest(session, call);
     HTTPResponse response;
@@ -147,14 +147,14 @@
     answer.status = response.getStatus();
     answer.content_type = response.getContentType();
     answer.retry_after = response.get("Retry-After", "");
-    if (!ReadAll(body, most_bytes, &answer.body)) {
-      return leaf::new_error(HttpError{AnswerTooLarge{most_bytes}});
+    if (!ReadAll(body, max_bytes, &answer.body)) {
+      return leaf::new_error(HttpError{ResponseTooLarge{max_bytes}});
     }
     // POCO ends a body that was cut as it ends a whole one.
     if (response.hasContentLength() &&
         static_cast<Poco::Int64>(answer.body.size()) <
             response.getContentLength64()) {
-      return leaf::new_error(HttpError{NoAnswer{"the answer was cut"}});
+      return leaf::new_error(HttpError{NoResponse{"the answer was cut"}});
     }
     return {};
   };
@@ -200,8 +200,8 @@
   pool_.stopAll();
 }
 
-void Answer(Poco::Net::HTTPServerResponse& response, int status,
-            const std::string& body, const std::string& content_type) {
+void SendResponse(Poco::Net::HTTPServerResponse& response, int status,
+                  const std::string& body, const std::string& content_type) {
   response.setStatus(static_cast<HTTPResponse::HTTPStatus>(status));
   response.setReason(HTTPResponse::getReasonForStatus(response.getStatus()));
   response.setContentType(content_type);
@@ -226,7 +226,7 @@
   }
 }
 
-bool IsCallerThere(Poco::Net::HTTPServerRequest& request) {
+bool IsCallerConnected(Poco::Net::HTTPServerRequest& request) {
   auto& implementation =
       static_cast<Poco::Net::HTTPServerRequestImpl&>(request);
   Poco::Net::StreamSocket& socket = implementation.socket();
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -26,19 +26,19 @@
   std::string reason;
 };
 // The call was sent, and what became of it is not known.
-struct NoAnswer {
+struct NoResponse {
   std::string reason;
 };
-struct AnswerTooLarge {
+struct ResponseTooLarge {
   std::size_t limit = 0;
 };
-using HttpError = std::variant<Unreachable, NoAnswer, AnswerTooLarge>;
+using HttpError = std::variant<Unreachable, NoResponse, ResponseTooLarge>;
 
 // Returns one sentence for a person.
 std::string Describe(const HttpError& error);
 
 // A header field of a call or an answer.
-struct HttpField {
+struct HttpHeader {
   std::string name;
   std::string value;
 };
@@ -50,22 +50,22 @@
   std::string path = "/";
   std::string body;
   std::string content_type = "application/json";
-  std::vector<HttpField> fields;
+  std::vector<HttpHeader> fields;
   // How long to wait for a connection, and for each read.
   Millis timeout{2000};
 };
 
 // One answer. The status is zero where there was none.
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;
   std::string content_type;
   std::string retry_after;
   std::string body;
 };
 
-// Makes a call and reads the whole answer, up to `most_bytes`.
-boost::leaf::result<HttpAnswer> CallHttp(const HttpCall& call,
-                                         std::size_t most_bytes = 64U << 20U);
+// Makes a call and reads the whole answer, up to `max_bytes`.
+boost::leaf::result<HttpResponse> SendHttpRequest(
+    const HttpCall& call, std::size_t max_bytes = 64U << 20U);
 
 // Makes a call and gives the answer's body to `read` as it comes. `read` is
 // called once, also for answers that tell of an error.
@@ -109,9 +109,9 @@
 };
 
 // Writes a whole answer.
-void Answer(Poco::Net::HTTPServerResponse& response, int status,
-            const std::string& body,
-            const std::string& content_type = "application/json");
+void SendResponse(Poco::Net::HTTPServerResponse& response, int status,
+                  const std::string& body,
+                  const std::string& content_type = "application/json");
 
 // Reads a body of at most `limit` bytes. Returns false if it is longer.
 bool ReadBody(Poco::Net::HTTPServerRequest& request, std::size_t limit,
@@ -123,7 +123,7 @@
 
 // Returns whether the caller's side of the connection is still open. Does not
 // wait.
-bool IsCallerThere(Poco::Net::HTTPServerRequest& request);
+bool IsCallerConnected(Poco::Net::HTTPServerRequest& request);
 
 // Returns the value of `name` in the query of `uri`, or `otherwise`.
 std::string QueryValue(const std::string& uri, const std::string& name,
--- a/src/adapters/wire.cc
+++ b/src/adapters/wire.cc
@@ -90,23 +90,23 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Reserved, stream)
 
 // A prompt is bytes, not text: a piece may end inside a character.
-void to_json(json& to, const BodyPiece& from) {
+void to_json(json& to, const BodyChunk& from) {
   to = json::array(
       {from.stream.value, json::binary(std::vector<std::uint8_t>(
                               from.bytes.begin(), from.bytes.end()))});
 }
 
-void from_json(const json& from, BodyPiece& to) {
+void from_json(const json& from, BodyChunk& to) {
   from.at(0).get_to(to.stream.value);
   const auto& bytes = from.at(1).get_binary();
   to.bytes.assign(bytes.begin(), bytes.end());
 }
 
-void to_json(json& to, const Pulse& from) {
+void to_json(json& to, const SidecarHeartbeat& from) {
   to = json::array({from.clock.value, from.load, from.draining});
 }
 
-void from_json(const json& from, Pulse& to) {
+void from_json(const json& from, SidecarHeartbeat& to) {
   from.at(0).get_to(to.clock.value);
   from.at(1).get_to(to.load);
   from.at(2).get_to(to.draining);
--- a/src/adapters/wire.h
+++ b/src/adapters/wire.h
@@ -22,10 +22,10 @@
 
 constexpr int kProtocolVersion = 1;
 // The largest frame that is read, and the largest piece of a body in one.
-constexpr std::size_t kMostFrameBytes = 1U << 20U;
-constexpr std::size_t kPieceBytes = 256U << 10U;
+constexpr std::size_t kMaxFrameBytes = 1U << 20U;
+constexpr std::size_t kChunkBytes = 256U << 10U;
 // The largest body that a sidecar takes for one request.
-constexpr std::size_t kMostBodyBytes = 64U << 20U;
+constexpr std::size_t kMaxBodyBytes = 64U << 20U;
 
 // Entry host to sidecar: the first message of a link.
 struct Hello {
@@ -83,7 +83,7 @@
 };
 
 // A piece of a submission's body, in order.
-struct BodyPiece {
+struct BodyChunk {
   StreamId stream;
   std::string bytes;
 };
@@ -136,7 +136,7 @@
 };
 
 // The sidecar's clock and load, sent at intervals and when load changes much.
-struct Pulse {
+struct SidecarHeartbeat {
   RemoteMillis clock;
   LoadReport load;
   bool draining = false;
@@ -202,10 +202,10 @@
   StreamId stream;
 };
 
-using Message = std::variant<Hello, Submit, BodyPiece, Revoke, Cancel, Credit,
+using Message = std::variant<Hello, Submit, BodyChunk, Revoke, Cancel, Credit,
                              TicketRequest, TicketRevoke, Reserve, Welcome,
-                             Pulse, Accepted, Started, Output, Finished,
-                             Refused, Failed, TicketAnswer, Reserved>;
+                             SidecarHeartbeat, Accepted, Started, Output,
+                             Finished, Refused, Failed, TicketAnswer, Reserved>;
 
 // Why bytes are no message.
 struct NotCbor {};
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -18,9 +18,9 @@
 };
 
 int Explain(const ExplainOptions& options) {
-  RequestStory story;
+  RequestTimeline story;
   if (options.files.empty()) {
-    ReadStory(&std::cin, options.request, &story);
+    ReadTimeline(&std::cin, options.request, &story);
   }
   for (const std::string& path : options.files) {
     std::ifstream file(path);
@@ -28,9 +28,9 @@
       std::cerr << "harecrank: cannot read the file " << path << "\n";
       return kExitBadInput;
     }
-    ReadStory(&file, options.request, &story);
+    ReadTimeline(&file, options.request, &story);
   }
-  FinishStory(options.request, &story);
+  FinalizeTimeline(options.request, &story);
   if (options.as_json) {
     std::cout << nlohmann::json{{"lines", story.lines},
                                 {"unreadable", story.unreadable},
@@ -38,9 +38,9 @@
                      .dump(2)
               << "\n";
   } else {
-    std::cout << TellStory(options.request, story);
+    std::cout << FormatTimeline(options.request, story);
   }
-  return story.lines.empty() ? kExitRefused : kExitOk;
+  return story.lines.empty() ? kExitFailure : kExitOk;
 }
 
 }  // namespace
--- a/src/cli/explain_test.cc
+++ b/src/cli/explain_test.cc
@@ -17,18 +17,18 @@
 {"event":"placed","node":"c","request":"r3","time_ms":1,"left_out_before":4}
 )";
 
-RequestStory StoryOf(const std::string& request) {
-  RequestStory story;
+RequestTimeline StoryOf(const std::string& request) {
+  RequestTimeline story;
   std::istringstream input(kLogs);
-  ReadStory(&input, request, &story);
-  FinishStory(request, &story);
+  ReadTimeline(&input, request, &story);
+  FinalizeTimeline(request, &story);
   return story;
 }
 
 TEST_CASE(
     "A story has the request's lines in order and what its host "
     "believed") {
-  const RequestStory story = StoryOf("r1");
+  const RequestTimeline story = StoryOf("r1");
   REQUIRE(story.lines.size() == 3);
   CHECK(story.lines[0]["event"] == "source_lost");
   CHECK(story.lines[1]["event"] == "placed");
@@ -39,14 +39,14 @@
 }
 
 TEST_CASE("Times are told from the request's arrival") {
-  const std::string text = TellStory("r1", StoryOf("r1"));
+  const std::string text = FormatTimeline("r1", StoryOf("r1"));
   CHECK(text.find("100 ms  b  placed") != std::string::npos);
   CHECK(text.find("900 ms  b  ended outcome=\"refused\"") != std::string::npos);
   CHECK(text.find("4 lines were left out") != std::string::npos);
 }
 
 TEST_CASE("A request without lines is said to have none") {
-  const std::string text = TellStory("r9", StoryOf("r9"));
+  const std::string text = FormatTimeline("r9", StoryOf("r9"));
   CHECK(text.find("no line in these logs") != std::string::npos);
 }
 
--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -32,19 +32,19 @@
                       "tokens asked for in each answer");
   command->add_option("--time-limit-ms", plan->time_limit_ms,
                       "the time limit of each request");
-  command->add_flag("--one", plan->one_only, "send a single request");
+  command->add_flag("--one", plan->single_request, "send a single request");
   command->add_option("--seed", plan->seed, "the seed of arrivals and prompts");
   command->add_option("--threads", plan->threads, "requests at once at most");
-  command->add_option("--engine", plan->engine_direct,
+  command->add_option("--engine", plan->engine_address,
                       "call the engine stand-in here and not a target");
   command->add_option("--json", *json_path, "write the report here as JSON");
   command->callback([plan, json_path, exit_code] {
-    const LoadReportText report = RunLoad(*plan);
+    const LoadRunReport report = RunLoad(*plan);
     std::cout << report.text;
     if (!json_path->empty()) {
       std::ofstream(*json_path) << report.json << "\n";
     }
-    *exit_code = report.answered > 0 ? kExitOk : kExitRefused;
+    *exit_code = report.answered > 0 ? kExitOk : kExitFailure;
   });
 }
 
--- a/src/cli/load_run.cc
+++ b/src/cli/load_run.cc
@@ -82,10 +82,10 @@
   std::discrete_distribution<std::size_t> pick(shares.begin(), shares.end());
   std::deque<Arrival> arrivals;
   auto due = began;
-  while (!plan.one_only || arrivals.empty()) {
+  while (!plan.single_request || arrivals.empty()) {
     due += std::chrono::duration_cast<Clock::duration>(
         std::chrono::duration<double>(gap(random)));
-    if (plan.one_only) {
+    if (plan.single_request) {
       due = began;
     } else if (due - began >= std::chrono::duration<double>(plan.seconds)) {
       break;
@@ -118,7 +118,7 @@
   json body{{"model", plan.model},
             {"prompt", MakePrompt(arrival.tokens, arrival.seed)},
             {"max_tokens", plan.answer_tokens}};
-  if (plan.engine_direct.empty()) {
+  if (plan.engine_address.empty()) {
     call.address = arrival.target;
     call.path = "/v1/completions";
     body["stream"] = true;
@@ -126,7 +126,7 @@
         {"Authorization", "Bearer " + plan.key},
         {"Harecrank-Time-Limit-Ms", std::to_string(plan.time_limit_ms)}};
   } else {
-    call.address = plan.engine_direct;
+    call.address = plan.engine_address;
     call.path = "/v1/streams";
     body["id"] = "load-" + std::to_string(arrival.seed);
     body["owner"] = 1;
@@ -204,7 +204,7 @@
   const HttpCall call = MakeCall(plan, arrival);
   // Counted from when the request was due: a sender that lags must not hide
   // the wait that it caused.
-  AnswerReader reader(arrival.due, !plan.engine_direct.empty(), &sample);
+  AnswerReader reader(arrival.due, !plan.engine_address.empty(), &sample);
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         return StreamHttp(call, [&](int status, std::istream& body) {
@@ -247,10 +247,10 @@
               {"errors", errors}};
 }
 
-LoadReportText Report(const LoadPlan& plan, const std::vector<Sample>& samples,
-                      double elapsed) {
+LoadRunReport Report(const LoadPlan& plan, const std::vector<Sample>& samples,
+                     double elapsed) {
   std::map<std::int64_t, std::vector<Sample>> by_length;
-  LoadReportText report;
+  LoadRunReport report;
   for (const Sample& sample : samples) {
     by_length[sample.tokens].push_back(sample);
     report.answered += sample.answered ? 1 : 0;
@@ -284,7 +284,7 @@
 
 }  // namespace
 
-LoadReportText RunLoad(const LoadPlan& plan) {
+LoadRunReport RunLoad(const LoadPlan& plan) {
   const auto began = Clock::now();
   std::deque<Arrival> arrivals = DrawArrivals(plan, began);
   std::mutex mutex;
--- a/src/cli/load_run.h
+++ b/src/cli/load_run.h
@@ -23,13 +23,13 @@
   std::uint64_t seed = 1;
   int threads = 512;
   // Sends a single request at once in place of a rate.
-  bool one_only = false;
+  bool single_request = false;
   // Where set, the engine stand-in's own address: the baseline without hops.
-  std::string engine_direct;
+  std::string engine_address;
 };
 
 // What came of it.
-struct LoadReportText {
+struct LoadRunReport {
   std::string text;
   std::string json;
   std::int64_t answered = 0;
@@ -37,7 +37,7 @@
 
 // Sends by `plan`, waits for every answer, and reports. Arrivals do not wait
 // for answers: a slow system meets the load that it would meet in life.
-LoadReportText RunLoad(const LoadPlan& plan);
+LoadRunReport RunLoad(const LoadPlan& plan);
 
 }  // namespace harecrank
 
--- a/src/gateway/attempt.cc
+++ b/src/gateway/attempt.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Attempt::Attempt(asio::io_context* io, EndpointConnections* connections,
+Attempt::Attempt(asio::io_context* io, EndpointConnectionPool* connections,
                  const ProtocolNames* names, AttemptObserver* observer)
     : io_(io),
       connections_(connections),
@@ -133,7 +133,7 @@
     Break("answer", error);
     return;
   }
-  const AnswerHead& head = parser_->get();
+  const ResponseHead& head = parser_->get();
   if (head.result_int() / 100 == 1) {
     ReadHead();
     return;
@@ -221,7 +221,7 @@
   observer_->OnAnswerEnd();
 }
 
-void Attempt::NoteKeepAlive(const AnswerHead& head) {
+void Attempt::NoteKeepAlive(const ResponseHead& head) {
   const auto field = head.find(http::field::keep_alive);
   if (field == head.end()) {
     return;
@@ -237,7 +237,7 @@
   std::from_chars(digits.data(), digits.data() + digits.size(), seconds);
   connection_->idle_limit =
       std::max(Millis(1), Millis(std::chrono::seconds(seconds)) -
-                              EndpointConnections::kIdleMargin);
+                              EndpointConnectionPool::kIdleMargin);
 }
 
 void Attempt::Fail(const AttemptFailure& failure) {
--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -14,9 +14,9 @@
 #include <string_view>
 #include <variant>
 
-#include "src/gateway/answer_port.h"
-#include "src/gateway/endpoint_connections.h"
+#include "src/gateway/endpoint_connection_pool.h"
 #include "src/gateway/protocol_names.h"
+#include "src/gateway/response_sink.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
@@ -58,7 +58,7 @@
   virtual ~AttemptObserver() = default;
 
   virtual void OnSent() = 0;
-  virtual void OnAnswerHead(const AnswerHead& head) = 0;
+  virtual void OnAnswerHead(const ResponseHead& head) = 0;
   virtual void OnAnswerBytes(std::string_view bytes) = 0;
   // The answer is whole.
   virtual void OnAnswerEnd() = 0;
@@ -70,7 +70,7 @@
  public:
   // `observer` must stay until the attempt has ended or was cancelled.
   // `connections` gets the connection back if it can be used again.
-  Attempt(boost::asio::io_context* io, EndpointConnections* connections,
+  Attempt(boost::asio::io_context* io, EndpointConnectionPool* connections,
           const ProtocolNames* names, AttemptObserver* observer);
 
   // Sends over `connection`, which is opened to `address` first if it is new.
@@ -99,12 +99,12 @@
   void ReadBody();
   void OnBody(const Error& error);
   void OnMessageEnd();
-  void NoteKeepAlive(const AnswerHead& head);
+  void NoteKeepAlive(const ResponseHead& head);
   void Fail(const AttemptFailure& failure);
   void Break(const std::string& step, const Error& error);
 
   boost::asio::io_context* io_;
-  EndpointConnections* connections_;
+  EndpointConnectionPool* connections_;
   const ProtocolNames* names_;
   AttemptObserver* observer_;
   std::unique_ptr<EndpointConnection> connection_;
--- a/src/gateway/rest_watch.h
+++ b/src/gateway/backoff_notifier.h
@@ -4,8 +4,8 @@
 // after the other. Whoever waits for a place has to be told as soon as the last
 // of them rests for longer than waiting is of use, and not when it looks next.
 
-#ifndef HARECRANK_SRC_GATEWAY_REST_WATCH_H_
-#define HARECRANK_SRC_GATEWAY_REST_WATCH_H_
+#ifndef HARECRANK_SRC_GATEWAY_BACKOFF_NOTIFIER_H_
+#define HARECRANK_SRC_GATEWAY_BACKOFF_NOTIFIER_H_
 
 #include <cstdint>
 #include <functional>
@@ -14,20 +14,20 @@
 namespace harecrank {
 
 // Not thread-safe.
-class RestWatch {
+class BackoffNotifier {
  public:
   using Look = std::function<void()>;
   using Id = std::uint64_t;
 
   // `run_soon` runs what it is given once, later, and never from within.
-  explicit RestWatch(std::function<void(std::function<void()>)> run_soon);
+  explicit BackoffNotifier(std::function<void(std::function<void()>)> run_soon);
 
   // `look` is called after each rest until Remove; it may add and remove.
   Id Add(Look look);
   void Remove(Id id) { looks_.erase(id); }
 
   // An endpoint has asked for rest. What is told together is looked at once.
-  void NoteRest();
+  void NotifyBackoff();
 
  private:
   void LookAll();
@@ -40,4 +40,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_REST_WATCH_H_
+#endif  // HARECRANK_SRC_GATEWAY_BACKOFF_NOTIFIER_H_
--- a/src/gateway/rest_watch_test.cc
+++ b/src/gateway/backoff_notifier_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/rest_watch.h"
+#include "src/gateway/backoff_notifier.h"
 
 #include <catch2/catch.hpp>
 #include <utility>
@@ -18,7 +18,7 @@
   }
 
   std::vector<std::function<void()>> due_;
-  RestWatch watch_{
+  BackoffNotifier watch_{
       [this](std::function<void()> run) { due_.push_back(std::move(run)); }};
 };
 
@@ -28,14 +28,14 @@
   int looks = 0;
   watch_.Add([&looks] { ++looks; });
   watch_.Add([&looks] { ++looks; });
-  watch_.NoteRest();
-  watch_.NoteRest();
+  watch_.NotifyBackoff();
+  watch_.NotifyBackoff();
   CHECK(looks == 0);
   RunSoon();
   CHECK(looks == 2);
   RunSoon();
   CHECK(looks == 2);
-  watch_.NoteRest();
+  watch_.NotifyBackoff();
   RunSoon();
   CHECK(looks == 4);
 }
@@ -43,23 +43,23 @@
 TEST_CASE_METHOD(WatchFixture,
                  "A look may end its own wait and that of others") {
   int looks = 0;
-  RestWatch::Id second = 0;
-  RestWatch::Id first = 0;
+  BackoffNotifier::Id second = 0;
+  BackoffNotifier::Id first = 0;
   first = watch_.Add([&] {
     ++looks;
     watch_.Remove(first);
     watch_.Remove(second);
   });
   second = watch_.Add([&looks] { ++looks; });
-  watch_.NoteRest();
+  watch_.NotifyBackoff();
   RunSoon();
   CHECK(looks == 1);
-  watch_.NoteRest();
+  watch_.NotifyBackoff();
   CHECK(due_.empty());
 }
 
 TEST_CASE_METHOD(WatchFixture, "Where nobody waits nothing is looked at") {
-  watch_.NoteRest();
+  watch_.NotifyBackoff();
   CHECK(due_.empty());
 }
 
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -15,7 +15,7 @@
 
 #include "harecrank/core/clock.h"
 #include "harecrank/core/routing_table.h"
-#include "src/gateway/answer_port.h"
+#include "src/gateway/response_sink.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
@@ -32,14 +32,14 @@
   virtual ~RequestHandle() = default;
 
   // The caller has closed its connection: nobody waits for the answer.
-  virtual void OnCallerLeft() = 0;
+  virtual void OnCallerDisconnected() = 0;
 };
 
 // Starts the handling of one request that arrived at `arrived`. The answer goes
 // to `answer`. Returns nothing if it was given at once.
 using RequestStarter = std::function<std::shared_ptr<RequestHandle>(
     CallerRequest request, TimePoint arrived,
-    std::shared_ptr<AnswerPort> answer)>;
+    std::shared_ptr<ResponseSink> answer)>;
 
 // What sessions ask of their owner.
 struct SessionContext {
@@ -52,7 +52,7 @@
 };
 
 // Not thread-safe; runs on its socket's io_context.
-class CallerSession : public AnswerPort,
+class CallerSession : public ResponseSink,
                       public std::enable_shared_from_this<CallerSession> {
  public:
   // `context` must outlive this.
@@ -70,8 +70,8 @@
   bool IsBusy() const { return state_ != State::kIdle; }
   bool IsClosed() const { return state_ == State::kClosed; }
 
-  void SendWhole(AnswerHead head, std::string body) override;
-  void BeginStream(AnswerHead head) override;
+  void SendWhole(ResponseHead head, std::string body) override;
+  void BeginStream(ResponseHead head) override;
   void SendEvents(std::string bytes) override;
   void EndStream() override;
   void AbortStream() override;
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -4,13 +4,13 @@
 
 namespace harecrank {
 
-CrashGuard::Watching::Watching(const std::shared_ptr<Watched>& watched,
-                               GuardedRequest* request)
+CrashGuard::Registration::Registration(const std::shared_ptr<Watched>& watched,
+                                       GuardedRequest* request)
     : watched_(watched), request_(request) {
   watched->insert(request);
 }
 
-CrashGuard::Watching::~Watching() {
+CrashGuard::Registration::~Registration() {
   if (const auto watched = watched_.lock()) {
     watched->erase(request_);
   }
@@ -42,7 +42,7 @@
   log_->Write("request_tried",
               {{"fingerprint", LogName(request)},
                {"crashes", quarantine_->CrashCount(request)}},
-              LogWeight::kAlwaysKept);
+              LogRateLimit::kExempt);
   tell_(request);
 }
 
@@ -59,11 +59,11 @@
          !is_resting_(endpoint.id);
 }
 
-void CrashGuard::OnBrokenOff(
+void CrashGuard::OnResponseAborted(
     const RequestFingerprint& request, const EndpointRecord& endpoint,
     bool was_beginning, std::function<void(ProbeResult result)> on_judged) {
   if (!MayProbe(endpoint)) {
-    prober_->PassOver(std::move(on_judged));
+    prober_->Skip(std::move(on_judged));
     return;
   }
   prober_->Probe(endpoint.address,
@@ -88,7 +88,7 @@
                {"account", request.account.value},
                {"endpoint", endpoint.id.value},
                {"crashes", quarantine_->CrashCount(request)}},
-              LogWeight::kAlwaysKept);
+              LogRateLimit::kExempt);
   tell_(request);
   EndHeld(request);
 }
@@ -100,7 +100,7 @@
   }
   log_->Write("request_cleared",
               {{"fingerprint", LogName(request->Fingerprint())}},
-              LogWeight::kAlwaysKept);
+              LogRateLimit::kExempt);
   tell_(request->Fingerprint());
 }
 
@@ -128,13 +128,13 @@
               {{"fingerprint", LogName(request)},
                {"account", request.account.value},
                {"crashes", quarantine_->CrashCount(request)}},
-              LogWeight::kAlwaysKept);
+              LogRateLimit::kExempt);
   metrics_->GetCounter("harecrank_gateway_requests_held_total")->Add();
   // A copy: a request that ends is watched no more.
   const Watched watched = *watched_;
   for (GuardedRequest* one : watched) {
     if (watched_->count(one) != 0 && one->Fingerprint() == request) {
-      one->OnHeld();
+      one->OnQuarantined();
     }
   }
 }
--- a/src/gateway/crash_guard.h
+++ b/src/gateway/crash_guard.h
@@ -31,7 +31,7 @@
 
   virtual const RequestFingerprint& Fingerprint() = 0;
   // It is held from now on.
-  virtual void OnHeld() = 0;
+  virtual void OnQuarantined() = 0;
 };
 
 // Not thread-safe; runs on its io_context.
@@ -51,12 +51,13 @@
   using Watched = std::set<GuardedRequest*>;
 
   // Watches `request` for as long as this lives.
-  class Watching {
+  class Registration {
    public:
-    Watching(const std::shared_ptr<Watched>& watched, GuardedRequest* request);
-    ~Watching();
-    Watching(const Watching&) = delete;
-    Watching& operator=(const Watching&) = delete;
+    Registration(const std::shared_ptr<Watched>& watched,
+                 GuardedRequest* request);
+    ~Registration();
+    Registration(const Registration&) = delete;
+    Registration& operator=(const Registration&) = delete;
 
    private:
     std::weak_ptr<Watched> watched_;
@@ -64,8 +65,8 @@
   };
 
   // Returns what stands for `request` until it ends.
-  std::unique_ptr<Watching> Watch(GuardedRequest* request) const {
-    return std::make_unique<Watching>(watched_, request);
+  std::unique_ptr<Registration> Watch(GuardedRequest* request) const {
+    return std::make_unique<Registration>(watched_, request);
   }
 
   // Returns whether `request` may be sent nowhere now. Takes its fingerprint
@@ -84,9 +85,9 @@
   // `was_beginning`, its end is counted against the request before that. An
   // endpoint of a closed data centre is not asked, and its end counts for
   // nothing.
-  void OnBrokenOff(const RequestFingerprint& request,
-                   const EndpointRecord& endpoint, bool was_beginning,
-                   std::function<void(ProbeResult result)> on_judged);
+  void OnResponseAborted(const RequestFingerprint& request,
+                         const EndpointRecord& endpoint, bool was_beginning,
+                         std::function<void(ProbeResult result)> on_judged);
 
   // An endpoint has answered it whole.
   void OnCompleted(GuardedRequest* request);
--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -37,14 +37,14 @@
   virtual void OnEndpointUnusable(const EndpointId& id, StoreRevision revision,
                                   const std::string& reason) = 0;
   // A data centre is to take nothing from now on, or takes work again.
-  virtual void OnDataCentreClosed(const DrainedDataCentre& order) = 0;
-  virtual void OnDataCentreOpened(const DataCentreId& id,
-                                  StoreRevision revision) = 0;
+  virtual void OnDataCentreDrained(const DrainedDataCentre& order) = 0;
+  virtual void OnDataCentreRestored(const DataCentreId& id,
+                                    StoreRevision revision) = 0;
   // The platform has answered: what was told is complete up to `at`.
-  virtual void OnSourceWell(StoreRevision at) = 0;
+  virtual void OnSynced(StoreRevision at) = 0;
   // Another host, which the platform answers, has told what was published up to
   // `at`; what it told follows.
-  virtual void OnInformed(StoreRevision at) = 0;
+  virtual void OnSyncedByPeer(StoreRevision at) = 0;
   // The platform does not answer, or not as it should.
   virtual void OnStoreUnreachable(const std::string& reason) = 0;
   // Something published cannot be used. It was passed over.
@@ -71,14 +71,14 @@
       StoreRevision since) const = 0;
 
   // As Export, for hosts that hold all that was published up to `since`: may
-  // tell how it changed alone. In parts of at most `most_bytes`, each of which
+  // tell how it changed alone. In parts of at most `max_bytes`, each of which
   // follows the one before it; the last one, or one that is alone, may be
   // larger.
-  virtual std::vector<std::string> ExportNews(StoreRevision since,
-                                              std::size_t most_bytes) const = 0;
+  virtual std::vector<std::string> ExportChanges(
+      StoreRevision since, std::size_t max_bytes) const = 0;
 
   // Whether a routing document is known that the sink is yet to be told of.
-  virtual bool ReadsRouting() const = 0;
+  virtual bool IsParsingRouting() const = 0;
 
   // Takes what another host's feed exported, and tells the sink of it.
   // `store_data_fresh` tells whether the platform answers that host. Returns up
--- a/src/gateway/endpoint_connections.h
+++ b/src/gateway/endpoint_connection_pool.h
@@ -1,7 +1,7 @@
 // Kept connections to endpoints.
 
-#ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTIONS_H_
-#define HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTIONS_H_
+#ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTION_POOL_H_
+#define HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTION_POOL_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -31,9 +31,9 @@
 };
 
 // Not thread-safe; runs on its io_context.
-class EndpointConnections {
+class EndpointConnectionPool {
  public:
-  EndpointConnections(boost::asio::io_context* io, MonotonicClock clock);
+  EndpointConnectionPool(boost::asio::io_context* io, MonotonicClock clock);
 
   // Returns the idle connection to `endpoint` that was used last, or null. One
   // that its endpoint has closed, or on which bytes have come that nobody asked
@@ -58,15 +58,15 @@
 
   // Idle connections kept for one endpoint: as many as answers that end within
   // one another's round trips, with room for a burst.
-  static constexpr std::size_t kMostIdle = 8;
+  static constexpr std::size_t kMaxIdlePerEndpoint = 8;
   // How long a connection is kept whose endpoint said nothing of it.
-  static constexpr Millis kIdleUnlessTold{2500};
+  static constexpr Millis kDefaultIdleLimit{2500};
   // How long before the endpoint's own limit a connection is given up, so that
   // the two do not cross on the way.
   static constexpr Millis kIdleMargin{800};
 
   // Longer than any request may take.
-  static constexpr Millis kForgottenKept{600000};
+  static constexpr Millis kForgottenRetention{600000};
 
  private:
   bool IsSpent(EndpointConnection* connection) const;
@@ -83,4 +83,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTIONS_H_
+#endif  // HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTION_POOL_H_
--- a/src/gateway/endpoint_prober.cc
+++ b/src/gateway/endpoint_prober.cc
@@ -32,7 +32,7 @@
   }
   // An endpoint that has all the connections it takes resets a further one.
   return timed_out || error != asio::error::connection_reset
-             ? ProbeResult::kSilent
+             ? ProbeResult::kTimedOut
              : ProbeResult::kAccepted;
 }
 
@@ -44,9 +44,9 @@
       return "refused";
     case ProbeResult::kAccepted:
       return "accepted";
-    case ProbeResult::kNotAsked:
+    case ProbeResult::kSkipped:
       return "not_asked";
-    case ProbeResult::kSilent:
+    case ProbeResult::kTimedOut:
       break;
   }
   return "silent";
@@ -61,7 +61,7 @@
   const auto endpoint = ParseTcpEndpoint(address);
   if (!endpoint.has_value()) {
     asio::post(*io_,
-               [this, address] { OnDone(address, ProbeResult::kSilent); });
+               [this, address] { OnDone(address, ProbeResult::kTimedOut); });
     return;
   }
   const auto attempted = std::make_shared<Attempted>(io_);
@@ -82,9 +82,9 @@
       });
 }
 
-void EndpointProber::PassOver(OnResult on_result) {
+void EndpointProber::Skip(OnResult on_result) {
   asio::post(*io_, [on_result = std::move(on_result)] {
-    on_result(ProbeResult::kNotAsked);
+    on_result(ProbeResult::kSkipped);
   });
 }
 
--- a/src/gateway/endpoint_prober.h
+++ b/src/gateway/endpoint_prober.h
@@ -20,9 +20,9 @@
   // Its process runs.
   kAccepted,
   // No word in time: a link may be cut, or its whole machine be gone.
-  kSilent,
+  kTimedOut,
   // It was not asked.
-  kNotAsked
+  kSkipped
 };
 
 // Names it in logs.
@@ -41,8 +41,8 @@
   // dozens of requests at once, and each connection has a price.
   void Probe(const std::string& address, OnResult on_result);
 
-  // Calls `on_result` with kNotAsked, never from within.
-  void PassOver(OnResult on_result);
+  // Calls `on_result` with kSkipped, never from within.
+  void Skip(OnResult on_result);
 
   // How long a connection may take to come up, as for requests.
   static constexpr Millis kTimeout{250};
--- a/src/gateway/endpoint_answers_test.cc
+++ b/src/gateway/endpoint_response_handler_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/endpoint_answers.h"
+#include "src/gateway/endpoint_response_handler.h"
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
@@ -38,7 +38,7 @@
   }
 
   bool IsKnownOf() const {
-    return gate_.RestingCount() + gate_.LimitedCount() +
+    return gate_.BackoffCount() + gate_.LimitedCount() +
                directory_.Leaving().size() >
            0;
   }
@@ -50,25 +50,27 @@
   Metrics metrics_;
   EndpointDirectory directory_{clock_};
   EndpointHealth health_{clock_};
-  EndpointConnections connections_{&io_, clock_};
-  EndpointNews news_{&directory_, &health_, &connections_, &log_, &metrics_};
-  StartGate gate_{HostAddress{"h"},
-                  ColdLimit{},
-                  [] { return 1; },
-                  [] { return nullptr; },
-                  &log_,
-                  &metrics_,
-                  clock_};
+  EndpointConnectionPool connections_{&io_, clock_};
+  EndpointUpdater news_{&directory_, &health_, &connections_, &log_, &metrics_};
+  StartLimiter gate_{HostAddress{"h"},
+                     ColdLimit{},
+                     [] { return 1; },
+                     [] { return nullptr; },
+                     &log_,
+                     &metrics_,
+                     clock_};
   int told_ = 0;
   int rests_looked_at_ = 0;
-  RestWatch rest_watch_{[this](const auto& /*look*/) { ++rests_looked_at_; }};
-  EndpointAnswers answers_{&directory_, &health_,     &news_,
-                           &gate_,      &rest_watch_, [this] { ++told_; }};
+  BackoffNotifier backoff_notifier_{
+      [this](const auto& /*look*/) { ++rests_looked_at_; }};
+  EndpointResponseHandler answers_{
+      &directory_, &health_,           &news_,
+      &gate_,      &backoff_notifier_, [this] { ++told_; }};
 };
 
 TEST_CASE_METHOD(AnswersFixture,
                  "Requests that wait look when an endpoint asks for rest") {
-  rest_watch_.Add([] {});
+  backoff_notifier_.Add([] {});
   Answer(Record(1000, 2), EndpointResponse{});
   CHECK(rests_looked_at_ == 0);
   Answer(Record(1000, 2), FullAnswer());
@@ -79,7 +81,7 @@
   news_.OnEndpoint(Record(1000, 2));
   Answer(Record(1000, 2), FullAnswer());
   CHECK(gate_.LimitedCount() == 1);
-  CHECK(gate_.IsResting(kEndpoint));
+  CHECK(gate_.IsBackingOff(kEndpoint));
   CHECK(directory_.UsableOf(kService).empty());
   CHECK(health_.IsSuspect(kEndpoint));
   // Of the limit, and of its leaving.
@@ -107,7 +109,7 @@
 
 TEST_CASE_METHOD(AnswersFixture, "An endpoint whose entry is gone is heard") {
   Answer(Record(1000, 2), FullAnswer());
-  CHECK(gate_.IsResting(kEndpoint));
+  CHECK(gate_.IsBackingOff(kEndpoint));
   news_.OnEndpoint(Record(1000, 3));
   CHECK(directory_.UsableOf(kService).empty());
 }
--- a/src/gateway/endpoint_news_test.cc
+++ b/src/gateway/endpoint_updater_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/endpoint_news.h"
+#include "src/gateway/endpoint_updater.h"
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
@@ -33,10 +33,10 @@
   boost::asio::io_context io_;
   EndpointDirectory directory_{clock_};
   EndpointHealth health_{clock_};
-  EndpointConnections connections_{&io_, clock_};
+  EndpointConnectionPool connections_{&io_, clock_};
   EventLog log_{"node-1", clock_};
   Metrics metrics_;
-  EndpointNews news_{&directory_, &health_, &connections_, &log_, &metrics_};
+  EndpointUpdater news_{&directory_, &health_, &connections_, &log_, &metrics_};
 };
 
 TEST_CASE_METHOD(NewsFixture,
--- a/src/gateway/loop_holds.cc
+++ b/src/gateway/event_loop_monitor.cc
@@ -1,23 +1,24 @@
-#include "src/gateway/loop_holds.h"
+#include "src/gateway/event_loop_monitor.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace harecrank {
 
-LoopHolds::LoopHolds(EventLog* log, Metrics* metrics, MonotonicClock clock)
+EventLoopMonitor::EventLoopMonitor(EventLog* log, Metrics* metrics,
+                                   MonotonicClock clock)
     : log_(log), metrics_(metrics), clock_(std::move(clock)) {}
 
-LoopHolds::Span::Span(LoopHolds* holds, const char* what)
-    : holds_(holds), what_(what), began_(holds->clock_()) {}
+EventLoopMonitor::Span::Span(EventLoopMonitor* holds, const char* what)
+    : loop_monitor_(holds), what_(what), began_(holds->clock_()) {}
 
-LoopHolds::Span::~Span() { holds_->Note(what_, Elapsed()); }
+EventLoopMonitor::Span::~Span() { loop_monitor_->Note(what_, Elapsed()); }
 
-std::chrono::nanoseconds LoopHolds::Span::Elapsed() const {
-  return holds_->clock_() - began_;
+std::chrono::nanoseconds EventLoopMonitor::Span::Elapsed() const {
+  return loop_monitor_->clock_() - began_;
 }
 
-void LoopHolds::Note(const char* what, std::chrono::nanoseconds held) {
+void EventLoopMonitor::Note(const char* what, std::chrono::nanoseconds held) {
   Work& work = works_[what];
   if (work.held == nullptr) {
     work.held = metrics_->GetHistogram("harecrank_gateway_loop_held_seconds",
@@ -38,7 +39,7 @@
       {{"what", what},
        {"longest_ms", std::chrono::duration_cast<Millis>(work.longest).count()},
        {"holds", work.long_holds}},
-      LogWeight::kAlwaysKept);
+      LogRateLimit::kExempt);
   work.told = now;
   work.was_told = true;
   work.long_holds = 0;
--- a/src/gateway/loop_holds.h
+++ b/src/gateway/event_loop_monitor.h
@@ -1,7 +1,7 @@
 // How long single pieces of work hold the thread that carries all streams.
 
-#ifndef HARECRANK_SRC_GATEWAY_LOOP_HOLDS_H_
-#define HARECRANK_SRC_GATEWAY_LOOP_HOLDS_H_
+#ifndef HARECRANK_SRC_GATEWAY_EVENT_LOOP_MONITOR_H_
+#define HARECRANK_SRC_GATEWAY_EVENT_LOOP_MONITOR_H_
 
 #include <chrono>
 #include <map>
@@ -14,16 +14,16 @@
 namespace harecrank {
 
 // Not thread-safe.
-class LoopHolds {
+class EventLoopMonitor {
  public:
   // `log` and `metrics` must outlive this.
-  LoopHolds(EventLog* log, Metrics* metrics, MonotonicClock clock);
+  EventLoopMonitor(EventLog* log, Metrics* metrics, MonotonicClock clock);
 
   // Measures one piece of work, from its construction to its end.
   class Span {
    public:
     // `holds` must outlive this; `what` is one of a few fixed words.
-    Span(LoopHolds* holds, const char* what);
+    Span(EventLoopMonitor* holds, const char* what);
     ~Span();
     Span(const Span&) = delete;
     Span& operator=(const Span&) = delete;
@@ -31,7 +31,7 @@
     std::chrono::nanoseconds Elapsed() const;
 
    private:
-    LoopHolds* holds_;
+    EventLoopMonitor* loop_monitor_;
     const char* what_;
     TimePoint began_;
   };
@@ -63,4 +63,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_LOOP_HOLDS_H_
+#endif  // HARECRANK_SRC_GATEWAY_EVENT_LOOP_MONITOR_H_
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 Exchange::Exchange(const GatewayServices* services, CallerRequest request,
-                   TimePoint arrived, std::shared_ptr<AnswerPort> answer)
+                   TimePoint arrived, std::shared_ptr<ResponseSink> answer)
     : services_(services),
       request_(std::move(request)),
       arrived_(arrived),
@@ -42,15 +42,16 @@
   prompt_ = admitted.placement.prompt;
   log_.SetRoute(route_ == nullptr ? "" : route_->name,
                 table_ == nullptr ? RoutingVersion{} : table_->Version());
-  if (const std::optional<Refusal>& refusal = admitted.refusal) {
+  if (const std::optional<Rejection>& refusal = admitted.refusal) {
     Refuse(refusal->status, refusal->code, refusal->retry_after);
     return;
   }
   admitted.placement.origin = RequestOrigin{Fingerprint(), Priority()};
-  SoughtPlace sought{std::move(admitted.placement),
-                     arrived_ + route_->target_latency, deadline_, id_};
-  place_ = std::make_shared<PlaceSeeker>(services_, std::move(sought), this,
-                                         [this] { return log_.Fields(); });
+  PlacementSearchParams sought{std::move(admitted.placement),
+                               arrived_ + route_->target_latency, deadline_,
+                               id_};
+  place_ = std::make_shared<PlacementSearch>(services_, std::move(sought), this,
+                                             [this] { return log_.Fields(); });
   sender_.emplace(services_, route_, this);
   watching_ = services_->crashes->Watch(this);
   services_->budgets->OnFirstAttempt(service_->name);
@@ -62,21 +63,22 @@
     RefuseHeld();
     return;
   }
-  place_->Seek(History());
+  place_->Search(History());
 }
 
 SendingHistory Exchange::History() const {
   if (may_have_run_) {
     return SendingHistory::kMayHaveRun;
   }
-  return sender_->Sendings() > 0 ? SendingHistory::kNotRun
-                                 : SendingHistory::kNew;
+  return sender_->SendCount() > 0 ? SendingHistory::kNotRun
+                                  : SendingHistory::kNew;
 }
 
-void Exchange::OnTurnedAway(TurnAwayReason reason, Millis pause) {
+void Exchange::OnRejected(RejectionReason reason, Millis pause) {
   const auto self = shared_from_this();
-  const char* code = reason == TurnAwayReason::kStartsUsedUp ? "starts_used_up"
-                                                             : "waits_in_vain";
+  const char* code = reason == RejectionReason::kStartQuotaExhausted
+                         ? "starts_used_up"
+                         : "waits_in_vain";
   Refuse(http_status::kUnavailable, code, pause);
 }
 
@@ -85,12 +87,12 @@
   GiveUp("no_endpoint");
 }
 
-void Exchange::OnWaits() {
+void Exchange::OnWaiting() {
   ArmTimer();
   if (rest_look_.has_value()) {
     return;
   }
-  rest_look_ = services_->rest_watch->Add([weak = weak_from_this()] {
+  rest_look_ = services_->backoff_notifier->Add([weak = weak_from_this()] {
     const auto self = weak.lock();
     if (self != nullptr && !self->finished_ && self->place_->IsWaiting()) {
       self->EndWaitAt(self->services_->clock());
@@ -98,7 +100,7 @@
   });
 }
 
-void Exchange::OnPlace(const Placement& placement) {
+void Exchange::OnPlaced(const Placement& placement) {
   const auto self = shared_from_this();
   // Others may have ended endpoints while this one waited for its place.
   if (!services_->crashes->TryAdmit(this, &is_trial_)) {
@@ -107,7 +109,7 @@
   }
   place_->MarkTried(placement.endpoint.id);
   relay_.BeginAttempt();
-  log_.Placed(placement, prompt_, place_->Waited());
+  log_.LogPlaced(placement, prompt_, place_->Waited());
   OutgoingRequest outgoing;
   outgoing.request_id = id_;
   outgoing.head = HeadFor(placement);
@@ -200,7 +202,7 @@
     }
     return true;
   }
-  if (place_->IsWaiting() && place_->TurnAwayAtRest()) {
+  if (place_->IsWaiting() && place_->RejectIfAllBackingOff()) {
     return true;
   }
   const auto wait_end = place_->WaitEnd(may_have_run_);
@@ -221,16 +223,16 @@
   AbandonAttempt();
   sender_->OnOverdue();
   relay_.DropPartial();
-  log_.SentAgain(sender_->Endpoint().id, "overdue",
-                 {{"predicted_ms", sender_->Predicted().count()},
-                  {"resumes_after", relay_.LastEventId()}});
+  log_.LogRetry(sender_->Endpoint().id, "overdue",
+                {{"predicted_ms", sender_->Predicted().count()},
+                 {"resumes_after", relay_.LastEventId()}});
   TryNext();
   return true;
 }
 
 std::optional<TimePoint> Exchange::PatienceEnd() const {
   if (!sender_->IsUnderWay() || !route_->MayRepeat() || budget_refused_ ||
-      sender_->Sendings() >= route_->max_attempts) {
+      sender_->SendCount() >= route_->max_attempts) {
     return std::nullopt;
   }
   return sender_->OverdueAt();
@@ -250,9 +252,9 @@
   }
   if (!may_have_run_) {
     const auto pause =
-        place_ == nullptr ? std::nullopt : place_->PauseOfRests();
+        place_ == nullptr ? std::nullopt : place_->RetryAfterBackoffs();
     Refuse(http_status::kUnavailable, reason,
-           std::max(kRetryAfterRefusal, pause.value_or(Millis(0))));
+           std::max(kRetryAfterRejection, pause.value_or(Millis(0))));
     return;
   }
   Refuse(TimeLeft() == Millis(0) ? http_status::kGatewayTimeout
@@ -263,15 +265,15 @@
 void Exchange::Refuse(unsigned status, const std::string& code,
                       std::optional<Millis> retry_after) {
   // Whoever is told when to come again is told that it has not run, too.
-  Answer(OwnAnswer{status, code, retry_after, retry_after.has_value()});
+  Answer(GatewayResponse{status, code, retry_after, retry_after.has_value()});
 }
 
-void Exchange::Answer(const OwnAnswer& answer) {
+void Exchange::Answer(const GatewayResponse& answer) {
   answer_->SendWhole(HeadOf(answer, *services_->names, id_), BodyOf(answer));
   Finish(answer.not_run ? "refused" : "failed", answer.status, answer.code);
 }
 
-void Exchange::OnCallerLeft() {
+void Exchange::OnCallerDisconnected() {
   const auto self = shared_from_this();
   if (!finished_) {
     Finish("caller_left", 0, "");
@@ -286,17 +288,17 @@
   finished_ = true;
   timer_.cancel();
   if (rest_look_.has_value()) {
-    services_->rest_watch->Remove(*rest_look_);
+    services_->backoff_notifier->Remove(*rest_look_);
   }
   AbandonAttempt();
-  ExchangeEnd end{outcome, status, reason, 0, prompt_, {}, {}};
+  ExchangeResult end{outcome, status, reason, 0, prompt_, {}, {}};
   if (place_ != nullptr) {
     place_->Close();
-    end.sendings = sender_->Sendings();
+    end.sendings = sender_->SendCount();
     end.endpoint = sender_->Endpoint().id;
     end.first_event = sender_->FirstEventAt();
   }
-  log_.Ended(end, relay_);
+  log_.LogEnd(end, relay_);
 }
 
 }  // namespace harecrank
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -10,13 +10,13 @@
 
 #include "harecrank/core/endpoint_response.h"
 #include "harecrank/core/request_fingerprint.h"
-#include "src/gateway/answer_relay.h"
 #include "src/gateway/caller_session.h"
 #include "src/gateway/exchange_log.h"
+#include "src/gateway/gateway_response.h"
 #include "src/gateway/gateway_services.h"
-#include "src/gateway/own_answer.h"
-#include "src/gateway/place_seeker.h"
+#include "src/gateway/placement_search.h"
 #include "src/gateway/request_sender.h"
+#include "src/gateway/response_relay.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
@@ -25,30 +25,30 @@
 // relay's. Not thread-safe; runs on its io_context.
 class Exchange : public RequestHandle,
                  public AttemptObserver,
-                 public PlaceObserver,
+                 public PlacementObserver,
                  public GuardedRequest,
                  public std::enable_shared_from_this<Exchange> {
  public:
   // `services` must outlive this.
   Exchange(const GatewayServices* services, CallerRequest request,
-           TimePoint arrived, std::shared_ptr<AnswerPort> answer);
+           TimePoint arrived, std::shared_ptr<ResponseSink> answer);
 
   // Admits the request and sends it, or answers it at once.
   void Start();
 
-  void OnCallerLeft() override;
-  void OnPlace(const Placement& placement) override;
-  void OnTurnedAway(TurnAwayReason reason, Millis pause) override;
+  void OnCallerDisconnected() override;
+  void OnPlaced(const Placement& placement) override;
+  void OnRejected(RejectionReason reason, Millis pause) override;
   void OnNoEndpoint() override;
-  void OnWaits() override;
+  void OnWaiting() override;
   void OnSent() override;
-  void OnAnswerHead(const AnswerHead& head) override;
+  void OnAnswerHead(const ResponseHead& head) override;
   void OnAnswerBytes(std::string_view bytes) override;
   void OnAnswerEnd() override;
   void OnFailure(const AttemptFailure& failure) override;
   // Taken when it is first wanted, and kept.
   const RequestFingerprint& Fingerprint() override;
-  void OnHeld() override;
+  void OnQuarantined() override;
 
  private:
   void TryNext();
@@ -60,7 +60,7 @@
   void OnFirstEvent();
 
   // What is made of an answer's head: the first that applies is done.
-  void JudgeHead(const EndpointResponse& answer, const AnswerHead& head);
+  void JudgeHead(const EndpointResponse& answer, const ResponseHead& head);
   void OnNotRunAnswer(const EndpointResponse& answer);
   // Returns whether another endpoint is asked instead.
   bool TakeUpElsewhere(unsigned status);
@@ -93,20 +93,20 @@
   // Answers.
   void Refuse(unsigned status, const std::string& code,
               std::optional<Millis> retry_after);
-  void Answer(const OwnAnswer& answer);
+  void Answer(const GatewayResponse& answer);
   void GiveUp(const std::string& reason);
   void Finish(const char* outcome, unsigned status, const std::string& reason);
 
   const GatewayServices* services_;
   CallerRequest request_;
   TimePoint arrived_;
-  std::shared_ptr<AnswerPort> answer_;
+  std::shared_ptr<ResponseSink> answer_;
   Timer timer_;
   std::string id_;
   ExchangeLog log_;
-  AnswerRelay relay_;
+  ResponseRelay relay_;
   std::optional<RequestFingerprint> fingerprint_;
-  std::unique_ptr<CrashGuard::Watching> watching_;
+  std::unique_ptr<CrashGuard::Registration> watching_;
   std::shared_ptr<const std::string> body_;
   std::shared_ptr<const RoutingTable> table_;
   const RouteRule* route_ = nullptr;
@@ -116,7 +116,7 @@
   TimePoint deadline_{};
   Tokens prompt_;
   // Both are set once the request has been admitted.
-  std::shared_ptr<PlaceSeeker> place_;
+  std::shared_ptr<PlacementSearch> place_;
   std::optional<RequestSender> sender_;
   int connect_failures_ = 0;
   bool may_have_run_ = false;
@@ -126,7 +126,7 @@
   bool has_framed_end_ = false;
   bool finished_ = false;
   // While it has waited for a place.
-  std::optional<RestWatch::Id> rest_look_;
+  std::optional<BackoffNotifier::Id> rest_look_;
 };
 
 }  // namespace harecrank
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -4,9 +4,9 @@
 #include <utility>
 
 #include "harecrank/core/http_status.h"
-#include "src/gateway/answer_decoder.h"
 #include "src/gateway/endpoint_request.h"
 #include "src/gateway/exchange.h"
+#include "src/gateway/response_decoder.h"
 
 namespace harecrank {
 namespace {
@@ -20,7 +20,7 @@
 // The reason of the final answer to a request that ends endpoints.
 constexpr char kHeldReason[] = "ends_endpoints";
 
-bool IsEventStream(const AnswerHead& head) {
+bool IsEventStream(const ResponseHead& head) {
   const std::string_view wanted = "text/event-stream";
   return View(head[http::field::content_type]).substr(0, wanted.size()) ==
          wanted;
@@ -47,9 +47,9 @@
   sender_->OnSent();
 }
 
-void Exchange::OnAnswerHead(const AnswerHead& head) {
+void Exchange::OnAnswerHead(const ResponseHead& head) {
   const auto self = shared_from_this();
-  const EndpointResponse answer = DecodeAnswer(head, *services_->names);
+  const EndpointResponse answer = DecodeResponse(head, *services_->names);
   sender_->OnAnswer(answer);
   has_framed_end_ = head.count(http::field::content_length) != 0 ||
                     head.count(http::field::transfer_encoding) != 0;
@@ -57,7 +57,7 @@
 }
 
 void Exchange::JudgeHead(const EndpointResponse& answer,
-                         const AnswerHead& head) {
+                         const ResponseHead& head) {
   const unsigned status = answer.status;
   const bool says_not_run = answer.not_run || answer.IsMisdirected();
   if (says_not_run && status != http_status::kBadRequest) {
@@ -81,7 +81,7 @@
     relay_.RelayEvents(head);
     return;
   }
-  relay_.KeepWhole(head);
+  relay_.BufferWhole(head);
 }
 
 void Exchange::OnNotRunAnswer(const EndpointResponse& answer) {
@@ -106,9 +106,9 @@
   }
   may_have_run_ = true;
   AbandonAttempt();
-  log_.SentAgain(sender_->Endpoint().id,
-                 "endpoint_answered_" + std::to_string(status),
-                 nlohmann::json::object());
+  log_.LogRetry(sender_->Endpoint().id,
+                "endpoint_answered_" + std::to_string(status),
+                nlohmann::json::object());
   TryNext();
   return true;
 }
@@ -116,14 +116,14 @@
 void Exchange::OnAnswerBytes(std::string_view bytes) {
   sender_->OnBytes();
   switch (relay_.Accept(bytes)) {
-    case AnswerRelay::Accepted::kEvents:
+    case ResponseRelay::Accepted::kEvents:
       OnFirstEvent();
       break;
-    case AnswerRelay::Accepted::kTooLarge:
+    case ResponseRelay::Accepted::kTooLarge:
       AbandonAttempt();
       OnMayHaveRun("answer_too_large");
       break;
-    case AnswerRelay::Accepted::kKept:
+    case ResponseRelay::Accepted::kBuffered:
       break;
   }
 }
@@ -147,11 +147,11 @@
     Finish("completed", http_status::kOk, "");
     return;
   }
-  const bool completed = relay_.KeptStatus() < http_status::kBadRequest;
+  const bool completed = relay_.BufferedStatus() < http_status::kBadRequest;
   if (completed) {
     OnFirstEvent();
   }
-  const unsigned status = relay_.SendKept();
+  const unsigned status = relay_.SendBuffered();
   Finish(completed ? "completed" : "failed", status,
          completed ? "" : "endpoint_answer");
 }
@@ -200,16 +200,16 @@
   // What is sent on is judged first: it may have ended its third endpoint.
   may_have_run_ = true;
   const bool goes_on = route_->MayRepeat();
-  services_->crashes->OnBrokenOff(
+  services_->crashes->OnResponseAborted(
       Fingerprint(), sender_->Endpoint(),
-      broken.by_endpoint && sender_->IsBeginning(),
+      broken.by_endpoint && sender_->IsStarting(),
       [weak = weak_from_this(), services = services_, goes_on,
        reason = broken.reason,
        fields = BrokenFields(broken)](ProbeResult result) {
         nlohmann::json line = fields;
         line["connection"] = Name(result);
         services->log->Write("broken_off", std::move(line),
-                             LogWeight::kAlwaysKept);
+                             LogRateLimit::kExempt);
         const auto self = weak.lock();
         if (goes_on && self != nullptr && !self->finished_) {
           self->OnMayHaveRun(reason);
@@ -232,12 +232,12 @@
   return *fingerprint_;
 }
 
-void Exchange::OnHeld() {
+void Exchange::OnQuarantined() {
   const auto self = shared_from_this();
   // One that an endpoint runs already shows by itself what it does, and one
   // that may run once is not broken off.
   const bool sent = sender_->IsUnderWay() && sender_->WasSent();
-  const bool runs = sent && (sender_->HasBegun() || !route_->MayRepeat());
+  const bool runs = sent && (sender_->HasFirstEvent() || !route_->MayRepeat());
   if (finished_ || runs) {
     return;
   }
@@ -253,7 +253,8 @@
   }
   // Without a time to come back: it will be refused then too. An own 4xx would
   // say more plainly whose fault it is, but platforms bound those.
-  Answer(OwnAnswer{http_status::kUnavailable, kHeldReason, std::nullopt, true});
+  Answer(GatewayResponse{http_status::kUnavailable, kHeldReason, std::nullopt,
+                         true});
 }
 
 void Exchange::NoteEnd() {
@@ -264,7 +265,7 @@
 
 void Exchange::OnNotRun(const std::string& reason) {
   if (MaySendAgain()) {
-    log_.SentAgain(sender_->Endpoint().id, reason, nlohmann::json::object());
+    log_.LogRetry(sender_->Endpoint().id, reason, nlohmann::json::object());
     TryNext();
     return;
   }
@@ -278,8 +279,8 @@
     return;
   }
   if (route_->MayRepeat() && MaySendAgain()) {
-    log_.SentAgain(sender_->Endpoint().id, reason,
-                   {{"resumes_after", relay_.LastEventId()}});
+    log_.LogRetry(sender_->Endpoint().id, reason,
+                  {{"resumes_after", relay_.LastEventId()}});
     TryNext();
     return;
   }
@@ -287,8 +288,9 @@
 }
 
 bool Exchange::MaySendAgain() {
-  if (sender_->Sendings() >= route_->max_attempts ||
-      TimeLeft() < kLeastTimeForAttempt || place_->IsLeftOut(History())) {
+  if (sender_->SendCount() >= route_->max_attempts ||
+      TimeLeft() < kLeastTimeForAttempt ||
+      place_->CannotStartInTime(History())) {
     return false;
   }
   budget_refused_ = !services_->budgets->TryRepeat(service_->name);
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -40,8 +40,8 @@
   return fields;
 }
 
-void ExchangeLog::Placed(const Placement& placement, Tokens prompt,
-                         std::optional<Millis> waited) const {
+void ExchangeLog::LogPlaced(const Placement& placement, Tokens prompt,
+                            std::optional<Millis> waited) const {
   nlohmann::json fields = Fields();
   const EndpointId& endpoint = placement.endpoint.id;
   fields["endpoint"] = endpoint.value;
@@ -63,20 +63,19 @@
   services_->log->Write("placed", std::move(fields));
 }
 
-void ExchangeLog::SentAgain(const EndpointId& endpoint,
-                            const std::string& reason,
-                            const nlohmann::json& more) const {
+void ExchangeLog::LogRetry(const EndpointId& endpoint,
+                           const std::string& reason,
+                           const nlohmann::json& more) const {
   nlohmann::json fields = Fields();
   fields["endpoint"] = endpoint.value;
   fields["reason"] = reason;
   fields.update(more);
   services_->metrics->GetCounter("harecrank_gateway_sent_again_total")->Add();
-  services_->log->Write("sent_again", std::move(fields),
-                        LogWeight::kAlwaysKept);
+  services_->log->Write("sent_again", std::move(fields), LogRateLimit::kExempt);
 }
 
-void ExchangeLog::Ended(const ExchangeEnd& end,
-                        const AnswerRelay& relay) const {
+void ExchangeLog::LogEnd(const ExchangeResult& end,
+                         const ResponseRelay& relay) const {
   Metrics& metrics = *services_->metrics;
   const std::string label = std::string("outcome=\"") + end.outcome + "\"";
   metrics.GetCounter("harecrank_gateway_requests_total", label)->Add();
@@ -100,8 +99,9 @@
   fields["prompt"] = end.prompt.value;
   fields["endpoint"] = end.endpoint.value;
   const bool failed = std::string_view(end.outcome) != "completed";
-  services_->log->Write("ended", std::move(fields),
-                        failed ? LogWeight::kAlwaysKept : LogWeight::kOrdinary);
+  services_->log->Write(
+      "ended", std::move(fields),
+      failed ? LogRateLimit::kExempt : LogRateLimit::kLimited);
 }
 
 }  // namespace harecrank
--- a/src/gateway/exchange_log.h
+++ b/src/gateway/exchange_log.h
@@ -8,13 +8,13 @@
 #include <string>
 
 #include "harecrank/core/placement.h"
-#include "src/gateway/answer_relay.h"
 #include "src/gateway/gateway_services.h"
+#include "src/gateway/response_relay.h"
 
 namespace harecrank {
 
 // How a request ended.
-struct ExchangeEnd {
+struct ExchangeResult {
   // "completed", "refused", "failed", "broken_off" or "caller_left".
   const char* outcome = "";
   // Zero where no answer was given.
@@ -42,12 +42,12 @@
 
   // It is sent to the endpoint of `placement`. `waited` is unset where it did
   // not wait.
-  void Placed(const Placement& placement, Tokens prompt,
-              std::optional<Millis> waited) const;
+  void LogPlaced(const Placement& placement, Tokens prompt,
+                 std::optional<Millis> waited) const;
   // It is sent once more, since `reason`. `more` has further fields.
-  void SentAgain(const EndpointId& endpoint, const std::string& reason,
-                 const nlohmann::json& more) const;
-  void Ended(const ExchangeEnd& end, const AnswerRelay& relay) const;
+  void LogRetry(const EndpointId& endpoint, const std::string& reason,
+                const nlohmann::json& more) const;
+  void LogEnd(const ExchangeResult& end, const ResponseRelay& relay) const;
 
  private:
   const GatewayServices* services_;
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -31,7 +31,7 @@
     if (answer.from == member->followed_) {
       member->planner_heard_ = member->clock_();
     }
-    member->places_.OnAnswer(answer);
+    member->places_.OnReply(answer);
   }
   void operator()(const ProgressReport& note) const {
     member->desk_.OnProgressReport(note);
@@ -75,8 +75,8 @@
       tick_timer_(*io),
       tell_timer_(*io) {}
 
-PlaceClientPorts FleetMember::MakePlacePorts() {
-  PlaceClientPorts ports;
+PlacementClientPorts FleetMember::MakePlacePorts() {
+  PlacementClientPorts ports;
   ports.planner = [this] { return book_->Planner(); };
   ports.send = [this](const HostAddress& to, const FleetMessage& message) {
     Send(to, message);
@@ -84,7 +84,7 @@
   ports.on_silent = [this](const HostAddress& host) {
     book_->OnUnresponsive(host);
     log_->Write("planner_silent", {{"planner", host.value}, {"by", "ask"}},
-                LogWeight::kAlwaysKept);
+                LogRateLimit::kExempt);
     FollowPlanner();
   };
   ports.on_redirect = [this](const HostAddress& host,
@@ -96,8 +96,8 @@
   return ports;
 }
 
-PlanningDeskPorts FleetMember::MakeDeskPorts() {
-  PlanningDeskPorts ports;
+PlannerServicePorts FleetMember::MakeDeskPorts() {
+  PlannerServicePorts ports;
   ports.planner = [this] { return book_->Planner(); };
   ports.send = [this](const HostAddress& to, const FleetMessage& message) {
     Send(to, message);
@@ -110,10 +110,10 @@
   ports.describe = [this] { return Described(); };
   ports.published = ports_.published;
   ports.on_published = ports_.on_published;
-  ports.reads_routing = ports_.reads_routing;
+  ports.is_parsing_routing = ports_.is_parsing_routing;
   ports.is_planner = [this] { return IsPlanner(); };
   ports.announce = [this] { Announce(); };
-  ports.tell_planner = [this] { TellSoon(); };
+  ports.tell_planner = [this] { SendHeartbeatSoon(); };
   return ports;
 }
 
@@ -172,7 +172,7 @@
   const Heartbeat own = Described();
   HearOfSource(word, own);
   crashes_.Repair(word, own.crash_digest);
-  relay_.AskBetterInformed(own);
+  relay_.FetchIfBehind(own);
   desk_.OnHeartbeat(word);
   if (word.wants_reply) {
     Reply(word);
@@ -256,7 +256,7 @@
   Send(*followed_, word);
 }
 
-void FleetMember::TellSoon() {
+void FleetMember::SendHeartbeatSoon() {
   if (tells_soon_) {
     return;
   }
@@ -299,22 +299,22 @@
               {{"planner", planner.value_or(HostAddress{}).value},
                {"own", planner == self_.address},
                {"hosts", book_->ObservedHosts()}},
-              LogWeight::kAlwaysKept);
+              LogRateLimit::kExempt);
   if (planned) {
     planner_->Clear();
   }
   if (planner == self_.address) {
-    relay_.BeginToPlan();
+    relay_.OnBecamePlanner();
     planner_->Begin(book_->OtherAliveHosts());
     Announce();
   }
   // Without a planner nobody else tells what this host has read.
   if (planner == self_.address) {
-    ports_.on_reading_turn(0);
+    ports_.on_poll_rank(0);
   } else if (planner.has_value() && planned) {
-    ports_.on_reading_turn(std::nullopt);
+    ports_.on_poll_rank(std::nullopt);
   }
-  TellSoon();
+  SendHeartbeatSoon();
   // Not from within what told of the change.
   boost::asio::post(*io_, [this] { places_.OnPlannerChanged(); });
 }
@@ -322,10 +322,10 @@
 void FleetMember::LookForSilence() {
   const bool follows_other =
       followed_.has_value() && *followed_ != self_.address;
-  if (follows_other && clock_() - planner_heard_ > kWordSilence) {
+  if (follows_other && clock_() - planner_heard_ > kPlannerTimeout) {
     log_->Write("planner_silent",
                 {{"planner", followed_->value}, {"by", "word"}},
-                LogWeight::kAlwaysKept);
+                LogRateLimit::kExempt);
     book_->OnUnresponsive(*followed_);
   }
   FollowPlanner();
@@ -335,7 +335,7 @@
   const TimePoint now = clock_();
   LookForSilence();
   peers_log_.Tick(book_->ObservedHosts(), IsPlanner());
-  if (now - told_at_ >= kWordInterval) {
+  if (now - told_at_ >= kHeartbeatInterval) {
     TellPlanner();
   }
   const Millis strangers =
@@ -348,7 +348,7 @@
     is_answered_ = Described().poll_state == PollState::kAnswered;
     desk_.Tick();
   }
-  relay_.AskBetterInformed(Described());
+  relay_.FetchIfBehind(Described());
   tick_timer_.expires_after(kTick);
   tick_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) {
@@ -360,8 +360,8 @@
 void FleetMember::HearOfSource(const Heartbeat& word, const Heartbeat& own) {
   const bool from_planner = word.address == followed_;
   if (from_planner && word.should_poll.has_value()) {
-    ports_.on_reading_turn(
-        *word.should_poll ? std::make_optional(word.poll_rank) : std::nullopt);
+    ports_.on_poll_rank(*word.should_poll ? std::make_optional(word.poll_rank)
+                                          : std::nullopt);
   }
   if (own.known_up_to < word.known_up_to) {
     return;
@@ -372,20 +372,20 @@
       from_planner ? word.store_data_fresh
                    : IsPlanner() && word.poll_state == PollState::kAnswered;
   if (informs) {
-    ports_.on_informed(word.store_data_age);
+    ports_.on_peer_freshness(word.store_data_age);
   }
 }
 
-void FleetMember::OnOwnReading() {
+void FleetMember::OnPollResult() {
   if (IsPlanner()) {
     TellReaders();
   } else {
     // The planner tells the others, and chooses who reads by it.
-    TellSoon();
+    SendHeartbeatSoon();
   }
 }
 
-void FleetMember::OnInformedLate() {
+void FleetMember::OnOverdueRefresh() {
   if (IsPlanner()) {
     Announce();
   }
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -21,8 +21,8 @@
 #include "src/gateway/crash_relay.h"
 #include "src/gateway/fleet_socket.h"
 #include "src/gateway/peers_log.h"
-#include "src/gateway/place_client.h"
-#include "src/gateway/planning_desk.h"
+#include "src/gateway/placement_client.h"
+#include "src/gateway/planner_service.h"
 #include "src/gateway/publication_relay.h"
 #include "src/gateway/timer.h"
 
@@ -34,17 +34,17 @@
   std::function<void(Heartbeat* word)> describe;
   // As those of PublicationRelayPorts.
   std::function<std::vector<std::string>(StoreRevision since,
-                                         std::size_t most_bytes)>
+                                         std::size_t max_bytes)>
       published;
   std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
-  std::function<bool()> reads_routing;
+  std::function<bool()> is_parsing_routing;
   // Another host, whom the platform answered `age` ago, knows no more than this
   // one.
-  std::function<void(Millis age)> on_informed;
+  std::function<void(Millis age)> on_peer_freshness;
   // This host's turn among those that read the platform for all; nothing if it
   // is none of them.
-  std::function<void(std::optional<int> turn)> on_reading_turn;
+  std::function<void(std::optional<int> turn)> on_poll_rank;
   // As those of CrashRelayPorts.
   std::function<std::vector<CrashReport>(
       const std::vector<CrashReport>& reports,
@@ -72,40 +72,43 @@
   void Leave();
 
   // Tells the planner soon, and not only when the next word is due.
-  void TellSoon();
+  void SendHeartbeatSoon();
 
   // What this host knows of the platform has changed: others are told at once.
   void OnPublished() { relay_.OnPublished(); }
 
   // The platform has answered this host itself, or failed to.
-  void OnOwnReading();
+  void OnPollResult();
 
   // It is known again, from whomever, that the platform answers, after the
   // turns of others to look had begun to come.
-  void OnInformedLate();
+  void OnOverdueRefresh();
 
   // Tells the others what this host knows of a request that ends endpoints.
-  void TellCrash(CrashReport report) { crashes_.Tell(std::move(report)); }
+  void ShareCrashReport(CrashReport report) {
+    crashes_.Tell(std::move(report));
+  }
 
-  PlaceClient* Places() { return &places_; }
+  PlacementClient* Placements() { return &places_; }
   bool IsPlanner() { return book_->IsPlanner(); }
 
   // The pause between two words to the planner. A planner that dies is noticed
   // by the asks that it does not answer; words find it where nothing is asked.
-  static constexpr Millis kWordInterval{300};
+  static constexpr Millis kHeartbeatInterval{300};
   // How often it looks after itself: words, silence, prompts that wait.
   static constexpr Millis kTick{40};
   // Turns to read the platform count on the pause between two words.
-  static_assert(kWordInterval + kTick <= PollSchedule::kMaxHeartbeatInterval);
+  static_assert(kHeartbeatInterval + kTick <=
+                PollSchedule::kMaxHeartbeatInterval);
   // A planner that answered no word for this long is silent.
-  static constexpr Millis kWordSilence{650};
+  static constexpr Millis kPlannerTimeout{650};
 
  private:
   // Handles each kind of message.
   struct Receiver;
 
-  PlaceClientPorts MakePlacePorts();
-  PlanningDeskPorts MakeDeskPorts();
+  PlacementClientPorts MakePlacePorts();
+  PlannerServicePorts MakeDeskPorts();
   PublicationRelayPorts MakeRelayPorts();
   void Send(const HostAddress& to, const FleetMessage& message);
   void OnMessage(const FleetMessage& message);
@@ -144,8 +147,8 @@
   EventLog* log_;
   MonotonicClock clock_;
   RandomSource random_;
-  PlaceClient places_;
-  PlanningDesk desk_;
+  PlacementClient places_;
+  PlannerService desk_;
   PublicationRelay relay_;
   CrashRelay crashes_;
   PeersLog peers_log_;
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -9,14 +9,14 @@
 #include "harecrank/core/planner.h"
 #include "harecrank/core/request_quarantine.h"
 #include "src/gateway/caller_listener.h"
-#include "src/gateway/copy_server.h"
 #include "src/gateway/dispatch_queue.h"
-#include "src/gateway/endpoint_connections.h"
-#include "src/gateway/endpoint_news.h"
+#include "src/gateway/endpoint_connection_pool.h"
+#include "src/gateway/endpoint_updater.h"
 #include "src/gateway/fleet_member.h"
 #include "src/gateway/gateway_services.h"
-#include "src/gateway/source_state.h"
-#include "src/gateway/start_gate.h"
+#include "src/gateway/snapshot_server.h"
+#include "src/gateway/start_limiter.h"
+#include "src/gateway/store_sync_state.h"
 
 namespace harecrank {
 
@@ -26,16 +26,16 @@
   EndpointDirectory* directory;
   EndpointLoads* loads;
   EndpointHealth* health;
-  EndpointConnections* connections;
-  EndpointNews* endpoint_news;
+  EndpointConnectionPool* connections;
+  EndpointUpdater* endpoint_updater;
   RequestQuarantine* quarantine;
   DispatchQueue* queue;
   Membership* hosts;
-  StartGate* start_gate;
+  StartLimiter* start_limiter;
   Planner* planner;
   FleetMember* fleet;
-  SourceState* source;
-  CopyServer* copies;
+  StoreSyncState* source;
+  SnapshotServer* copies;
   CallerListener* callers;
   EventLog* log;
 };
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -47,14 +47,14 @@
       random_(std::move(random)),
       io_(1),
       log_(settings_.node_id.value, clock_),
-      holds_(&log_, &metrics_, clock_),
+      loop_monitor_(&log_, &metrics_, clock_),
       directory_(clock_, settings_.leave_limit),
       loads_(clock_),
       health_(clock_),
       connections_(&io_, clock_),
       prober_(&io_),
       quarantine_(clock_),
-      endpoint_news_(&directory_, &health_, &connections_, &log_, &metrics_),
+      endpoint_updater_(&directory_, &health_, &connections_, &log_, &metrics_),
       placer_(
           &directory_, &loads_, &health_, settings_.data_centre,
           LoadScope::kThisHost, [this] { return KnownHosts(); },
@@ -69,12 +69,12 @@
              settings_.placement.shares_by_account),
       orders_(platform.make_orders(&io_)),
       hosts_(Self(settings_), Addresses(settings_.seed_peers), clock_, random_),
-      start_gate_(
+      start_limiter_(
           Self(settings_).address, settings_.cold_limit,
           [this] { return hosts_.Size().MaxHosts(); },
           [this] { return routing_.InForce(); }, &log_, &metrics_, clock_),
       planner_(
-          &directory_, &health_, start_gate_.Shares(), settings_.data_centre,
+          &directory_, &health_, start_limiter_.Quotas(), settings_.data_centre,
           [this] { return routing_.InForce(); }, settings_.placement, clock_,
           random_),
       fleet_socket_(&io_, settings_.peers_address, &metrics_),
@@ -83,29 +83,31 @@
              &log_, &metrics_, clock_, random_),
       crashes_(
           &quarantine_, &prober_, &directory_,
-          [this](const EndpointId& id) { return start_gate_.IsResting(id); },
+          [this](const EndpointId& id) {
+            return start_limiter_.IsBackingOff(id);
+          },
           [this](const RequestFingerprint& request) {
-            fleet_.TellCrash(quarantine_.ReportOf(request));
+            fleet_.ShareCrashReport(quarantine_.ReportOf(request));
           },
           &log_, &metrics_),
-      rest_watch_([this](std::function<void()> run) {
+      backoff_notifier_([this](std::function<void()> run) {
         boost::asio::post(io_, std::move(run));
       }),
-      answers_(&directory_, &health_, &endpoint_news_, &start_gate_,
-               &rest_watch_, [this] { fleet_.TellSoon(); }),
+      answers_(&directory_, &health_, &endpoint_updater_, &start_limiter_,
+               &backoff_notifier_, [this] { fleet_.SendHeartbeatSoon(); }),
       services_(MakeServices()),
       source_(IsSeed(settings_), MakeReadingPorts(), MakeSourcePorts(),
               &directory_, &log_, clock_, random_),
       news_(
-          &routing_, &directory_, &endpoint_news_, &start_gate_, &source_,
+          &routing_, &directory_, &endpoint_updater_, &start_limiter_, &source_,
           [this] { AcceptCallers(); }, &log_, &metrics_),
-      feed_(platform.make_feed(&io_, settings_, &news_, &holds_)),
+      feed_(platform.make_feed(&io_, settings_, &news_, &loop_monitor_)),
       copies_(
           Self(settings_).cpu_share, &hosts_,
           [this](StoreRevision since) { return feed_->Export(since); },
           [this] { return source_.KnownUpTo(); }, &metrics_, clock_),
       callers_(&io_, settings_.callers_address,
-               MostSessions(settings_.descriptors), MakeSessionContext()),
+               MaxSessions(settings_.descriptors), MakeSessionContext()),
       readiness_(&io_, settings_.readiness_address,
                  [this](const HttpRequest& r) { return AnswerReadiness(r); }),
       operations_(&io_, settings_.operations_address,
@@ -122,7 +124,7 @@
              {{"version", HARECRANK_VERSION},
               {"data_centre", settings_.data_centre.value},
               {"callers_address", settings_.callers_address}},
-             LogWeight::kAlwaysKept);
+             LogRateLimit::kExempt);
   started_ = clock_();
   fleet_.Start();
   readiness_.Start();
@@ -131,7 +133,7 @@
   Tick();
   io_.run();
   log_.Write("stop", {{"requests_cut", callers_.BusyCount()}},
-             LogWeight::kAlwaysKept);
+             LogRateLimit::kExempt);
 }
 
 GatewayServices GatewayNode::MakeServices() {
@@ -147,9 +149,9 @@
   services.placer = &placer_;
   services.policy = &settings_.placement;
   services.budgets = &budgets_;
-  services.start_gate = &start_gate_;
-  services.answers = &answers_;
-  services.rest_watch = &rest_watch_;
+  services.start_limiter = &start_limiter_;
+  services.response_handler = &answers_;
+  services.backoff_notifier = &backoff_notifier_;
   services.queue = &queue_;
   services.orders = orders_.get();
   services.log = &log_;
@@ -160,8 +162,8 @@
     }
     return drain_began_ + settings_.stop_limit - 2 * kStopMargin;
   };
-  services.places = fleet_.Places();
-  services.on_news = [this] { fleet_.TellSoon(); };
+  services.places = fleet_.Placements();
+  services.on_endpoint_fault = [this] { fleet_.SendHeartbeatSoon(); };
   services.clock = clock_;
   services.random = random_;
   return services;
@@ -174,7 +176,7 @@
 SessionContext GatewayNode::MakeSessionContext() {
   SessionContext context;
   context.start_request = [this](CallerRequest request, TimePoint arrived,
-                                 std::shared_ptr<AnswerPort> answer) {
+                                 std::shared_ptr<ResponseSink> answer) {
     auto exchange = std::make_shared<Exchange>(&services_, std::move(request),
                                                arrived, std::move(answer));
     exchange->Start();
@@ -203,7 +205,7 @@
                                "not ready\n");
 }
 
-SmallReply GatewayNode::AnswerOperations(const HttpRequest& request) {
+SimpleHttpReply GatewayNode::AnswerOperations(const HttpRequest& request) {
   if (request.target() == "/metrics") {
     return MakeReply(http_status::kOk, "text/plain; version=0.0.4",
                      metrics_.Text());
@@ -221,17 +223,17 @@
         dump.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
   }
   const std::string_view target = View(request.target());
-  if (CopyServer::Serves(target)) {
+  if (SnapshotServer::Serves(target)) {
     return copies_.Answer(target);
   }
   return MakeReply(http_status::kNotFound, "text/plain", "no such page\n");
 }
 
 GatewayParts GatewayNode::MakeParts() {
-  return GatewayParts{&routing_,     &directory_,     &loads_,      &health_,
-                      &connections_, &endpoint_news_, &quarantine_, &queue_,
-                      &hosts_,       &start_gate_,    &planner_,    &fleet_,
-                      &source_,      &copies_,        &callers_,    &log_};
+  return GatewayParts{&routing_,     &directory_,        &loads_,      &health_,
+                      &connections_, &endpoint_updater_, &quarantine_, &queue_,
+                      &hosts_,       &start_limiter_,    &planner_,    &fleet_,
+                      &source_,      &copies_,           &callers_,    &log_};
 }
 
 PollSchedulePorts GatewayNode::MakeReadingPorts() {
@@ -244,12 +246,14 @@
   return ports;
 }
 
-SourceStatePorts GatewayNode::MakeSourcePorts() {
-  SourceStatePorts ports;
-  ports.set_reading = [this](PollMode reading) { feed_->SetPollMode(reading); };
+StoreSyncStatePorts GatewayNode::MakeSourcePorts() {
+  StoreSyncStatePorts ports;
+  ports.set_poll_mode = [this](PollMode reading) {
+    feed_->SetPollMode(reading);
+  };
   ports.on_published = [this] { fleet_.OnPublished(); };
-  ports.on_own_reading = [this] { fleet_.OnOwnReading(); };
-  ports.on_informed_late = [this] { fleet_.OnInformedLate(); };
+  ports.on_poll_result = [this] { fleet_.OnPollResult(); };
+  ports.on_overdue_refresh = [this] { fleet_.OnOverdueRefresh(); };
   return ports;
 }
 
@@ -267,25 +271,27 @@
     return crashes_.OnReports(reports, missing);
   };
   ports.shared_crashes = [this] { return quarantine_.SharedReports(); };
-  ports.limits = [this] { return start_gate_.Reports(); };
+  ports.limits = [this] { return start_limiter_.Reports(); };
   ports.on_limits = [this](const std::vector<RateLimitReport>& reports) {
-    start_gate_.MergeFromPeer(reports);
+    start_limiter_.MergeFromPeer(reports);
+  };
+  ports.published = [this](StoreRevision since, std::size_t max_bytes) {
+    return feed_->ExportChanges(since, max_bytes);
   };
-  ports.published = [this](StoreRevision since, std::size_t most_bytes) {
-    return feed_->ExportNews(since, most_bytes);
+  ports.is_parsing_routing = [this] { return feed_->IsParsingRouting(); };
+  ports.on_peer_freshness = [this](Millis age) {
+    source_.OnPeerFreshness(age);
   };
-  ports.reads_routing = [this] { return feed_->ReadsRouting(); };
-  ports.on_informed = [this](Millis age) { source_.OnNothingNew(age); };
-  ports.on_reading_turn = [this](std::optional<int> turn) {
+  ports.on_poll_rank = [this](std::optional<int> turn) {
     source_.SetPollRank(turn);
   };
   ports.on_published = [this](const std::string& changes,
                               bool store_data_fresh) {
-    endpoint_news_.BeginTold();
+    endpoint_updater_.BeginPeerUpdate();
     const auto at = feed_->Import(changes, store_data_fresh);
-    endpoint_news_.EndTold();
+    endpoint_updater_.EndPeerUpdate();
     if (at.has_value()) {
-      source_.OnTaken(*at);
+      source_.OnImported(*at);
     }
     return at.has_value();
   };
@@ -324,7 +330,7 @@
                         const char* cause) {
   if (!fresh.has_value()) {
     log_.Write("reload", {{"cause", cause}, {"taken", false}},
-               LogWeight::kAlwaysKept);
+               LogRateLimit::kExempt);
     return;
   }
   // Addresses are those of this incarnation of the process; a change of them
@@ -336,7 +342,7 @@
              {{"cause", cause},
               {"taken", true},
               {"seed_peers", fresh->seed_peers.size()}},
-             LogWeight::kAlwaysKept);
+             LogRateLimit::kExempt);
 }
 
 void GatewayNode::BeginDrain() {
@@ -346,7 +352,7 @@
   draining_ = true;
   drain_began_ = clock_();
   log_.Write("drain", {{"requests", callers_.BusyCount()}},
-             LogWeight::kAlwaysKept);
+             LogRateLimit::kExempt);
   fleet_.Leave();
 }
 
@@ -363,9 +369,9 @@
 void GatewayNode::Tick() {
   const TimePoint now = clock_();
   AcceptCallers();
-  endpoint_news_.RemoveExpired();
+  endpoint_updater_.RemoveExpired();
   hosts_.RecordFleetSize();
-  start_gate_.Tick();
+  start_limiter_.Tick();
   source_.Tick();
   if (now - swept_ >= kSweepInterval) {
     swept_ = now;
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -12,19 +12,19 @@
 
 #include "src/adapters/settings.h"
 #include "src/gateway/caller_listener.h"
-#include "src/gateway/copy_server.h"
 #include "src/gateway/crash_guard.h"
 #include "src/gateway/directory_feed.h"
-#include "src/gateway/endpoint_answers.h"
-#include "src/gateway/endpoint_news.h"
 #include "src/gateway/endpoint_prober.h"
+#include "src/gateway/endpoint_response_handler.h"
+#include "src/gateway/endpoint_updater.h"
+#include "src/gateway/event_loop_monitor.h"
 #include "src/gateway/fleet_member.h"
 #include "src/gateway/gateway_gauges.h"
 #include "src/gateway/gateway_services.h"
-#include "src/gateway/loop_holds.h"
-#include "src/gateway/published_news.h"
-#include "src/gateway/small_server.h"
-#include "src/gateway/source_state.h"
+#include "src/gateway/simple_http_server.h"
+#include "src/gateway/snapshot_server.h"
+#include "src/gateway/store_sync_state.h"
+#include "src/gateway/store_update_handler.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
@@ -32,7 +32,7 @@
 // Makes the feed that tells `sink` what the platform publishes.
 using FeedFactory = std::function<std::unique_ptr<DirectoryFeed>(
     boost::asio::io_context* io, const GatewaySettings& settings,
-    DirectorySink* sink, LoopHolds* holds)>;
+    DirectorySink* sink, EventLoopMonitor* holds)>;
 
 // Makes what sends orders to engines.
 using OrdersFactory =
@@ -71,10 +71,10 @@
   GatewayServices MakeServices();
   SessionContext MakeSessionContext();
   HttpReply AnswerReadiness(const HttpRequest& request);
-  SmallReply AnswerOperations(const HttpRequest& request);
+  SimpleHttpReply AnswerOperations(const HttpRequest& request);
   FleetMemberPorts MakeFleetPorts();
   PollSchedulePorts MakeReadingPorts();
-  SourceStatePorts MakeSourcePorts();
+  StoreSyncStatePorts MakeSourcePorts();
   GatewayParts MakeParts();
   void AwaitSignal();
   void OnSignal(int signal);
@@ -99,35 +99,35 @@
   boost::asio::io_context io_;
   EventLog log_;
   Metrics metrics_;
-  LoopHolds holds_;
+  EventLoopMonitor loop_monitor_;
   RoutingState routing_;
   EndpointDirectory directory_;
   EndpointLoads loads_;
   EndpointHealth health_;
-  EndpointConnections connections_;
+  EndpointConnectionPool connections_;
   EndpointProber prober_;
   RequestQuarantine quarantine_;
-  EndpointNews endpoint_news_;
+  EndpointUpdater endpoint_updater_;
   Placer placer_;
   RepeatBudgets budgets_;
   DispatchQueue queue_;
   std::unique_ptr<MemoryOrders> orders_;
   Membership hosts_;
-  StartGate start_gate_;
+  StartLimiter start_limiter_;
   Planner planner_;
   FleetSocket fleet_socket_;
   FleetMember fleet_;
   CrashGuard crashes_;
-  RestWatch rest_watch_;
-  EndpointAnswers answers_;
+  BackoffNotifier backoff_notifier_;
+  EndpointResponseHandler answers_;
   GatewayServices services_;
-  SourceState source_;
-  PublishedNews news_;
+  StoreSyncState source_;
+  StoreUpdateHandler news_;
   std::unique_ptr<DirectoryFeed> feed_;
-  CopyServer copies_;
+  SnapshotServer copies_;
   CallerListener callers_;
-  SmallServer readiness_;
-  SmallServer operations_;
+  SimpleHttpServer readiness_;
+  SimpleHttpServer operations_;
   boost::asio::signal_set signals_;
   Timer tick_timer_;
   TimePoint started_{};
--- a/src/gateway/own_answer.cc
+++ b/src/gateway/gateway_response.cc
@@ -1,13 +1,13 @@
-#include "src/gateway/own_answer.h"
+#include "src/gateway/gateway_response.h"
 
 #include <nlohmann/json.hpp>
 
 namespace harecrank {
 
-AnswerHead HeadOf(const OwnAnswer& answer, const ProtocolNames& names,
-                  const std::string& request_id) {
+ResponseHead HeadOf(const GatewayResponse& answer, const ProtocolNames& names,
+                    const std::string& request_id) {
   namespace http = boost::beast::http;
-  AnswerHead head;
+  ResponseHead head;
   head.result(answer.status);
   head.set(names.request_id, request_id);
   head.set(http::field::content_type, "application/json");
@@ -20,7 +20,7 @@
   return head;
 }
 
-std::string BodyOf(const OwnAnswer& answer) {
+std::string BodyOf(const GatewayResponse& answer) {
   const nlohmann::json body = {
       {"error", answer.code},
       {"outcome", answer.not_run ? "not_run" : "failed"}};
--- a/src/gateway/own_answer.h
+++ b/src/gateway/gateway_response.h
@@ -1,18 +1,18 @@
 // Answers that the gateway gives itself.
 
-#ifndef HARECRANK_SRC_GATEWAY_OWN_ANSWER_H_
-#define HARECRANK_SRC_GATEWAY_OWN_ANSWER_H_
+#ifndef HARECRANK_SRC_GATEWAY_GATEWAY_RESPONSE_H_
+#define HARECRANK_SRC_GATEWAY_GATEWAY_RESPONSE_H_
 
 #include <optional>
 #include <string>
 
 #include "harecrank/core/strong_types.h"
-#include "src/gateway/answer_port.h"
 #include "src/gateway/protocol_names.h"
+#include "src/gateway/response_sink.h"
 
 namespace harecrank {
 
-struct OwnAnswer {
+struct GatewayResponse {
   unsigned status = 0;
   // Names the cause for callers and logs.
   std::string code;
@@ -24,12 +24,12 @@
 };
 
 // Returns the head of `answer` to the request called `request_id`.
-AnswerHead HeadOf(const OwnAnswer& answer, const ProtocolNames& names,
-                  const std::string& request_id);
+ResponseHead HeadOf(const GatewayResponse& answer, const ProtocolNames& names,
+                    const std::string& request_id);
 
 // Returns its body, a JSON object.
-std::string BodyOf(const OwnAnswer& answer);
+std::string BodyOf(const GatewayResponse& answer);
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_OWN_ANSWER_H_
+#endif  // HARECRANK_SRC_GATEWAY_GATEWAY_RESPONSE_H_
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -17,15 +17,15 @@
 #include "harecrank/core/routing_table.h"
 #include "src/adapters/event_log.h"
 #include "src/adapters/metrics.h"
+#include "src/gateway/backoff_notifier.h"
 #include "src/gateway/crash_guard.h"
 #include "src/gateway/dispatch_queue.h"
-#include "src/gateway/endpoint_answers.h"
-#include "src/gateway/endpoint_connections.h"
+#include "src/gateway/endpoint_connection_pool.h"
+#include "src/gateway/endpoint_response_handler.h"
 #include "src/gateway/memory_orders.h"
-#include "src/gateway/place_client.h"
+#include "src/gateway/placement_client.h"
 #include "src/gateway/protocol_names.h"
-#include "src/gateway/rest_watch.h"
-#include "src/gateway/start_gate.h"
+#include "src/gateway/start_limiter.h"
 
 namespace harecrank {
 
@@ -69,14 +69,14 @@
   EndpointDirectory* directory = nullptr;
   EndpointLoads* loads = nullptr;
   EndpointHealth* health = nullptr;
-  EndpointConnections* connections = nullptr;
+  EndpointConnectionPool* connections = nullptr;
   CrashGuard* crashes = nullptr;
   const Placer* placer = nullptr;
   const PlacementPolicy* policy = nullptr;
   RepeatBudgets* budgets = nullptr;
-  StartGate* start_gate = nullptr;
-  EndpointAnswers* answers = nullptr;
-  RestWatch* rest_watch = nullptr;
+  StartLimiter* start_limiter = nullptr;
+  EndpointResponseHandler* response_handler = nullptr;
+  BackoffNotifier* backoff_notifier = nullptr;
   DispatchQueue* queue = nullptr;
   MemoryOrders* orders = nullptr;
   EventLog* log = nullptr;
@@ -85,10 +85,10 @@
   // about to stop.
   std::function<std::optional<TimePoint>()> stops_at;
   // Asks the planner for places.
-  PlaceClient* places = nullptr;
+  PlacementClient* places = nullptr;
   // Called when an endpoint was found at fault: the planner should hear of it
   // soon.
-  std::function<void()> on_news;
+  std::function<void()> on_endpoint_fault;
   MonotonicClock clock;
   RandomSource random;
 };
--- a/src/gateway/memory_hold.h
+++ b/src/gateway/memory_reservation.h
@@ -1,7 +1,7 @@
 // Memory of several engines that one request needs: all of it or none.
 
-#ifndef HARECRANK_SRC_GATEWAY_MEMORY_HOLD_H_
-#define HARECRANK_SRC_GATEWAY_MEMORY_HOLD_H_
+#ifndef HARECRANK_SRC_GATEWAY_MEMORY_RESERVATION_H_
+#define HARECRANK_SRC_GATEWAY_MEMORY_RESERVATION_H_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -24,15 +24,16 @@
 
 // Never waits for memory, so that holds of several hosts cannot lock each other
 // out: what is not free now is given up with the rest. Not thread-safe.
-class MemoryHold : public std::enable_shared_from_this<MemoryHold> {
+class MemoryReservation
+    : public std::enable_shared_from_this<MemoryReservation> {
  public:
   // Told of each answer, also of those that come when this has ended.
   using OnEndpointAnswer = std::function<void(const EndpointRecord& endpoint,
                                               const EndpointResponse& answer)>;
 
   // `orders` must outlive this.
-  MemoryHold(boost::asio::io_context* io, MemoryOrders* orders,
-             std::vector<MemoryNeed> needs, OnEndpointAnswer on_answer);
+  MemoryReservation(boost::asio::io_context* io, MemoryOrders* orders,
+                    std::vector<MemoryNeed> needs, OnEndpointAnswer on_answer);
 
   // Calls `done` once with whether all of it is held. Holds are renewed until
   // Release.
@@ -44,9 +45,9 @@
   // How long the memory stays set aside without a word from here: shorter than
   // the time for which engines may keep memory that no request uses, so that a
   // host that died leaves nothing behind for longer.
-  static constexpr Millis kHold{3000};
+  static constexpr Millis kLeaseDuration{3000};
   // Several renewals fit in one hold, so that one may be lost.
-  static constexpr Millis kRenewal{900};
+  static constexpr Millis kRenewalInterval{900};
 
  private:
   void OnReserved(bool held);
@@ -70,4 +71,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_MEMORY_HOLD_H_
+#endif  // HARECRANK_SRC_GATEWAY_MEMORY_RESERVATION_H_
--- a/src/gateway/place_client.h
+++ b/src/gateway/placement_client.h
@@ -1,7 +1,7 @@
 // Asks the planner for places, and tells it what became of them.
 
-#ifndef HARECRANK_SRC_GATEWAY_PLACE_CLIENT_H_
-#define HARECRANK_SRC_GATEWAY_PLACE_CLIENT_H_
+#ifndef HARECRANK_SRC_GATEWAY_PLACEMENT_CLIENT_H_
+#define HARECRANK_SRC_GATEWAY_PLACEMENT_CLIENT_H_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -19,7 +19,7 @@
 namespace harecrank {
 
 // What the client asks of its owner.
-struct PlaceClientPorts {
+struct PlacementClientPorts {
   // Returns the host that plans, if it is known.
   std::function<std::optional<HostAddress>()> planner;
   std::function<void(const HostAddress& to, const FleetMessage& message)> send;
@@ -31,25 +31,26 @@
 };
 
 // Nobody answered: the host places by itself, from what it knows.
-struct PlaceYourself {};
-using AskResult = std::variant<PlannedPlacement, QueryQueued, QueryRejected,
-                               NoEndpoint, PlaceYourself>;
+struct PlaceLocally {};
+using QueryResult = std::variant<PlannedPlacement, QueryQueued, QueryRejected,
+                                 NoEndpoint, PlaceLocally>;
 
-// Not thread-safe; runs on its io_context. Never calls back from within Ask.
-class PlaceClient {
+// Not thread-safe; runs on its io_context. Never calls back from within
+// SendQuery.
+class PlacementClient {
  public:
   // Called once with anything but QueryQueued, before that perhaps with
   // QueryQueued.
-  using OnResult = std::function<void(const AskResult& result)>;
+  using OnResult = std::function<void(const QueryResult& result)>;
 
-  PlaceClient(boost::asio::io_context* io, HostAddress self,
-              Incarnation incarnation, PlaceClientPorts ports,
-              MonotonicClock clock);
+  PlacementClient(boost::asio::io_context* io, HostAddress self,
+                  Incarnation incarnation, PlacementClientPorts ports,
+                  MonotonicClock clock);
 
   // Asks for a place. Until OnEnd of the id that is returned it counts as under
   // way.
-  QueryId Ask(const PlacementRequest& request, bool may_have_run,
-              OnResult on_result);
+  QueryId SendQuery(const PlacementRequest& request, bool may_have_run,
+                    OnResult on_result);
 
   // Returns an id for a place that this host has chosen itself.
   QueryId NewId() { return QueryId{next_id_++}; }
@@ -61,7 +62,7 @@
   // It ended, or is not wanted any more. Ids that have ended are passed over.
   void OnEnd(QueryId id, bool failed);
 
-  void OnAnswer(const PlacementReply& answer);
+  void OnReply(const PlacementReply& answer);
 
   // Another host plans now: what is not answered is asked there.
   void OnPlannerChanged();
@@ -73,14 +74,14 @@
   // host counts as silent: a lost datagram costs the first, a planner that died
   // the second. Answers take 2 ms within a region; between regions the pauses
   // follow what answers take.
-  static constexpr Millis kResend{30};
-  static constexpr Millis kSilent{100};
+  static constexpr Millis kResendAfter{30};
+  static constexpr Millis kUnresponsiveAfter{100};
   // How long an ask waits for a planner to be found, after a start of this host
   // or of all.
-  static constexpr Millis kNoPlanner{150};
+  static constexpr Millis kPlannerSearchTimeout{150};
   // How often an ask that waits is repeated, so that a planner that died, or a
   // place that was lost, is noticed.
-  static constexpr Millis kRepeat{200};
+  static constexpr Millis kQueuedRepeatInterval{200};
 
  private:
   struct Pending {
@@ -101,7 +102,7 @@
   void SendAgain(Pending* pending);
   // Tells `host` that the place it gave, or may yet give, is not used.
   void GiveBack(const HostAddress& host, QueryId id);
-  void Resolve(QueryId id, const AskResult& result);
+  void Resolve(QueryId id, const QueryResult& result);
   // Returns when the ask is looked at next.
   TimePoint DueOf(const Pending& pending) const;
   void LookAt(QueryId id);
@@ -113,7 +114,7 @@
 
   HostAddress self_;
   Incarnation incarnation_;
-  PlaceClientPorts ports_;
+  PlacementClientPorts ports_;
   MonotonicClock clock_;
   Timer timer_;
   Timer flush_timer_;
@@ -129,4 +130,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_PLACE_CLIENT_H_
+#endif  // HARECRANK_SRC_GATEWAY_PLACEMENT_CLIENT_H_
--- a/src/gateway/place_seeker.h
+++ b/src/gateway/placement_search.h
@@ -1,7 +1,7 @@
 // Finds a place for one request, and counts what it has under way there.
 
-#ifndef HARECRANK_SRC_GATEWAY_PLACE_SEEKER_H_
-#define HARECRANK_SRC_GATEWAY_PLACE_SEEKER_H_
+#ifndef HARECRANK_SRC_GATEWAY_PLACEMENT_SEARCH_H_
+#define HARECRANK_SRC_GATEWAY_PLACEMENT_SEARCH_H_
 
 #include <functional>
 #include <memory>
@@ -12,18 +12,18 @@
 #include <vector>
 
 #include "src/gateway/gateway_services.h"
-#include "src/gateway/memory_hold.h"
+#include "src/gateway/memory_reservation.h"
 #include "src/gateway/timer.h"
 
 namespace harecrank {
 
 // Why a request is turned away that was sent to no endpoint.
-enum class TurnAwayReason {
+enum class RejectionReason {
   // Engines are busy for longer than waiting is of use.
-  kWaitsInVain,
+  kCannotMeetTarget,
   // This host's part of what the endpoints take from all hosts is used up for
   // as long.
-  kStartsUsedUp
+  kStartQuotaExhausted
 };
 
 // What has become of a request so far.
@@ -37,25 +37,25 @@
 };
 
 // Told what a seeker found. Each call but the last one ends the search.
-class PlaceObserver {
+class PlacementObserver {
  public:
-  PlaceObserver() = default;
-  PlaceObserver(const PlaceObserver&) = delete;
-  PlaceObserver& operator=(const PlaceObserver&) = delete;
-  virtual ~PlaceObserver() = default;
+  PlacementObserver() = default;
+  PlacementObserver(const PlacementObserver&) = delete;
+  PlacementObserver& operator=(const PlacementObserver&) = delete;
+  virtual ~PlacementObserver() = default;
 
   // The request may go there now; the memory that it needs on helpers is held.
-  virtual void OnPlace(const Placement& placement) = 0;
+  virtual void OnPlaced(const Placement& placement) = 0;
   // Its caller may come again after `pause`.
-  virtual void OnTurnedAway(TurnAwayReason reason, Millis pause) = 0;
+  virtual void OnRejected(RejectionReason reason, Millis pause) = 0;
   // No endpoint of the service may be used.
   virtual void OnNoEndpoint() = 0;
   // It waits, or waits for something else now.
-  virtual void OnWaits() = 0;
+  virtual void OnWaiting() = 0;
 };
 
 // What a seeker seeks a place for.
-struct SoughtPlace {
+struct PlacementSearchParams {
   // Its times are set anew at each try.
   PlacementRequest request;
   TimePoint late_at{};
@@ -65,28 +65,28 @@
 
 // Asks the planner, and places by itself where none answers. Not thread-safe;
 // runs on its io_context.
-class PlaceSeeker : public std::enable_shared_from_this<PlaceSeeker> {
+class PlacementSearch : public std::enable_shared_from_this<PlacementSearch> {
  public:
   // `services` must outlive this. `observer` must stay until Close has been
-  // called; it may be called from within Seek. `log_fields` returns what names
-  // the request in log lines.
-  PlaceSeeker(const GatewayServices* services, SoughtPlace sought,
-              PlaceObserver* observer,
-              std::function<nlohmann::json()> log_fields);
+  // called; it may be called from within Search. `log_fields` returns what
+  // names the request in log lines.
+  PlacementSearch(const GatewayServices* services, PlacementSearchParams sought,
+                  PlacementObserver* observer,
+                  std::function<nlohmann::json()> log_fields);
 
   // Looks for a place.
-  void Seek(SendingHistory history);
+  void Search(SendingHistory history);
 
   // Whether this host may begin the request nowhere before waiting for that is
   // of no more use.
-  bool IsLeftOut(SendingHistory history) const;
+  bool CannotStartInTime(SendingHistory history) const;
 
   // Turns away a request that waits if all endpoints have come to rest for
   // longer than waiting is of use. Returns whether it did.
-  bool TurnAwayAtRest();
+  bool RejectIfAllBackingOff();
 
   // Returns after which time a caller may come again, if all endpoints rest.
-  std::optional<Millis> PauseOfRests() const;
+  std::optional<Millis> RetryAfterBackoffs() const;
 
   // Whether it stands in a queue, of the planner or of this host.
   bool IsWaiting() const { return waiter_.has_value() || waits_at_planner_; }
@@ -114,8 +114,8 @@
 
  private:
   // Asks the planner; the answer comes to OnResult.
-  void Ask();
-  void OnResult(const AskResult& result);
+  void SendQuery();
+  void OnResult(const QueryResult& result);
   // Takes the place that the planner gave, unless this host knows better of its
   // endpoints: then it asks again.
   void UsePlanned(const PlannedPlacement& planned);
@@ -143,7 +143,7 @@
   // Waits while all endpoints of a plain service are withheld, at most until
   // the request is late.
   void WaitForStart();
-  // Ends the search if IsLeftOut. Returns whether it did.
+  // Ends the search if CannotStartInTime. Returns whether it did.
   bool EndByBounds();
   // Returns when this host may begin a request at an endpoint that is not among
   // `tried`; nothing if no bound stands against one of them.
@@ -173,9 +173,9 @@
   void EndAsk();
 
   const GatewayServices* services_;
-  SoughtPlace sought_;
+  PlacementSearchParams sought_;
   // Null once this is closed.
-  PlaceObserver* observer_;
+  PlacementObserver* observer_;
   std::function<nlohmann::json()> log_fields_;
   // Until it seeks again, after memory was not to be had or while endpoints are
   // withheld.
@@ -190,10 +190,10 @@
   int unusable_places_ = 0;
   // Of the endpoint first, then of the helpers.
   std::vector<WorkId> work_;
-  std::shared_ptr<MemoryHold> hold_;
+  std::shared_ptr<MemoryReservation> hold_;
   bool failed_ = false;
 };
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_PLACE_SEEKER_H_
+#endif  // HARECRANK_SRC_GATEWAY_PLACEMENT_SEARCH_H_
--- a/src/gateway/planning_desk.h
+++ b/src/gateway/planner_service.h
@@ -1,7 +1,7 @@
 // Answers asks for places, on the host that plans.
 
-#ifndef HARECRANK_SRC_GATEWAY_PLANNING_DESK_H_
-#define HARECRANK_SRC_GATEWAY_PLANNING_DESK_H_
+#ifndef HARECRANK_SRC_GATEWAY_PLANNER_SERVICE_H_
+#define HARECRANK_SRC_GATEWAY_PLANNER_SERVICE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -15,19 +15,19 @@
 namespace harecrank {
 
 // What the desk asks of its owner.
-struct PlanningDeskPorts {
+struct PlannerServicePorts {
   // Returns the host that plans, or nothing if it is not known yet.
   std::function<std::optional<HostAddress>()> planner;
   std::function<void(const HostAddress& to, const FleetMessage& message)> send;
 };
 
 // Not thread-safe; runs on its io_context.
-class PlanningDesk {
+class PlannerService {
  public:
   // All pointers must outlive this.
-  PlanningDesk(boost::asio::io_context* io, HostAddress self, Planner* planner,
-               PlanningDeskPorts ports, EventLog* log, Metrics* metrics,
-               MonotonicClock clock);
+  PlannerService(boost::asio::io_context* io, HostAddress self,
+                 Planner* planner, PlannerServicePorts ports, EventLog* log,
+                 Metrics* metrics, MonotonicClock clock);
 
   void OnQuery(const PlacementQuery& ask);
   void OnProgressReport(const ProgressReport& note);
@@ -52,7 +52,7 @@
 
   HostAddress self_;
   Planner* planner_;
-  PlanningDeskPorts ports_;
+  PlannerServicePorts ports_;
   EventLog* log_;
   Metrics* metrics_;
   MonotonicClock clock_;
@@ -63,4 +63,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_PLANNING_DESK_H_
+#endif  // HARECRANK_SRC_GATEWAY_PLANNER_SERVICE_H_
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -6,9 +6,9 @@
 #include <utility>
 
 #include "harecrank/core/http_status.h"
-#include "src/gateway/answer_decoder.h"
-#include "src/gateway/copy_server.h"
 #include "src/gateway/endpoint_request.h"
+#include "src/gateway/response_decoder.h"
+#include "src/gateway/snapshot_server.h"
 
 namespace harecrank {
 namespace {
@@ -45,7 +45,7 @@
   if (field == reply.end()) {
     return std::nullopt;
   }
-  const BackoffHint rest = ReadRest(View(field->value()), "");
+  const BackoffHint rest = ParseRetryAfter(View(field->value()), "");
   const auto* after = std::get_if<Millis>(&rest);
   return after == nullptr ? std::nullopt : std::make_optional(*after);
 }
@@ -75,7 +75,7 @@
   boost::asio::post(*io_, [this] { TellPublished(); });
 }
 
-void PublicationRelay::BeginToPlan() {
+void PublicationRelay::OnBecamePlanner() {
   told_up_to_ = ports_.describe().known_up_to;
 }
 
@@ -116,10 +116,10 @@
   ports_.on_published(published.changes, true);
 }
 
-void PublicationRelay::AskBetterInformed(const Heartbeat& own) {
+void PublicationRelay::FetchIfBehind(const Heartbeat& own) {
   // What this host is reading already need not be asked for.
   const RoutingVersion routing =
-      ports_.reads_routing()
+      ports_.is_parsing_routing()
           ? RoutingVersion{std::numeric_limits<std::uint64_t>::max()}
           : own.routing;
   const auto host = book_->FindMoreUpToDate(routing, own.known_up_to);
@@ -148,7 +148,7 @@
                            bool sent_on) {
   asks_ = true;
   asking_ = std::make_shared<HttpClient>(io_, host.value);
-  asking_->Get(CopyServer::kPath + std::to_string(since.value), kAskTimeout,
+  asking_->Get(SnapshotServer::kPath + std::to_string(since.value), kAskTimeout,
                [this, host, since, sent_on](const CallResult& result) {
                  OnAnswer(host, since, sent_on, result);
                });
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -22,16 +22,16 @@
   // Returns what this host knows of the platform.
   std::function<Heartbeat()> describe;
   // Returns what the platform has published since `since`, for hosts that know
-  // all before it, in parts of at most `most_bytes` that follow each other; the
+  // all before it, in parts of at most `max_bytes` that follow each other; the
   // last one may be larger.
   std::function<std::vector<std::string>(StoreRevision since,
-                                         std::size_t most_bytes)>
+                                         std::size_t max_bytes)>
       published;
   // Takes what another host told of that. Returns false if it cannot be used.
   std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
   // Whether a newer routing table is known and about to be in force.
-  std::function<bool()> reads_routing;
+  std::function<bool()> is_parsing_routing;
   std::function<bool()> is_planner;
   // Tell this host's word to all others, and to the planner.
   std::function<void()> announce;
@@ -51,7 +51,7 @@
   void OnPublished();
 
   // This host plans from now on, and tells the others what follows.
-  void BeginToPlan();
+  void OnBecamePlanner();
 
   // The planner tells what has changed.
   void OnChanges(const PublishedChanges& published);
@@ -59,7 +59,7 @@
   // Asks a host that knows more of the platform, unless this one, which knows
   // what `own` says, is about to learn it by itself. To be called with each
   // word and every few tens of milliseconds.
-  void AskBetterInformed(const Heartbeat& own);
+  void FetchIfBehind(const Heartbeat& own);
 
  private:
   void TellPublished();
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -65,7 +65,7 @@
 
 void RequestSender::OnAnswer(const EndpointResponse& answer) {
   last_bytes_at_ = services_->clock();
-  services_->answers->OnAnswer(endpoint_, answer, sent_at_);
+  services_->response_handler->OnAnswer(endpoint_, answer, sent_at_);
 }
 
 void RequestSender::OnBytes() {
@@ -95,12 +95,12 @@
 
 void RequestSender::OnUnreachable() {
   services_->health->OnUnreachable(endpoint_.id);
-  services_->on_news();
+  services_->on_endpoint_fault();
 }
 
 void RequestSender::OnOverdue() {
   services_->health->OnOverdue(endpoint_.id, last_bytes_at_);
-  services_->on_news();
+  services_->on_endpoint_fault();
 }
 
 void RequestSender::OnRefusal(const EndpointResponse& answer,
@@ -112,18 +112,18 @@
   fields["endpoint"] = endpoint_.id.value;
   fields["at_fault"] = named;
   services_->log->Write("endpoint_blamed", std::move(fields),
-                        LogWeight::kAlwaysKept);
+                        LogRateLimit::kExempt);
   for (const EndpointId& helper : helpers_) {
     const EndpointRecord* record = services_->directory->Find(helper);
     const bool is_address = record != nullptr && record->address == named;
     if (helper.value == named || is_address) {
       services_->health->OnReportedAtFault(helper);
-      services_->on_news();
+      services_->on_endpoint_fault();
     }
   }
 }
 
-bool RequestSender::IsBeginning() const {
+bool RequestSender::IsStarting() const {
   return !began_at_.has_value() || services_->clock() - *began_at_ < kBeginning;
 }
 
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -46,13 +46,13 @@
   bool IsUnderWay() const { return attempt_ != nullptr; }
   // Whether the endpoint may have the request of the last attempt.
   bool WasSent() const { return was_sent_; }
-  bool HasBegun() const { return began_at_.has_value(); }
+  bool HasFirstEvent() const { return began_at_.has_value(); }
   // Whether the endpoint has begun to run it only now, if it has at all.
-  bool IsBeginning() const;
+  bool IsStarting() const;
   // Returns when its answer is overdue.
   TimePoint OverdueAt() const;
 
-  int Sendings() const { return sendings_; }
+  int SendCount() const { return sendings_; }
   // Where it was sent last.
   const EndpointRecord& Endpoint() const { return endpoint_; }
   FractionalMillis Predicted() const { return predicted_; }
--- a/src/gateway/answer_decoder.cc
+++ b/src/gateway/response_decoder.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/answer_decoder.h"
+#include "src/gateway/response_decoder.h"
 
 #include <Poco/DateTime.h>
 #include <Poco/DateTimeFormat.h>
@@ -41,8 +41,8 @@
 
 }  // namespace
 
-BackoffHint ReadRest(std::string_view text, std::string_view answered) {
-  const auto longest = static_cast<double>(kLongestRest.count());
+BackoffHint ParseRetryAfter(std::string_view text, std::string_view answered) {
+  const auto longest = static_cast<double>(kMaxBackoff.count());
   if (const auto seconds = ParseDecimal(text)) {
     const double backoff = std::min(longest, *seconds * kMillisPerSecond);
     return Millis(static_cast<std::int64_t>(std::ceil(backoff)));
@@ -54,10 +54,10 @@
   }
   const Millis backoff = std::chrono::duration_cast<Millis>(
       std::chrono::microseconds(*until - *since));
-  return std::clamp(backoff, Millis(0), kLongestRest);
+  return std::clamp(backoff, Millis(0), kMaxBackoff);
 }
 
-LeavingHint ReadLeaving(std::string_view text) {
+LeavingHint ParseLeavingHint(std::string_view text) {
   const auto number = ParseDecimal(text);
   if (number == 0.0) {
     return LeavingHint::kNone;
@@ -65,8 +65,8 @@
   return number == 1.0 ? LeavingHint::kLeaving : LeavingHint::kUnreadable;
 }
 
-EndpointResponse DecodeAnswer(const AnswerHead& head,
-                              const ProtocolNames& names) {
+EndpointResponse DecodeResponse(const ResponseHead& head,
+                                const ProtocolNames& names) {
   EndpointResponse answer;
   answer.status = head.result_int();
   answer.is_signed = head.count(names.answer_signature) != 0;
@@ -79,11 +79,11 @@
   const auto backoff = head.find(http::field::retry_after);
   if (backoff != head.end() && MayAskForRest(answer.status)) {
     answer.backoff =
-        ReadRest(View(backoff->value()), View(head[http::field::date]));
+        ParseRetryAfter(View(backoff->value()), View(head[http::field::date]));
   }
   const auto leaving = head.find(names.leaving);
   if (leaving != head.end()) {
-    answer.leaving = ReadLeaving(View(leaving->value()));
+    answer.leaving = ParseLeavingHint(View(leaving->value()));
   }
   return answer;
 }
--- a/src/gateway/answer_decoder.h
+++ b/src/gateway/response_decoder.h
@@ -1,32 +1,32 @@
 // Reads the heads of endpoints' answers.
 
-#ifndef HARECRANK_SRC_GATEWAY_ANSWER_DECODER_H_
-#define HARECRANK_SRC_GATEWAY_ANSWER_DECODER_H_
+#ifndef HARECRANK_SRC_GATEWAY_RESPONSE_DECODER_H_
+#define HARECRANK_SRC_GATEWAY_RESPONSE_DECODER_H_
 
 #include <string_view>
 
 #include "harecrank/core/endpoint_response.h"
-#include "src/gateway/answer_port.h"
 #include "src/gateway/protocol_names.h"
+#include "src/gateway/response_sink.h"
 
 namespace harecrank {
 
 // Returns what `head` says. All that endpoints may say of themselves there is
 // read here and nowhere else; docs/design/endpoint-answers.md lists it.
-EndpointResponse DecodeAnswer(const AnswerHead& head,
-                              const ProtocolNames& names);
+EndpointResponse DecodeResponse(const ResponseHead& head,
+                                const ProtocolNames& names);
 
 // Reads the time for which an endpoint wants nothing, as HTTP has it: seconds,
 // with a fraction if it likes, or a date. A date counts from `answered`, the
 // date of the answer itself: hosts' own time of day may jump.
-BackoffHint ReadRest(std::string_view text, std::string_view answered);
+BackoffHint ParseRetryAfter(std::string_view text, std::string_view answered);
 
 // Reads whether an endpoint says that it is about to end.
-LeavingHint ReadLeaving(std::string_view text);
+LeavingHint ParseLeavingHint(std::string_view text);
 
 // A longer rest counts as this long.
-constexpr Millis kLongestRest = std::chrono::hours(24);
+constexpr Millis kMaxBackoff = std::chrono::hours(24);
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_ANSWER_DECODER_H_
+#endif  // HARECRANK_SRC_GATEWAY_RESPONSE_DECODER_H_
--- a/src/gateway/answer_decoder_test.cc
+++ b/src/gateway/response_decoder_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/answer_decoder.h"
+#include "src/gateway/response_decoder.h"
 
 #include <catch2/catch.hpp>
 
@@ -17,8 +17,8 @@
   return names;
 }
 
-AnswerHead Head(unsigned status) {
-  AnswerHead head;
+ResponseHead Head(unsigned status) {
+  ResponseHead head;
   head.result(status);
   return head;
 }
@@ -26,13 +26,14 @@
 constexpr const char* kDate = "Fri, 31 Dec 2027 23:59:50 GMT";
 
 Millis RestOf(const std::string& text, const std::string& answered = "") {
-  const BackoffHint word = ReadRest(text, answered);
+  const BackoffHint word = ParseRetryAfter(text, answered);
   REQUIRE(std::holds_alternative<Millis>(word));
   return std::get<Millis>(word);
 }
 
 bool IsUnreadable(const std::string& text, const std::string& answered = "") {
-  return std::holds_alternative<UnreadableBackoff>(ReadRest(text, answered));
+  return std::holds_alternative<UnreadableBackoff>(
+      ParseRetryAfter(text, answered));
 }
 
 TEST_CASE("A rest is read in seconds, with a fraction or without") {
@@ -45,8 +46,8 @@
 }
 
 TEST_CASE("A rest beyond the longest is the longest") {
-  CHECK(RestOf("1e300") == kLongestRest);
-  CHECK(RestOf("99999999999") == kLongestRest);
+  CHECK(RestOf("1e300") == kMaxBackoff);
+  CHECK(RestOf("99999999999") == kMaxBackoff);
 }
 
 TEST_CASE("A rest that is no time is told as such") {
@@ -61,7 +62,7 @@
   CHECK(RestOf("Fri, 31 Dec 2027 23:59:57 GMT", kDate) == Millis(7000));
   CHECK(RestOf("Sat, 01 Jan 2028 00:00:00 GMT", kDate) == Millis(10000));
   CHECK(RestOf("Fri, 31 Dec 2027 23:59:00 GMT", kDate) == Millis(0));
-  CHECK(RestOf("Fri, 31 Dec 9999 23:59:00 GMT", kDate) == kLongestRest);
+  CHECK(RestOf("Fri, 31 Dec 9999 23:59:00 GMT", kDate) == kMaxBackoff);
 }
 
 TEST_CASE("A date in an answer that has none itself cannot be read") {
@@ -70,7 +71,7 @@
 }
 
 TEST_CASE("An answer without any of the headers says nothing") {
-  const EndpointResponse answer = DecodeAnswer(Head(200), Names());
+  const EndpointResponse answer = DecodeResponse(Head(200), Names());
   CHECK(answer.IsSuccess());
   CHECK_FALSE(answer.is_signed);
   CHECK_FALSE(answer.not_run);
@@ -81,14 +82,14 @@
 }
 
 TEST_CASE("All that an answer says of its endpoint is read") {
-  AnswerHead head = Head(503);
+  ResponseHead head = Head(503);
   head.set("Signature", "s");
   head.set("Not-Run", "1");
   head.set("At-Fault", "e7");
   head.set("Limit", "0.5");
   head.set("Leaving", "1");
   head.set(http::field::retry_after, "2");
-  const EndpointResponse answer = DecodeAnswer(head, Names());
+  const EndpointResponse answer = DecodeResponse(head, Names());
   CHECK(answer.status == 503);
   CHECK(answer.is_signed);
   CHECK(answer.not_run);
@@ -99,19 +100,20 @@
 }
 
 TEST_CASE("An endpoint leaves unless it says that it does not") {
-  CHECK(ReadLeaving("1") == LeavingHint::kLeaving);
-  CHECK(ReadLeaving(" 1 ") == LeavingHint::kLeaving);
-  CHECK(ReadLeaving("0") == LeavingHint::kNone);
-  CHECK(ReadLeaving("") == LeavingHint::kUnreadable);
-  CHECK(ReadLeaving("true") == LeavingHint::kUnreadable);
-  CHECK(ReadLeaving("2") == LeavingHint::kUnreadable);
+  CHECK(ParseLeavingHint("1") == LeavingHint::kLeaving);
+  CHECK(ParseLeavingHint(" 1 ") == LeavingHint::kLeaving);
+  CHECK(ParseLeavingHint("0") == LeavingHint::kNone);
+  CHECK(ParseLeavingHint("") == LeavingHint::kUnreadable);
+  CHECK(ParseLeavingHint("true") == LeavingHint::kUnreadable);
+  CHECK(ParseLeavingHint("2") == LeavingHint::kUnreadable);
 }
 
 TEST_CASE("Only an answer that turns a request away asks for rest") {
   const unsigned status = GENERATE(200U, 302U, 413U, 421U, 500U, 504U);
-  AnswerHead head = Head(status);
+  ResponseHead head = Head(status);
   head.set(http::field::retry_after, "2");
-  CHECK(std::holds_alternative<NoBackoff>(DecodeAnswer(head, Names()).backoff));
+  CHECK(
+      std::holds_alternative<NoBackoff>(DecodeResponse(head, Names()).backoff));
 }
 
 }  // namespace
--- a/src/gateway/answer_relay.h
+++ b/src/gateway/response_relay.h
@@ -1,7 +1,7 @@
 // Passes an endpoint's answer on to its caller, across several attempts.
 
-#ifndef HARECRANK_SRC_GATEWAY_ANSWER_RELAY_H_
-#define HARECRANK_SRC_GATEWAY_ANSWER_RELAY_H_
+#ifndef HARECRANK_SRC_GATEWAY_RESPONSE_RELAY_H_
+#define HARECRANK_SRC_GATEWAY_RESPONSE_RELAY_H_
 
 #include <memory>
 #include <optional>
@@ -10,28 +10,28 @@
 
 #include "harecrank/core/clock.h"
 #include "harecrank/core/event_scanner.h"
-#include "src/gateway/answer_port.h"
+#include "src/gateway/response_sink.h"
 
 namespace harecrank {
 
 // Events go on as they come, and only whole ones; other answers are kept until
 // they are whole. Not thread-safe.
-class AnswerRelay {
+class ResponseRelay {
  public:
-  AnswerRelay(std::shared_ptr<AnswerPort> answer, MonotonicClock clock);
+  ResponseRelay(std::shared_ptr<ResponseSink> answer, MonotonicClock clock);
 
   // A new attempt begins. A stream that has begun goes on where it stands.
   void BeginAttempt();
 
   // The answer under way is a series of events. The caller gets the head of the
   // first such answer only.
-  void RelayEvents(const AnswerHead& head);
+  void RelayEvents(const ResponseHead& head);
   // The answer under way is kept whole.
-  void KeepWhole(AnswerHead head);
+  void BufferWhole(ResponseHead head);
 
   // What became of bytes of the body.
   enum class Accepted {
-    kKept,
+    kBuffered,
     // At least one whole event went on.
     kEvents,
     // The answer is larger than may be kept.
@@ -48,9 +48,9 @@
   // Closes the caller's connection, so that the stream does not look complete.
   void AbortStream();
   // Sends the answer that was kept, and returns its status.
-  unsigned SendKept();
+  unsigned SendBuffered();
   // Returns the status of the answer that is kept.
-  unsigned KeptStatus() const { return head_->result_int(); }
+  unsigned BufferedStatus() const { return head_->result_int(); }
 
   bool IsStream() const { return is_stream_; }
   // Whether the caller has been sent the head of a stream.
@@ -63,10 +63,10 @@
  private:
   void NotePause();
 
-  std::shared_ptr<AnswerPort> answer_;
+  std::shared_ptr<ResponseSink> answer_;
   MonotonicClock clock_;
   EventScanner scanner_;
-  std::optional<AnswerHead> head_;
+  std::optional<ResponseHead> head_;
   std::string body_;
   bool is_stream_ = false;
   bool stream_begun_ = false;
@@ -76,4 +76,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_ANSWER_RELAY_H_
+#endif  // HARECRANK_SRC_GATEWAY_RESPONSE_RELAY_H_
--- a/src/gateway/small_server.cc
+++ b/src/gateway/simple_http_server.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/small_server.h"
+#include "src/gateway/simple_http_server.h"
 
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/span_body.hpp>
@@ -22,7 +22,7 @@
 class SmallSession : public std::enable_shared_from_this<SmallSession> {
  public:
   SmallSession(asio::ip::tcp::socket socket,
-               std::shared_ptr<const SmallHandler> handler)
+               std::shared_ptr<const SimpleHttpHandler> handler)
       : stream_(std::move(socket)), handler_(std::move(handler)) {}
 
   void Read() {
@@ -39,7 +39,7 @@
 
  private:
   void Answer() {
-    SmallReply answer = (*handler_)(request_);
+    SimpleHttpReply answer = (*handler_)(request_);
     reply_ = std::move(answer.reply);
     keeps_alive_ = request_.keep_alive();
     reply_.keep_alive(keeps_alive_);
@@ -73,7 +73,7 @@
   }
 
   beast::tcp_stream stream_;
-  std::shared_ptr<const SmallHandler> handler_;
+  std::shared_ptr<const SimpleHttpHandler> handler_;
   beast::flat_buffer buffer_;
   HttpRequest request_;
   HttpReply reply_;
@@ -105,20 +105,21 @@
   return acceptor;
 }
 
-SmallServer::SmallServer(asio::io_context* io, const std::string& address,
-                         SmallHandler handler)
+SimpleHttpServer::SimpleHttpServer(asio::io_context* io,
+                                   const std::string& address,
+                                   SimpleHttpHandler handler)
     : io_(io),
       acceptor_(Listen(io, address)),
-      handler_(std::make_shared<const SmallHandler>(std::move(handler))) {}
+      handler_(std::make_shared<const SimpleHttpHandler>(std::move(handler))) {}
 
-void SmallServer::Start() { Accept(); }
+void SimpleHttpServer::Start() { Accept(); }
 
-void SmallServer::Stop() {
+void SimpleHttpServer::Stop() {
   boost::system::error_code ignored;
   acceptor_.close(ignored);
 }
 
-void SmallServer::Accept() {
+void SimpleHttpServer::Accept() {
   acceptor_.async_accept(*io_, [this](boost::system::error_code error,
                                       asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted) {
--- a/src/gateway/small_server.h
+++ b/src/gateway/simple_http_server.h
@@ -1,7 +1,7 @@
 // A server of small answers: readiness, metrics, and what peers ask.
 
-#ifndef HARECRANK_SRC_GATEWAY_SMALL_SERVER_H_
-#define HARECRANK_SRC_GATEWAY_SMALL_SERVER_H_
+#ifndef HARECRANK_SRC_GATEWAY_SIMPLE_HTTP_SERVER_H_
+#define HARECRANK_SRC_GATEWAY_SIMPLE_HTTP_SERVER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -16,10 +16,10 @@
 
 // An answer. Its body stands in `reply`, or is shared with other answers and
 // held until it has gone out.
-struct SmallReply {
+struct SimpleHttpReply {
   // NOLINTNEXTLINE(google-explicit-constructor): most answers are their own.
-  SmallReply(HttpReply own) : reply(std::move(own)) {}
-  SmallReply(HttpReply head, std::shared_ptr<const std::string> body)
+  SimpleHttpReply(HttpReply own) : reply(std::move(own)) {}
+  SimpleHttpReply(HttpReply head, std::shared_ptr<const std::string> body)
       : reply(std::move(head)), shared_body(std::move(body)) {}
 
   HttpReply reply;
@@ -27,18 +27,19 @@
 };
 
 // Answers one request at once.
-using SmallHandler = std::function<SmallReply(const HttpRequest& request)>;
+using SimpleHttpHandler =
+    std::function<SimpleHttpReply(const HttpRequest& request)>;
 
 // Makes an answer of `status` with `body`.
 HttpReply MakeReply(unsigned status, const std::string& content_type,
                     std::string body);
 
 // Not thread-safe; runs on its io_context.
-class SmallServer {
+class SimpleHttpServer {
  public:
   // Throws boost::system::system_error if `address` cannot be had.
-  SmallServer(boost::asio::io_context* io, const std::string& address,
-              SmallHandler handler);
+  SimpleHttpServer(boost::asio::io_context* io, const std::string& address,
+                   SimpleHttpHandler handler);
 
   void Start();
   void Stop();
@@ -48,7 +49,7 @@
 
   boost::asio::io_context* io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::shared_ptr<const SmallHandler> handler_;
+  std::shared_ptr<const SimpleHttpHandler> handler_;
 };
 
 // Opens a listening socket. Throws boost::system::system_error if `address`
@@ -58,4 +59,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_SMALL_SERVER_H_
+#endif  // HARECRANK_SRC_GATEWAY_SIMPLE_HTTP_SERVER_H_
--- a/src/gateway/copy_server.cc
+++ b/src/gateway/snapshot_server.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/copy_server.h"
+#include "src/gateway/snapshot_server.h"
 
 #include <boost/beast/http/field.hpp>
 #include <limits>
@@ -35,9 +35,9 @@
 
 }  // namespace
 
-CopyServer::CopyServer(CpuShare power, Membership* book, Source source,
-                       KnownUpTo known_up_to, Metrics* metrics,
-                       MonotonicClock clock)
+SnapshotServer::SnapshotServer(CpuShare power, Membership* book, Source source,
+                               KnownUpTo known_up_to, Metrics* metrics,
+                               MonotonicClock clock)
     : power_(power),
       book_(book),
       source_(std::move(source)),
@@ -45,13 +45,14 @@
       metrics_(metrics),
       desk_(std::make_shared<SnapshotAdmission>(power, std::move(clock))) {}
 
-bool CopyServer::Serves(std::string_view target) {
+bool SnapshotServer::Serves(std::string_view target) {
   const std::string_view path = kPath;
   return target.substr(0, path.size()) == path;
 }
 
-SmallReply CopyServer::Answer(std::string_view target) {
-  const auto number = ReadNumber(target.substr(std::string_view(kPath).size()));
+SimpleHttpReply SnapshotServer::Answer(std::string_view target) {
+  const auto number =
+      ParseInteger(target.substr(std::string_view(kPath).size()));
   const StoreRevision since{static_cast<std::uint64_t>(
       std::max<std::int64_t>(0, number.value_or(0)))};
   const SnapshotDecision decision = desk_->OnRequest(Elsewhere());
@@ -61,7 +62,7 @@
     reply.set(http::field::location, "http://" + other->host.value + kPath +
                                          std::to_string(since.value));
     metrics_->GetCounter("harecrank_gateway_copies_elsewhere_total")->Add();
-    return SmallReply{std::move(reply), nullptr};
+    return SimpleHttpReply{std::move(reply), nullptr};
   }
   if (const auto* later = std::get_if<RetryLater>(&decision)) {
     HttpReply reply = MakeReply(http_status::kUnavailable, "text/plain", "");
@@ -69,12 +70,12 @@
               std::to_string(static_cast<double>(later->delay.count()) /
                              kMillisOfSecond));
     metrics_->GetCounter("harecrank_gateway_copies_later_total")->Add();
-    return SmallReply{std::move(reply), nullptr};
+    return SimpleHttpReply{std::move(reply), nullptr};
   }
   return Give(since);
 }
 
-SmallReply CopyServer::Give(StoreRevision since) {
+SimpleHttpReply SnapshotServer::Give(StoreRevision since) {
   // Made first, so that the desk is told whatever happens.
   std::shared_ptr<const std::string> bytes = source_(since);
   if (bytes == nullptr) {
@@ -82,11 +83,12 @@
   }
   const auto copy = std::make_shared<CopyUnderWay>(std::move(bytes), desk_);
   metrics_->GetCounter("harecrank_gateway_copies_given_total")->Add();
-  return SmallReply{MakeReply(http_status::kOk, "application/cbor", ""),
-                    std::shared_ptr<const std::string>(copy, copy->Bytes())};
+  return SimpleHttpReply{
+      MakeReply(http_status::kOk, "application/cbor", ""),
+      std::shared_ptr<const std::string>(copy, copy->Bytes())};
 }
 
-std::optional<HostAddress> CopyServer::Elsewhere() const {
+std::optional<HostAddress> SnapshotServer::Elsewhere() const {
   const std::uint64_t known = known_up_to_().value;
   if (known == 0) {
     return std::nullopt;
--- a/src/gateway/copy_server.h
+++ b/src/gateway/snapshot_server.h
@@ -1,7 +1,7 @@
 // Gives other hosts copies of what is published.
 
-#ifndef HARECRANK_SRC_GATEWAY_COPY_SERVER_H_
-#define HARECRANK_SRC_GATEWAY_COPY_SERVER_H_
+#ifndef HARECRANK_SRC_GATEWAY_SNAPSHOT_SERVER_H_
+#define HARECRANK_SRC_GATEWAY_SNAPSHOT_SERVER_H_
 
 #include <functional>
 #include <memory>
@@ -11,12 +11,12 @@
 #include "harecrank/core/membership.h"
 #include "harecrank/core/snapshot_admission.h"
 #include "src/adapters/metrics.h"
-#include "src/gateway/small_server.h"
+#include "src/gateway/simple_http_server.h"
 
 namespace harecrank {
 
 // Not thread-safe.
-class CopyServer {
+class SnapshotServer {
  public:
   // Returns what was published after `since`, or all of it; null before
   // anything is known.
@@ -26,14 +26,14 @@
   using KnownUpTo = std::function<StoreRevision()>;
 
   // `book` and `metrics` must outlive this and all replies.
-  CopyServer(CpuShare power, Membership* book, Source source,
-             KnownUpTo known_up_to, Metrics* metrics, MonotonicClock clock);
+  SnapshotServer(CpuShare power, Membership* book, Source source,
+                 KnownUpTo known_up_to, Metrics* metrics, MonotonicClock clock);
 
   // Returns whether `target` is one of this server's pages.
   static bool Serves(std::string_view target);
 
   // Answers a request for `target`, which Serves.
-  SmallReply Answer(std::string_view target);
+  SimpleHttpReply Answer(std::string_view target);
 
   // Copies that are under way.
   int ActiveTransfers() const { return desk_->ActiveTransfers(); }
@@ -46,7 +46,7 @@
   // Returns a host that gives the same, is no weaker by far, and was heard
   // lately.
   std::optional<HostAddress> Elsewhere() const;
-  SmallReply Give(StoreRevision since);
+  SimpleHttpReply Give(StoreRevision since);
 
   CpuShare power_;
   Membership* book_;
@@ -59,4 +59,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_COPY_SERVER_H_
+#endif  // HARECRANK_SRC_GATEWAY_SNAPSHOT_SERVER_H_
--- a/src/gateway/start_gate.h
+++ b/src/gateway/start_limiter.h
@@ -1,8 +1,8 @@
 // Keeps this host to its part of what endpoints take from all hosts together,
 // and to the rests that they ask it for.
 
-#ifndef HARECRANK_SRC_GATEWAY_START_GATE_H_
-#define HARECRANK_SRC_GATEWAY_START_GATE_H_
+#ifndef HARECRANK_SRC_GATEWAY_START_LIMITER_H_
+#define HARECRANK_SRC_GATEWAY_START_LIMITER_H_
 
 #include <functional>
 #include <map>
@@ -22,14 +22,14 @@
 // limit, as their answers and other hosts tell, and which have asked this host
 // for rest; counts what this host begins there. Each change of an endpoint's
 // state leaves a line in the log. Not thread-safe.
-class StartGate {
+class StartLimiter {
  public:
   // All pointers must outlive this. `hosts` returns how many hosts the fleet
   // may have, or nothing while that is not known.
-  StartGate(HostAddress self, ColdLimit cold_limit,
-            std::function<std::optional<int>()> hosts,
-            RoutingTableProvider routing, EventLog* log, Metrics* metrics,
-            MonotonicClock clock);
+  StartLimiter(HostAddress self, ColdLimit cold_limit,
+               std::function<std::optional<int>()> hosts,
+               RoutingTableProvider routing, EventLog* log, Metrics* metrics,
+               MonotonicClock clock);
 
   // Takes what was published.
   void OnListing(const std::vector<EndpointRecord>& records);
@@ -42,7 +42,7 @@
                 TimePoint sent_at);
 
   // Takes what an answer says of when this host may come again.
-  void OnRest(const EndpointRecord& endpoint, const BackoffHint& word);
+  void OnBackoffHint(const EndpointRecord& endpoint, const BackoffHint& word);
 
   // The endpoint runs in `incarnation`: it owes nothing of an earlier one.
   void OnIncarnation(const EndpointId& id,
@@ -81,27 +81,28 @@
   }
 
   // Returns after which time a caller may come again whom the bounds of all
-  // endpoints of `service` leave out, at most kLongestReturn unless all rest
+  // endpoints of `service` leave out, at most kMaxRetryAfter unless all rest
   // for longer. Each is told a later time than the one before, as far apart as
   // requests may be begun.
-  Millis TurnAway(const ServiceName& service, const StartAvailability& outlook);
+  Millis NextRetryAfter(const ServiceName& service,
+                        const StartAvailability& outlook);
 
   // The parts of all hosts, for the planner.
-  const StartQuotas* Shares() const { return &shares_; }
+  const StartQuotas* Quotas() const { return &shares_; }
 
   std::size_t ColdCount() const { return cold_endpoints_.Count(); }
   std::size_t LimitedCount() const { return limits_.Count(); }
-  bool IsResting(const EndpointId& id) const {
+  bool IsBackingOff(const EndpointId& id) const {
     return rests_.RemainingBackoff(id).has_value();
   }
-  std::size_t RestingCount() const { return rests_.Count(); }
+  std::size_t BackoffCount() const { return rests_.Count(); }
 
   // Returns all bounds, and what this host has begun under them, for operators.
   nlohmann::json Describe() const;
 
   // Callers honour a pause up to a third of the time that they have left; after
   // this long most bounds are others.
-  static constexpr Millis kLongestReturn{10000};
+  static constexpr Millis kMaxRetryAfter{10000};
 
  private:
   nlohmann::json DescribeLimit(const EndpointId& id) const;
@@ -129,4 +130,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_START_GATE_H_
+#endif  // HARECRANK_SRC_GATEWAY_START_LIMITER_H_
--- a/src/gateway/start_gate_test.cc
+++ b/src/gateway/start_limiter_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/start_gate.h"
+#include "src/gateway/start_limiter.h"
 
 #include <catch2/catch.hpp>
 
@@ -42,13 +42,13 @@
     record.service = kService;
     return record;
   }();
-  StartGate gate_{HostAddress{"h"},
-                  ColdLimit{},
-                  [] { return 1; },
-                  [] { return nullptr; },
-                  &log_,
-                  &metrics_,
-                  clock_};
+  StartLimiter gate_{HostAddress{"h"},
+                     ColdLimit{},
+                     [] { return 1; },
+                     [] { return nullptr; },
+                     &log_,
+                     &metrics_,
+                     clock_};
 };
 
 TEST_CASE_METHOD(GateFixture, "An endpoint without a bound takes what comes") {
@@ -79,23 +79,24 @@
   gate_.OnAnswer(kEndpoint, RequestRate{1}, now_);
   Pass(Millis(1000));
   Begin();
-  CHECK(gate_.TurnAway(kService, *Outlook()) == Millis(1000));
-  CHECK(gate_.TurnAway(kService, *Outlook()) == Millis(2000));
+  CHECK(gate_.NextRetryAfter(kService, *Outlook()) == Millis(1000));
+  CHECK(gate_.NextRetryAfter(kService, *Outlook()) == Millis(2000));
   Pass(Millis(500));
-  CHECK(gate_.TurnAway(kService, *Outlook()) == Millis(2500));
+  CHECK(gate_.NextRetryAfter(kService, *Outlook()) == Millis(2500));
   for (int i = 0; i < 20; ++i) {
-    gate_.TurnAway(kService, *Outlook());
+    gate_.NextRetryAfter(kService, *Outlook());
   }
-  CHECK(gate_.TurnAway(kService, *Outlook()) == StartGate::kLongestReturn);
+  CHECK(gate_.NextRetryAfter(kService, *Outlook()) ==
+        StartLimiter::kMaxRetryAfter);
 }
 
 TEST_CASE_METHOD(GateFixture,
                  "Callers are told when to come where nothing may begin") {
   gate_.OnAnswer(kEndpoint, RequestRate{0}, now_);
   REQUIRE(Outlook().has_value());
-  const Millis pause = gate_.TurnAway(kService, *Outlook());
+  const Millis pause = gate_.NextRetryAfter(kService, *Outlook());
   CHECK(pause > Millis(0));
-  CHECK(pause <= StartGate::kLongestReturn);
+  CHECK(pause <= StartLimiter::kMaxRetryAfter);
 }
 
 TEST_CASE_METHOD(GateFixture, "A limit that cannot be read is counted") {
@@ -131,9 +132,9 @@
 }
 
 TEST_CASE_METHOD(GateFixture, "A rest lets nothing through until its end") {
-  gate_.OnRest(record_, Millis(3000));
+  gate_.OnBackoffHint(record_, Millis(3000));
   CHECK_FALSE(MayBegin());
-  CHECK(gate_.RestingCount() == 1);
+  CHECK(gate_.BackoffCount() == 1);
   CHECK(Outlook()->backoff_until == now_ + Millis(3000));
   CHECK(Outlook()->next >= now_ + Millis(3000));
   CHECK(gate_.Withheld(service_).count(kEndpoint) == 1);
@@ -146,7 +147,7 @@
 
 TEST_CASE_METHOD(GateFixture, "A rest and a limit bind together") {
   gate_.OnAnswer(kEndpoint, RequestRate{2}, now_);
-  gate_.OnRest(record_, Millis(1500));
+  gate_.OnBackoffHint(record_, Millis(1500));
   Pass(Millis(1000));
   CHECK_FALSE(MayBegin());
   Pass(Millis(1500));
@@ -158,14 +159,14 @@
 TEST_CASE_METHOD(GateFixture,
                  "Callers are told to come after a rest that is longer than "
                  "the longest pause, one by one") {
-  gate_.OnRest(record_, Millis(60000));
-  const Millis first = gate_.TurnAway(kService, *Outlook());
+  gate_.OnBackoffHint(record_, Millis(60000));
+  const Millis first = gate_.NextRetryAfter(kService, *Outlook());
   CHECK(first >= Millis(60000));
-  CHECK(gate_.TurnAway(kService, *Outlook()) >= first);
+  CHECK(gate_.NextRetryAfter(kService, *Outlook()) >= first);
 }
 
 TEST_CASE_METHOD(GateFixture, "Rests are counted, and told in the dump") {
-  gate_.OnRest(record_, UnreadableBackoff{});
+  gate_.OnBackoffHint(record_, UnreadableBackoff{});
   const nlohmann::json dump = gate_.Describe();
   REQUIRE(dump["resting"].size() == 1);
   CHECK(dump["resting"].front()["endpoint"] == kEndpoint.value);
--- a/src/gateway/source_state.h
+++ b/src/gateway/store_sync_state.h
@@ -1,8 +1,8 @@
 // What this host knows of the platform's publications, from whomever, and
 // whether it reads them itself.
 
-#ifndef HARECRANK_SRC_GATEWAY_SOURCE_STATE_H_
-#define HARECRANK_SRC_GATEWAY_SOURCE_STATE_H_
+#ifndef HARECRANK_SRC_GATEWAY_STORE_SYNC_STATE_H_
+#define HARECRANK_SRC_GATEWAY_STORE_SYNC_STATE_H_
 
 #include <functional>
 #include <optional>
@@ -15,25 +15,26 @@
 namespace harecrank {
 
 // What the state asks of its owner.
-struct SourceStatePorts {
-  std::function<void(PollMode reading)> set_reading;
+struct StoreSyncStatePorts {
+  std::function<void(PollMode reading)> set_poll_mode;
   // What is known has changed.
   std::function<void()> on_published;
   // The platform has answered this host itself, or failed to.
-  std::function<void()> on_own_reading;
+  std::function<void()> on_poll_result;
   // It is known again that the platform answers, after the turns of others to
   // look had begun to come.
-  std::function<void()> on_informed_late;
+  std::function<void()> on_overdue_refresh;
 };
 
 // Not thread-safe.
-class SourceState {
+class StoreSyncState {
  public:
   // All pointers must outlive this. `is_seed`: other hosts turn to this one
   // first.
-  SourceState(bool is_seed, PollSchedulePorts duty, SourceStatePorts ports,
-              EndpointDirectory* directory, EventLog* log,
-              const MonotonicClock& clock, const RandomSource& random);
+  StoreSyncState(bool is_seed, PollSchedulePorts duty,
+                 StoreSyncStatePorts ports, EndpointDirectory* directory,
+                 EventLog* log, const MonotonicClock& clock,
+                 const RandomSource& random);
 
   // The platform has answered this host: what is known is complete up to `at`.
   void OnPollSucceeded(StoreRevision at);
@@ -42,13 +43,13 @@
 
   // Another host, which the platform answers, tells what was published up to
   // `at`.
-  void OnTold(StoreRevision at);
+  void OnPeerSynced(StoreRevision at);
   // Another host knows no more than this one, and the platform answered it
   // `age` ago.
-  void OnNothingNew(Millis age);
+  void OnPeerFreshness(Millis age);
 
   // What another host told is taken: all up to `at` is known.
-  void OnTaken(StoreRevision at) { AdvanceTo(at); }
+  void OnImported(StoreRevision at) { AdvanceTo(at); }
 
   // This host's turn among those that read for all.
   void SetPollRank(std::optional<int> turn);
@@ -69,7 +70,7 @@
   void Update(const std::string& reason);
 
   PollSchedule duty_;
-  SourceStatePorts ports_;
+  StoreSyncStatePorts ports_;
   EndpointDirectory* directory_;
   EventLog* log_;
   bool is_well_ = false;
@@ -78,4 +79,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_SOURCE_STATE_H_
+#endif  // HARECRANK_SRC_GATEWAY_STORE_SYNC_STATE_H_
--- a/src/gateway/published_news.h
+++ b/src/gateway/store_update_handler.h
@@ -1,7 +1,7 @@
 // Takes what the platform publishes into what this host knows.
 
-#ifndef HARECRANK_SRC_GATEWAY_PUBLISHED_NEWS_H_
-#define HARECRANK_SRC_GATEWAY_PUBLISHED_NEWS_H_
+#ifndef HARECRANK_SRC_GATEWAY_STORE_UPDATE_HANDLER_H_
+#define HARECRANK_SRC_GATEWAY_STORE_UPDATE_HANDLER_H_
 
 #include <functional>
 #include <string>
@@ -10,22 +10,23 @@
 #include "src/adapters/event_log.h"
 #include "src/adapters/metrics.h"
 #include "src/gateway/directory_feed.h"
-#include "src/gateway/endpoint_news.h"
+#include "src/gateway/endpoint_updater.h"
 #include "src/gateway/gateway_services.h"
-#include "src/gateway/source_state.h"
-#include "src/gateway/start_gate.h"
+#include "src/gateway/start_limiter.h"
+#include "src/gateway/store_sync_state.h"
 
 namespace harecrank {
 
 // Not thread-safe.
-class PublishedNews : public DirectorySink {
+class StoreUpdateHandler : public DirectorySink {
  public:
   // All pointers must outlive this. `on_usable` is called when there may be
   // enough to serve by.
-  PublishedNews(RoutingState* routing, EndpointDirectory* directory,
-                EndpointNews* endpoint_news, StartGate* start_gate,
-                SourceState* source, std::function<void()> on_usable,
-                EventLog* log, Metrics* metrics);
+  StoreUpdateHandler(RoutingState* routing, EndpointDirectory* directory,
+                     EndpointUpdater* endpoint_updater,
+                     StartLimiter* start_limiter, StoreSyncState* source,
+                     std::function<void()> on_usable, EventLog* log,
+                     Metrics* metrics);
 
   void OnRouting(RoutingDocument document) override;
   void OnListing(std::vector<EndpointRecord> records,
@@ -35,11 +36,11 @@
   void OnEndpointGone(const EndpointId& id, StoreRevision revision) override;
   void OnEndpointUnusable(const EndpointId& id, StoreRevision revision,
                           const std::string& reason) override;
-  void OnDataCentreClosed(const DrainedDataCentre& order) override;
-  void OnDataCentreOpened(const DataCentreId& id,
-                          StoreRevision revision) override;
-  void OnSourceWell(StoreRevision at) override;
-  void OnInformed(StoreRevision at) override;
+  void OnDataCentreDrained(const DrainedDataCentre& order) override;
+  void OnDataCentreRestored(const DataCentreId& id,
+                            StoreRevision revision) override;
+  void OnSynced(StoreRevision at) override;
+  void OnSyncedByPeer(StoreRevision at) override;
   void OnStoreUnreachable(const std::string& reason) override;
   void OnUnusable(const std::string& what, const std::string& reason) override;
 
@@ -50,9 +51,9 @@
 
   RoutingState* routing_;
   EndpointDirectory* directory_;
-  EndpointNews* endpoint_news_;
-  StartGate* start_gate_;
-  SourceState* source_;
+  EndpointUpdater* endpoint_updater_;
+  StartLimiter* start_limiter_;
+  StoreSyncState* source_;
   std::function<void()> on_usable_;
   EventLog* log_;
   Metrics* metrics_;
@@ -60,4 +61,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_GATEWAY_PUBLISHED_NEWS_H_
+#endif  // HARECRANK_SRC_GATEWAY_STORE_UPDATE_HANDLER_H_
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -37,10 +37,10 @@
   EngineError operator()(const Unreachable& error) const {
     return EngineUnreachable{error.reason};
   }
-  EngineError operator()(const NoAnswer& error) const {
+  EngineError operator()(const NoResponse& error) const {
     return EngineLost{error.reason};
   }
-  EngineError operator()(const AnswerTooLarge& error) const {
+  EngineError operator()(const ResponseTooLarge& error) const {
     return EngineLost{Describe(HttpError{error})};
   }
 };
@@ -53,16 +53,16 @@
       });
 }
 
-leaf::result<HttpAnswer> Call(const HttpCall& call) {
-  HttpAnswer answer;
+leaf::result<HttpResponse> Call(const HttpCall& call) {
+  HttpResponse answer;
   BOOST_LEAF_CHECK(TurnErrors([&]() -> leaf::result<void> {
-    BOOST_LEAF_ASSIGN(answer, CallHttp(call));
+    BOOST_LEAF_ASSIGN(answer, SendHttpRequest(call));
     return {};
   }));
   return answer;
 }
 
-leaf::result<HttpAnswer> CallExpectingOk(const HttpCall& call) {
+leaf::result<HttpResponse> CallExpectingOk(const HttpCall& call) {
   BOOST_LEAF_AUTO(answer, Call(call));
   if (answer.status != http_status::kOk) {
     return leaf::new_error(
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -206,15 +206,15 @@
                              incarnation_, settings_.pulse_interval});
   const std::lock_guard<std::mutex> lock(mutex_);
   connections_.insert(connection);
-  links_->Send(connection,
-               wire::Pulse{RemoteMillis{ToMillis(clock_())},
-                           scheduler_.Report(), scheduler_.IsDraining()});
+  links_->Send(connection, wire::SidecarHeartbeat{
+                               RemoteMillis{ToMillis(clock_())},
+                               scheduler_.Report(), scheduler_.IsDraining()});
 }
 
 void SidecarNode::On(ConnectionId connection, wire::Submit& submit) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const StreamName name{connection, submit.stream};
-  if (streams_.count(name) > 0 || submit.body_bytes > wire::kMostBodyBytes) {
+  if (streams_.count(name) > 0 || submit.body_bytes > wire::kMaxBodyBytes) {
     links_->Send(connection,
                  wire::Refused{submit.stream, "bad_request",
                                "a stream number used twice, or too large"});
@@ -231,7 +231,7 @@
   }
 }
 
-void SidecarNode::On(ConnectionId connection, wire::BodyPiece& piece) {
+void SidecarNode::On(ConnectionId connection, wire::BodyChunk& piece) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const StreamPtr stream = Find(connection, piece.stream);
   if (stream == nullptr || stream->state != StreamState::kReceiving) {
@@ -683,7 +683,7 @@
 
 void SidecarNode::SendPulses(bool all) {
   std::set<ConnectionId> to;
-  wire::Pulse pulse;
+  wire::SidecarHeartbeat pulse;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     load_changed_ = false;
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -47,10 +47,10 @@
     return wire::Refused{stream, "endpoint_unreachable", error.reason,
                          kRetryAfter};
   }
-  wire::Message operator()(const NoAnswer& error) const {
+  wire::Message operator()(const NoResponse& error) const {
     return wire::Failed{stream, "service_lost", error.reason, false};
   }
-  wire::Message operator()(const AnswerTooLarge& error) const {
+  wire::Message operator()(const ResponseTooLarge& error) const {
     return wire::Failed{stream, "answer_too_large", Describe(HttpError{error}),
                         true};
   }
@@ -206,7 +206,7 @@
   }
   return leaf::try_handle_all(
       [&]() -> leaf::result<wire::Message> {
-        BOOST_LEAF_AUTO(answer, CallHttp(call, kMostServiceAnswer));
+        BOOST_LEAF_AUTO(answer, SendHttpRequest(call, kMostServiceAnswer));
         std::int64_t pieces = 0;
         for (std::size_t at = 0; at < answer.body.size();
              at += kServicePieceBytes) {
--- a/standins/engine_server.cc
+++ b/standins/engine_server.cc
@@ -173,7 +173,7 @@
       const bool members_there = members.empty() ||
                                  sent % kCheckMembersEvery != 0 ||
                                  AreMembersThere(members);
-      const bool reader_there = out.good() && IsCallerThere(request);
+      const bool reader_there = out.good() && IsCallerConnected(request);
       if (!reader_there || !members_there) {
         response.setKeepAlive(false);
         return !members_there;
@@ -222,7 +222,7 @@
     call.timeout = kMemberTimeout;
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::optional<TextDigest>> {
-          BOOST_LEAF_AUTO(answer, CallHttp(call));
+          BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
           if (answer.status != http_status::kOk) {
             return std::optional<TextDigest>();
           }
@@ -259,7 +259,7 @@
     }
     WorkState state = WorkState::kRunning;
     std::vector<ReadyToken> none;
-    while (state == WorkState::kRunning && IsCallerThere(request)) {
+    while (state == WorkState::kRunning && IsCallerConnected(request)) {
       state = model_.Wait(work.id, &none);
     }
     if (state != WorkState::kDone) {
@@ -335,7 +335,7 @@
     call.timeout = kStoreTimeout;
     return leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
-          BOOST_LEAF_AUTO(answer, CallHttp(call));
+          BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
           return answer.status == http_status::kOk;
         },
         [] { return false; });
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -25,14 +25,14 @@
 constexpr std::size_t kLabelBytes = 32;
 constexpr std::size_t kBytesPerToken = 4;
 
-HttpAnswer CallOrEmpty(const HttpCall& call) {
-  return leaf::try_handle_all([&] { return CallHttp(call); },
-                              [] { return HttpAnswer(); });
+HttpResponse CallOrEmpty(const HttpCall& call) {
+  return leaf::try_handle_all([&] { return SendHttpRequest(call); },
+                              [] { return HttpResponse(); });
 }
 
-HttpAnswer Request(const std::string& address, const std::string& method,
-                   const std::string& path, const std::string& body = "",
-                   const std::string& key = "") {
+HttpResponse Request(const std::string& address, const std::string& method,
+                     const std::string& path, const std::string& body = "",
+                     const std::string& key = "") {
   HttpCall call;
   call.address = address;
   call.method = method;
@@ -40,7 +40,7 @@
   call.body = body;
   call.timeout = kCallTimeout;
   if (!key.empty()) {
-    call.fields.push_back(HttpField{"Authorization", "Bearer " + key});
+    call.fields.push_back(HttpHeader{"Authorization", "Bearer " + key});
   }
   return CallOrEmpty(call);
 }
@@ -237,7 +237,7 @@
 }
 
 std::uint32_t Fleet::Change(const std::string& node, const json& request) {
-  const HttpAnswer answer =
+  const HttpResponse answer =
       Request(Operations(node), "POST", "/rpc/harecrank.v1.Administration/Plan",
               request.dump(), kOperatorKey);
   if (answer.status != http_status::kOk) {
@@ -561,12 +561,12 @@
                                             : asked.body.dump());
   call.timeout = asked.timeout;
   call.fields = asked.fields;
-  call.fields.push_back(HttpField{"Authorization", "Bearer " + asked.key});
+  call.fields.push_back(HttpHeader{"Authorization", "Bearer " + asked.key});
   const bool stream =
       asked.body.is_object() && asked.body.value("stream", false);
   CallerAnswer answer;
   if (!stream) {
-    const HttpAnswer got = CallOrEmpty(call);
+    const HttpResponse got = CallOrEmpty(call);
     answer.status = got.status;
     answer.body = Parsed(got.body);
     answer.retry_after = got.retry_after;
--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -181,7 +181,7 @@
     if (cell_.kind == Kind::kTicketed) {
       ticket_ = FetchTicket(fleet_.Callers(0), {{"model", kModel}});
       REQUIRE_FALSE(ticket_.empty());
-      call_.fields.push_back(HttpField{"Harecrank-Ticket", ticket_});
+      call_.fields.push_back(HttpHeader{"Harecrank-Ticket", ticket_});
     }
     if (cell_.step == Step::kRoute) {
       target_ = TargetAtRoute();
@@ -231,7 +231,7 @@
     HttpCall metrics;
     metrics.address = fleet_.Operations("entry-0");
     metrics.path = "/metrics";
-    const auto answer = CallHttp(metrics);
+    const auto answer = SendHttpRequest(metrics);
     return answer && answer.value().body.find(
                          "harecrank_time_between_tokens_seconds_count 0") ==
                          std::string::npos;
