--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -82,14 +82,15 @@
   if (StartsWith(path, kPeerPrefix)) {
     HandlePeer(path, request, response);
   } else if (path == "/healthz") {
-    Answer(response, http_status::kOk, "{\"status\":\"ok\"}");
+    SendResponse(response, http_status::kOk, "{\"status\":\"ok\"}");
   } else if (path == "/readyz") {
     const bool ready = IsReady();
-    Answer(response, ready ? http_status::kOk : http_status::kUnavailable,
-           ready ? "{\"status\":\"ready\"}" : "{\"status\":\"not_ready\"}");
+    SendResponse(
+        response, ready ? http_status::kOk : http_status::kUnavailable,
+        ready ? "{\"status\":\"ready\"}" : "{\"status\":\"not_ready\"}");
   } else if (path == "/metrics") {
-    Answer(response, http_status::kOk, metrics_.Text(),
-           "text/plain; version=0.0.4");
+    SendResponse(response, http_status::kOk, metrics_.Text(),
+                 "text/plain; version=0.0.4");
   } else {
     HandleOperator(path, request, response);
   }
@@ -99,55 +100,57 @@
                       HTTPServerResponse& response) {
   std::string body;
   if (!ReadBody(request, kMostPeerBody, &body)) {
-    Answer(response, http_status::kBadRequest, "");
+    SendResponse(response, http_status::kBadRequest, "");
     return;
   }
   if (path == "/peer/compare") {
     const auto theirs = DecodePeerState(body);
     if (theirs) {
-      Answer(response, http_status::kOk,
-             EncodePeerUpdate(feed_.OnCompare(*theirs)), "application/cbor");
+      SendResponse(response, http_status::kOk,
+                   EncodePeerUpdate(feed_.OnCompare(*theirs)),
+                   "application/cbor");
       return;
     }
   }
   if (path == "/peer/offer") {
     const auto update = DecodePeerUpdate(body);
     if (update) {
-      Answer(response, http_status::kOk,
-             EncodePeerState(feed_.OnOffer(*update)), "application/cbor");
+      SendResponse(response, http_status::kOk,
+                   EncodePeerState(feed_.OnOffer(*update)), "application/cbor");
       return;
     }
   }
-  Answer(response, http_status::kBadRequest, "");
+  SendResponse(response, http_status::kBadRequest, "");
 }
 
 void Node::HandleOperator(const std::string& path, HTTPServerRequest& request,
                           HTTPServerResponse& response) {
   const bool rpc = StartsWith(path, kRpcPrefix);
   if (!rpc && path != "/dump") {
-    Answer(response, http_status::kNotFound,
-           "{\"error\":{\"code\":\"not_found\"}}");
+    SendResponse(response, http_status::kNotFound,
+                 "{\"error\":{\"code\":\"not_found\"}}");
     return;
   }
   if (!IsOperator(request)) {
-    Answer(response, http_status::kForbidden,
-           "{\"error\":{\"code\":\"forbidden\",\"message\":\"this call needs "
-           "an operator's key as a bearer token\"}}");
+    SendResponse(
+        response, http_status::kForbidden,
+        "{\"error\":{\"code\":\"forbidden\",\"message\":\"this call needs "
+        "an operator's key as a bearer token\"}}");
     return;
   }
   if (!rpc) {
-    Answer(response, http_status::kOk, Dump());
+    SendResponse(response, http_status::kOk, Dump());
     return;
   }
   std::string body;
   if (!ReadBody(request, kMostRpcBody, &body)) {
-    Answer(response, http_status::kBadRequest,
-           "{\"error\":{\"code\":\"body_too_large\"}}");
+    SendResponse(response, http_status::kBadRequest,
+                 "{\"error\":{\"code\":\"body_too_large\"}}");
     return;
   }
   const std::string method = path.substr(sizeof(kRpcPrefix) - 1);
   const RpcAnswer answer = CallRpc(&administration_, method, body);
-  Answer(response, answer.status, answer.body);
+  SendResponse(response, answer.status, answer.body);
 }
 
 bool Node::IsOperator(const HTTPServerRequest& request) const {
