--- a/src/core/account_limiter_test.cc
+++ b/src/core/account_limiter_test.cc
@@ -31,21 +31,21 @@
   constexpr std::int64_t kLimit = 8000;
   std::vector<AccountLimiter> hosts(kHosts,
                                     AccountLimiter([this] { return now; }));
-  std::int64_t passed = 0;
+  std::int64_t admitted = 0;
   constexpr int kSeconds = 60;
   constexpr std::int64_t kCost = 100;
   for (int tick = 0; tick < kSeconds * 100; ++tick) {
     for (AccountLimiter& host : hosts) {
       if (!host.Charge(kTinta, Tokens{kLimit}, kHosts, Tokens{kCost})) {
-        passed += kCost;
+        admitted += kCost;
       }
     }
     now += Millis(10);
   }
-  const std::int64_t bound = kLimit * kSeconds + kLimit + kHosts * kCost;
-  INFO("let through " << passed << " tokens, the bound is " << bound);
-  CHECK(passed <= bound);
-  CHECK(passed >= kLimit * kSeconds * 95 / 100);
+  const std::int64_t max_admitted = kLimit * kSeconds + kLimit + kHosts * kCost;
+  INFO("admitted " << admitted << " tokens, the limit is " << max_admitted);
+  CHECK(admitted <= max_admitted);
+  CHECK(admitted >= kLimit * kSeconds * 95 / 100);
 }
 
 TEST_CASE_METHOD(Fixture, "A refunded request costs nothing") {
--- a/src/core/limited_fleet_test.cc
+++ b/src/core/limited_fleet_test.cc
@@ -154,13 +154,13 @@
     while (!responses_.empty() && responses_.top().at <= now_) {
       const Response response = responses_.top();
       responses_.pop();
-      RateLimitHint word = NoRateLimit{};
+      RateLimitHint hint = NoRateLimit{};
       if (response.rate.has_value()) {
-        word = *response.rate;
+        hint = *response.rate;
         response.host->first_heard_at =
             response.host->first_heard_at.value_or(now_);
       }
-      response.host->limits.OnAnswer(kEndpoint, word, response.sent_at);
+      response.host->limits.OnAnswer(kEndpoint, hint, response.sent_at);
     }
   }
 
--- a/src/core/retry_reservations_test.cc
+++ b/src/core/retry_reservations_test.cc
@@ -28,7 +28,10 @@
   CHECK(reservations_.ReservedWork() == FractionalMillis(0));
 }
 
-TEST_CASE_METHOD(ReservationsFixture, "An early retry is given the same time") {
+TEST_CASE_METHOD(
+    ReservationsFixture,
+    "An early retry is told the time left until its reservation is "
+    "due") {
   reservations_.Reserve(RequestOf(1), FractionalMillis(900), now_, Millis(500));
   now_ += Millis(200);
   CHECK(reservations_.Reserve(RequestOf(1), FractionalMillis(900), now_,
--- a/src/core/start_quotas_test.cc
+++ b/src/core/start_quotas_test.cc
@@ -240,22 +240,22 @@
       }
       return;
     }
-    PlacementQuery ask;
-    ask.host = Host(host);
-    ask.incarnation = Incarnation{1};
-    ask.id = QueryId{++last_id_};
-    ask.service = kService;
-    ask.target_latency = Millis(500);
-    ask.target_gap = Millis(1000);
-    ask.prompt = Tokens{1000};
-    ask.answer = Tokens{10};
-    ask.until_late = Millis(500);
+    PlacementQuery query;
+    query.host = Host(host);
+    query.incarnation = Incarnation{1};
+    query.id = QueryId{++last_id_};
+    query.service = kService;
+    query.target_latency = Millis(500);
+    query.target_gap = Millis(1000);
+    query.prompt = Tokens{1000};
+    query.answer = Tokens{10};
+    query.until_late = Millis(500);
     if (!HostMayStart(host)) {
-      ask.withheld.insert(kEndpoint);
+      query.withheld.insert(kEndpoint);
     }
     OnDecision(
         host,
-        planners_[static_cast<std::size_t>(host % kPlanners)]->OnQuery(ask));
+        planners_[static_cast<std::size_t>(host % kPlanners)]->OnQuery(query));
   }
 
   void OnDecision(int host, const PlacementDecision& decision) {
