--- a/src/gateway/crash_relay.cc
+++ b/src/gateway/crash_relay.cc
@@ -6,47 +6,47 @@
 namespace harecrank {
 
 CrashRelay::CrashRelay(boost::asio::io_context* io, HostAddress self,
-                       Membership* book, FleetSocket* socket,
+                       Membership* membership, FleetSocket* socket,
                        CrashRelayPorts ports)
     : io_(io),
       self_(std::move(self)),
-      book_(book),
+      membership_(membership),
       socket_(socket),
       ports_(std::move(ports)) {}
 
-void CrashRelay::Tell(CrashReport report) {
-  untold_.push_back(std::move(report));
-  if (untold_.size() == 1) {
-    boost::asio::post(*io_, [this] { TellAll(); });
+void CrashRelay::Share(CrashReport report) {
+  pending_reports_.push_back(std::move(report));
+  if (pending_reports_.size() == 1) {
+    boost::asio::post(*io_, [this] { SendPending(); });
   }
 }
 
-void CrashRelay::TellAll() {
-  const CrashReports told{self_, std::move(untold_)};
-  untold_.clear();
-  socket_->SendToAll(book_->OtherAliveHosts(), told);
+void CrashRelay::SendPending() {
+  const CrashReports message{self_, std::move(pending_reports_)};
+  pending_reports_.clear();
+  socket_->SendToAll(membership_->OtherAliveHosts(), message);
 }
 
-void CrashRelay::OnReports(const CrashReports& told) {
+void CrashRelay::OnReports(const CrashReports& received) {
   CrashReports missing{self_, {}};
-  std::vector<CrashReport> news =
-      ports_.on_reports(told.reports, &missing.reports);
+  std::vector<CrashReport> new_reports =
+      ports_.on_reports(received.reports, &missing.reports);
   if (!missing.reports.empty()) {
-    socket_->Send(told.from, missing);
+    socket_->Send(received.from, missing);
   }
   // Other hosts do not know all that are alive; the planner does.
   if (ports_.is_planner()) {
-    for (CrashReport& report : news) {
-      Tell(std::move(report));
+    for (CrashReport& report : new_reports) {
+      Share(std::move(report));
     }
   }
 }
 
-void CrashRelay::Repair(const Heartbeat& word, std::uint64_t own_digest) {
-  if (own_digest == word.crash_digest || own_digest == 0) {
+void CrashRelay::Repair(const Heartbeat& heartbeat, std::uint64_t own_digest) {
+  if (own_digest == heartbeat.crash_digest || own_digest == 0) {
     return;
   }
-  socket_->Send(word.address, CrashReports{self_, ports_.shared()});
+  socket_->Send(heartbeat.address, CrashReports{self_, ports_.shared()});
 }
 
 }  // namespace harecrank
--- a/src/gateway/crash_relay.h
+++ b/src/gateway/crash_relay.h
@@ -1,4 +1,4 @@
-// Tells other hosts of requests that end endpoints.
+// Shares reports on requests that crash endpoints with the other hosts.
 
 #ifndef HARECRANK_SRC_GATEWAY_CRASH_RELAY_H_
 #define HARECRANK_SRC_GATEWAY_CRASH_RELAY_H_
@@ -12,15 +12,15 @@
 
 namespace harecrank {
 
-// What the relay asks of its owner.
+// Callbacks of CrashRelay.
 struct CrashRelayPorts {
-  // Takes what another host told. Returns what was news, and fills `missing`
-  // with what that host does not know.
+  // Merges the reports of another host. Returns the merged reports that were
+  // new, and adds to `missing` the reports that the sender lacks.
   std::function<std::vector<CrashReport>(
       const std::vector<CrashReport>& reports,
       std::vector<CrashReport>* missing)>
       on_reports;
-  // What hosts that have missed such words need.
+  // Returns the reports for hosts that have missed messages.
   std::function<std::vector<CrashReport>()> shared;
   std::function<bool()> is_planner;
 };
@@ -29,28 +29,30 @@
 class CrashRelay {
  public:
   // All pointers must outlive this.
-  CrashRelay(boost::asio::io_context* io, HostAddress self, Membership* book,
-             FleetSocket* socket, CrashRelayPorts ports);
+  CrashRelay(boost::asio::io_context* io, HostAddress self,
+             Membership* membership, FleetSocket* socket,
+             CrashRelayPorts ports);
 
-  // Tells all others what this host knows of a request.
-  void Tell(CrashReport report);
+  // Sends `report` to all other hosts, together with other reports of the same
+  // turn of the event loop.
+  void Share(CrashReport report);
 
-  void OnReports(const CrashReports& told);
+  void OnReports(const CrashReports& received);
 
-  // Sends what it has missed to a host whose digest is another than this one's,
-  // `own_digest`.
-  void Repair(const Heartbeat& word, std::uint64_t own_digest);
+  // Sends all shared reports to the sender of `heartbeat` if its digest differs
+  // from `own_digest`, the digest of this host.
+  void Repair(const Heartbeat& heartbeat, std::uint64_t own_digest);
 
  private:
-  void TellAll();
+  void SendPending();
 
   boost::asio::io_context* io_;
   HostAddress self_;
-  Membership* book_;
+  Membership* membership_;
   FleetSocket* socket_;
   CrashRelayPorts ports_;
-  // What ended together is told together.
-  std::vector<CrashReport> untold_;
+  // Reports to be sent in the next message.
+  std::vector<CrashReport> pending_reports_;
 };
 
 }  // namespace harecrank
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -8,46 +8,48 @@
 namespace {
 
 // How soon after a change the planner is told.
-constexpr Millis kSoon{1};
+constexpr Millis kSendDelay{1};
 // The pause between two words to strangers: while no planner is known, and
 // then.
 constexpr Millis kSearchInterval{100};
-constexpr Millis kLongestSearch{800};
-constexpr Millis kStrangerInterval{1000};
+constexpr Millis kMaxSearchInterval{800};
+constexpr Millis kGossipInterval{1000};
 // A planner that has not been heard for this long has missed a word.
-constexpr Millis kMissedWord{400};
+constexpr Millis kMissedHeartbeat{400};
 
 }  // namespace
 
 struct FleetMember::Receiver {
   FleetMember* member;
 
-  void operator()(const Heartbeat& word) const { member->OnHeartbeat(word); }
-  void operator()(const PlacementQuery& ask) const {
-    member->desk_.OnQuery(ask);
+  void operator()(const Heartbeat& heartbeat) const {
+    member->OnHeartbeat(heartbeat);
   }
-  void operator()(const PlacementReply& answer) const {
-    member->book_->OnMessageReceived(answer.from);
-    if (answer.from == member->followed_) {
-      member->planner_heard_ = member->clock_();
+  void operator()(const PlacementQuery& query) const {
+    member->planner_service_.OnQuery(query);
+  }
+  void operator()(const PlacementReply& reply) const {
+    member->membership_->OnMessageReceived(reply.from);
+    if (reply.from == member->followed_planner_) {
+      member->planner_heard_at_ = member->clock_();
     }
-    member->places_.OnReply(answer);
+    member->placement_client_.OnReply(reply);
   }
-  void operator()(const ProgressReport& note) const {
-    member->desk_.OnProgressReport(note);
+  void operator()(const ProgressReport& report) const {
+    member->planner_service_.OnProgressReport(report);
   }
   void operator()(const PublishedChanges& published) const {
     member->OnChanges(published);
   }
-  void operator()(const CrashReports& told) const {
-    member->book_->OnMessageReceived(told.from);
-    member->crashes_.OnReports(told);
+  void operator()(const CrashReports& reports) const {
+    member->membership_->OnMessageReceived(reports.from);
+    member->crash_relay_.OnReports(reports);
   }
 };
 
 FleetMember::FleetMember(boost::asio::io_context* io, NodeId node,
                          KnownHost self, Incarnation incarnation,
-                         Membership* book, Planner* planner,
+                         Membership* membership, Planner* planner,
                          EndpointHealth* health, FleetSocket* socket,
                          FleetMemberPorts ports, EventLog* log,
                          Metrics* metrics, MonotonicClock clock,
@@ -56,7 +58,7 @@
       node_(std::move(node)),
       self_(std::move(self)),
       incarnation_(incarnation),
-      book_(book),
+      membership_(membership),
       planner_(planner),
       health_(health),
       socket_(socket),
@@ -64,41 +66,43 @@
       log_(log),
       clock_(std::move(clock)),
       random_(std::move(random)),
-      places_(io, self_.address, incarnation, MakePlacePorts(), clock_),
-      desk_(io, self_.address, planner, MakeDeskPorts(), log, metrics, clock_),
-      relay_(io, self_.address, book, socket, MakeRelayPorts(), log, clock_,
-             random_),
-      crashes_(io, self_.address, book, socket,
-               {ports_.on_crashes, ports_.shared_crashes,
-                [this] { return IsPlanner(); }}),
+      placement_client_(io, self_.address, incarnation, MakePlacementPorts(),
+                        clock_),
+      planner_service_(io, self_.address, planner, MakePlannerServicePorts(),
+                       log, metrics, clock_),
+      publication_relay_(io, self_.address, membership, socket,
+                         MakeRelayPorts(), log, clock_, random_),
+      crash_relay_(io, self_.address, membership, socket,
+                   {ports_.on_crashes, ports_.shared_crashes,
+                    [this] { return IsPlanner(); }}),
       peers_log_(log, clock_),
       tick_timer_(*io),
-      tell_timer_(*io) {}
+      heartbeat_timer_(*io) {}
 
-PlacementClientPorts FleetMember::MakePlacePorts() {
+PlacementClientPorts FleetMember::MakePlacementPorts() {
   PlacementClientPorts ports;
-  ports.planner = [this] { return book_->Planner(); };
+  ports.planner = [this] { return membership_->Planner(); };
   ports.send = [this](const HostAddress& to, const FleetMessage& message) {
     Send(to, message);
   };
   ports.on_silent = [this](const HostAddress& host) {
-    book_->OnUnresponsive(host);
+    membership_->OnUnresponsive(host);
     log_->Write("planner_silent", {{"planner", host.value}, {"by", "ask"}},
                 LogRateLimit::kExempt);
     FollowPlanner();
   };
   ports.on_redirect = [this](const HostAddress& host,
                              const HostAddress& planner) {
-    book_->OnRedirect(host, planner);
-    Probe(planner);
+    membership_->OnRedirect(host, planner);
+    RequestHeartbeat(planner);
     FollowPlanner();
   };
   return ports;
 }
 
-PlannerServicePorts FleetMember::MakeDeskPorts() {
+PlannerServicePorts FleetMember::MakePlannerServicePorts() {
   PlannerServicePorts ports;
-  ports.planner = [this] { return book_->Planner(); };
+  ports.planner = [this] { return membership_->Planner(); };
   ports.send = [this](const HostAddress& to, const FleetMessage& message) {
     Send(to, message);
   };
@@ -107,7 +111,7 @@
 
 PublicationRelayPorts FleetMember::MakeRelayPorts() {
   PublicationRelayPorts ports;
-  ports.describe = [this] { return Described(); };
+  ports.describe = [this] { return DescribeStoreData(); };
   ports.published = ports_.published;
   ports.on_published = ports_.on_published;
   ports.is_parsing_routing = ports_.is_parsing_routing;
@@ -123,7 +127,7 @@
 }
 
 void FleetMember::Leave() {
-  book_->Leave();
+  membership_->Leave();
   FollowPlanner();
   Announce();
 }
@@ -141,214 +145,218 @@
   std::visit(Receiver{this}, message);
 }
 
-void FleetMember::OnHeartbeat(const Heartbeat& word) {
+void FleetMember::OnHeartbeat(const Heartbeat& heartbeat) {
   const TimePoint now = clock_();
-  if (book_->OnHeartbeat(word)) {
+  if (membership_->OnHeartbeat(heartbeat)) {
     peers_log_.OnMessageReceived();
   }
-  if (word.address == followed_) {
-    planner_heard_ = now;
-  } else if (word.planner == word.address && followed_.has_value() &&
-             *followed_ != self_.address &&
-             now - planner_heard_ > kMissedWord) {
+  if (heartbeat.address == followed_planner_) {
+    planner_heard_at_ = now;
+  } else if (heartbeat.planner == heartbeat.address &&
+             followed_planner_.has_value() &&
+             *followed_planner_ != self_.address &&
+             now - planner_heard_at_ > kMissedHeartbeat) {
     // Another host took over, and the old planner has missed a word.
-    book_->OnUnresponsive(*followed_);
+    membership_->OnUnresponsive(*followed_planner_);
   }
-  if (word.planner != word.address) {
-    Probe(word.planner);
+  if (heartbeat.planner != heartbeat.address) {
+    RequestHeartbeat(heartbeat.planner);
   }
-  for (const AvoidedEndpoint& endpoint : word.avoided) {
+  for (const AvoidedEndpoint& endpoint : heartbeat.avoided) {
     health_->OnAvoidedByPeer(endpoint.id, endpoint.left);
   }
-  ports_.on_limits(word.limits);
+  ports_.on_limits(heartbeat.limits);
   FollowPlanner();
-  if (word.planner == word.address && word.address != followed_) {
+  if (heartbeat.planner == heartbeat.address &&
+      heartbeat.address != followed_planner_) {
     // It plans, for some hosts at least, and must not take this host's engines
     // for idle.
-    Heartbeat account = OwnWord();
-    account.work = places_.Work();
-    Send(word.address, account);
-  }
-  const Heartbeat own = Described();
-  HearOfSource(word, own);
-  crashes_.Repair(word, own.crash_digest);
-  relay_.FetchIfBehind(own);
-  desk_.OnHeartbeat(word);
-  if (word.wants_reply) {
-    Reply(word);
+    Heartbeat work_report = OwnHeartbeat();
+    work_report.work = placement_client_.Work();
+    Send(heartbeat.address, work_report);
+  }
+  const Heartbeat own = DescribeStoreData();
+  UpdateFreshness(heartbeat, own);
+  crash_relay_.Repair(heartbeat, own.crash_digest);
+  publication_relay_.FetchIfBehind(own);
+  planner_service_.OnHeartbeat(heartbeat);
+  if (heartbeat.wants_reply) {
+    Reply(heartbeat);
   }
 }
 
-void FleetMember::Reply(const Heartbeat& word) {
-  Heartbeat reply = OwnWord();
-  reply.hosts = book_->PartialViewFor(word.address);
+void FleetMember::Reply(const Heartbeat& heartbeat) {
+  Heartbeat reply = OwnHeartbeat();
+  reply.hosts = membership_->PartialViewFor(heartbeat.address);
   if (IsPlanner()) {
-    TellTurn(word.address, &reply);
+    SetPollFields(heartbeat.address, &reply);
   }
-  Send(word.address, reply);
+  Send(heartbeat.address, reply);
 }
 
-void FleetMember::TellTurn(const HostAddress& reader, Heartbeat* word) const {
-  const auto found = std::find(readers_.begin(), readers_.end(), reader);
-  word->should_poll = found != readers_.end();
-  if (*word->should_poll) {
+void FleetMember::SetPollFields(const HostAddress& host,
+                                Heartbeat* heartbeat) const {
+  const auto found = std::find(pollers_.begin(), pollers_.end(), host);
+  heartbeat->should_poll = found != pollers_.end();
+  if (*heartbeat->should_poll) {
     // While the platform does not answer this host, the first reads for it.
-    word->poll_rank =
-        static_cast<int>(found - readers_.begin()) + (is_answered_ ? 1 : 0);
+    heartbeat->poll_rank =
+        static_cast<int>(found - pollers_.begin()) + (store_answers_ ? 1 : 0);
   }
 }
 
-void FleetMember::TellReaders() {
-  readers_ = book_->StorePollers();
-  is_answered_ = Described().poll_state == PollState::kAnswered;
-  Heartbeat word = OwnWord();
-  for (const HostAddress& reader : readers_) {
-    TellTurn(reader, &word);
-    Send(reader, word);
+void FleetMember::InformPollers() {
+  pollers_ = membership_->StorePollers();
+  store_answers_ = DescribeStoreData().poll_state == PollState::kAnswered;
+  Heartbeat heartbeat = OwnHeartbeat();
+  for (const HostAddress& host : pollers_) {
+    SetPollFields(host, &heartbeat);
+    Send(host, heartbeat);
   }
 }
 
-void FleetMember::Probe(const HostAddress& planner) {
+void FleetMember::RequestHeartbeat(const HostAddress& planner) {
   const TimePoint now = clock_();
-  const bool is_known =
-      planner.value.empty() || planner == self_.address || planner == followed_;
-  if (is_known || now - probed_at_ < kSearchInterval) {
+  const bool needs_no_request = planner.value.empty() ||
+                                planner == self_.address ||
+                                planner == followed_planner_;
+  if (needs_no_request || now - last_request_at_ < kSearchInterval) {
     return;
   }
-  probed_at_ = now;
-  Heartbeat word = OwnWord();
-  word.wants_reply = true;
-  Send(planner, word);
+  last_request_at_ = now;
+  Heartbeat heartbeat = OwnHeartbeat();
+  heartbeat.wants_reply = true;
+  Send(planner, heartbeat);
 }
 
-Heartbeat FleetMember::Described() const {
+Heartbeat FleetMember::DescribeStoreData() const {
   Heartbeat own;
   ports_.describe(&own);
   return own;
 }
 
-Heartbeat FleetMember::OwnWord() const {
-  Heartbeat word = Described();
-  word.node = node_;
-  word.address = self_.address;
-  word.incarnation = incarnation_;
-  word.cpu_share = self_.cpu_share;
-  word.leaving = book_->IsLeaving();
-  word.planner = followed_.value_or(HostAddress{});
-  word.alive_hosts = book_->ObservedHosts();
-  word.avoided = health_->Avoided();
-  word.limits = ports_.limits();
-  return word;
+Heartbeat FleetMember::OwnHeartbeat() const {
+  Heartbeat heartbeat = DescribeStoreData();
+  heartbeat.node = node_;
+  heartbeat.address = self_.address;
+  heartbeat.incarnation = incarnation_;
+  heartbeat.cpu_share = self_.cpu_share;
+  heartbeat.leaving = membership_->IsLeaving();
+  heartbeat.planner = followed_planner_.value_or(HostAddress{});
+  heartbeat.alive_hosts = membership_->ObservedHosts();
+  heartbeat.avoided = health_->Avoided();
+  heartbeat.limits = ports_.limits();
+  return heartbeat;
 }
 
-void FleetMember::TellPlanner() {
-  told_at_ = clock_();
-  if (!followed_.has_value()) {
+void FleetMember::SendHeartbeatToPlanner() {
+  last_heartbeat_at_ = clock_();
+  if (!followed_planner_.has_value()) {
     return;
   }
-  Heartbeat word = OwnWord();
-  word.work = places_.Work();
-  word.wants_reply = *followed_ != self_.address;
-  if (*followed_ == self_.address) {
-    planner_->OnHeartbeat(word);
+  Heartbeat heartbeat = OwnHeartbeat();
+  heartbeat.work = placement_client_.Work();
+  heartbeat.wants_reply = *followed_planner_ != self_.address;
+  if (*followed_planner_ == self_.address) {
+    planner_->OnHeartbeat(heartbeat);
     return;
   }
-  Send(*followed_, word);
+  Send(*followed_planner_, heartbeat);
 }
 
 void FleetMember::SendHeartbeatSoon() {
-  if (tells_soon_) {
+  if (heartbeat_scheduled_) {
     return;
   }
-  tells_soon_ = true;
-  tell_timer_.expires_after(kSoon);
-  tell_timer_.async_wait([this](boost::system::error_code error) {
-    tells_soon_ = false;
+  heartbeat_scheduled_ = true;
+  heartbeat_timer_.expires_after(kSendDelay);
+  heartbeat_timer_.async_wait([this](boost::system::error_code error) {
+    heartbeat_scheduled_ = false;
     if (!error) {
-      TellPlanner();
+      SendHeartbeatToPlanner();
     }
   });
 }
 
-void FleetMember::TellStrangers() {
-  strangers_told_ = clock_();
+void FleetMember::SendGossip() {
+  last_gossip_at_ = clock_();
   // Hundreds of hosts that start together turn to the same few seeds.
-  search_interval_ = followed_.has_value()
+  search_interval_ = followed_planner_.has_value()
                          ? kSearchInterval
-                         : std::min(2 * search_interval_, kLongestSearch);
-  Heartbeat word = OwnWord();
-  word.wants_reply = true;
-  for (const HostAddress& stranger : book_->GossipTargets()) {
-    Send(stranger, word);
+                         : std::min(2 * search_interval_, kMaxSearchInterval);
+  Heartbeat heartbeat = OwnHeartbeat();
+  heartbeat.wants_reply = true;
+  for (const HostAddress& target : membership_->GossipTargets()) {
+    Send(target, heartbeat);
   }
 }
 
 void FleetMember::Announce() {
-  socket_->SendToAll(book_->OtherAliveHosts(), OwnWord());
+  socket_->SendToAll(membership_->OtherAliveHosts(), OwnHeartbeat());
 }
 
 void FleetMember::FollowPlanner() {
-  const auto planner = book_->Planner();
-  if (planner == followed_) {
+  const auto planner = membership_->Planner();
+  if (planner == followed_planner_) {
     return;
   }
-  const bool planned = followed_ == self_.address;
-  followed_ = planner;
-  planner_heard_ = clock_();
+  const bool was_planner = followed_planner_ == self_.address;
+  followed_planner_ = planner;
+  planner_heard_at_ = clock_();
   log_->Write("planner",
               {{"planner", planner.value_or(HostAddress{}).value},
                {"own", planner == self_.address},
-               {"hosts", book_->ObservedHosts()}},
+               {"hosts", membership_->ObservedHosts()}},
               LogRateLimit::kExempt);
-  if (planned) {
+  if (was_planner) {
     planner_->Clear();
   }
   if (planner == self_.address) {
-    relay_.OnBecamePlanner();
-    planner_->Begin(book_->OtherAliveHosts());
+    publication_relay_.OnBecamePlanner();
+    planner_->Begin(membership_->OtherAliveHosts());
     Announce();
   }
   // Without a planner nobody else tells what this host has read.
   if (planner == self_.address) {
     ports_.on_poll_rank(0);
-  } else if (planner.has_value() && planned) {
+  } else if (planner.has_value() && was_planner) {
     ports_.on_poll_rank(std::nullopt);
   }
   SendHeartbeatSoon();
   // Not from within what told of the change.
-  boost::asio::post(*io_, [this] { places_.OnPlannerChanged(); });
+  boost::asio::post(*io_, [this] { placement_client_.OnPlannerChanged(); });
 }
 
-void FleetMember::LookForSilence() {
+void FleetMember::CheckPlannerTimeout() {
   const bool follows_other =
-      followed_.has_value() && *followed_ != self_.address;
-  if (follows_other && clock_() - planner_heard_ > kPlannerTimeout) {
+      followed_planner_.has_value() && *followed_planner_ != self_.address;
+  if (follows_other && clock_() - planner_heard_at_ > kPlannerTimeout) {
     log_->Write("planner_silent",
-                {{"planner", followed_->value}, {"by", "word"}},
+                {{"planner", followed_planner_->value}, {"by", "word"}},
                 LogRateLimit::kExempt);
-    book_->OnUnresponsive(*followed_);
+    membership_->OnUnresponsive(*followed_planner_);
   }
   FollowPlanner();
 }
 
 void FleetMember::Tick() {
   const TimePoint now = clock_();
-  LookForSilence();
-  peers_log_.Tick(book_->ObservedHosts(), IsPlanner());
-  if (now - told_at_ >= kHeartbeatInterval) {
-    TellPlanner();
+  CheckPlannerTimeout();
+  peers_log_.Tick(membership_->ObservedHosts(), IsPlanner());
+  if (now - last_heartbeat_at_ >= kHeartbeatInterval) {
+    SendHeartbeatToPlanner();
   }
-  const Millis strangers =
-      followed_.has_value() ? kStrangerInterval : search_interval_;
-  if (now - strangers_told_ >= strangers) {
-    TellStrangers();
+  const Millis interval =
+      followed_planner_.has_value() ? kGossipInterval : search_interval_;
+  if (now - last_gossip_at_ >= interval) {
+    SendGossip();
   }
   if (IsPlanner()) {
-    readers_ = book_->StorePollers();
-    is_answered_ = Described().poll_state == PollState::kAnswered;
-    desk_.Tick();
+    pollers_ = membership_->StorePollers();
+    store_answers_ = DescribeStoreData().poll_state == PollState::kAnswered;
+    planner_service_.Tick();
   }
-  relay_.FetchIfBehind(Described());
+  publication_relay_.FetchIfBehind(DescribeStoreData());
   tick_timer_.expires_after(kTick);
   tick_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) {
@@ -357,28 +365,31 @@
   });
 }
 
-void FleetMember::HearOfSource(const Heartbeat& word, const Heartbeat& own) {
-  const bool from_planner = word.address == followed_;
-  if (from_planner && word.should_poll.has_value()) {
-    ports_.on_poll_rank(*word.should_poll ? std::make_optional(word.poll_rank)
-                                          : std::nullopt);
+void FleetMember::UpdateFreshness(const Heartbeat& heartbeat,
+                                  const Heartbeat& own) {
+  const bool from_planner = heartbeat.address == followed_planner_;
+  if (from_planner && heartbeat.should_poll.has_value()) {
+    ports_.on_poll_rank(*heartbeat.should_poll
+                            ? std::make_optional(heartbeat.poll_rank)
+                            : std::nullopt);
   }
-  if (own.known_up_to < word.known_up_to) {
+  if (own.known_up_to < heartbeat.known_up_to) {
     return;
   }
   // The planner tells what it has from others too; it itself believes only
   // those that read, or two hosts would assure each other of what neither sees.
-  const bool informs =
-      from_planner ? word.store_data_fresh
-                   : IsPlanner() && word.poll_state == PollState::kAnswered;
-  if (informs) {
-    ports_.on_peer_freshness(word.store_data_age);
+  const bool is_up_to_date =
+      from_planner
+          ? heartbeat.store_data_fresh
+          : IsPlanner() && heartbeat.poll_state == PollState::kAnswered;
+  if (is_up_to_date) {
+    ports_.on_peer_freshness(heartbeat.store_data_age);
   }
 }
 
 void FleetMember::OnPollResult() {
   if (IsPlanner()) {
-    TellReaders();
+    InformPollers();
   } else {
     // The planner tells the others, and chooses who reads by it.
     SendHeartbeatSoon();
@@ -392,11 +403,11 @@
 }
 
 void FleetMember::OnChanges(const PublishedChanges& published) {
-  book_->OnMessageReceived(published.from);
-  if (published.from == followed_) {
-    planner_heard_ = clock_();
+  membership_->OnMessageReceived(published.from);
+  if (published.from == followed_planner_) {
+    planner_heard_at_ = clock_();
   }
-  relay_.OnChanges(published);
+  publication_relay_.OnChanges(published);
 }
 
 }  // namespace harecrank
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -1,5 +1,5 @@
-// This host's part in its fleet: it tells the others of itself, follows the
-// host that plans, or plans for them.
+// This host's membership in its fleet: sends heartbeats, follows the planner
+// or, if this host is the planner, serves the other hosts.
 
 #ifndef HARECRANK_SRC_GATEWAY_FLEET_MEMBER_H_
 #define HARECRANK_SRC_GATEWAY_FLEET_MEMBER_H_
@@ -28,30 +28,32 @@
 
 namespace harecrank {
 
-// What the member asks of its owner.
+// Callbacks of FleetMember.
 struct FleetMemberPorts {
-  // Fills the owner's part of the host's word: what it knows of the platform.
-  std::function<void(Heartbeat* word)> describe;
-  // As those of PublicationRelayPorts.
+  // Fills the owner's part of the host's heartbeat: what it knows of the
+  // store's data.
+  std::function<void(Heartbeat* heartbeat)> describe;
+  // As in PublicationRelayPorts.
   std::function<std::vector<std::string>(StoreRevision since,
                                          std::size_t max_bytes)>
       published;
   std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
   std::function<bool()> is_parsing_routing;
-  // Another host, whom the platform answered `age` ago, knows no more than this
-  // one.
+  // Called when a host that has no newer data than this one reports that its
+  // data are `age` old.
   std::function<void(Millis age)> on_peer_freshness;
-  // This host's turn among those that read the platform for all; nothing if it
-  // is none of them.
-  std::function<void(std::optional<int> turn)> on_poll_rank;
-  // As those of CrashRelayPorts.
+  // Sets this host's rank among the hosts that poll the store for the fleet;
+  // nothing if it is not one of them.
+  std::function<void(std::optional<int> rank)> on_poll_rank;
+  // As in CrashRelayPorts.
   std::function<std::vector<CrashReport>(
       const std::vector<CrashReport>& reports,
       std::vector<CrashReport>* missing)>
       on_crashes;
   std::function<std::vector<CrashReport>()> shared_crashes;
-  // What this host and others have heard of limits that endpoints name.
+  // Returns the rate limits that endpoints have advertised to this host and to
+  // others.
   std::function<std::vector<RateLimitReport>()> limits;
   std::function<void(const std::vector<RateLimitReport>& reports)> on_limits;
 };
@@ -61,85 +63,93 @@
  public:
   // All pointers must outlive this.
   FleetMember(boost::asio::io_context* io, NodeId node, KnownHost self,
-              Incarnation incarnation, Membership* book, Planner* planner,
+              Incarnation incarnation, Membership* membership, Planner* planner,
               EndpointHealth* health, FleetSocket* socket,
               FleetMemberPorts ports, EventLog* log, Metrics* metrics,
               MonotonicClock clock, RandomSource random);
 
   void Start();
 
-  // This host is about to stop: another one plans from now on.
+  // Announces that this host is about to stop, so that another one becomes the
+  // planner.
   void Leave();
 
-  // Tells the planner soon, and not only when the next word is due.
+  // Sends the planner a heartbeat soon, ahead of the next regular one.
   void SendHeartbeatSoon();
 
-  // What this host knows of the platform has changed: others are told at once.
-  void OnPublished() { relay_.OnPublished(); }
+  // To be called when this host's copy of the store's data has changed. Informs
+  // the other hosts.
+  void OnPublished() { publication_relay_.OnPublished(); }
 
-  // The platform has answered this host itself, or failed to.
+  // To be called when a poll of the store by this host has succeeded or failed.
   void OnPollResult();
 
-  // It is known again, from whomever, that the platform answers, after the
-  // turns of others to look had begun to come.
+  // To be called when the data of the store, from whichever host, are fresh
+  // after they had been overdue (PollSchedule::IsOverdue).
   void OnOverdueRefresh();
 
-  // Tells the others what this host knows of a request that ends endpoints.
+  // Sends the other hosts a report on a request that crashes endpoints.
   void ShareCrashReport(CrashReport report) {
-    crashes_.Tell(std::move(report));
+    crash_relay_.Share(std::move(report));
   }
 
-  PlacementClient* Placements() { return &places_; }
-  bool IsPlanner() { return book_->IsPlanner(); }
+  PlacementClient* Placements() { return &placement_client_; }
+  bool IsPlanner() { return membership_->IsPlanner(); }
 
-  // The pause between two words to the planner. A planner that dies is noticed
-  // by the asks that it does not answer; words find it where nothing is asked.
+  // Interval between two heartbeats to the planner. A dead planner is usually
+  // noticed earlier, by queries that it leaves unanswered; heartbeats detect it
+  // if no queries are made.
   static constexpr Millis kHeartbeatInterval{300};
-  // How often it looks after itself: words, silence, prompts that wait.
+  // Interval of the periodic work: heartbeats, detection of a dead planner, and
+  // the planner's wait queue.
   static constexpr Millis kTick{40};
-  // Turns to read the platform count on the pause between two words.
+  // The poll schedule depends on the interval between two heartbeats.
   static_assert(kHeartbeatInterval + kTick <=
                 PollSchedule::kMaxHeartbeatInterval);
-  // A planner that answered no word for this long is silent.
+  // A planner that has sent nothing for this long is considered unresponsive.
   static constexpr Millis kPlannerTimeout{650};
 
  private:
-  // Handles each kind of message.
+  // Handles each type of message.
   struct Receiver;
 
-  PlacementClientPorts MakePlacePorts();
-  PlannerServicePorts MakeDeskPorts();
+  PlacementClientPorts MakePlacementPorts();
+  PlannerServicePorts MakePlannerServicePorts();
   PublicationRelayPorts MakeRelayPorts();
   void Send(const HostAddress& to, const FleetMessage& message);
   void OnMessage(const FleetMessage& message);
-  void OnHeartbeat(const Heartbeat& word);
-  Heartbeat OwnWord() const;
-  // Returns what the owner tells of itself, without the rest of a word.
-  Heartbeat Described() const;
-  void Reply(const Heartbeat& word);
-  // As the planner: adds to `word` whether `reader` is to read the platform.
-  void TellTurn(const HostAddress& reader, Heartbeat* word) const;
-  // As the planner: tells those that read the platform beside it how its own
-  // reading goes.
-  void TellReaders();
-  // Asks a host that another one takes for the planner for its own word: two
-  // hosts plan, or this one follows the wrong one.
-  void Probe(const HostAddress& planner);
-  void TellPlanner();
-  void TellStrangers();
+  void OnHeartbeat(const Heartbeat& heartbeat);
+  Heartbeat OwnHeartbeat() const;
+  // Returns a heartbeat in which only the owner's part is filled.
+  Heartbeat DescribeStoreData() const;
+  void Reply(const Heartbeat& heartbeat);
+  // On the planner: sets in `heartbeat` whether `host` is to poll the store,
+  // and with which rank.
+  void SetPollFields(const HostAddress& host, Heartbeat* heartbeat) const;
+  // On the planner: informs the other hosts that poll the store of the state of
+  // the planner's own polling.
+  void InformPollers();
+  // Requests a heartbeat from `planner`, which another host considers to be the
+  // planner: either there are two planners, or this host follows the wrong one.
+  void RequestHeartbeat(const HostAddress& planner);
+  void SendHeartbeatToPlanner();
+  // Sends heartbeats to Membership::GossipTargets.
+  void SendGossip();
+  // Sends a heartbeat to all other hosts.
   void Announce();
   void Tick();
-  // Looks whether another host plans now, and tells of it if so.
+  // Updates the planner that this host follows, and logs and announces a
+  // change.
   void FollowPlanner();
-  void LookForSilence();
+  void CheckPlannerTimeout();
   void OnChanges(const PublishedChanges& published);
-  void HearOfSource(const Heartbeat& word, const Heartbeat& own);
+  void UpdateFreshness(const Heartbeat& heartbeat, const Heartbeat& own);
 
   boost::asio::io_context* io_;
   NodeId node_;
   KnownHost self_;
   Incarnation incarnation_;
-  Membership* book_;
+  Membership* membership_;
   Planner* planner_;
   EndpointHealth* health_;
   FleetSocket* socket_;
@@ -147,25 +157,25 @@
   EventLog* log_;
   MonotonicClock clock_;
   RandomSource random_;
-  PlacementClient places_;
-  PlannerService desk_;
-  PublicationRelay relay_;
-  CrashRelay crashes_;
+  PlacementClient placement_client_;
+  PlannerService planner_service_;
+  PublicationRelay publication_relay_;
+  CrashRelay crash_relay_;
   PeersLog peers_log_;
   Timer tick_timer_;
-  Timer tell_timer_;
-  std::optional<HostAddress> followed_;
-  // When the followed planner was last heard.
-  TimePoint planner_heard_{};
-  TimePoint told_at_{};
-  TimePoint strangers_told_{};
-  TimePoint probed_at_{};
-  bool tells_soon_ = false;
+  Timer heartbeat_timer_;
+  std::optional<HostAddress> followed_planner_;
+  // When a message from the followed planner last arrived.
+  TimePoint planner_heard_at_{};
+  TimePoint last_heartbeat_at_{};
+  TimePoint last_gossip_at_{};
+  TimePoint last_request_at_{};
+  bool heartbeat_scheduled_ = false;
   Millis search_interval_{50};
-  // As the planner: the hosts that read the platform beside it, and whether its
-  // own reading is answered, as of the last look.
-  std::vector<HostAddress> readers_;
-  bool is_answered_ = false;
+  // On the planner, as of the last update: the other hosts that poll the store,
+  // and whether the store answers the planner's own polls.
+  std::vector<HostAddress> pollers_;
+  bool store_answers_ = false;
 };
 
 }  // namespace harecrank
--- a/src/gateway/peers_log.cc
+++ b/src/gateway/peers_log.cc
@@ -10,15 +10,16 @@
 
 void PeersLog::Tick(int alive, bool is_planner) {
   const TimePoint now = clock_();
-  if (now - looked_at_ < kInterval) {
+  if (now - last_line_at_ < kInterval) {
     return;
   }
-  const int lost = std::max(0, alive_ + heard_ - alive);
-  if (is_planner && (heard_ > 0 || lost > 0)) {
-    log_->Write("peers", {{"heard", heard_}, {"lost", lost}, {"alive", alive}});
+  const int lost = std::max(0, alive_ + joined_ - alive);
+  if (is_planner && (joined_ > 0 || lost > 0)) {
+    log_->Write("peers",
+                {{"heard", joined_}, {"lost", lost}, {"alive", alive}});
   }
-  looked_at_ = now;
-  heard_ = 0;
+  last_line_at_ = now;
+  joined_ = 0;
   alive_ = alive;
 }
 
--- a/src/gateway/peers_log.h
+++ b/src/gateway/peers_log.h
@@ -1,4 +1,4 @@
-// One line a second in the log for all hosts that came and went.
+// Logs the hosts that join and leave the fleet, in at most one line per second.
 
 #ifndef HARECRANK_SRC_GATEWAY_PEERS_LOG_H_
 #define HARECRANK_SRC_GATEWAY_PEERS_LOG_H_
@@ -13,22 +13,23 @@
   // `log` must outlive this.
   PeersLog(EventLog* log, MonotonicClock clock);
 
-  // A host was heard that was not known as alive.
-  void OnMessageReceived() { ++heard_; }
+  // Records a message from a host that was not known to be alive.
+  void OnMessageReceived() { ++joined_; }
 
-  // Looks whether a line is due. `alive` hosts are known now. Only the host
-  // that plans writes: others hear few hosts at a time, and always other ones.
+  // Writes a line if one is due. `alive` is the current number of alive hosts.
+  // Only the planner writes: any other host hears from a few hosts at a time,
+  // and these change constantly.
   void Tick(int alive, bool is_planner);
 
-  // Hosts that came or went within this share a line.
+  // Changes within this time are reported in the same line.
   static constexpr Millis kInterval{1000};
 
  private:
   EventLog* log_;
   MonotonicClock clock_;
-  int heard_ = 0;
+  int joined_ = 0;
   int alive_ = 1;
-  TimePoint looked_at_{};
+  TimePoint last_line_at_{};
 };
 
 }  // namespace harecrank
