--- a/src/gateway/placement_client.cc
+++ b/src/gateway/placement_client.cc
@@ -8,15 +8,15 @@
 
 // Notes of so long go in one datagram: far less than a step of any prompt
 // takes, and events of one pass come together.
-constexpr Millis kNotesWait{2};
+constexpr Millis kReportDelay{2};
 // A host that was sent on to this many others places by itself.
-constexpr int kMostHostsAsked = 3;
+constexpr int kMaxHostsQueried = 3;
 // Weight of the newest answer in the mean of what answers take.
-constexpr double kNewest = 0.1;
+constexpr double kNewestWeight = 0.1;
 // How many of its usual times an answer may take before the ask is repeated,
 // and before its host counts as silent.
-constexpr double kResendAnswers = 3;
-constexpr double kSilentAnswers = 6;
+constexpr double kResendFactor = 3;
+constexpr double kUnresponsiveFactor = 6;
 
 }  // namespace
 
@@ -35,87 +35,90 @@
                                    bool may_have_run, OnResult on_result) {
   const QueryId id = NewId();
   Pending& pending = pending_[id];
-  PlacementQuery& ask = pending.ask;
-  ask.host = self_;
-  ask.incarnation = incarnation_;
-  ask.id = id;
-  ask.service = request.service->name;
-  ask.target_latency = request.target_latency;
-  ask.target_gap = request.target_gap;
-  ask.prompt = request.prompt;
-  ask.answer = request.answer;
-  ask.may_have_run = may_have_run;
-  ask.tried = request.tried;
-  ask.origin = request.origin;
-  ask.withheld = request.withheld;
-  pending.late_at = clock_() + std::chrono::duration_cast<TimePoint::duration>(
-                                   request.until_late);
-  pending.ends_at = clock_() + std::chrono::duration_cast<TimePoint::duration>(
-                                   request.until_deadline);
+  PlacementQuery& query = pending.query;
+  query.host = self_;
+  query.incarnation = incarnation_;
+  query.id = id;
+  query.service = request.service->name;
+  query.target_latency = request.target_latency;
+  query.target_gap = request.target_gap;
+  query.prompt = request.prompt;
+  query.answer = request.answer;
+  query.may_have_run = may_have_run;
+  query.tried = request.tried;
+  query.origin = request.origin;
+  query.withheld = request.withheld;
+  pending.target_at =
+      clock_() +
+      std::chrono::duration_cast<TimePoint::duration>(request.until_late);
+  pending.deadline = clock_() + std::chrono::duration_cast<TimePoint::duration>(
+                                    request.until_deadline);
   pending.on_result = std::move(on_result);
   SendToPlanner(id);
-  Arm();
+  ArmTimer();
   return id;
 }
 
 void PlacementClient::SendToPlanner(QueryId id) {
   Pending& pending = pending_.at(id);
   const auto planner = ports_.planner();
-  const bool again = pending.hosts_asked > 0 && planner == pending.asked;
-  if (!planner.has_value() && pending.hosts_asked == 0) {
+  const bool is_same_planner =
+      pending.hosts_queried > 0 && planner == pending.host;
+  if (!planner.has_value() && pending.hosts_queried == 0) {
     // One is found soon, and told by OnPlannerChanged.
-    pending.since = pending.sent = clock_();
+    pending.last_reply_at = pending.sent_at = clock_();
     return;
   }
-  if (!planner.has_value() || again || pending.hosts_asked >= kMostHostsAsked) {
+  if (!planner.has_value() || is_same_planner ||
+      pending.hosts_queried >= kMaxHostsQueried) {
     // Looked at by the timer, so that SendQuery never calls back from within.
-    pending.asked = HostAddress{};
-    pending.since = pending.sent = TimePoint{};
+    pending.host = HostAddress{};
+    pending.last_reply_at = pending.sent_at = TimePoint{};
     return;
   }
-  pending.asked = *planner;
-  pending.waits = false;
-  ++pending.hosts_asked;
-  pending.since = clock_();
-  SendAgain(&pending);
+  pending.host = *planner;
+  pending.queued = false;
+  ++pending.hosts_queried;
+  pending.last_reply_at = clock_();
+  Resend(&pending);
 }
 
-void PlacementClient::SendAgain(Pending* pending) {
-  pending->sent = clock_();
-  pending->ask.until_late = pending->late_at - pending->sent;
-  pending->ask.until_deadline = pending->ends_at - pending->sent;
-  ports_.send(pending->asked, pending->ask);
+void PlacementClient::Resend(Pending* pending) {
+  pending->sent_at = clock_();
+  pending->query.until_late = pending->target_at - pending->sent_at;
+  pending->query.until_deadline = pending->deadline - pending->sent_at;
+  ports_.send(pending->host, pending->query);
 }
 
-void PlacementClient::OnReply(const PlacementReply& answer) {
-  if (answer.incarnation != incarnation_) {
+void PlacementClient::OnReply(const PlacementReply& reply) {
+  if (reply.incarnation != incarnation_) {
     return;
   }
-  const auto found = pending_.find(answer.id);
-  if (found == pending_.end() || answer.from != found->second.asked) {
+  const auto found = pending_.find(reply.id);
+  if (found == pending_.end() || reply.from != found->second.host) {
     const bool placed =
-        std::holds_alternative<PlannedPlacement>(answer.decision);
-    if (placed && under_way_.count(answer.id) == 0) {
+        std::holds_alternative<PlannedPlacement>(reply.decision);
+    if (placed && in_progress_.count(reply.id) == 0) {
       // Nobody waits for it any more.
-      GiveBack(answer.from, answer.id);
+      ReleasePlacement(reply.from, reply.id);
     }
     return;
   }
   Pending& pending = found->second;
-  if (const auto* other = std::get_if<NotPlanner>(&answer.decision)) {
-    ports_.on_redirect(answer.from, other->planner);
-    SendToPlanner(answer.id);
-    Arm();
+  if (const auto* other = std::get_if<NotPlanner>(&reply.decision)) {
+    ports_.on_redirect(reply.from, other->planner);
+    SendToPlanner(reply.id);
+    ArmTimer();
     return;
   }
   const TimePoint now = clock_();
-  answer_time_ +=
-      kNewest * (FractionalMillis(now - pending.sent) - answer_time_);
-  pending.since = now;
-  if (std::holds_alternative<QueryQueued>(answer.decision)) {
-    const bool told = pending.waits;
-    pending.waits = true;
-    if (!told) {
+  reply_time_ +=
+      kNewestWeight * (FractionalMillis(now - pending.sent_at) - reply_time_);
+  pending.last_reply_at = now;
+  if (std::holds_alternative<QueryQueued>(reply.decision)) {
+    const bool already_reported = pending.queued;
+    pending.queued = true;
+    if (!already_reported) {
       // A copy, since what it does may end the ask.
       const OnResult on_result = pending.on_result;
       on_result(QueryQueued{});
@@ -126,19 +129,19 @@
     QueryResult operator()(const PlannedPlacement& placed) const {
       return placed;
     }
-    QueryResult operator()(const QueryQueued& waits) const { return waits; }
-    QueryResult operator()(const QueryRejected& refused) const {
-      return refused;
+    QueryResult operator()(const QueryQueued& queued) const { return queued; }
+    QueryResult operator()(const QueryRejected& rejected) const {
+      return rejected;
     }
     QueryResult operator()(const NoEndpoint& none) const { return none; }
     QueryResult operator()(const NotPlanner& /*other*/) const {
       return PlaceLocally{};
     }
   };
-  Resolve(answer.id, std::visit(ToResult{}, answer.decision));
+  Resolve(reply.id, std::visit(ToResult{}, reply.decision));
 }
 
-void PlacementClient::GiveBack(const HostAddress& host, QueryId id) {
+void PlacementClient::ReleasePlacement(const HostAddress& host, QueryId id) {
   ports_.send(
       host, ProgressReport{self_, incarnation_, {}, {RequestDone{id, false}}});
 }
@@ -151,22 +154,22 @@
 }
 
 void PlacementClient::OnStarted(QueryId id, std::vector<WorkPart> parts) {
-  under_way_[id] = QueryWork{id, false, std::move(parts)};
+  in_progress_[id] = QueryWork{id, false, std::move(parts)};
 }
 
 void PlacementClient::OnPrefillDone(QueryId id, double pace) {
-  const auto found = under_way_.find(id);
-  if (found != under_way_.end()) {
+  const auto found = in_progress_.find(id);
+  if (found != in_progress_.end()) {
     found->second.prefill_done = true;
-    read_.push_back(PrefillDone{id, pace});
+    prefill_done_.push_back(PrefillDone{id, pace});
     FlushSoon();
   }
 }
 
 void PlacementClient::OnEnd(QueryId id, bool failed) {
-  const bool known = pending_.erase(id) + under_way_.erase(id) > 0;
+  const bool known = pending_.erase(id) + in_progress_.erase(id) > 0;
   if (known) {
-    ended_.push_back(RequestDone{id, failed});
+    requests_done_.push_back(RequestDone{id, failed});
     FlushSoon();
   }
 }
@@ -179,68 +182,70 @@
   const auto planner = ports_.planner();
   for (const QueryId id : ids) {
     Pending& pending = pending_.at(id);
-    if (planner.has_value() && *planner != pending.asked) {
+    if (planner.has_value() && *planner != pending.host) {
       SendToPlanner(id);
     }
   }
-  Arm();
+  ArmTimer();
 }
 
 std::vector<QueryWork> PlacementClient::Work() const {
   std::vector<QueryWork> work;
-  work.reserve(under_way_.size());
-  for (const auto& [id, one] : under_way_) {
-    work.push_back(one);
+  work.reserve(in_progress_.size());
+  for (const auto& [id, query_work] : in_progress_) {
+    work.push_back(query_work);
   }
   return work;
 }
 
-Millis PlacementClient::Patience(Millis least, double answers) const {
-  return std::max(least,
-                  std::chrono::duration_cast<Millis>(answers * answer_time_));
+Millis PlacementClient::AdaptiveTimeout(Millis min_timeout,
+                                        double factor) const {
+  return std::max(min_timeout,
+                  std::chrono::duration_cast<Millis>(factor * reply_time_));
 }
 
-TimePoint PlacementClient::DueOf(const Pending& pending) const {
-  return pending.sent + (pending.waits
-                             ? kQueuedRepeatInterval
-                             : Patience(kResendAfter, kResendAnswers));
+TimePoint PlacementClient::NextCheckAt(const Pending& pending) const {
+  return pending.sent_at + (pending.queued
+                                ? kQueuedRepeatInterval
+                                : AdaptiveTimeout(kResendAfter, kResendFactor));
 }
 
-void PlacementClient::LookAt(QueryId id) {
+void PlacementClient::CheckPending(QueryId id) {
   const auto found = pending_.find(id);
   if (found == pending_.end()) {
     return;
   }
   Pending& pending = found->second;
   const TimePoint now = clock_();
-  if (pending.asked.value.empty()) {
-    pending.sent = now;
-    if (now - pending.since >= kPlannerSearchTimeout) {
+  if (pending.host.value.empty()) {
+    pending.sent_at = now;
+    if (now - pending.last_reply_at >= kPlannerSearchTimeout) {
       Resolve(id, PlaceLocally{});
     }
     return;
   }
-  if (now < DueOf(pending)) {
+  if (now < NextCheckAt(pending)) {
     return;
   }
-  const Millis silent = Patience(kUnresponsiveAfter, kSilentAnswers) +
-                        (pending.waits ? kQueuedRepeatInterval : Millis(0));
-  if (now - pending.since < silent) {
-    SendAgain(&pending);
+  const Millis time_limit =
+      AdaptiveTimeout(kUnresponsiveAfter, kUnresponsiveFactor) +
+      (pending.queued ? kQueuedRepeatInterval : Millis(0));
+  if (now - pending.last_reply_at < time_limit) {
+    Resend(&pending);
     return;
   }
-  GiveBack(pending.asked, id);
-  ports_.on_silent(pending.asked);
+  ReleasePlacement(pending.host, id);
+  ports_.on_silent(pending.host);
   SendToPlanner(id);
 }
 
-void PlacementClient::Arm() {
+void PlacementClient::ArmTimer() {
   if (pending_.empty()) {
     return;
   }
   TimePoint due = TimePoint::max();
   for (const auto& [id, pending] : pending_) {
-    due = std::min(due, DueOf(pending));
+    due = std::min(due, NextCheckAt(pending));
   }
   timer_.expires_at(std::max(due, clock_()));
   timer_.async_wait([this](boost::system::error_code error) {
@@ -256,17 +261,17 @@
     ids.push_back(id);
   }
   for (const QueryId id : ids) {
-    LookAt(id);
+    CheckPending(id);
   }
-  Arm();
+  ArmTimer();
 }
 
 void PlacementClient::FlushSoon() {
-  if (flushes_) {
+  if (flush_scheduled_) {
     return;
   }
-  flushes_ = true;
-  flush_timer_.expires_after(kNotesWait);
+  flush_scheduled_ = true;
+  flush_timer_.expires_after(kReportDelay);
   flush_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) {
       Flush();
@@ -275,13 +280,14 @@
 }
 
 void PlacementClient::Flush() {
-  flushes_ = false;
-  ProgressReport note{self_, incarnation_, std::move(read_), std::move(ended_)};
-  read_.clear();
-  ended_.clear();
+  flush_scheduled_ = false;
+  ProgressReport report{self_, incarnation_, std::move(prefill_done_),
+                        std::move(requests_done_)};
+  prefill_done_.clear();
+  requests_done_.clear();
   // Without a planner the next one is told all by this host's word.
   if (const auto planner = ports_.planner()) {
-    ports_.send(*planner, std::move(note));
+    ports_.send(*planner, std::move(report));
   }
 }
 
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -1,4 +1,5 @@
-// Asks the planner for places, and tells it what became of them.
+// Queries the planner for placements and reports the progress of the requests
+// to it.
 
 #ifndef HARECRANK_SRC_GATEWAY_PLACEMENT_CLIENT_H_
 #define HARECRANK_SRC_GATEWAY_PLACEMENT_CLIENT_H_
@@ -18,99 +19,105 @@
 
 namespace harecrank {
 
-// What the client asks of its owner.
+// Callbacks of PlacementClient.
 struct PlacementClientPorts {
-  // Returns the host that plans, if it is known.
+  // Returns the planner, if it is known.
   std::function<std::optional<HostAddress>()> planner;
   std::function<void(const HostAddress& to, const FleetMessage& message)> send;
-  // A host left an ask unanswered for as long as one may.
+  // Called when `host` has left a query unanswered for the time-out.
   std::function<void(const HostAddress& host)> on_silent;
-  // A host says that another one plans.
+  // Called when `host` replies that `planner` is the planner.
   std::function<void(const HostAddress& host, const HostAddress& planner)>
       on_redirect;
 };
 
-// Nobody answered: the host places by itself, from what it knows.
+// No planner has replied: the host places the request itself, based on its own
+// data.
 struct PlaceLocally {};
 using QueryResult = std::variant<PlannedPlacement, QueryQueued, QueryRejected,
                                  NoEndpoint, PlaceLocally>;
 
-// Not thread-safe; runs on its io_context. Never calls back from within
+// Not thread-safe; runs on its io_context. Does not call back from within
 // SendQuery.
 class PlacementClient {
  public:
-  // Called once with anything but QueryQueued, before that perhaps with
-  // QueryQueued.
+  // Called once with the final result, which is not QueryQueued. Before that it
+  // may be called once with QueryQueued.
   using OnResult = std::function<void(const QueryResult& result)>;
 
   PlacementClient(boost::asio::io_context* io, HostAddress self,
                   Incarnation incarnation, PlacementClientPorts ports,
                   MonotonicClock clock);
 
-  // Asks for a place. Until OnEnd of the id that is returned it counts as under
-  // way.
+  // Queries the planner for a placement. The query counts as in progress until
+  // OnEnd is called with the returned id.
   QueryId SendQuery(const PlacementRequest& request, bool may_have_run,
                     OnResult on_result);
 
-  // Returns an id for a place that this host has chosen itself.
+  // Returns an id for a placement that this host has chosen itself.
   QueryId NewId() { return QueryId{next_id_++}; }
 
-  // The request was sent to its endpoints.
+  // Records that the request was sent to its endpoints.
   void OnStarted(QueryId id, std::vector<WorkPart> parts);
-  // Its first event came, `pace` times as late as predicted.
+  // Records that the first event has arrived, after `pace` times the predicted
+  // time.
   void OnPrefillDone(QueryId id, double pace);
-  // It ended, or is not wanted any more. Ids that have ended are passed over.
+  // Records that the request has ended or that its placement is no longer
+  // needed. Ignores ids that have ended already.
   void OnEnd(QueryId id, bool failed);
 
-  void OnReply(const PlacementReply& answer);
+  void OnReply(const PlacementReply& reply);
 
-  // Another host plans now: what is not answered is asked there.
+  // To be called when another host has become the planner. Queries without a
+  // final reply are sent to it.
   void OnPlannerChanged();
 
-  // Returns all that is under way, for the planner.
+  // Returns all work in progress, for the planner.
   std::vector<QueryWork> Work() const;
 
-  // How long an answer may take before the ask is sent again, and before its
-  // host counts as silent: a lost datagram costs the first, a planner that died
-  // the second. Answers take 2 ms within a region; between regions the pauses
-  // follow what answers take.
+  // How long the reply to a query may take before the query is sent again, and
+  // before its host is considered unresponsive. The first covers a lost
+  // datagram, the second a dead planner. Replies take 2 ms within a region;
+  // between regions both time-outs adapt to the observed reply time.
   static constexpr Millis kResendAfter{30};
   static constexpr Millis kUnresponsiveAfter{100};
-  // How long an ask waits for a planner to be found, after a start of this host
-  // or of all.
+  // How long a query waits for a planner to become known, after a start of this
+  // host or of the whole fleet.
   static constexpr Millis kPlannerSearchTimeout{150};
-  // How often an ask that waits is repeated, so that a planner that died, or a
-  // place that was lost, is noticed.
+  // Interval at which a queued query is repeated, so that a dead planner or a
+  // lost placement is noticed.
   static constexpr Millis kQueuedRepeatInterval{200};
 
  private:
   struct Pending {
-    PlacementQuery ask;
-    TimePoint late_at{};
-    TimePoint ends_at{};
+    PlacementQuery query;
+    // When the request passes its latency target, and its deadline.
+    TimePoint target_at{};
+    TimePoint deadline{};
     OnResult on_result;
-    HostAddress asked;
-    // When this host was first asked or last answered, and when it was last
-    // asked.
-    TimePoint since{};
-    TimePoint sent{};
-    bool waits = false;
-    int hosts_asked = 0;
+    HostAddress host;
+    // `last_reply_at`: when this host was first queried or last replied.
+    // `sent_at`: when the query was last sent.
+    TimePoint last_reply_at{};
+    TimePoint sent_at{};
+    bool queued = false;
+    int hosts_queried = 0;
   };
 
   void SendToPlanner(QueryId id);
-  void SendAgain(Pending* pending);
-  // Tells `host` that the place it gave, or may yet give, is not used.
-  void GiveBack(const HostAddress& host, QueryId id);
+  void Resend(Pending* pending);
+  // Tells `host` that the placement which it has granted, or may still grant,
+  // is not used.
+  void ReleasePlacement(const HostAddress& host, QueryId id);
   void Resolve(QueryId id, const QueryResult& result);
-  // Returns when the ask is looked at next.
-  TimePoint DueOf(const Pending& pending) const;
-  void LookAt(QueryId id);
-  void Arm();
+  // Returns when the query must be checked next.
+  TimePoint NextCheckAt(const Pending& pending) const;
+  void CheckPending(QueryId id);
+  void ArmTimer();
   void OnTimer();
   void FlushSoon();
   void Flush();
-  Millis Patience(Millis least, double answers) const;
+  Millis AdaptiveTimeout(Millis min_timeout, double factor) const;
 
   HostAddress self_;
   Incarnation incarnation_;
@@ -120,12 +127,12 @@
   Timer flush_timer_;
   std::uint64_t next_id_ = 1;
   std::map<QueryId, Pending> pending_;
-  std::unordered_map<QueryId, QueryWork> under_way_;
-  std::vector<PrefillDone> read_;
-  std::vector<RequestDone> ended_;
-  bool flushes_ = false;
-  // What answers lately took.
-  FractionalMillis answer_time_{0};
+  std::unordered_map<QueryId, QueryWork> in_progress_;
+  std::vector<PrefillDone> prefill_done_;
+  std::vector<RequestDone> requests_done_;
+  bool flush_scheduled_ = false;
+  // Moving average of the reply time.
+  FractionalMillis reply_time_{0};
 };
 
 }  // namespace harecrank
--- a/src/gateway/planner_service.cc
+++ b/src/gateway/planner_service.cc
@@ -16,73 +16,73 @@
       clock_(std::move(clock)),
       timer_(*io) {}
 
-void PlannerService::OnQuery(const PlacementQuery& ask) {
-  PlacementReply answer{self_, ask.incarnation, ask.id, NotPlanner{}};
+void PlannerService::OnQuery(const PlacementQuery& query) {
+  PlacementReply reply{self_, query.incarnation, query.id, NotPlanner{}};
   const std::optional<HostAddress> planner = ports_.planner();
   if (planner == self_) {
     metrics_->GetCounter("harecrank_gateway_asks_planned_total")->Add();
-    answer.decision = planner_->OnQuery(ask);
-    NoteTurnedAway(ask.host, ask.id, answer.decision);
+    reply.decision = planner_->OnQuery(query);
+    LogRejection(query.host, query.id, reply.decision);
   } else if (planner.has_value()) {
-    answer.decision = NotPlanner{*planner};
+    reply.decision = NotPlanner{*planner};
   }
-  ports_.send(ask.host, answer);
+  ports_.send(query.host, reply);
 }
 
-void PlannerService::NoteTurnedAway(const HostAddress& host, QueryId id,
-                                    const PlacementDecision& decision) {
-  const auto* refused = std::get_if<QueryRejected>(&decision);
-  if (refused == nullptr || !refused->retry_after.has_value()) {
+void PlannerService::LogRejection(const HostAddress& host, QueryId id,
+                                  const PlacementDecision& decision) {
+  const auto* rejected = std::get_if<QueryRejected>(&decision);
+  if (rejected == nullptr || !rejected->retry_after.has_value()) {
     return;
   }
   log_->Write("turned_away",
               {{"host", host.value},
                {"ask", id.value},
-               {"return_after_ms", refused->retry_after->count()},
+               {"return_after_ms", rejected->retry_after->count()},
                {"promises", planner_->ReservationCount()}});
 }
 
-void PlannerService::OnProgressReport(const ProgressReport& note) {
+void PlannerService::OnProgressReport(const ProgressReport& report) {
   if (IsPlanner()) {
-    planner_->OnProgressReport(note);
-    TryWaitingSoon();
+    planner_->OnProgressReport(report);
+    ProcessWaitQueueSoon();
   }
 }
 
-void PlannerService::OnHeartbeat(const Heartbeat& word) {
+void PlannerService::OnHeartbeat(const Heartbeat& heartbeat) {
   if (IsPlanner()) {
-    planner_->OnHeartbeat(word);
-    TryWaitingSoon();
+    planner_->OnHeartbeat(heartbeat);
+    ProcessWaitQueueSoon();
   }
 }
 
 void PlannerService::Tick() {
   planner_->RemoveSilentHosts();
-  if (clock_() - tried_at_ >= kTryInterval) {
+  if (clock_() - last_processed_at_ >= kProcessInterval) {
     ProcessWaitQueue();
   }
 }
 
 void PlannerService::ProcessWaitQueue() {
-  tried_at_ = clock_();
+  last_processed_at_ = clock_();
   if (planner_->WaitingCount() == 0) {
     return;
   }
   for (DeferredReply& due : planner_->ProcessWaitQueue()) {
-    NoteTurnedAway(due.host, due.id, due.decision);
+    LogRejection(due.host, due.id, due.decision);
     ports_.send(due.host, PlacementReply{self_, due.incarnation, due.id,
                                          std::move(due.decision)});
   }
 }
 
-void PlannerService::TryWaitingSoon() {
-  if (tries_soon_ || planner_->WaitingCount() == 0) {
+void PlannerService::ProcessWaitQueueSoon() {
+  if (processing_scheduled_ || planner_->WaitingCount() == 0) {
     return;
   }
-  tries_soon_ = true;
-  timer_.expires_after(kTryPause);
+  processing_scheduled_ = true;
+  timer_.expires_after(kProcessDelay);
   timer_.async_wait([this](boost::system::error_code error) {
-    tries_soon_ = false;
+    processing_scheduled_ = false;
     if (!error && IsPlanner()) {
       ProcessWaitQueue();
     }
--- a/src/gateway/planner_service.h
+++ b/src/gateway/planner_service.h
@@ -1,4 +1,4 @@
-// Answers asks for places, on the host that plans.
+// Serves the queries of other hosts, on the planner.
 
 #ifndef HARECRANK_SRC_GATEWAY_PLANNER_SERVICE_H_
 #define HARECRANK_SRC_GATEWAY_PLANNER_SERVICE_H_
@@ -14,9 +14,9 @@
 
 namespace harecrank {
 
-// What the desk asks of its owner.
+// Callbacks of PlannerService.
 struct PlannerServicePorts {
-  // Returns the host that plans, or nothing if it is not known yet.
+  // Returns the planner, or nothing if it is not known yet.
   std::function<std::optional<HostAddress>()> planner;
   std::function<void(const HostAddress& to, const FleetMessage& message)> send;
 };
@@ -29,26 +29,27 @@
                  Planner* planner, PlannerServicePorts ports, EventLog* log,
                  Metrics* metrics, MonotonicClock clock);
 
-  void OnQuery(const PlacementQuery& ask);
-  void OnProgressReport(const ProgressReport& note);
-  void OnHeartbeat(const Heartbeat& word);
+  void OnQuery(const PlacementQuery& query);
+  void OnProgressReport(const ProgressReport& report);
+  void OnHeartbeat(const Heartbeat& heartbeat);
 
-  // To be called every few tens of milliseconds on the host that plans.
+  // To be called every few tens of milliseconds on the planner.
   void Tick();
 
-  // How often prompts that wait are tried while nothing is heard.
-  static constexpr Millis kTryInterval{40};
-  // What ends within so long is taken together before those that wait are
-  // tried. A try of one prompt looks at every engine.
-  static constexpr Millis kTryPause{4};
+  // Interval at which the wait queue is processed if no messages arrive.
+  static constexpr Millis kProcessInterval{40};
+  // The wait queue is processed this long after a message, so that requests
+  // that end within this time are handled together. Processing one queued
+  // prompt examines every engine.
+  static constexpr Millis kProcessDelay{4};
 
  private:
   bool IsPlanner() const { return ports_.planner() == self_; }
   void ProcessWaitQueue();
-  void TryWaitingSoon();
-  // Logs who is told to return, and when.
-  void NoteTurnedAway(const HostAddress& host, QueryId id,
-                      const PlacementDecision& decision);
+  void ProcessWaitQueueSoon();
+  // Logs a rejection that tells the caller when to retry.
+  void LogRejection(const HostAddress& host, QueryId id,
+                    const PlacementDecision& decision);
 
   HostAddress self_;
   Planner* planner_;
@@ -57,8 +58,8 @@
   Metrics* metrics_;
   MonotonicClock clock_;
   Timer timer_;
-  TimePoint tried_at_{};
-  bool tries_soon_ = false;
+  TimePoint last_processed_at_{};
+  bool processing_scheduled_ = false;
 };
 
 }  // namespace harecrank
