--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -1,4 +1,4 @@
-// The port through which a gateway learns routes and endpoints.
+// Interface through which a gateway receives routes and endpoints.
 
 #ifndef HARECRANK_SRC_GATEWAY_DIRECTORY_FEED_H_
 #define HARECRANK_SRC_GATEWAY_DIRECTORY_FEED_H_
@@ -14,7 +14,7 @@
 
 namespace harecrank {
 
-// Told of what the platform publishes.
+// Receives the store's data.
 class DirectorySink {
  public:
   DirectorySink() = default;
@@ -22,37 +22,38 @@
   DirectorySink& operator=(const DirectorySink&) = delete;
   virtual ~DirectorySink() = default;
 
-  // A routing document as published at some time; not always the newest.
+  // Called with a published routing document, not necessarily the newest.
   virtual void OnRouting(RoutingDocument document) = 0;
-  // All endpoints as published at `at`, and all data centres that are to take
-  // nothing: in one call, so that a host that has just started never knows
-  // endpoints without the orders for them.
+  // Called with all endpoints and all drained data centres as of `at`. They
+  // come in one call, so that a host that has just started never knows
+  // endpoints without the drain orders that apply to them.
   virtual void OnListing(std::vector<EndpointRecord> records,
-                         std::vector<DrainedDataCentre> closed,
+                         std::vector<DrainedDataCentre> drained,
                          StoreRevision at) = 0;
-  // One endpoint's entry was written, or has vanished.
+  // Called when the entry of an endpoint was written or removed.
   virtual void OnEndpoint(const EndpointRecord& record) = 0;
   virtual void OnEndpointGone(const EndpointId& id, StoreRevision revision) = 0;
-  // What stands at an endpoint's place names none that can be used.
+  // Called when the entry of an endpoint is invalid.
   virtual void OnEndpointUnusable(const EndpointId& id, StoreRevision revision,
                                   const std::string& reason) = 0;
-  // A data centre is to take nothing from now on, or takes work again.
+  // Called when a data centre is drained or restored.
   virtual void OnDataCentreDrained(const DrainedDataCentre& order) = 0;
   virtual void OnDataCentreRestored(const DataCentreId& id,
                                     StoreRevision revision) = 0;
-  // The platform has answered: what was told is complete up to `at`.
+  // Called when the store has answered: the data passed to this sink are
+  // complete up to `at`.
   virtual void OnSynced(StoreRevision at) = 0;
-  // Another host, which the platform answers, has told what was published up to
-  // `at`; what it told follows.
+  // Called when another host whose data are fresh has sent its data up to `at`,
+  // before the sink is called with these data.
   virtual void OnSyncedByPeer(StoreRevision at) = 0;
-  // The platform does not answer, or not as it should.
+  // Called when the store does not respond, or responds with an error.
   virtual void OnStoreUnreachable(const std::string& reason) = 0;
-  // Something published cannot be used. It was passed over.
+  // Called when a published entry is invalid and has been ignored.
   virtual void OnUnusable(const std::string& what,
                           const std::string& reason) = 0;
 };
 
-// Reads the platform until it is stopped.
+// Polls the store until Stop is called.
 class DirectoryFeed {
  public:
   DirectoryFeed() = default;
@@ -60,30 +61,32 @@
   DirectoryFeed& operator=(const DirectoryFeed&) = delete;
   virtual ~DirectoryFeed() = default;
 
-  // Goes on, or begins, or ends. What is under way ends by itself.
-  virtual void SetPollMode(PollMode reading) = 0;
+  // Sets how the store is polled. A call in progress is not cancelled.
+  virtual void SetPollMode(PollMode mode) = 0;
   virtual void Stop() = 0;
 
-  // Returns what is known, in the feed's own form, for other hosts: what has
-  // changed since `since` if that is known, otherwise all. Empty before
-  // anything is known. Hosts that ask for the same are given the same bytes.
+  // Returns the data for other hosts, in the feed's own encoding: the changes
+  // after `since` if they are known, otherwise everything. Empty if there are
+  // no data yet. Equal arguments return the same shared bytes until the data
+  // change.
   virtual std::shared_ptr<const std::string> Export(
       StoreRevision since) const = 0;
 
-  // As Export, for hosts that hold all that was published up to `since`: may
-  // tell how it changed alone. In parts of at most `max_bytes`, each of which
-  // follows the one before it; the last one, or one that is alone, may be
+  // As Export, for hosts whose data are complete up to `since`; may encode
+  // entries as differences to their previous versions. Returns consecutive
+  // parts of at most `max_bytes`; the last part, or the only one, may be
   // larger.
   virtual std::vector<std::string> ExportChanges(
       StoreRevision since, std::size_t max_bytes) const = 0;
 
-  // Whether a routing document is known that the sink is yet to be told of.
+  // Returns whether a routing document is being parsed that has not been passed
+  // to the sink yet.
   virtual bool IsParsingRouting() const = 0;
 
-  // Takes what another host's feed exported, and tells the sink of it.
-  // `store_data_fresh` tells whether the platform answers that host. Returns up
-  // to which revision this one is complete now, or nothing if it cannot be
-  // used: unreadable, or changes that leave a gap.
+  // Imports data that another host's feed has exported, and passes them to the
+  // sink. `store_data_fresh` tells whether the data of that host are fresh.
+  // Returns the revision up to which this host's data are complete, or nothing
+  // if the import cannot be used because it is malformed or leaves a gap.
   virtual std::optional<StoreRevision> Import(const std::string& exported,
                                               bool store_data_fresh) = 0;
 };
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -15,20 +15,20 @@
 
 // The pause between two questions to others for what they know of the platform,
 // and how long an answer may take.
-constexpr Millis kAskInterval{100};
-constexpr Millis kAskTimeout{1500};
+constexpr Millis kFetchInterval{100};
+constexpr Millis kFetchTimeout{1500};
 // How long another host may know more before it is asked: what it tells by
 // itself is on its way, or, for a host that reads, the service's own answer.
-constexpr Millis kToldWithin{30};
-constexpr Millis kReadWithin{300};
+constexpr Millis kPeerUpdateDelay{30};
+constexpr Millis kPollDelay{300};
 // Changes go by datagram up to this size. Larger ones, such as a configuration
 // of many routes, are asked for over a connection.
-constexpr std::size_t kMostTold = 16384;
+constexpr std::size_t kMaxChangesBytes = 16384;
 
 namespace http = boost::beast::http;
 
 // Returns the host that `reply` sends on to, or nothing if it names none.
-std::optional<HostAddress> HostOfRedirect(const HttpReply& reply) {
+std::optional<HostAddress> RedirectTarget(const HttpReply& reply) {
   constexpr std::string_view kScheme = "http://";
   const std::string location(reply[http::field::location]);
   const std::size_t end = location.find('/', kScheme.size());
@@ -40,26 +40,26 @@
 }
 
 // Returns when `reply` says to come again, or nothing if it does not say.
-std::optional<Millis> ReturnAfter(const HttpReply& reply) {
+std::optional<Millis> RetryAfter(const HttpReply& reply) {
   const auto field = reply.find(http::field::retry_after);
   if (field == reply.end()) {
     return std::nullopt;
   }
-  const BackoffHint rest = ParseRetryAfter(View(field->value()), "");
-  const auto* after = std::get_if<Millis>(&rest);
+  const BackoffHint hint = ParseRetryAfter(View(field->value()), "");
+  const auto* after = std::get_if<Millis>(&hint);
   return after == nullptr ? std::nullopt : std::make_optional(*after);
 }
 
 }  // namespace
 
 PublicationRelay::PublicationRelay(boost::asio::io_context* io,
-                                   HostAddress self, Membership* book,
+                                   HostAddress self, Membership* membership,
                                    FleetSocket* socket,
                                    PublicationRelayPorts ports, EventLog* log,
                                    MonotonicClock clock, RandomSource random)
     : io_(io),
       self_(std::move(self)),
-      book_(book),
+      membership_(membership),
       socket_(socket),
       ports_(std::move(ports)),
       log_(log),
@@ -67,28 +67,28 @@
       random_(std::move(random)) {}
 
 void PublicationRelay::OnPublished() {
-  if (tells_published_) {
+  if (changes_scheduled_) {
     return;
   }
-  tells_published_ = true;
+  changes_scheduled_ = true;
   // What was published together is told together.
-  boost::asio::post(*io_, [this] { TellPublished(); });
+  boost::asio::post(*io_, [this] { SendChanges(); });
 }
 
 void PublicationRelay::OnBecamePlanner() {
-  told_up_to_ = ports_.describe().known_up_to;
+  sent_up_to_ = ports_.describe().known_up_to;
 }
 
-void PublicationRelay::TellPublished() {
-  tells_published_ = false;
+void PublicationRelay::SendChanges() {
+  changes_scheduled_ = false;
   const Heartbeat own = ports_.describe();
-  if (!(told_up_to_ < own.known_up_to)) {
+  if (!(sent_up_to_ < own.known_up_to)) {
     return;
   }
-  const StoreRevision since = told_up_to_;
-  told_up_to_ = own.known_up_to;
-  const bool is_first = since == StoreRevision{};
-  if (is_first && own.poll_state != PollState::kNone) {
+  const StoreRevision since = sent_up_to_;
+  sent_up_to_ = own.known_up_to;
+  const bool is_first_data = since == StoreRevision{};
+  if (is_first_data && own.poll_state != PollState::kNone) {
     // Others that have just started too wait for what this host has read.
     ports_.announce();
     return;
@@ -97,15 +97,16 @@
     ports_.tell_planner();
     return;
   }
-  const std::vector<std::string> parts = ports_.published(since, kMostTold);
+  const std::vector<std::string> parts =
+      ports_.published(since, kMaxChangesBytes);
   const bool fits = std::all_of(
       parts.begin(), parts.end(),
-      [](const std::string& part) { return part.size() <= kMostTold; });
+      [](const std::string& part) { return part.size() <= kMaxChangesBytes; });
   if (!fits) {
     ports_.announce();
     return;
   }
-  const std::vector<HostAddress> others = book_->OtherAliveHosts();
+  const std::vector<HostAddress> others = membership_->OtherAliveHosts();
   for (const std::string& part : parts) {
     socket_->SendToAll(others, PublishedChanges{self_, part});
   }
@@ -122,7 +123,7 @@
       ports_.is_parsing_routing()
           ? RoutingVersion{std::numeric_limits<std::uint64_t>::max()}
           : own.routing;
-  const auto host = book_->FindMoreUpToDate(routing, own.known_up_to);
+  const auto host = membership_->FindMoreUpToDate(routing, own.known_up_to);
   if (!host.has_value()) {
     behind_since_.reset();
     return;
@@ -131,63 +132,68 @@
   if (!behind_since_.has_value()) {
     behind_since_ = now;
   }
-  if (asks_ || now < ask_from_ || now - *behind_since_ < Grace(own)) {
+  if (is_fetching_ || now < next_fetch_at_ ||
+      now - *behind_since_ < FetchDelay(own)) {
     return;
   }
-  Ask(*host, own.known_up_to, false);
+  Fetch(*host, own.known_up_to, false);
 }
 
-Millis PublicationRelay::Grace(const Heartbeat& own) const {
+Millis PublicationRelay::FetchDelay(const Heartbeat& own) const {
   if (own.routing == RoutingVersion{}) {
     return Millis(0);
   }
-  return own.poll_state == PollState::kAnswered ? kReadWithin : kToldWithin;
+  return own.poll_state == PollState::kAnswered ? kPollDelay : kPeerUpdateDelay;
 }
 
-void PublicationRelay::Ask(const HostAddress& host, StoreRevision since,
-                           bool sent_on) {
-  asks_ = true;
-  asking_ = std::make_shared<HttpClient>(io_, host.value);
-  asking_->Get(SnapshotServer::kPath + std::to_string(since.value), kAskTimeout,
-               [this, host, since, sent_on](const CallResult& result) {
-                 OnAnswer(host, since, sent_on, result);
-               });
+void PublicationRelay::Fetch(const HostAddress& host, StoreRevision since,
+                             bool is_redirected) {
+  is_fetching_ = true;
+  fetch_client_ = std::make_shared<HttpClient>(io_, host.value);
+  fetch_client_->Get(
+      SnapshotServer::kPath + std::to_string(since.value), kFetchTimeout,
+      [this, host, since, is_redirected](const CallResult& result) {
+        OnFetched(host, since, is_redirected, result);
+      });
 }
 
-void PublicationRelay::OnAnswer(const HostAddress& host, StoreRevision since,
-                                bool sent_on, const CallResult& result) {
-  asks_ = false;
+void PublicationRelay::OnFetched(const HostAddress& host, StoreRevision since,
+                                 bool is_redirected, const CallResult& result) {
+  is_fetching_ = false;
   const auto* reply = std::get_if<HttpReply>(&result);
   const unsigned status = reply == nullptr ? 0 : reply->result_int();
-  const bool taken =
+  const bool imported =
       status == http_status::kOk && ports_.on_published(reply->body(), false);
-  log_->Write("peer_asked",
-              {{"address", host.value}, {"status", status}, {"taken", taken}});
-  const auto other = status == http_status::kTemporaryRedirect && !sent_on
-                         ? HostOfRedirect(*reply)
-                         : std::nullopt;
-  if (!other.has_value()) {
-    WaitAfter(reply);
+  log_->Write(
+      "peer_asked",
+      {{"address", host.value}, {"status", status}, {"taken", imported}});
+  const auto redirect =
+      status == http_status::kTemporaryRedirect && !is_redirected
+          ? RedirectTarget(*reply)
+          : std::nullopt;
+  if (!redirect.has_value()) {
+    ScheduleNextFetch(reply);
   }
   // The connection is closed, or the host that all ask would keep one for each;
   // but not from within the client.
-  boost::asio::post(*io_, [this, other, since] {
-    if (asks_) {
+  boost::asio::post(*io_, [this, redirect, since] {
+    if (is_fetching_) {
       return;
     }
-    asking_.reset();
-    if (other.has_value()) {
-      Ask(*other, since, true);
+    fetch_client_.reset();
+    if (redirect.has_value()) {
+      Fetch(*redirect, since, true);
     }
   });
 }
 
-void PublicationRelay::WaitAfter(const HttpReply* reply) {
-  const auto told = reply == nullptr ? std::nullopt : ReturnAfter(*reply);
+void PublicationRelay::ScheduleNextFetch(const HttpReply* reply) {
+  const auto retry_after = reply == nullptr ? std::nullopt : RetryAfter(*reply);
   // With a random part, so that those that came together do not come back so.
-  const Millis spread(static_cast<std::int64_t>(
-      random_() % static_cast<std::uint64_t>(kAskInterval.count())));
-  ask_from_ = clock_() + told.value_or(kAskInterval / 2) + spread / 2;
+  const Millis jitter(static_cast<std::int64_t>(
+      random_() % static_cast<std::uint64_t>(kFetchInterval.count())));
+  next_fetch_at_ =
+      clock_() + retry_after.value_or(kFetchInterval / 2) + jitter / 2;
 }
 
 }  // namespace harecrank
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -1,4 +1,4 @@
-// Tells other hosts what the platform has published, and learns it from them.
+// Distributes the store's data between the hosts of a fleet.
 
 #ifndef HARECRANK_SRC_GATEWAY_PUBLICATION_RELAY_H_
 #define HARECRANK_SRC_GATEWAY_PUBLICATION_RELAY_H_
@@ -17,23 +17,26 @@
 
 namespace harecrank {
 
-// What the relay asks of its owner.
+// Callbacks of PublicationRelay.
 struct PublicationRelayPorts {
-  // Returns what this host knows of the platform.
+  // Returns the owner's part of this host's heartbeat: what it knows of the
+  // store's data.
   std::function<Heartbeat()> describe;
-  // Returns what the platform has published since `since`, for hosts that know
-  // all before it, in parts of at most `max_bytes` that follow each other; the
-  // last one may be larger.
+  // Returns the changes after `since`, for hosts whose data are complete up to
+  // it, in consecutive parts of at most `max_bytes`; the last part may be
+  // larger.
   std::function<std::vector<std::string>(StoreRevision since,
                                          std::size_t max_bytes)>
       published;
-  // Takes what another host told of that. Returns false if it cannot be used.
+  // Imports the changes from another host. Returns false if they cannot be
+  // used.
   std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
-  // Whether a newer routing table is known and about to be in force.
+  // Returns whether a newer routing table is being parsed and will be in force
+  // soon.
   std::function<bool()> is_parsing_routing;
   std::function<bool()> is_planner;
-  // Tell this host's word to all others, and to the planner.
+  // Send this host's heartbeat to all other hosts, and to the planner.
   std::function<void()> announce;
   std::function<void()> tell_planner;
 };
@@ -43,50 +46,54 @@
  public:
   // All pointers must outlive this.
   PublicationRelay(boost::asio::io_context* io, HostAddress self,
-                   Membership* book, FleetSocket* socket,
+                   Membership* membership, FleetSocket* socket,
                    PublicationRelayPorts ports, EventLog* log,
                    MonotonicClock clock, RandomSource random);
 
-  // What this host knows has changed: others are told at once.
+  // To be called when this host's data have changed. Informs the other hosts.
   void OnPublished();
 
-  // This host plans from now on, and tells the others what follows.
+  // To be called when this host becomes the planner, which sends all later
+  // changes to the other hosts.
   void OnBecamePlanner();
 
-  // The planner tells what has changed.
+  // Handles changes that the planner has sent.
   void OnChanges(const PublishedChanges& published);
 
-  // Asks a host that knows more of the platform, unless this one, which knows
-  // what `own` says, is about to learn it by itself. To be called with each
-  // word and every few tens of milliseconds.
+  // Fetches a snapshot from a host that has newer data, unless this host, whose
+  // state is `own`, is expected to receive the data in other ways soon. To be
+  // called with each heartbeat and every few tens of milliseconds.
   void FetchIfBehind(const Heartbeat& own);
 
  private:
-  void TellPublished();
-  // Returns how long another host may know more before it is asked.
-  Millis Grace(const Heartbeat& own) const;
-  void Ask(const HostAddress& host, StoreRevision since, bool sent_on);
-  void OnAnswer(const HostAddress& host, StoreRevision since, bool sent_on,
-                const CallResult& result);
-  // Notes when to come again, by the answer's own word if it has one.
-  void WaitAfter(const HttpReply* reply);
+  // Informs the other hosts of the changes after `sent_up_to_`.
+  void SendChanges();
+  // Returns how long this host waits for newer data of another host before it
+  // fetches them.
+  Millis FetchDelay(const Heartbeat& own) const;
+  void Fetch(const HostAddress& host, StoreRevision since, bool is_redirected);
+  void OnFetched(const HostAddress& host, StoreRevision since,
+                 bool is_redirected, const CallResult& result);
+  // Sets when the next snapshot may be requested, by the Retry-After header of
+  // `reply` if it has one.
+  void ScheduleNextFetch(const HttpReply* reply);
 
   boost::asio::io_context* io_;
   HostAddress self_;
-  Membership* book_;
+  Membership* membership_;
   FleetSocket* socket_;
   PublicationRelayPorts ports_;
   EventLog* log_;
   MonotonicClock clock_;
   RandomSource random_;
-  std::shared_ptr<HttpClient> asking_;
-  bool asks_ = false;
-  TimePoint ask_from_{};
-  // Since when another host has known more; unset while none does.
+  std::shared_ptr<HttpClient> fetch_client_;
+  bool is_fetching_ = false;
+  TimePoint next_fetch_at_{};
+  // Since when another host has had newer data; unset if none has.
   std::optional<TimePoint> behind_since_;
-  // Up to where the others have been told.
-  StoreRevision told_up_to_;
-  bool tells_published_ = false;
+  // Revision up to which changes have been sent to the other hosts.
+  StoreRevision sent_up_to_;
+  bool changes_scheduled_ = false;
 };
 
 }  // namespace harecrank
--- a/src/gateway/snapshot_server.cc
+++ b/src/gateway/snapshot_server.cc
@@ -14,36 +14,37 @@
 
 constexpr double kMillisOfSecond = 1000;
 // Hosts are sent on to others that have at least this part of the power.
-constexpr double kLeastPower = 0.5;
+constexpr double kMinCpuShareRatio = 0.5;
 
 // Keeps a copy's bytes until it has gone out, and tells the desk then.
-class CopyUnderWay {
+class SnapshotTransfer {
  public:
-  CopyUnderWay(std::shared_ptr<const std::string> bytes,
-               std::shared_ptr<SnapshotAdmission> desk)
-      : bytes_(std::move(bytes)), desk_(std::move(desk)) {}
-  CopyUnderWay(const CopyUnderWay&) = delete;
-  CopyUnderWay& operator=(const CopyUnderWay&) = delete;
-  ~CopyUnderWay() { desk_->OnTransferEnded(); }
+  SnapshotTransfer(std::shared_ptr<const std::string> bytes,
+                   std::shared_ptr<SnapshotAdmission> admission)
+      : bytes_(std::move(bytes)), admission_(std::move(admission)) {}
+  SnapshotTransfer(const SnapshotTransfer&) = delete;
+  SnapshotTransfer& operator=(const SnapshotTransfer&) = delete;
+  ~SnapshotTransfer() { admission_->OnTransferEnded(); }
 
   const std::string* Bytes() const { return bytes_.get(); }
 
  private:
   std::shared_ptr<const std::string> bytes_;
-  std::shared_ptr<SnapshotAdmission> desk_;
+  std::shared_ptr<SnapshotAdmission> admission_;
 };
 
 }  // namespace
 
-SnapshotServer::SnapshotServer(CpuShare power, Membership* book, Source source,
-                               KnownUpTo known_up_to, Metrics* metrics,
-                               MonotonicClock clock)
-    : power_(power),
-      book_(book),
+SnapshotServer::SnapshotServer(CpuShare cpu_share, Membership* membership,
+                               Source source, KnownUpTo known_up_to,
+                               Metrics* metrics, MonotonicClock clock)
+    : cpu_share_(cpu_share),
+      membership_(membership),
       source_(std::move(source)),
       known_up_to_(std::move(known_up_to)),
       metrics_(metrics),
-      desk_(std::make_shared<SnapshotAdmission>(power, std::move(clock))) {}
+      admission_(
+          std::make_shared<SnapshotAdmission>(cpu_share, std::move(clock))) {}
 
 bool SnapshotServer::Serves(std::string_view target) {
   const std::string_view path = kPath;
@@ -55,48 +56,51 @@
       ParseInteger(target.substr(std::string_view(kPath).size()));
   const StoreRevision since{static_cast<std::uint64_t>(
       std::max<std::int64_t>(0, number.value_or(0)))};
-  const SnapshotDecision decision = desk_->OnRequest(Elsewhere());
-  if (const auto* other = std::get_if<RedirectToPeer>(&decision)) {
+  const SnapshotDecision decision = admission_->OnRequest(FindPeer());
+  if (const auto* redirect = std::get_if<RedirectToPeer>(&decision)) {
     HttpReply reply =
         MakeReply(http_status::kTemporaryRedirect, "text/plain", "");
-    reply.set(http::field::location, "http://" + other->host.value + kPath +
+    reply.set(http::field::location, "http://" + redirect->host.value + kPath +
                                          std::to_string(since.value));
     metrics_->GetCounter("harecrank_gateway_copies_elsewhere_total")->Add();
     return SimpleHttpReply{std::move(reply), nullptr};
   }
-  if (const auto* later = std::get_if<RetryLater>(&decision)) {
+  if (const auto* retry = std::get_if<RetryLater>(&decision)) {
     HttpReply reply = MakeReply(http_status::kUnavailable, "text/plain", "");
     reply.set(http::field::retry_after,
-              std::to_string(static_cast<double>(later->delay.count()) /
+              std::to_string(static_cast<double>(retry->delay.count()) /
                              kMillisOfSecond));
     metrics_->GetCounter("harecrank_gateway_copies_later_total")->Add();
     return SimpleHttpReply{std::move(reply), nullptr};
   }
-  return Give(since);
+  return Serve(since);
 }
 
-SimpleHttpReply SnapshotServer::Give(StoreRevision since) {
+SimpleHttpReply SnapshotServer::Serve(StoreRevision since) {
   // Made first, so that the desk is told whatever happens.
   std::shared_ptr<const std::string> bytes = source_(since);
   if (bytes == nullptr) {
     bytes = std::make_shared<const std::string>();
   }
-  const auto copy = std::make_shared<CopyUnderWay>(std::move(bytes), desk_);
+  const auto transfer =
+      std::make_shared<SnapshotTransfer>(std::move(bytes), admission_);
   metrics_->GetCounter("harecrank_gateway_copies_given_total")->Add();
   return SimpleHttpReply{
       MakeReply(http_status::kOk, "application/cbor", ""),
-      std::shared_ptr<const std::string>(copy, copy->Bytes())};
+      std::shared_ptr<const std::string>(transfer, transfer->Bytes())};
 }
 
-std::optional<HostAddress> SnapshotServer::Elsewhere() const {
+std::optional<HostAddress> SnapshotServer::FindPeer() const {
   const std::uint64_t known = known_up_to_().value;
   if (known == 0) {
     return std::nullopt;
   }
   const RoutingVersion any{std::numeric_limits<std::uint64_t>::max()};
-  const auto host = book_->FindMoreUpToDate(any, StoreRevision{known - 1});
-  const bool serves = host.has_value() && book_->CpuShareOf(*host).value >=
-                                              kLeastPower * power_.value;
+  const auto host =
+      membership_->FindMoreUpToDate(any, StoreRevision{known - 1});
+  const bool serves =
+      host.has_value() && membership_->CpuShareOf(*host).value >=
+                              kMinCpuShareRatio * cpu_share_.value;
   return serves ? host : std::nullopt;
 }
 
--- a/src/gateway/snapshot_server.h
+++ b/src/gateway/snapshot_server.h
@@ -1,4 +1,4 @@
-// Gives other hosts copies of what is published.
+// Serves snapshots of the store's data to other hosts.
 
 #ifndef HARECRANK_SRC_GATEWAY_SNAPSHOT_SERVER_H_
 #define HARECRANK_SRC_GATEWAY_SNAPSHOT_SERVER_H_
@@ -18,43 +18,43 @@
 // Not thread-safe.
 class SnapshotServer {
  public:
-  // Returns what was published after `since`, or all of it; null before
-  // anything is known.
+  // Returns the changes after `since`, or a full snapshot; null if this host
+  // has no data yet.
   using Source =
       std::function<std::shared_ptr<const std::string>(StoreRevision since)>;
-  // Returns up to where this host knows what is published.
+  // Returns the revision up to which this host's data are complete.
   using KnownUpTo = std::function<StoreRevision()>;
 
-  // `book` and `metrics` must outlive this and all replies.
-  SnapshotServer(CpuShare power, Membership* book, Source source,
+  // `membership` and `metrics` must outlive this and all replies.
+  SnapshotServer(CpuShare cpu_share, Membership* membership, Source source,
                  KnownUpTo known_up_to, Metrics* metrics, MonotonicClock clock);
 
-  // Returns whether `target` is one of this server's pages.
+  // Returns whether `target` is a path of this server.
   static bool Serves(std::string_view target);
 
-  // Answers a request for `target`, which Serves.
+  // Answers a request for `target`, for which Serves must hold.
   SimpleHttpReply Answer(std::string_view target);
 
-  // Copies that are under way.
-  int ActiveTransfers() const { return desk_->ActiveTransfers(); }
+  // Returns the number of transfers in progress.
+  int ActiveTransfers() const { return admission_->ActiveTransfers(); }
 
-  // Path at which a host gives what the platform has published since the
-  // revision that follows it.
+  // Path of the snapshots. The revision since which changes are requested is
+  // appended.
   static constexpr char kPath[] = "/peer/published/";
 
  private:
-  // Returns a host that gives the same, is no weaker by far, and was heard
-  // lately.
-  std::optional<HostAddress> Elsewhere() const;
-  SimpleHttpReply Give(StoreRevision since);
+  // Returns a host that can serve the same data, whose CPU share is not much
+  // smaller, and that was heard from recently.
+  std::optional<HostAddress> FindPeer() const;
+  SimpleHttpReply Serve(StoreRevision since);
 
-  CpuShare power_;
-  Membership* book_;
+  CpuShare cpu_share_;
+  Membership* membership_;
   Source source_;
   KnownUpTo known_up_to_;
   Metrics* metrics_;
-  // Shared with the copies that are under way.
-  std::shared_ptr<SnapshotAdmission> desk_;
+  // Shared with the transfers in progress.
+  std::shared_ptr<SnapshotAdmission> admission_;
 };
 
 }  // namespace harecrank
