--- a/src/gateway/endpoint_updater.cc
+++ b/src/gateway/endpoint_updater.cc
@@ -7,11 +7,11 @@
 namespace {
 
 // So many ids stand in a line about several endpoints.
-constexpr std::size_t kMostNamed = 12;
+constexpr std::size_t kMaxLoggedIds = 12;
 
-nlohmann::json FirstOf(const std::vector<EndpointId>& endpoints) {
+nlohmann::json FirstIds(const std::vector<EndpointId>& endpoints) {
   nlohmann::json ids = nlohmann::json::array();
-  for (std::size_t i = 0; i < std::min(kMostNamed, endpoints.size()); ++i) {
+  for (std::size_t i = 0; i < std::min(kMaxLoggedIds, endpoints.size()); ++i) {
     ids.push_back(endpoints[i].value);
   }
   return ids;
@@ -32,7 +32,7 @@
 void EndpointUpdater::OnListing(const std::vector<EndpointRecord>& records,
                                 StoreRevision at) {
   for (const EndpointRecord& record : records) {
-    NoteIncarnation(record);
+    DiscardOldIncarnation(record);
   }
   const ListingChange change = directory_->ReplaceAll(records, at);
   log_->Write("listing", {{"endpoints", records.size()},
@@ -42,12 +42,12 @@
 }
 
 void EndpointUpdater::OnEndpoint(const EndpointRecord& record) {
-  NoteIncarnation(record);
+  DiscardOldIncarnation(record);
   if (!directory_->Upsert(record)) {
     return;
   }
-  if (told_.has_value()) {
-    told_->changed.push_back(record.id);
+  if (peer_update_.has_value()) {
+    peer_update_->changed.push_back(record.id);
     return;
   }
   log_->Write(
@@ -61,31 +61,31 @@
 }
 
 void EndpointUpdater::OnGone(const EndpointId& id, StoreRevision revision) {
-  const RemovalResult absence = directory_->Remove(id, revision);
+  const RemovalResult result = directory_->Remove(id, revision);
   // Should it still be there, or come back under its id, it is learned anew.
   health_->Forget(id);
-  if (absence == RemovalResult::kDeparted) {
+  if (result == RemovalResult::kDeparted) {
     connections_->Forget(id);
   }
-  if (told_.has_value()) {
-    told_->gone.push_back(id);
+  if (peer_update_.has_value()) {
+    peer_update_->removed.push_back(id);
     return;
   }
   log_->Write("endpoint_gone",
               {{"endpoint", id.value},
-               {"kept", absence == RemovalResult::kMayHaveLapsed},
+               {"kept", result == RemovalResult::kMayHaveLapsed},
                {"revision", revision.value}});
 }
 
 bool EndpointUpdater::OnLeaveAnnounced(const EndpointRecord& endpoint,
-                                       bool readable) {
+                                       bool is_readable) {
   if (!directory_->MarkLeaving(endpoint.id, endpoint.incarnation)) {
     return false;
   }
   connections_->Forget(endpoint.id);
   metrics_->GetCounter("harecrank_gateway_leavings_answered_total")->Add();
   log_->Write("endpoint_leaving",
-              {{"endpoint", endpoint.id.value}, {"readable", readable}});
+              {{"endpoint", endpoint.id.value}, {"readable", is_readable}});
   return true;
 }
 
@@ -104,27 +104,27 @@
     const std::vector<DrainedDataCentre>& drained, StoreRevision at) {
   const DrainChange change = directory_->ReplaceDrained(drained, at);
   for (const DrainedDataCentre& order : change.drained) {
-    NoteClosed(order);
+    LogDrained(order);
   }
   for (const DrainedDataCentre& order : change.restored) {
-    NoteOpened(order);
+    LogRestored(order);
   }
 }
 
 void EndpointUpdater::OnDrained(const DrainedDataCentre& order) {
   if (directory_->DrainDataCentre(order)) {
-    NoteClosed(order);
+    LogDrained(order);
   }
 }
 
 void EndpointUpdater::OnRestored(const DataCentreId& id,
                                  StoreRevision revision) {
   if (directory_->RestoreDataCentre(id, revision)) {
-    NoteOpened(DrainedDataCentre{id, revision});
+    LogRestored(DrainedDataCentre{id, revision});
   }
 }
 
-void EndpointUpdater::NoteClosed(const DrainedDataCentre& order) {
+void EndpointUpdater::LogDrained(const DrainedDataCentre& order) {
   const std::vector<EndpointId> endpoints = directory_->In(order.id);
   for (const EndpointId& id : endpoints) {
     // Nothing is to be sent there any more, and they may be stopped soon.
@@ -138,7 +138,7 @@
               LogRateLimit::kExempt);
 }
 
-void EndpointUpdater::NoteOpened(const DrainedDataCentre& order) {
+void EndpointUpdater::LogRestored(const DrainedDataCentre& order) {
   log_->Write("data_centre_opened",
               {{"data_centre", order.id.value},
                {"endpoints", directory_->In(order.id).size()},
@@ -161,32 +161,32 @@
   return busy;
 }
 
-void EndpointUpdater::BeginPeerUpdate() { told_.emplace(); }
+void EndpointUpdater::BeginPeerUpdate() { peer_update_.emplace(); }
 
 void EndpointUpdater::EndPeerUpdate() {
-  const Told told = *std::exchange(told_, std::nullopt);
-  if (told.changed.empty() && told.gone.empty()) {
+  const PeerUpdate update = *std::exchange(peer_update_, std::nullopt);
+  if (update.changed.empty() && update.removed.empty()) {
     return;
   }
-  log_->Write("endpoints_told", {{"changed", told.changed.size()},
-                                 {"gone", told.gone.size()},
-                                 {"changed_ids", FirstOf(told.changed)},
-                                 {"gone_ids", FirstOf(told.gone)}});
+  log_->Write("endpoints_told", {{"changed", update.changed.size()},
+                                 {"gone", update.removed.size()},
+                                 {"changed_ids", FirstIds(update.changed)},
+                                 {"gone_ids", FirstIds(update.removed)}});
 }
 
 void EndpointUpdater::RemoveExpired() {
-  for (const ExpiredEndpoint& dropped : directory_->RemoveExpired()) {
-    connections_->Forget(dropped.id);
-    log_->Write("endpoint_dropped", {{"endpoint", dropped.id.value},
-                                     {"kept_ms", dropped.kept.count()}});
+  for (const ExpiredEndpoint& expired : directory_->RemoveExpired()) {
+    connections_->Forget(expired.id);
+    log_->Write("endpoint_dropped", {{"endpoint", expired.id.value},
+                                     {"kept_ms", expired.kept.count()}});
   }
 }
 
-void EndpointUpdater::NoteIncarnation(const EndpointRecord& record) {
-  const EndpointRecord* held = directory_->Find(record.id);
-  const bool is_new_incarnation = held != nullptr &&
-                                  held->incarnation != record.incarnation &&
-                                  !(record.revision < held->revision);
+void EndpointUpdater::DiscardOldIncarnation(const EndpointRecord& record) {
+  const EndpointRecord* known = directory_->Find(record.id);
+  const bool is_new_incarnation = known != nullptr &&
+                                  known->incarnation != record.incarnation &&
+                                  !(record.revision < known->revision);
   if (!is_new_incarnation) {
     return;
   }
--- a/src/gateway/endpoint_updater.h
+++ b/src/gateway/endpoint_updater.h
@@ -1,4 +1,4 @@
-// Takes what the platform tells of endpoints into what this host knows of them.
+// Applies updates of endpoints to the state of this host.
 
 #ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_UPDATER_H_
 #define HARECRANK_SRC_GATEWAY_ENDPOINT_UPDATER_H_
@@ -16,9 +16,9 @@
 
 namespace harecrank {
 
-// Keeps the directory, and forgets what was seen of endpoints that have left or
-// have begun a new incarnation. Each piece of news leaves a line in the log.
-// Not thread-safe.
+// Maintains the directory, and discards the health and connections of endpoints
+// that have left or started a new incarnation. Logs each update. Not
+// thread-safe.
 class EndpointUpdater {
  public:
   // All pointers must outlive this.
@@ -26,64 +26,67 @@
                   EndpointConnectionPool* connections, EventLog* log,
                   Metrics* metrics);
 
-  // All endpoints as published at `at`.
+  // Handles a listing of all endpoints as of `at`.
   void OnListing(const std::vector<EndpointRecord>& records, StoreRevision at);
 
-  // One endpoint's entry was written.
+  // Handles a write of an endpoint's entry.
   void OnEndpoint(const EndpointRecord& record);
 
-  // It has vanished.
+  // Handles the removal of an endpoint's entry.
   void OnGone(const EndpointId& id, StoreRevision revision);
 
-  // The endpoint has said in an answer that it leaves. `readable` tells whether
-  // it said so in the expected words. Returns whether that is news.
-  bool OnLeaveAnnounced(const EndpointRecord& endpoint, bool readable);
+  // Handles a response in which the endpoint announces that it is leaving.
+  // `is_readable` tells whether the announcement could be parsed. Returns
+  // whether it was new.
+  bool OnLeaveAnnounced(const EndpointRecord& endpoint, bool is_readable);
 
-  // It names no endpoint that can be used, for `reason`.
+  // Handles an invalid entry of an endpoint; `reason` is logged.
   void OnUnusable(const EndpointId& id, StoreRevision revision,
                   const std::string& reason);
 
-  // All data centres that are to take nothing, as published at `at`.
-  void OnDrainedListing(const std::vector<DrainedDataCentre>& closed,
+  // Handles a listing of all drained data centres as of `at`.
+  void OnDrainedListing(const std::vector<DrainedDataCentre>& drained,
                         StoreRevision at);
 
-  // A data centre is to take nothing, or takes work again.
+  // Handle the drain or the restoration of one data centre.
   void OnDrained(const DrainedDataCentre& order);
   void OnRestored(const DataCentreId& id, StoreRevision revision);
 
-  // Returns how many endpoints of closed data centres still have work, as
-  // `loads` tells.
+  // Returns the number of endpoints in drained data centres that still have
+  // work according to `loads`.
   int BusyDrainedCount(const EndpointLoads& loads) const;
 
-  // Drops endpoints whose entries have been missing for too long.
+  // Removes endpoints whose entries have been missing for longer than the grace
+  // period.
   void RemoveExpired();
 
-  // What follows, up to EndPeerUpdate, was told by another host: it leaves one
-  // line in the log and not one for each endpoint, or the lines of all hosts
-  // would grow with hosts times endpoints.
+  // Updates between BeginPeerUpdate and EndPeerUpdate come from another host.
+  // They are logged in one line instead of one line per endpoint; otherwise the
+  // log volume of the fleet would grow with the number of hosts times the
+  // number of endpoints.
   void BeginPeerUpdate();
   void EndPeerUpdate();
 
  private:
-  // What one telling of another host has changed.
-  struct Told {
+  // The changes within one update from another host.
+  struct PeerUpdate {
     std::vector<EndpointId> changed;
-    std::vector<EndpointId> gone;
+    std::vector<EndpointId> removed;
   };
 
-  // Forgets what was seen of an earlier incarnation of the endpoint, if
-  // `record` tells of a new one.
-  void NoteIncarnation(const EndpointRecord& record);
+  // Discards the state of an earlier incarnation of the endpoint if `record`
+  // has a new one.
+  void DiscardOldIncarnation(const EndpointRecord& record);
   void Forget(const EndpointId& id);
-  void NoteClosed(const DrainedDataCentre& order);
-  void NoteOpened(const DrainedDataCentre& order);
+  void LogDrained(const DrainedDataCentre& order);
+  void LogRestored(const DrainedDataCentre& order);
 
   EndpointDirectory* directory_;
   EndpointHealth* health_;
   EndpointConnectionPool* connections_;
   EventLog* log_;
   Metrics* metrics_;
-  std::optional<Told> told_;
+  std::optional<PeerUpdate> peer_update_;
 };
 
 }  // namespace harecrank
--- a/src/gateway/store_sync_state.cc
+++ b/src/gateway/store_sync_state.cc
@@ -5,27 +5,27 @@
 
 namespace harecrank {
 
-StoreSyncState::StoreSyncState(bool is_seed, PollSchedulePorts duty,
+StoreSyncState::StoreSyncState(bool is_seed, PollSchedulePorts poll_schedule,
                                StoreSyncStatePorts ports,
                                EndpointDirectory* directory, EventLog* log,
                                const MonotonicClock& clock,
                                const RandomSource& random)
-    : duty_(is_seed, std::move(duty), clock, random),
+    : poll_schedule_(is_seed, std::move(poll_schedule), clock, random),
       ports_(std::move(ports)),
       directory_(directory),
       log_(log) {}
 
 void StoreSyncState::OnPollSucceeded(StoreRevision at) {
   AdvanceTo(at);
-  const bool is_late = duty_.IsOverdue();
-  duty_.OnPollSucceeded();
-  NoteKnown(Millis(0), is_late);
+  const bool was_overdue = poll_schedule_.IsOverdue();
+  poll_schedule_.OnPollSucceeded();
+  RecordFreshness(Millis(0), was_overdue);
   ports_.on_poll_result();
 }
 
 void StoreSyncState::OnPollFailed(const std::string& reason) {
-  duty_.OnPollFailed();
-  directory_->OnStoreUnreachable(duty_.Age());
+  poll_schedule_.OnPollFailed();
+  directory_->OnStoreUnreachable(poll_schedule_.Age());
   Update(reason);
   ports_.on_poll_result();
 }
@@ -36,45 +36,45 @@
 }
 
 void StoreSyncState::OnPeerFreshness(Millis age) {
-  const bool is_late = duty_.IsOverdue();
-  duty_.OnPeerUpdate(age);
-  NoteKnown(age, is_late);
+  const bool was_overdue = poll_schedule_.IsOverdue();
+  poll_schedule_.OnPeerUpdate(age);
+  RecordFreshness(age, was_overdue);
 }
 
-void StoreSyncState::SetPollRank(std::optional<int> turn) {
-  duty_.SetPollRank(turn);
+void StoreSyncState::SetPollRank(std::optional<int> rank) {
+  poll_schedule_.SetPollRank(rank);
   Update("told to stop reading");
 }
 
-void StoreSyncState::Describe(Heartbeat* word) const {
-  word->known_up_to = known_up_to_;
-  word->store_data_fresh = is_well_;
-  word->store_data_age = duty_.Age();
-  word->poll_state = duty_.OwnPollState();
+void StoreSyncState::Describe(Heartbeat* heartbeat) const {
+  heartbeat->known_up_to = known_up_to_;
+  heartbeat->store_data_fresh = is_fresh_;
+  heartbeat->store_data_age = poll_schedule_.Age();
+  heartbeat->poll_state = poll_schedule_.OwnPollState();
 }
 
 void StoreSyncState::AdvanceTo(StoreRevision at) {
   known_up_to_ = std::max(known_up_to_, at);
 }
 
-void StoreSyncState::NoteKnown(Millis age, bool is_late) {
+void StoreSyncState::RecordFreshness(Millis age, bool was_overdue) {
   directory_->OnStoreSynced(known_up_to_, age);
   Update("");
   ports_.on_published();
-  if (is_late) {
+  if (was_overdue) {
     ports_.on_overdue_refresh();
   }
 }
 
 void StoreSyncState::Update(const std::string& reason) {
-  duty_.Update();
-  ports_.set_poll_mode(duty_.Mode());
-  const bool is_well = duty_.HasFreshData();
-  if (is_well == is_well_) {
+  poll_schedule_.Update();
+  ports_.set_poll_mode(poll_schedule_.Mode());
+  const bool is_fresh = poll_schedule_.HasFreshData();
+  if (is_fresh == is_fresh_) {
     return;
   }
-  is_well_ = is_well;
-  if (is_well) {
+  is_fresh_ = is_fresh;
+  if (is_fresh) {
     log_->Write("source_regained", {{"at", known_up_to_.value}},
                 LogRateLimit::kExempt);
   } else {
--- a/src/gateway/store_sync_state.h
+++ b/src/gateway/store_sync_state.h
@@ -1,5 +1,5 @@
-// What this host knows of the platform's publications, from whomever, and
-// whether it reads them itself.
+// How far this host's data are in sync with the store, directly or through
+// other hosts, and whether this host polls the store.
 
 #ifndef HARECRANK_SRC_GATEWAY_STORE_SYNC_STATE_H_
 #define HARECRANK_SRC_GATEWAY_STORE_SYNC_STATE_H_
@@ -14,66 +14,71 @@
 
 namespace harecrank {
 
-// What the state asks of its owner.
+// Callbacks of StoreSyncState.
 struct StoreSyncStatePorts {
-  std::function<void(PollMode reading)> set_poll_mode;
-  // What is known has changed.
+  std::function<void(PollMode mode)> set_poll_mode;
+  // Called when the data or their age have changed.
   std::function<void()> on_published;
-  // The platform has answered this host itself, or failed to.
+  // Called when a poll of the store by this host has succeeded or failed.
   std::function<void()> on_poll_result;
-  // It is known again that the platform answers, after the turns of others to
-  // look had begun to come.
+  // Called when the data are fresh after they had been overdue
+  // (PollSchedule::IsOverdue).
   std::function<void()> on_overdue_refresh;
 };
 
 // Not thread-safe.
 class StoreSyncState {
  public:
-  // All pointers must outlive this. `is_seed`: other hosts turn to this one
+  // All pointers must outlive this. `is_seed`: other hosts contact this one
   // first.
-  StoreSyncState(bool is_seed, PollSchedulePorts duty,
+  StoreSyncState(bool is_seed, PollSchedulePorts poll_schedule,
                  StoreSyncStatePorts ports, EndpointDirectory* directory,
                  EventLog* log, const MonotonicClock& clock,
                  const RandomSource& random);
 
-  // The platform has answered this host: what is known is complete up to `at`.
+  // Records that the store has answered this host: the data are complete up to
+  // `at`.
   void OnPollSucceeded(StoreRevision at);
-  // It has not, for `reason`.
+  // Records that a poll by this host has failed.
   void OnPollFailed(const std::string& reason);
 
-  // Another host, which the platform answers, tells what was published up to
+  // Records that another host whose data are fresh has sent its data up to
   // `at`.
   void OnPeerSynced(StoreRevision at);
-  // Another host knows no more than this one, and the platform answered it
-  // `age` ago.
+  // Records that another host has no newer data than this one, and that its
+  // data are `age` old.
   void OnPeerFreshness(Millis age);
 
-  // What another host told is taken: all up to `at` is known.
+  // Records that the data of another host have been imported and are complete
+  // up to `at`.
   void OnImported(StoreRevision at) { AdvanceTo(at); }
 
-  // This host's turn among those that read for all.
-  void SetPollRank(std::optional<int> turn);
+  // Sets this host's rank among the hosts that poll for the fleet; nothing if
+  // it is not one of them.
+  void SetPollRank(std::optional<int> rank);
 
   // To be called a few times a second.
   void Tick() { Update("nobody told for a while"); }
 
-  bool HasFreshData() const { return is_well_; }
+  bool HasFreshData() const { return is_fresh_; }
   StoreRevision KnownUpTo() const { return known_up_to_; }
-  // Adds what others are told of this.
-  void Describe(Heartbeat* word) const;
+  // Fills the fields of `heartbeat` that describe this state.
+  void Describe(Heartbeat* heartbeat) const;
 
  private:
   void AdvanceTo(StoreRevision at);
-  // What is known is complete as of `age` ago; before, it was late.
-  void NoteKnown(Millis age, bool is_late);
-  // Reads or not, and tells of it if the platform is lost or back.
+  // Records that the data are complete as of `age` ago. `was_overdue` tells
+  // whether they were overdue before.
+  void RecordFreshness(Millis age, bool was_overdue);
+  // Updates the poll mode, and logs when the data become fresh or stale.
+  // `reason` is logged if they become stale.
   void Update(const std::string& reason);
 
-  PollSchedule duty_;
+  PollSchedule poll_schedule_;
   StoreSyncStatePorts ports_;
   EndpointDirectory* directory_;
   EventLog* log_;
-  bool is_well_ = false;
+  bool is_fresh_ = false;
   StoreRevision known_up_to_;
 };
 
--- a/src/gateway/store_update_handler.cc
+++ b/src/gateway/store_update_handler.cc
@@ -9,14 +9,14 @@
                                        EndpointDirectory* directory,
                                        EndpointUpdater* endpoint_updater,
                                        StartLimiter* start_limiter,
-                                       StoreSyncState* source,
+                                       StoreSyncState* store_sync,
                                        std::function<void()> on_usable,
                                        EventLog* log, Metrics* metrics)
     : routing_(routing),
       directory_(directory),
       endpoint_updater_(endpoint_updater),
       start_limiter_(start_limiter),
-      source_(source),
+      store_sync_(store_sync),
       on_usable_(std::move(on_usable)),
       log_(log),
       metrics_(metrics) {}
@@ -35,27 +35,27 @@
 }
 
 void StoreUpdateHandler::OnListing(std::vector<EndpointRecord> records,
-                                   std::vector<DrainedDataCentre> closed,
+                                   std::vector<DrainedDataCentre> drained,
                                    StoreRevision at) {
   start_limiter_->OnListing(records);
   endpoint_updater_->OnListing(records, at);
   for (const EndpointRecord& record : records) {
-    NoteIncarnation(record.id);
+    PassIncarnation(record.id);
   }
-  endpoint_updater_->OnDrainedListing(closed, at);
+  endpoint_updater_->OnDrainedListing(drained, at);
   on_usable_();
 }
 
 void StoreUpdateHandler::OnEndpoint(const EndpointRecord& record) {
   start_limiter_->OnEndpoint(record);
   endpoint_updater_->OnEndpoint(record);
-  NoteIncarnation(record.id);
+  PassIncarnation(record.id);
 }
 
-void StoreUpdateHandler::NoteIncarnation(const EndpointId& id) {
-  const EndpointRecord* held = directory_->Find(id);
-  if (held != nullptr) {
-    start_limiter_->OnIncarnation(id, held->incarnation);
+void StoreUpdateHandler::PassIncarnation(const EndpointId& id) {
+  const EndpointRecord* record = directory_->Find(id);
+  if (record != nullptr) {
+    start_limiter_->OnIncarnation(id, record->incarnation);
   }
 }
 
@@ -81,15 +81,15 @@
 }
 
 void StoreUpdateHandler::OnSynced(StoreRevision at) {
-  source_->OnPollSucceeded(at);
+  store_sync_->OnPollSucceeded(at);
 }
 
 void StoreUpdateHandler::OnSyncedByPeer(StoreRevision at) {
-  source_->OnPeerSynced(at);
+  store_sync_->OnPeerSynced(at);
 }
 
 void StoreUpdateHandler::OnStoreUnreachable(const std::string& reason) {
-  source_->OnPollFailed(reason);
+  store_sync_->OnPollFailed(reason);
 }
 
 void StoreUpdateHandler::OnUnusable(const std::string& what,
--- a/src/gateway/store_update_handler.h
+++ b/src/gateway/store_update_handler.h
@@ -1,4 +1,4 @@
-// Takes what the platform publishes into what this host knows.
+// Applies updates of the store's data to the components of this host.
 
 #ifndef HARECRANK_SRC_GATEWAY_STORE_UPDATE_HANDLER_H_
 #define HARECRANK_SRC_GATEWAY_STORE_UPDATE_HANDLER_H_
@@ -20,17 +20,17 @@
 // Not thread-safe.
 class StoreUpdateHandler : public DirectorySink {
  public:
-  // All pointers must outlive this. `on_usable` is called when there may be
-  // enough to serve by.
+  // All pointers must outlive this. `on_usable` is called when the data may
+  // have become sufficient to serve requests.
   StoreUpdateHandler(RoutingState* routing, EndpointDirectory* directory,
                      EndpointUpdater* endpoint_updater,
-                     StartLimiter* start_limiter, StoreSyncState* source,
+                     StartLimiter* start_limiter, StoreSyncState* store_sync,
                      std::function<void()> on_usable, EventLog* log,
                      Metrics* metrics);
 
   void OnRouting(RoutingDocument document) override;
   void OnListing(std::vector<EndpointRecord> records,
-                 std::vector<DrainedDataCentre> closed,
+                 std::vector<DrainedDataCentre> drained,
                  StoreRevision at) override;
   void OnEndpoint(const EndpointRecord& record) override;
   void OnEndpointGone(const EndpointId& id, StoreRevision revision) override;
@@ -45,15 +45,14 @@
   void OnUnusable(const std::string& what, const std::string& reason) override;
 
  private:
-  // Tells of the incarnation in which an endpoint runs, as far as that is
-  // known.
-  void NoteIncarnation(const EndpointId& id);
+  // Passes the endpoint's incarnation to the start limiter, if it is known.
+  void PassIncarnation(const EndpointId& id);
 
   RoutingState* routing_;
   EndpointDirectory* directory_;
   EndpointUpdater* endpoint_updater_;
   StartLimiter* start_limiter_;
-  StoreSyncState* source_;
+  StoreSyncState* store_sync_;
   std::function<void()> on_usable_;
   EventLog* log_;
   Metrics* metrics_;
