--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -4,26 +4,27 @@
 
 namespace harecrank {
 
-CrashGuard::Registration::Registration(const std::shared_ptr<Watched>& watched,
-                                       GuardedRequest* request)
-    : watched_(watched), request_(request) {
-  watched->insert(request);
+CrashGuard::Registration::Registration(
+    const std::shared_ptr<RequestSet>& requests, GuardedRequest* request)
+    : requests_(requests), request_(request) {
+  requests->insert(request);
 }
 
 CrashGuard::Registration::~Registration() {
-  if (const auto watched = watched_.lock()) {
-    watched->erase(request_);
+  if (const auto requests = requests_.lock()) {
+    requests->erase(request_);
   }
 }
 
 CrashGuard::CrashGuard(RequestQuarantine* quarantine, EndpointProber* prober,
-                       const EndpointDirectory* directory, IsResting is_resting,
-                       Tell tell, EventLog* log, Metrics* metrics)
+                       const EndpointDirectory* directory,
+                       IsBackingOff is_backing_off, ShareRecord share_record,
+                       EventLog* log, Metrics* metrics)
     : quarantine_(quarantine),
       prober_(prober),
       directory_(directory),
-      is_resting_(std::move(is_resting)),
-      tell_(std::move(tell)),
+      is_backing_off_(std::move(is_backing_off)),
+      share_record_(std::move(share_record)),
       log_(log),
       metrics_(metrics) {}
 
@@ -43,7 +44,7 @@
               {{"fingerprint", LogName(request)},
                {"crashes", quarantine_->CrashCount(request)}},
               LogRateLimit::kExempt);
-  tell_(request);
+  share_record_(request);
 }
 
 void CrashGuard::OnTrialNotSent(const RequestFingerprint& request) {
@@ -56,23 +57,23 @@
   // even a probe. One that rests is not disturbed by it either.
   return !directory_->Drained().IsDrained(endpoint.data_centre) &&
          !directory_->HasAnnouncedLeave(endpoint.id, endpoint.incarnation) &&
-         !is_resting_(endpoint.id);
+         !is_backing_off_(endpoint.id);
 }
 
 void CrashGuard::OnResponseAborted(
     const RequestFingerprint& request, const EndpointRecord& endpoint,
-    bool was_beginning, std::function<void(ProbeResult result)> on_judged) {
+    bool was_starting, std::function<void(ProbeResult result)> on_probed) {
   if (!MayProbe(endpoint)) {
-    prober_->Skip(std::move(on_judged));
+    prober_->Skip(std::move(on_probed));
     return;
   }
   prober_->Probe(endpoint.address,
-                 [this, request, endpoint, was_beginning,
-                  on_judged = std::move(on_judged)](ProbeResult result) {
-                   if (was_beginning && result == ProbeResult::kRefused) {
+                 [this, request, endpoint, was_starting,
+                  on_probed = std::move(on_probed)](ProbeResult result) {
+                   if (was_starting && result == ProbeResult::kRefused) {
                      OnCrash(request, endpoint);
                    }
-                   on_judged(result);
+                   on_probed(result);
                  });
 }
 
@@ -89,8 +90,8 @@
                {"endpoint", endpoint.id.value},
                {"crashes", quarantine_->CrashCount(request)}},
               LogRateLimit::kExempt);
-  tell_(request);
-  EndHeld(request);
+  share_record_(request);
+  NotifyQuarantined(request);
 }
 
 void CrashGuard::OnCompleted(GuardedRequest* request) {
@@ -101,26 +102,26 @@
   log_->Write("request_cleared",
               {{"fingerprint", LogName(request->Fingerprint())}},
               LogRateLimit::kExempt);
-  tell_(request->Fingerprint());
+  share_record_(request->Fingerprint());
 }
 
 std::vector<CrashReport> CrashGuard::OnReports(
     const std::vector<CrashReport>& reports,
     std::vector<CrashReport>* missing) {
-  std::vector<CrashReport> news;
+  std::vector<CrashReport> new_reports;
   for (const CrashReport& report : reports) {
     if (quarantine_->Merge(report)) {
-      news.push_back(quarantine_->ReportOf(report.request));
-      EndHeld(report.request);
+      new_reports.push_back(quarantine_->ReportOf(report.request));
+      NotifyQuarantined(report.request);
     }
     if (quarantine_->KnowsMoreThan(report)) {
       missing->push_back(quarantine_->ReportOf(report.request));
     }
   }
-  return news;
+  return new_reports;
 }
 
-void CrashGuard::EndHeld(const RequestFingerprint& request) {
+void CrashGuard::NotifyQuarantined(const RequestFingerprint& request) {
   if (!quarantine_->IsQuarantined(request)) {
     return;
   }
@@ -131,10 +132,11 @@
               LogRateLimit::kExempt);
   metrics_->GetCounter("harecrank_gateway_requests_held_total")->Add();
   // A copy: a request that ends is watched no more.
-  const Watched watched = *watched_;
-  for (GuardedRequest* one : watched) {
-    if (watched_->count(one) != 0 && one->Fingerprint() == request) {
-      one->OnQuarantined();
+  const RequestSet requests = *requests_;
+  for (GuardedRequest* candidate : requests) {
+    if (requests_->count(candidate) != 0 &&
+        candidate->Fingerprint() == request) {
+      candidate->OnQuarantined();
     }
   }
 }
--- a/src/gateway/crash_guard.h
+++ b/src/gateway/crash_guard.h
@@ -1,9 +1,10 @@
-// Keeps requests that end endpoints away from them, with the other hosts.
+// Keeps requests that crash endpoints away from them, together with the other
+// hosts.
 //
-// An answer that breaks off says little: a link may have been cut, an endpoint
-// that is full resets connections. So the endpoint's address is asked first
-// whether anybody listens; only where nobody does is the end counted against
-// the requests that the endpoint was beginning.
+// An aborted response does not prove a crash: a network link may have failed,
+// or an overloaded endpoint may have reset the connection. Therefore the
+// endpoint's address is probed first, and a crash is counted against the
+// requests that the endpoint was starting only if the connection is refused.
 
 #ifndef HARECRANK_SRC_GATEWAY_CRASH_GUARD_H_
 #define HARECRANK_SRC_GATEWAY_CRASH_GUARD_H_
@@ -21,7 +22,7 @@
 
 namespace harecrank {
 
-// A request that is under way at this host.
+// A request in progress on this host.
 class GuardedRequest {
  public:
   GuardedRequest() = default;
@@ -30,90 +31,94 @@
   virtual ~GuardedRequest() = default;
 
   virtual const RequestFingerprint& Fingerprint() = 0;
-  // It is held from now on.
+  // Called when the request has been quarantined.
   virtual void OnQuarantined() = 0;
 };
 
 // Not thread-safe; runs on its io_context.
 class CrashGuard {
  public:
-  // Tells the other hosts what is known of `request`.
-  using Tell = std::function<void(const RequestFingerprint& request)>;
-  // Returns whether an endpoint has asked this host for rest.
-  using IsResting = std::function<bool(const EndpointId& endpoint)>;
+  // Sends the other hosts what is known of `request`.
+  using ShareRecord = std::function<void(const RequestFingerprint& request)>;
+  // Returns whether an endpoint has asked this host to back off.
+  using IsBackingOff = std::function<bool(const EndpointId& endpoint)>;
 
   // All pointers must outlive this.
   CrashGuard(RequestQuarantine* quarantine, EndpointProber* prober,
-             const EndpointDirectory* directory, IsResting is_resting,
-             Tell tell, EventLog* log, Metrics* metrics);
+             const EndpointDirectory* directory, IsBackingOff is_backing_off,
+             ShareRecord share_record, EventLog* log, Metrics* metrics);
 
-  // The requests under way. Those that a host cuts when it stops outlive it.
-  using Watched = std::set<GuardedRequest*>;
+  // The requests in progress. Requests that are aborted when the host stops
+  // outlive the CrashGuard, hence the shared ownership.
+  using RequestSet = std::set<GuardedRequest*>;
 
-  // Watches `request` for as long as this lives.
+  // Registers `request` for the lifetime of this object.
   class Registration {
    public:
-    Registration(const std::shared_ptr<Watched>& watched,
+    Registration(const std::shared_ptr<RequestSet>& requests,
                  GuardedRequest* request);
     ~Registration();
     Registration(const Registration&) = delete;
     Registration& operator=(const Registration&) = delete;
 
    private:
-    std::weak_ptr<Watched> watched_;
+    std::weak_ptr<RequestSet> requests_;
     GuardedRequest* request_;
   };
 
-  // Returns what stands for `request` until it ends.
+  // Registers `request` until the returned object is destroyed.
   std::unique_ptr<Registration> Watch(GuardedRequest* request) const {
-    return std::make_unique<Registration>(watched_, request);
+    return std::make_unique<Registration>(requests_, request);
   }
 
-  // Returns whether `request` may be sent nowhere now. Takes its fingerprint
-  // only if any request is suspect.
+  // Returns whether `request` must not be sent to any endpoint now. Computes
+  // its fingerprint only if any request is suspect.
   bool IsQuarantined(GuardedRequest* request) const;
 
-  // Likewise, right before it is sent. A request that was held is let through
-  // alone: `is_trial` is set if this is such a trial.
+  // To be called right before `request` is sent. Returns whether it may be
+  // sent. A request that was quarantined is admitted alone, as a trial;
+  // `is_trial` is set accordingly.
   bool TryAdmit(GuardedRequest* request, bool* is_trial);
-  // The trial has reached its endpoint, or has not.
+  // Records whether a trial has reached its endpoint.
   void OnTrialSent(const RequestFingerprint& request);
   void OnTrialNotSent(const RequestFingerprint& request);
 
-  // `endpoint` broke off its answer to `request`. Calls `on_judged`, never from
-  // within, when its address has told whether it has ended. Where it has and
-  // `was_beginning`, its end is counted against the request before that. An
-  // endpoint of a closed data centre is not asked, and its end counts for
-  // nothing.
+  // Handles a response of `endpoint` to `request` that was aborted. Probes the
+  // endpoint's address and then calls `on_probed` with the result, never from
+  // within this call. If the endpoint has ended and was starting the request
+  // (`was_starting`), the crash is counted against the request first. An
+  // endpoint that is in a drained data centre, has announced its leave, or has
+  // asked for back-off is not probed, and no crash is counted.
   void OnResponseAborted(const RequestFingerprint& request,
-                         const EndpointRecord& endpoint, bool was_beginning,
-                         std::function<void(ProbeResult result)> on_judged);
+                         const EndpointRecord& endpoint, bool was_starting,
+                         std::function<void(ProbeResult result)> on_probed);
 
-  // An endpoint has answered it whole.
+  // Records that an endpoint has answered the request completely.
   void OnCompleted(GuardedRequest* request);
 
-  // Takes what another host told. Returns what was news, to be passed on, and
-  // fills `missing` with what that host does not know.
+  // Merges the reports of another host. Returns the merged reports that were
+  // new, to be passed on, and adds to `missing` the reports that the sender
+  // lacks.
   std::vector<CrashReport> OnReports(const std::vector<CrashReport>& reports,
                                      std::vector<CrashReport>* missing);
 
  private:
   void OnCrash(const RequestFingerprint& request,
                const EndpointRecord& endpoint);
-  // Ends the requests under way that are held now.
-  void EndHeld(const RequestFingerprint& request);
+  // Notifies the requests in progress that are quarantined now.
+  void NotifyQuarantined(const RequestFingerprint& request);
 
   RequestQuarantine* quarantine_;
   EndpointProber* prober_;
-  // Whether a connection may be opened to find out if `endpoint` has ended.
+  // Returns whether `endpoint` may be probed for whether it has ended.
   bool MayProbe(const EndpointRecord& endpoint) const;
 
   const EndpointDirectory* directory_;
-  IsResting is_resting_;
-  Tell tell_;
+  IsBackingOff is_backing_off_;
+  ShareRecord share_record_;
   EventLog* log_;
   Metrics* metrics_;
-  std::shared_ptr<Watched> watched_ = std::make_shared<Watched>();
+  std::shared_ptr<RequestSet> requests_ = std::make_shared<RequestSet>();
 };
 
 }  // namespace harecrank
--- a/src/gateway/endpoint_prober.cc
+++ b/src/gateway/endpoint_prober.cc
@@ -15,8 +15,8 @@
 namespace asio = boost::asio;
 using Error = boost::system::error_code;
 
-struct Attempted {
-  explicit Attempted(asio::io_context* io) : socket(*io), timer(*io) {}
+struct Attempt {
+  explicit Attempt(asio::io_context* io) : socket(*io), timer(*io) {}
 
   asio::ip::tcp::socket socket;
   Timer timer;
@@ -53,9 +53,9 @@
 }
 
 void EndpointProber::Probe(const std::string& address, OnResult on_result) {
-  std::vector<OnResult>& waiting = under_way_[address];
-  waiting.push_back(std::move(on_result));
-  if (waiting.size() > 1) {
+  std::vector<OnResult>& callbacks = in_progress_[address];
+  callbacks.push_back(std::move(on_result));
+  if (callbacks.size() > 1) {
     return;
   }
   const auto endpoint = ParseTcpEndpoint(address);
@@ -64,21 +64,21 @@
                [this, address] { OnDone(address, ProbeResult::kTimedOut); });
     return;
   }
-  const auto attempted = std::make_shared<Attempted>(io_);
-  attempted->timer.expires_after(kTimeout);
-  attempted->timer.async_wait([attempted](const Error& error) {
+  const auto attempt = std::make_shared<Attempt>(io_);
+  attempt->timer.expires_after(kTimeout);
+  attempt->timer.async_wait([attempt](const Error& error) {
     if (!error) {
-      attempted->timed_out = true;
+      attempt->timed_out = true;
       Error ignored;
-      attempted->socket.close(ignored);
+      attempt->socket.close(ignored);
     }
   });
-  attempted->socket.async_connect(
-      *endpoint, [this, attempted, address](const Error& error) {
-        attempted->timer.cancel();
+  attempt->socket.async_connect(
+      *endpoint, [this, attempt, address](const Error& error) {
+        attempt->timer.cancel();
         Error ignored;
-        attempted->socket.close(ignored);
-        OnDone(address, ResultOf(error, attempted->timed_out));
+        attempt->socket.close(ignored);
+        OnDone(address, ResultOf(error, attempt->timed_out));
       });
 }
 
@@ -89,9 +89,9 @@
 }
 
 void EndpointProber::OnDone(const std::string& address, ProbeResult result) {
-  const std::vector<OnResult> waiting = std::move(under_way_.at(address));
-  under_way_.erase(address);
-  for (const OnResult& on_result : waiting) {
+  const std::vector<OnResult> callbacks = std::move(in_progress_.at(address));
+  in_progress_.erase(address);
+  for (const OnResult& on_result : callbacks) {
     on_result(result);
   }
 }
--- a/src/gateway/endpoint_prober.h
+++ b/src/gateway/endpoint_prober.h
@@ -1,4 +1,4 @@
-// Whether a process listens at an endpoint's address.
+// Probes whether a process listens at an endpoint's address.
 
 #ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_PROBER_H_
 #define HARECRANK_SRC_GATEWAY_ENDPOINT_PROBER_H_
@@ -13,19 +13,20 @@
 
 namespace harecrank {
 
-// What an endpoint's address says to a new connection.
+// Result of a connection attempt.
 enum class ProbeResult {
-  // Nobody listens: its process has ended.
+  // The connection was refused: the endpoint's process has ended.
   kRefused,
-  // Its process runs.
+  // The connection was accepted or reset: the process is running.
   kAccepted,
-  // No word in time: a link may be cut, or its whole machine be gone.
+  // No response within the time-out: a network link may have failed, or the
+  // whole machine.
   kTimedOut,
-  // It was not asked.
+  // The endpoint was not probed.
   kSkipped
 };
 
-// Names it in logs.
+// Returns the name of `result` in logs.
 const char* Name(ProbeResult result);
 
 // Opens connections and closes them at once. Not thread-safe; runs on its
@@ -36,22 +37,22 @@
 
   explicit EndpointProber(boost::asio::io_context* io) : io_(io) {}
 
-  // Calls `on_result` once, never from within. All that ask for an address
-  // while a probe of it is under way share that one: an engine that ends breaks
-  // dozens of requests at once, and each connection has a price.
+  // Calls `on_result` once, never from within this call. Concurrent probes of
+  // the same address share one connection attempt, since the crash of an engine
+  // aborts dozens of requests at once and each connection has a cost.
   void Probe(const std::string& address, OnResult on_result);
 
-  // Calls `on_result` with kSkipped, never from within.
+  // Calls `on_result` with kSkipped, never from within this call.
   void Skip(OnResult on_result);
 
-  // How long a connection may take to come up, as for requests.
+  // Time-out of a connection attempt; the same as for requests.
   static constexpr Millis kTimeout{250};
 
  private:
   void OnDone(const std::string& address, ProbeResult result);
 
   boost::asio::io_context* io_;
-  std::map<std::string, std::vector<OnResult>> under_way_;
+  std::map<std::string, std::vector<OnResult>> in_progress_;
 };
 
 }  // namespace harecrank
