--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -70,7 +70,7 @@
     return static_cast<double>(parts.start_limiter->BackoffCount());
   });
   metrics->AddGauge("harecrank_gateway_fleet_size", [parts] {
-    return static_cast<double>(parts.hosts->Size().MaxHosts().value_or(0));
+    return static_cast<double>(parts.membership->Size().MaxHosts().value_or(0));
   });
   metrics->AddGauge("harecrank_gateway_data_centres_closed", [parts] {
     return static_cast<double>(parts.directory->Drained().Count());
@@ -80,16 +80,16 @@
         parts.endpoint_updater->BusyDrainedCount(*parts.loads));
   });
   metrics->AddGauge("harecrank_gateway_source_well", [parts] {
-    return parts.source->HasFreshData() ? 1.0 : 0.0;
+    return parts.store_sync->HasFreshData() ? 1.0 : 0.0;
   });
   metrics->AddGauge("harecrank_gateway_copies_under_way", [parts] {
-    return static_cast<double>(parts.copies->ActiveTransfers());
+    return static_cast<double>(parts.snapshots->ActiveTransfers());
   });
   metrics->AddGauge("harecrank_gateway_waiting", [parts] {
     return static_cast<double>(parts.queue->Count());
   });
   metrics->AddGauge("harecrank_gateway_hosts_alive", [parts] {
-    return static_cast<double>(parts.hosts->AliveHosts());
+    return static_cast<double>(parts.membership->AliveHosts());
   });
   metrics->AddGauge("harecrank_gateway_idle_connections", [parts] {
     return static_cast<double>(parts.connections->IdleCount());
@@ -109,21 +109,21 @@
 }
 
 nlohmann::json DumpOf(const GatewayParts& parts) {
-  const auto planner = parts.hosts->Planner();
+  const auto planner = parts.membership->Planner();
   const auto table = parts.routing->InForce();
-  Heartbeat source;
-  parts.source->Describe(&source);
+  Heartbeat heartbeat;
+  parts.store_sync->Describe(&heartbeat);
   return {{"configuration", table == nullptr ? 0 : table->Version().value},
           {"source",
-           {{"well", source.store_data_fresh},
-            {"at", source.known_up_to.value},
-            {"age_ms", source.store_data_age.count()},
-            {"reads", source.poll_state != PollState::kNone}}},
+           {{"well", heartbeat.store_data_fresh},
+            {"at", heartbeat.known_up_to.value},
+            {"age_ms", heartbeat.store_data_age.count()},
+            {"reads", heartbeat.poll_state != PollState::kNone}}},
           {"fleet",
            {{"planner", planner.value_or(HostAddress{}).value},
             {"plans", parts.fleet->IsPlanner()},
-            {"alive", parts.hosts->AliveHosts()},
-            {"size", parts.hosts->Size().MaxHosts().value_or(0)}}},
+            {"alive", parts.membership->AliveHosts()},
+            {"size", parts.membership->Size().MaxHosts().value_or(0)}}},
           {"endpoints",
            {{"known", parts.directory->Count()},
             {"leaving", Names(parts.directory->Leaving())},
@@ -133,7 +133,7 @@
            {{"waiting", parts.queue->Count()},
             {"waiting_at_planner", parts.planner->WaitingCount()},
             {"held", parts.quarantine->QuarantinedCount()}}},
-          {"copies_under_way", parts.copies->ActiveTransfers()},
+          {"copies_under_way", parts.snapshots->ActiveTransfers()},
           {"bounds", parts.start_limiter->Describe()}};
 }
 
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -1,4 +1,4 @@
-// What a gateway shows operators of its state: gauges and the dump.
+// The gateway's state as operators see it: gauges and a JSON dump.
 
 #ifndef HARECRANK_SRC_GATEWAY_GATEWAY_GAUGES_H_
 #define HARECRANK_SRC_GATEWAY_GATEWAY_GAUGES_H_
@@ -20,7 +20,8 @@
 
 namespace harecrank {
 
-// The parts whose state is shown. All must outlive what shows them.
+// The components whose state is shown. All must outlive the metrics that read
+// them.
 struct GatewayParts {
   RoutingState* routing;
   EndpointDirectory* directory;
@@ -30,12 +31,12 @@
   EndpointUpdater* endpoint_updater;
   RequestQuarantine* quarantine;
   DispatchQueue* queue;
-  Membership* hosts;
+  Membership* membership;
   StartLimiter* start_limiter;
   Planner* planner;
   FleetMember* fleet;
-  StoreSyncState* source;
-  SnapshotServer* copies;
+  StoreSyncState* store_sync;
+  SnapshotServer* snapshots;
   CallerListener* callers;
   EventLog* log;
 };
@@ -43,7 +44,7 @@
 // Adds the gauges of `parts` to `metrics`.
 void RegisterGauges(const GatewayParts& parts, Metrics* metrics);
 
-// Returns the state of `parts`, for operators.
+// Returns the state of `parts` as JSON, for operators.
 nlohmann::json DumpOf(const GatewayParts& parts);
 
 }  // namespace harecrank
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -17,22 +17,22 @@
 constexpr Millis kTick{100};
 // How often the settings are read again: they may change without a signal, and
 // what changes in them is not urgent.
-constexpr Millis kRereadInterval{3000};
+constexpr Millis kSettingsPollInterval{3000};
 // How often idle connections to endpoints are looked at.
 constexpr Millis kSweepInterval{1000};
 // After a stop signal callers' idle connections are kept for as long as the
 // balancer needs to miss two checks, one a second, and a moment more.
-constexpr Millis kBalancerNotices{3000};
+constexpr Millis kBalancerNoticeTime{3000};
 // After a stop signal streams are still begun for this long: those that are
 // begun later could not end before the process has to.
-constexpr Millis kTakesStreams{2700};
+constexpr Millis kStreamAcceptTime{2700};
 // What is left of the platform's patience when the process gives up waiting.
 constexpr Millis kStopMargin{400};
 // How long callers wait for a process that has just started to know anything.
 // They allow a connection a second.
-constexpr Millis kFirstConfiguration{700};
+constexpr Millis kConfigurationWait{700};
 // How many hosts share a bound where fewer are known.
-constexpr int kLeastHosts = 3;
+constexpr int kMinHosts = 3;
 
 }  // namespace
 
@@ -62,16 +62,17 @@
       budgets_(
           settings_.repeat_limit,
           [this] {
-            return std::max(KnownHosts(), hosts_.HostsSharingLimits());
+            return std::max(KnownHosts(), membership_.HostsSharingLimits());
           },
           clock_),
       queue_(&io_, clock_, settings_.placement.tried,
              settings_.placement.shares_by_account),
       orders_(platform.make_orders(&io_)),
-      hosts_(Self(settings_), Addresses(settings_.seed_peers), clock_, random_),
+      membership_(Self(settings_), Addresses(settings_.seed_peers), clock_,
+                  random_),
       start_limiter_(
           Self(settings_).address, settings_.cold_limit,
-          [this] { return hosts_.Size().MaxHosts(); },
+          [this] { return membership_.Size().MaxHosts(); },
           [this] { return routing_.InForce(); }, &log_, &metrics_, clock_),
       planner_(
           &directory_, &health_, start_limiter_.Quotas(), settings_.data_centre,
@@ -79,9 +80,9 @@
           random_),
       fleet_socket_(&io_, settings_.peers_address, &metrics_),
       fleet_(&io_, settings_.node_id, Self(settings_), Incarnation{random_()},
-             &hosts_, &planner_, &health_, &fleet_socket_, MakeFleetPorts(),
-             &log_, &metrics_, clock_, random_),
-      crashes_(
+             &membership_, &planner_, &health_, &fleet_socket_,
+             MakeFleetPorts(), &log_, &metrics_, clock_, random_),
+      crash_guard_(
           &quarantine_, &prober_, &directory_,
           [this](const EndpointId& id) {
             return start_limiter_.IsBackingOff(id);
@@ -93,25 +94,27 @@
       backoff_notifier_([this](std::function<void()> run) {
         boost::asio::post(io_, std::move(run));
       }),
-      answers_(&directory_, &health_, &endpoint_updater_, &start_limiter_,
-               &backoff_notifier_, [this] { fleet_.SendHeartbeatSoon(); }),
+      response_handler_(&directory_, &health_, &endpoint_updater_,
+                        &start_limiter_, &backoff_notifier_,
+                        [this] { fleet_.SendHeartbeatSoon(); }),
       services_(MakeServices()),
-      source_(IsSeed(settings_), MakeReadingPorts(), MakeSourcePorts(),
-              &directory_, &log_, clock_, random_),
-      news_(
-          &routing_, &directory_, &endpoint_updater_, &start_limiter_, &source_,
-          [this] { AcceptCallers(); }, &log_, &metrics_),
-      feed_(platform.make_feed(&io_, settings_, &news_, &loop_monitor_)),
-      copies_(
-          Self(settings_).cpu_share, &hosts_,
+      store_sync_(IsSeed(settings_), MakePollSchedulePorts(),
+                  MakeStoreSyncPorts(), &directory_, &log_, clock_, random_),
+      store_updates_(
+          &routing_, &directory_, &endpoint_updater_, &start_limiter_,
+          &store_sync_, [this] { AcceptCallers(); }, &log_, &metrics_),
+      feed_(
+          platform.make_feed(&io_, settings_, &store_updates_, &loop_monitor_)),
+      snapshots_(
+          Self(settings_).cpu_share, &membership_,
           [this](StoreRevision since) { return feed_->Export(since); },
-          [this] { return source_.KnownUpTo(); }, &metrics_, clock_),
+          [this] { return store_sync_.KnownUpTo(); }, &metrics_, clock_),
       callers_(&io_, settings_.callers_address,
                MaxSessions(settings_.descriptors), MakeSessionContext()),
       readiness_(&io_, settings_.readiness_address,
-                 [this](const HttpRequest& r) { return AnswerReadiness(r); }),
+                 [this](const HttpRequest& r) { return HandleReadiness(r); }),
       operations_(&io_, settings_.operations_address,
-                  [this](const HttpRequest& r) { return AnswerOperations(r); }),
+                  [this](const HttpRequest& r) { return HandleOperations(r); }),
       signals_(io_, SIGTERM, SIGINT, SIGHUP),
       tick_timer_(io_) {
   RegisterGauges(MakeParts(), &metrics_);
@@ -125,7 +128,7 @@
               {"data_centre", settings_.data_centre.value},
               {"callers_address", settings_.callers_address}},
              LogRateLimit::kExempt);
-  started_ = clock_();
+  started_at_ = clock_();
   fleet_.Start();
   readiness_.Start();
   operations_.Start();
@@ -145,22 +148,22 @@
   services.loads = &loads_;
   services.health = &health_;
   services.connections = &connections_;
-  services.crashes = &crashes_;
+  services.crashes = &crash_guard_;
   services.placer = &placer_;
   services.policy = &settings_.placement;
   services.budgets = &budgets_;
   services.start_limiter = &start_limiter_;
-  services.response_handler = &answers_;
+  services.response_handler = &response_handler_;
   services.backoff_notifier = &backoff_notifier_;
   services.queue = &queue_;
   services.orders = orders_.get();
   services.log = &log_;
   services.metrics = &metrics_;
   services.stops_at = [this]() -> std::optional<TimePoint> {
-    if (!draining_ || clock_() - drain_began_ < kTakesStreams) {
+    if (!draining_ || clock_() - drain_started_at_ < kStreamAcceptTime) {
       return std::nullopt;
     }
-    return drain_began_ + settings_.stop_limit - 2 * kStopMargin;
+    return drain_started_at_ + settings_.stop_limit - 2 * kStopMargin;
   };
   services.places = fleet_.Placements();
   services.on_endpoint_fault = [this] { fleet_.SendHeartbeatSoon(); };
@@ -192,11 +195,11 @@
 }
 
 int GatewayNode::KnownHosts() const {
-  return std::max({kLeastHosts, static_cast<int>(settings_.seed_peers.size()),
-                   hosts_.AliveHosts()});
+  return std::max({kMinHosts, static_cast<int>(settings_.seed_peers.size()),
+                   membership_.AliveHosts()});
 }
 
-HttpReply GatewayNode::AnswerReadiness(const HttpRequest& request) {
+HttpReply GatewayNode::HandleReadiness(const HttpRequest& request) {
   if (request.target() != names_.readiness_path) {
     return MakeReply(http_status::kNotFound, "text/plain", "no such page\n");
   }
@@ -205,7 +208,7 @@
                                "not ready\n");
 }
 
-SimpleHttpReply GatewayNode::AnswerOperations(const HttpRequest& request) {
+SimpleHttpReply GatewayNode::HandleOperations(const HttpRequest& request) {
   if (request.target() == "/metrics") {
     return MakeReply(http_status::kOk, "text/plain; version=0.0.4",
                      metrics_.Text());
@@ -224,7 +227,7 @@
   }
   const std::string_view target = View(request.target());
   if (SnapshotServer::Serves(target)) {
-    return copies_.Answer(target);
+    return snapshots_.Answer(target);
   }
   return MakeReply(http_status::kNotFound, "text/plain", "no such page\n");
 }
@@ -232,21 +235,22 @@
 GatewayParts GatewayNode::MakeParts() {
   return GatewayParts{&routing_,     &directory_,        &loads_,      &health_,
                       &connections_, &endpoint_updater_, &quarantine_, &queue_,
-                      &hosts_,       &start_limiter_,    &planner_,    &fleet_,
-                      &source_,      &copies_,           &callers_,    &log_};
+                      &membership_,  &start_limiter_,    &planner_,    &fleet_,
+                      &store_sync_,  &snapshots_,        &callers_,    &log_};
 }
 
-PollSchedulePorts GatewayNode::MakeReadingPorts() {
+PollSchedulePorts GatewayNode::MakePollSchedulePorts() {
   PollSchedulePorts ports;
-  ports.polling_hosts = [this] { return hosts_.PollingHosts(); };
+  ports.polling_hosts = [this] { return membership_.PollingHosts(); };
   ports.snapshot_available = [this] {
-    return hosts_.FindMoreUpToDate(RoutingVersion{}, source_.KnownUpTo())
+    return membership_
+        .FindMoreUpToDate(RoutingVersion{}, store_sync_.KnownUpTo())
         .has_value();
   };
   return ports;
 }
 
-StoreSyncStatePorts GatewayNode::MakeSourcePorts() {
+StoreSyncStatePorts GatewayNode::MakeStoreSyncPorts() {
   StoreSyncStatePorts ports;
   ports.set_poll_mode = [this](PollMode reading) {
     feed_->SetPollMode(reading);
@@ -259,16 +263,16 @@
 
 FleetMemberPorts GatewayNode::MakeFleetPorts() {
   FleetMemberPorts ports;
-  ports.describe = [this](Heartbeat* word) {
+  ports.describe = [this](Heartbeat* heartbeat) {
     const auto table = routing_.InForce();
-    word->routing = table == nullptr ? RoutingVersion{} : table->Version();
-    source_.Describe(word);
-    word->crash_digest = quarantine_.SharedDigest();
-    word->peak_hosts = hosts_.Size().PeakObserved();
+    heartbeat->routing = table == nullptr ? RoutingVersion{} : table->Version();
+    store_sync_.Describe(heartbeat);
+    heartbeat->crash_digest = quarantine_.SharedDigest();
+    heartbeat->peak_hosts = membership_.Size().PeakObserved();
   };
   ports.on_crashes = [this](const std::vector<CrashReport>& reports,
                             std::vector<CrashReport>* missing) {
-    return crashes_.OnReports(reports, missing);
+    return crash_guard_.OnReports(reports, missing);
   };
   ports.shared_crashes = [this] { return quarantine_.SharedReports(); };
   ports.limits = [this] { return start_limiter_.Reports(); };
@@ -280,10 +284,10 @@
   };
   ports.is_parsing_routing = [this] { return feed_->IsParsingRouting(); };
   ports.on_peer_freshness = [this](Millis age) {
-    source_.OnPeerFreshness(age);
+    store_sync_.OnPeerFreshness(age);
   };
-  ports.on_poll_rank = [this](std::optional<int> turn) {
-    source_.SetPollRank(turn);
+  ports.on_poll_rank = [this](std::optional<int> rank) {
+    store_sync_.SetPollRank(rank);
   };
   ports.on_published = [this](const std::string& changes,
                               bool store_data_fresh) {
@@ -291,7 +295,7 @@
     const auto at = feed_->Import(changes, store_data_fresh);
     endpoint_updater_.EndPeerUpdate();
     if (at.has_value()) {
-      source_.OnImported(*at);
+      store_sync_.OnImported(*at);
     }
     return at.has_value();
   };
@@ -309,39 +313,39 @@
 
 void GatewayNode::OnSignal(int signal) {
   if (signal == SIGHUP) {
-    Apply(reread_settings_(), "signal");
+    ApplySettings(reread_settings_(), "signal");
     return;
   }
   BeginDrain();
 }
 
 void GatewayNode::RereadSettings() {
-  reread_ = clock_();
-  const std::optional<GatewaySettings> fresh = reread_settings_();
-  const bool changed =
-      fresh.has_value() && (fresh->seed_peers != settings_.seed_peers ||
-                            fresh->stop_limit != settings_.stop_limit);
+  last_reread_at_ = clock_();
+  const std::optional<GatewaySettings> new_settings = reread_settings_();
+  const bool changed = new_settings.has_value() &&
+                       (new_settings->seed_peers != settings_.seed_peers ||
+                        new_settings->stop_limit != settings_.stop_limit);
   if (changed) {
-    Apply(fresh, "file");
+    ApplySettings(new_settings, "file");
   }
 }
 
-void GatewayNode::Apply(const std::optional<GatewaySettings>& fresh,
-                        const char* cause) {
-  if (!fresh.has_value()) {
+void GatewayNode::ApplySettings(
+    const std::optional<GatewaySettings>& new_settings, const char* cause) {
+  if (!new_settings.has_value()) {
     log_.Write("reload", {{"cause", cause}, {"taken", false}},
                LogRateLimit::kExempt);
     return;
   }
   // Addresses are those of this incarnation of the process; a change of them
   // needs a restart, and the platform restarts where it moves a process.
-  settings_.seed_peers = fresh->seed_peers;
-  settings_.stop_limit = fresh->stop_limit;
-  hosts_.SetSeeds(Addresses(fresh->seed_peers));
+  settings_.seed_peers = new_settings->seed_peers;
+  settings_.stop_limit = new_settings->stop_limit;
+  membership_.SetSeeds(Addresses(new_settings->seed_peers));
   log_.Write("reload",
              {{"cause", cause},
               {"taken", true},
-              {"seed_peers", fresh->seed_peers.size()}},
+              {"seed_peers", new_settings->seed_peers.size()}},
              LogRateLimit::kExempt);
 }
 
@@ -350,7 +354,7 @@
     return;
   }
   draining_ = true;
-  drain_began_ = clock_();
+  drain_started_at_ = clock_();
   log_.Write("drain", {{"requests", callers_.BusyCount()}},
              LogRateLimit::kExempt);
   fleet_.Leave();
@@ -359,8 +363,8 @@
 void GatewayNode::AcceptCallers() {
   // Connections wait in the listening socket for the moment that the first
   // configuration takes; without one for longer they are told so.
-  const bool waited = clock_() - started_ >= kFirstConfiguration;
-  if (!accepting_ && (IsReady() || waited)) {
+  const bool has_waited = clock_() - started_at_ >= kConfigurationWait;
+  if (!accepting_ && (IsReady() || has_waited)) {
     accepting_ = true;
     callers_.Start();
   }
@@ -370,15 +374,15 @@
   const TimePoint now = clock_();
   AcceptCallers();
   endpoint_updater_.RemoveExpired();
-  hosts_.RecordFleetSize();
+  membership_.RecordFleetSize();
   start_limiter_.Tick();
-  source_.Tick();
-  if (now - swept_ >= kSweepInterval) {
-    swept_ = now;
+  store_sync_.Tick();
+  if (now - last_sweep_at_ >= kSweepInterval) {
+    last_sweep_at_ = now;
     connections_.Sweep();
     quarantine_.Sweep();
   }
-  if (now - reread_ >= kRereadInterval) {
+  if (now - last_reread_at_ >= kSettingsPollInterval) {
     RereadSettings();
   }
   if (draining_) {
@@ -393,13 +397,13 @@
 }
 
 void GatewayNode::ContinueDrain() {
-  const auto passed = clock_() - drain_began_;
-  if (passed < kBalancerNotices) {
+  const auto elapsed = clock_() - drain_started_at_;
+  if (elapsed < kBalancerNoticeTime) {
     return;
   }
   callers_.CloseIdle();
-  const bool late = passed + kStopMargin >= settings_.stop_limit;
-  if (late || callers_.BusyCount() == 0) {
+  const bool is_timed_out = elapsed + kStopMargin >= settings_.stop_limit;
+  if (is_timed_out || callers_.BusyCount() == 0) {
     io_.stop();
   }
 }
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -1,4 +1,4 @@
-// The process of an entry host that forwards straight to endpoints.
+// The process of an entry host that forwards requests directly to endpoints.
 
 #ifndef HARECRANK_SRC_GATEWAY_GATEWAY_NODE_H_
 #define HARECRANK_SRC_GATEWAY_GATEWAY_NODE_H_
@@ -29,30 +29,30 @@
 
 namespace harecrank {
 
-// Makes the feed that tells `sink` what the platform publishes.
+// Creates the feed that passes the store's data to `sink`.
 using FeedFactory = std::function<std::unique_ptr<DirectoryFeed>(
     boost::asio::io_context* io, const GatewaySettings& settings,
-    DirectorySink* sink, EventLoopMonitor* holds)>;
+    DirectorySink* sink, EventLoopMonitor* monitor)>;
 
-// Makes what sends orders to engines.
+// Creates the client that reserves engine memory.
 using OrdersFactory =
     std::function<std::unique_ptr<MemoryOrders>(boost::asio::io_context* io)>;
 
-// What a gateway needs to know of the platform that it serves on.
+// The parts of the gateway that depend on the platform.
 struct PlatformAdapters {
   ProtocolNames names;
   FeedFactory make_feed;
   OrdersFactory make_orders;
 };
 
-// Returns the settings as they are now, or nothing if they cannot be used.
+// Returns the current settings, or nothing if they are invalid.
 using SettingsSource = std::function<std::optional<GatewaySettings>()>;
 
-// One thread runs all of it: a host's share of a core is less than one, and
-// docs/PLATFORM.md has the figures.
+// Owns and connects all components of a gateway. Everything runs on one thread,
+// since a host has less than one core; docs/PLATFORM.md has the figures.
 class GatewayNode {
  public:
-  // Throws boost::system::system_error if an address cannot be had.
+  // Throws boost::system::system_error if an address cannot be bound.
   // `reread_settings` is called when the settings may have changed.
   GatewayNode(GatewaySettings settings, SettingsSource reread_settings,
               const PlatformAdapters& platform, MonotonicClock clock,
@@ -61,26 +61,28 @@
   GatewayNode(const GatewayNode&) = delete;
   GatewayNode& operator=(const GatewayNode&) = delete;
 
-  // Runs until a stop signal has been obeyed.
+  // Runs until the gateway has drained after a stop signal.
   void Run();
 
-  // Does what a stop signal does. Thread-safe.
+  // Starts to drain, as a stop signal does. Thread-safe.
   void RequestStop();
 
  private:
   GatewayServices MakeServices();
   SessionContext MakeSessionContext();
-  HttpReply AnswerReadiness(const HttpRequest& request);
-  SimpleHttpReply AnswerOperations(const HttpRequest& request);
+  HttpReply HandleReadiness(const HttpRequest& request);
+  SimpleHttpReply HandleOperations(const HttpRequest& request);
   FleetMemberPorts MakeFleetPorts();
-  PollSchedulePorts MakeReadingPorts();
-  StoreSyncStatePorts MakeSourcePorts();
+  PollSchedulePorts MakePollSchedulePorts();
+  StoreSyncStatePorts MakeStoreSyncPorts();
   GatewayParts MakeParts();
   void AwaitSignal();
   void OnSignal(int signal);
   void RereadSettings();
-  // Takes over what may change while the process runs.
-  void Apply(const std::optional<GatewaySettings>& fresh, const char* cause);
+  // Applies the settings that may change at run time. `cause` is what triggered
+  // the reload, for the log.
+  void ApplySettings(const std::optional<GatewaySettings>& new_settings,
+                     const char* cause);
   void BeginDrain();
   void AcceptCallers();
   void Tick();
@@ -112,30 +114,30 @@
   RepeatBudgets budgets_;
   DispatchQueue queue_;
   std::unique_ptr<MemoryOrders> orders_;
-  Membership hosts_;
+  Membership membership_;
   StartLimiter start_limiter_;
   Planner planner_;
   FleetSocket fleet_socket_;
   FleetMember fleet_;
-  CrashGuard crashes_;
+  CrashGuard crash_guard_;
   BackoffNotifier backoff_notifier_;
-  EndpointResponseHandler answers_;
+  EndpointResponseHandler response_handler_;
   GatewayServices services_;
-  StoreSyncState source_;
-  StoreUpdateHandler news_;
+  StoreSyncState store_sync_;
+  StoreUpdateHandler store_updates_;
   std::unique_ptr<DirectoryFeed> feed_;
-  SnapshotServer copies_;
+  SnapshotServer snapshots_;
   CallerListener callers_;
   SimpleHttpServer readiness_;
   SimpleHttpServer operations_;
   boost::asio::signal_set signals_;
   Timer tick_timer_;
-  TimePoint started_{};
+  TimePoint started_at_{};
   bool accepting_ = false;
   bool draining_ = false;
-  TimePoint drain_began_{};
-  TimePoint swept_{};
-  TimePoint reread_{};
+  TimePoint drain_started_at_{};
+  TimePoint last_sweep_at_{};
+  TimePoint last_reread_at_{};
 };
 
 }  // namespace harecrank
--- a/src/gateway/gateway_services.cc
+++ b/src/gateway/gateway_services.cc
@@ -12,20 +12,22 @@
   return true;
 }
 
-RepeatBudgets::RepeatBudgets(RepeatLimit bound, std::function<int()> hosts,
+RepeatBudgets::RepeatBudgets(RepeatLimit limit, std::function<int()> host_count,
                              MonotonicClock clock)
-    : bound_(bound), hosts_(std::move(hosts)), clock_(std::move(clock)) {}
+    : limit_(limit),
+      host_count_(std::move(host_count)),
+      clock_(std::move(clock)) {}
 
 void RepeatBudgets::OnFirstAttempt(const ServiceName& service) {
-  Of(service)->OnFirstAttempt();
+  BudgetOf(service)->OnFirstAttempt();
 }
 
 bool RepeatBudgets::TryRepeat(const ServiceName& service) {
-  return Of(service)->TryRepeat(hosts_());
+  return BudgetOf(service)->TryRepeat(host_count_());
 }
 
-RepeatBudget* RepeatBudgets::Of(const ServiceName& service) {
-  return &budgets_.try_emplace(service, bound_, clock_).first->second;
+RepeatBudget* RepeatBudgets::BudgetOf(const ServiceName& service) {
+  return &budgets_.try_emplace(service, limit_, clock_).first->second;
 }
 
 }  // namespace harecrank
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -1,4 +1,4 @@
-// What the parts of one gateway share.
+// Components that the requests of a gateway share.
 
 #ifndef HARECRANK_SRC_GATEWAY_GATEWAY_SERVICES_H_
 #define HARECRANK_SRC_GATEWAY_GATEWAY_SERVICES_H_
@@ -29,39 +29,40 @@
 
 namespace harecrank {
 
-// The routing table in force. Never goes back within one incarnation of a
-// process.
+// The routing table in force. Its version only increases during the lifetime of
+// the process.
 class RoutingState {
  public:
-  // Puts `table` in force if it is newer. Returns whether it is.
+  // Puts `table` in force if its version is higher. Returns whether it is.
   bool Offer(std::shared_ptr<const RoutingTable> table);
 
-  // Returns the table in force, or null before the first.
+  // Returns the table in force; null before the first one.
   std::shared_ptr<const RoutingTable> InForce() const { return table_; }
 
  private:
   std::shared_ptr<const RoutingTable> table_;
 };
 
-// The budgets of all services.
+// The retry budgets of all services.
 class RepeatBudgets {
  public:
-  RepeatBudgets(RepeatLimit bound, std::function<int()> hosts,
+  RepeatBudgets(RepeatLimit limit, std::function<int()> host_count,
                 MonotonicClock clock);
 
   void OnFirstAttempt(const ServiceName& service);
   bool TryRepeat(const ServiceName& service);
 
  private:
-  RepeatBudget* Of(const ServiceName& service);
+  RepeatBudget* BudgetOf(const ServiceName& service);
 
-  RepeatLimit bound_;
-  std::function<int()> hosts_;
+  RepeatLimit limit_;
+  std::function<int()> host_count_;
   MonotonicClock clock_;
   std::map<ServiceName, RepeatBudget> budgets_;
 };
 
-// References to what one process has once. All outlive every request.
+// References to the components of which a process has one each. All outlive
+// every request.
 struct GatewayServices {
   boost::asio::io_context* io = nullptr;
   const ProtocolNames* names = nullptr;
@@ -81,13 +82,13 @@
   MemoryOrders* orders = nullptr;
   EventLog* log = nullptr;
   Metrics* metrics = nullptr;
-  // Returns until when requests that begin now must have ended, if this host is
-  // about to stop.
+  // Returns the deadline for requests that start now, if this host is about to
+  // stop.
   std::function<std::optional<TimePoint>()> stops_at;
-  // Asks the planner for places.
+  // Queries the planner for placements.
   PlacementClient* places = nullptr;
-  // Called when an endpoint was found at fault: the planner should hear of it
-  // soon.
+  // Called when an endpoint was found to be at fault, so that the planner is
+  // informed soon.
   std::function<void()> on_endpoint_fault;
   MonotonicClock clock;
   RandomSource random;
--- a/src/gateway/memory_orders.h
+++ b/src/gateway/memory_orders.h
@@ -1,4 +1,4 @@
-// The port through which a gateway sets engine memory aside.
+// Interface through which a gateway reserves engine memory.
 
 #ifndef HARECRANK_SRC_GATEWAY_MEMORY_ORDERS_H_
 #define HARECRANK_SRC_GATEWAY_MEMORY_ORDERS_H_
@@ -12,19 +12,19 @@
 
 namespace harecrank {
 
-// Names memory that is set aside at one engine.
+// Identifies a reservation of memory at one engine.
 using MemoryTicket = StrongString<struct MemoryTicketTag>;
 
-// What came of an order.
+// Result of an order.
 struct OrderResult {
-  // The engine has carried it out, or it held already.
+  // The engine has executed the order, or its effect was in place already.
   bool done = false;
-  // What the engine answered; unset if no answer came in time.
+  // The engine's response; unset if none came within the time-out.
   std::optional<EndpointResponse> answer;
 };
 
-// Sends orders. An order without an answer may have been taken, or may be taken
-// seconds later; whoever sends one must be able to live with either.
+// Sends orders. An order without a response may have been executed, or may be
+// executed seconds later; callers must handle both cases.
 class MemoryOrders {
  public:
   using OnResult = std::function<void(const OrderResult& result)>;
@@ -34,13 +34,13 @@
   MemoryOrders& operator=(const MemoryOrders&) = delete;
   virtual ~MemoryOrders() = default;
 
-  // Sets `amount` aside at the engine at `address` for `hold` from now, or
-  // renews what stands under `ticket`. Calls `on_result` once.
+  // Reserves `amount` at the engine at `address` for `duration` from now, or
+  // renews the reservation of `ticket`. Calls `on_result` once.
   virtual void Reserve(const std::string& address, const MemoryTicket& ticket,
-                       Tokens amount, Millis hold, OnResult on_result) = 0;
+                       Tokens amount, Millis duration, OnResult on_result) = 0;
 
-  // Ends what stands under `ticket`. Memory that this does not reach ends by
-  // itself when its time is over. Calls `on_result` once.
+  // Releases the reservation of `ticket`. If the order is lost, the reservation
+  // expires at the end of its time. Calls `on_result` once.
   virtual void Release(const std::string& address, const MemoryTicket& ticket,
                        OnResult on_result) = 0;
 };
--- a/src/gateway/settings_views.cc
+++ b/src/gateway/settings_views.cc
@@ -7,14 +7,14 @@
 
 // Descriptors that are not callers': files, listening sockets, endpoints.
 constexpr std::size_t kReservedDescriptors = 1200;
-constexpr std::size_t kLeastSessions = 256;
+constexpr std::size_t kMinSessions = 256;
 
 }  // namespace
 
 std::size_t MaxSessions(std::size_t descriptors) {
-  return descriptors > kReservedDescriptors + kLeastSessions
+  return descriptors > kReservedDescriptors + kMinSessions
              ? descriptors - kReservedDescriptors
-             : kLeastSessions;
+             : kMinSessions;
 }
 
 KnownHost Self(const GatewaySettings& settings) {
--- a/src/gateway/settings_views.h
+++ b/src/gateway/settings_views.h
@@ -1,4 +1,4 @@
-// What a gateway works out from its settings.
+// Values that a gateway derives from its settings.
 
 #ifndef HARECRANK_SRC_GATEWAY_SETTINGS_VIEWS_H_
 #define HARECRANK_SRC_GATEWAY_SETTINGS_VIEWS_H_
@@ -11,13 +11,14 @@
 
 namespace harecrank {
 
-// Returns how many callers' connections fit into `descriptors`.
+// Returns the maximum number of callers' connections with a limit of
+// `descriptors` file descriptors.
 std::size_t MaxSessions(std::size_t descriptors);
 
-// Returns this host as others know it.
+// Returns this host's address and CPU share as other hosts see them.
 KnownHost Self(const GatewaySettings& settings);
 
-// Returns whether other hosts turn to this one first.
+// Returns whether other hosts contact this one first.
 bool IsSeed(const GatewaySettings& settings);
 
 std::vector<HostAddress> Addresses(const std::vector<std::string>& texts);
