--- a/src/gateway/backoff_notifier.cc
+++ b/src/gateway/backoff_notifier.cc
@@ -8,32 +8,32 @@
     std::function<void(std::function<void()>)> run_soon)
     : run_soon_(std::move(run_soon)) {}
 
-BackoffNotifier::Id BackoffNotifier::Add(Look look) {
-  looks_.emplace(++last_, std::move(look));
-  return last_;
+BackoffNotifier::Id BackoffNotifier::Add(Callback callback) {
+  callbacks_.emplace(++last_id_, std::move(callback));
+  return last_id_;
 }
 
 void BackoffNotifier::NotifyBackoff() {
-  if (looks_soon_ || looks_.empty()) {
+  if (notify_scheduled_ || callbacks_.empty()) {
     return;
   }
-  looks_soon_ = true;
+  notify_scheduled_ = true;
   run_soon_([this] {
-    looks_soon_ = false;
-    LookAll();
+    notify_scheduled_ = false;
+    NotifyAll();
   });
 }
 
-void BackoffNotifier::LookAll() {
+void BackoffNotifier::NotifyAll() {
   // Those that are added meanwhile have seen this rest.
-  const Id last = last_;
-  for (auto next = looks_.begin();
-       next != looks_.end() && next->first <= last;) {
+  const Id last_id = last_id_;
+  for (auto next = callbacks_.begin();
+       next != callbacks_.end() && next->first <= last_id;) {
     const Id id = next->first;
     // A copy, since the look may remove itself.
-    const Look look = next->second;
-    look();
-    next = looks_.upper_bound(id);
+    const Callback callback = next->second;
+    callback();
+    next = callbacks_.upper_bound(id);
   }
 }
 
--- a/src/gateway/backoff_notifier.h
+++ b/src/gateway/backoff_notifier.h
@@ -1,8 +1,9 @@
-// Tells requests that wait for an endpoint that one more wants rest.
+// Notifies waiting requests when an endpoint asks for back-off.
 //
-// Load: all endpoints of a service are overloaded and turn requests away, one
-// after the other. Whoever waits for a place has to be told as soon as the last
-// of them rests for longer than waiting is of use, and not when it looks next.
+// When all endpoints of a service are overloaded, they reject requests one
+// after the other. A waiting request has to be rejected as soon as the last of
+// them backs off for longer than the request can usefully wait, and not only
+// when it next checks by itself.
 
 #ifndef HARECRANK_SRC_GATEWAY_BACKOFF_NOTIFIER_H_
 #define HARECRANK_SRC_GATEWAY_BACKOFF_NOTIFIER_H_
@@ -16,26 +17,28 @@
 // Not thread-safe.
 class BackoffNotifier {
  public:
-  using Look = std::function<void()>;
+  using Callback = std::function<void()>;
   using Id = std::uint64_t;
 
-  // `run_soon` runs what it is given once, later, and never from within.
+  // `run_soon` must run its argument once, later and not from within the call.
   explicit BackoffNotifier(std::function<void(std::function<void()>)> run_soon);
 
-  // `look` is called after each rest until Remove; it may add and remove.
-  Id Add(Look look);
-  void Remove(Id id) { looks_.erase(id); }
+  // Registers `callback`, which is called after each back-off until Remove. It
+  // may call Add and Remove.
+  Id Add(Callback callback);
+  void Remove(Id id) { callbacks_.erase(id); }
 
-  // An endpoint has asked for rest. What is told together is looked at once.
+  // To be called when an endpoint has asked for back-off. Back-offs before the
+  // callbacks run are notified together.
   void NotifyBackoff();
 
  private:
-  void LookAll();
+  void NotifyAll();
 
   std::function<void(std::function<void()>)> run_soon_;
-  std::map<Id, Look> looks_;
-  Id last_ = 0;
-  bool looks_soon_ = false;
+  std::map<Id, Callback> callbacks_;
+  Id last_id_ = 0;
+  bool notify_scheduled_ = false;
 };
 
 }  // namespace harecrank
--- a/src/gateway/event_loop_monitor.cc
+++ b/src/gateway/event_loop_monitor.cc
@@ -9,41 +9,43 @@
                                    MonotonicClock clock)
     : log_(log), metrics_(metrics), clock_(std::move(clock)) {}
 
-EventLoopMonitor::Span::Span(EventLoopMonitor* holds, const char* what)
-    : loop_monitor_(holds), what_(what), began_(holds->clock_()) {}
+EventLoopMonitor::Span::Span(EventLoopMonitor* monitor, const char* what)
+    : monitor_(monitor), what_(what), started_at_(monitor->clock_()) {}
 
-EventLoopMonitor::Span::~Span() { loop_monitor_->Note(what_, Elapsed()); }
+EventLoopMonitor::Span::~Span() { monitor_->Record(what_, Elapsed()); }
 
 std::chrono::nanoseconds EventLoopMonitor::Span::Elapsed() const {
-  return loop_monitor_->clock_() - began_;
+  return monitor_->clock_() - started_at_;
 }
 
-void EventLoopMonitor::Note(const char* what, std::chrono::nanoseconds held) {
-  Work& work = works_[what];
-  if (work.held == nullptr) {
-    work.held = metrics_->GetHistogram("harecrank_gateway_loop_held_seconds",
-                                       "what=\"" + std::string(what) + "\"");
+void EventLoopMonitor::Record(const char* what,
+                              std::chrono::nanoseconds duration) {
+  Task& task = tasks_[what];
+  if (task.histogram == nullptr) {
+    task.histogram =
+        metrics_->GetHistogram("harecrank_gateway_loop_held_seconds",
+                               "what=\"" + std::string(what) + "\"");
   }
-  work.held->Record(held);
-  if (held < kToldFrom) {
+  task.histogram->Record(duration);
+  if (duration < kMinLoggedTime) {
     return;
   }
-  ++work.long_holds;
-  work.longest = std::max(work.longest, held);
+  ++task.long_runs;
+  task.longest = std::max(task.longest, duration);
   const TimePoint now = clock_();
-  if (work.was_told && now - work.told < kToldInterval) {
+  if (task.has_logged && now - task.last_logged_at < kLogInterval) {
     return;
   }
   log_->Write(
       "loop_held",
       {{"what", what},
-       {"longest_ms", std::chrono::duration_cast<Millis>(work.longest).count()},
-       {"holds", work.long_holds}},
+       {"longest_ms", std::chrono::duration_cast<Millis>(task.longest).count()},
+       {"holds", task.long_runs}},
       LogRateLimit::kExempt);
-  work.told = now;
-  work.was_told = true;
-  work.long_holds = 0;
-  work.longest = std::chrono::nanoseconds(0);
+  task.last_logged_at = now;
+  task.has_logged = true;
+  task.long_runs = 0;
+  task.longest = std::chrono::nanoseconds(0);
 }
 
 }  // namespace harecrank
--- a/src/gateway/event_loop_monitor.h
+++ b/src/gateway/event_loop_monitor.h
@@ -1,4 +1,5 @@
-// How long single pieces of work hold the thread that carries all streams.
+// Measures how long individual tasks occupy the event loop, whose thread serves
+// all streams.
 
 #ifndef HARECRANK_SRC_GATEWAY_EVENT_LOOP_MONITOR_H_
 #define HARECRANK_SRC_GATEWAY_EVENT_LOOP_MONITOR_H_
@@ -19,11 +20,11 @@
   // `log` and `metrics` must outlive this.
   EventLoopMonitor(EventLog* log, Metrics* metrics, MonotonicClock clock);
 
-  // Measures one piece of work, from its construction to its end.
+  // Measures one task, from construction to destruction.
   class Span {
    public:
-    // `holds` must outlive this; `what` is one of a few fixed words.
-    Span(EventLoopMonitor* holds, const char* what);
+    // `monitor` must outlive this; `what` is one of a small fixed set of names.
+    Span(EventLoopMonitor* monitor, const char* what);
     ~Span();
     Span(const Span&) = delete;
     Span& operator=(const Span&) = delete;
@@ -31,34 +32,35 @@
     std::chrono::nanoseconds Elapsed() const;
 
    private:
-    EventLoopMonitor* loop_monitor_;
+    EventLoopMonitor* monitor_;
     const char* what_;
-    TimePoint began_;
+    TimePoint started_at_;
   };
 
-  // Notes that `what` has held the thread for `held`.
-  void Note(const char* what, std::chrono::nanoseconds held);
+  // Records that `what` has occupied the event loop for `duration`.
+  void Record(const char* what, std::chrono::nanoseconds duration);
 
-  // From here on a hold is worth a line: a fraction of the tightest pause
-  // between two events for which callers still take a stream as in time.
-  static constexpr Millis kToldFrom{25};
-  // The pause between two lines about the same work.
-  static constexpr Millis kToldInterval{1000};
+  // Tasks that take at least this long are logged: a fraction of the shortest
+  // gap between two events at which callers still count a stream as within its
+  // target.
+  static constexpr Millis kMinLoggedTime{25};
+  // Minimum interval between two log lines about the same task.
+  static constexpr Millis kLogInterval{1000};
 
  private:
-  struct Work {
-    DurationHistogram* held = nullptr;
-    TimePoint told{};
-    bool was_told = false;
-    // Since the last line.
-    int long_holds = 0;
+  struct Task {
+    DurationHistogram* histogram = nullptr;
+    TimePoint last_logged_at{};
+    bool has_logged = false;
+    // Values since the last log line.
+    int long_runs = 0;
     std::chrono::nanoseconds longest{0};
   };
 
   EventLog* log_;
   Metrics* metrics_;
   MonotonicClock clock_;
-  std::map<std::string, Work> works_;
+  std::map<std::string, Task> tasks_;
 };
 
 }  // namespace harecrank
--- a/src/gateway/event_loop_monitor_test.cc
+++ b/src/gateway/event_loop_monitor_test.cc
@@ -10,13 +10,13 @@
   const MonotonicClock clock = [&now] { return now; };
   EventLog log("n", clock);
   Metrics metrics;
-  EventLoopMonitor holds(&log, &metrics, clock);
+  EventLoopMonitor monitor(&log, &metrics, clock);
   {
-    const EventLoopMonitor::Span span(&holds, "listing");
+    const EventLoopMonitor::Span span(&monitor, "listing");
     now += Millis(40);
     CHECK(span.Elapsed() == Millis(40));
   }
-  holds.Note("export", Millis(1));
+  monitor.Record("export", Millis(1));
   const std::string text = metrics.Text();
   CHECK(text.find("harecrank_gateway_loop_held_seconds_count{what="
                   "\"listing\"} 1") != std::string::npos);
--- a/src/gateway/fleet_socket.cc
+++ b/src/gateway/fleet_socket.cc
@@ -32,13 +32,13 @@
 
 void FleetSocket::Start(OnMessage on_message) {
   on_message_ = std::move(on_message);
-  received_.resize(kMostDatagram);
+  receive_buffer_.resize(kMaxDatagramBytes);
   Receive();
 }
 
 void FleetSocket::Receive() {
   socket_.async_receive_from(
-      asio::buffer(received_), sender_,
+      asio::buffer(receive_buffer_), sender_,
       [this](boost::system::error_code error, std::size_t size) {
         if (error == asio::error::operation_aborted) {
           return;
@@ -51,7 +51,7 @@
 }
 
 void FleetSocket::OnDatagram(std::size_t size) {
-  const auto message = DecodeFleetMessage(received_.substr(0, size));
+  const auto message = DecodeFleetMessage(receive_buffer_.substr(0, size));
   if (!message.has_value()) {
     metrics_->GetCounter("harecrank_gateway_bad_fleet_messages_total")->Add();
     return;
--- a/src/gateway/fleet_socket.h
+++ b/src/gateway/fleet_socket.h
@@ -14,23 +14,23 @@
 
 namespace harecrank {
 
-// Sends and receives fleet messages. What is lost is not sent again here: each
-// kind of message has its own way to live with that. Not thread-safe.
+// Sends and receives fleet messages. Lost messages are not sent again here;
+// each type of message has its own way to recover from a loss. Not thread-safe.
 class FleetSocket {
  public:
   using OnMessage = std::function<void(const FleetMessage& message)>;
 
-  // Throws boost::system::system_error if `address` cannot be had. All hosts
+  // Throws boost::system::system_error if `address` cannot be bound. All hosts
   // use the same port.
   FleetSocket(boost::asio::io_context* io, const std::string& address,
               Metrics* metrics);
 
-  // Calls `on_message` for each message until this ends.
+  // Calls `on_message` for each message for the lifetime of this object.
   void Start(OnMessage on_message);
 
   void Send(const HostAddress& to, const FleetMessage& message);
 
-  // Sends the same to each of `hosts`, encoded once.
+  // Sends `message` to each of `hosts`; encodes it once.
   void SendToAll(const std::vector<HostAddress>& hosts,
                  const FleetMessage& message);
 
@@ -39,14 +39,14 @@
   void Receive();
   void OnDatagram(std::size_t size);
 
-  // The largest datagram of UDP over IPv4.
-  static constexpr std::size_t kMostDatagram = 65507;
+  // Largest datagram of UDP over IPv4, in bytes.
+  static constexpr std::size_t kMaxDatagramBytes = 65507;
 
   boost::asio::ip::udp::socket socket_;
   std::uint16_t port_;
   Metrics* metrics_;
   OnMessage on_message_;
-  std::string received_;
+  std::string receive_buffer_;
   boost::asio::ip::udp::endpoint sender_;
 };
 
--- a/src/gateway/message_text.cc
+++ b/src/gateway/message_text.cc
@@ -63,8 +63,8 @@
   if (bytes.empty()) {
     return;
   }
-  constexpr std::size_t kMostSizeText = 24;
-  std::array<char, kMostSizeText> size{};
+  constexpr std::size_t kMaxSizeText = 24;
+  std::array<char, kMaxSizeText> size{};
   const int length =
       std::snprintf(size.data(), size.size(), "%zx\r\n", bytes.size());
   text->append(size.data(), static_cast<std::size_t>(length));
--- a/src/gateway/message_text.h
+++ b/src/gateway/message_text.h
@@ -1,4 +1,4 @@
-// The text of HTTP heads and chunks that the gateway sends.
+// The text of the HTTP heads and chunks that the gateway sends.
 
 #ifndef HARECRANK_SRC_GATEWAY_MESSAGE_TEXT_H_
 #define HARECRANK_SRC_GATEWAY_MESSAGE_TEXT_H_
@@ -12,21 +12,21 @@
 
 namespace harecrank {
 
-// Returns whether the header `name` concerns one connection only, and so is
-// not passed on. `connection` is the value of the message's Connection header,
-// which may name more.
+// Returns whether the header `name` is hop-by-hop and must not be forwarded.
+// `connection` is the value of the message's Connection header, which may name
+// further headers.
 bool IsHopByHop(std::string_view name, std::string_view connection);
 
-// Appends "Name: value" and the line's end.
+// Appends "Name: value" and CRLF.
 void AppendHeader(std::string_view name, std::string_view value,
                   std::string* text);
 
-// Appends status line and headers of an answer, without the empty line that
-// ends a head.
+// Appends the status line and the headers of a response, without the empty line
+// that ends the head.
 void AppendAnswerHead(const ResponseHead& head, std::string* text);
 
-// Appends `bytes` as one chunk. Appends nothing if there are none, since an
-// empty chunk ends a body.
+// Appends `bytes` as one chunk. Does nothing if `bytes` is empty, since an
+// empty chunk ends the body.
 void AppendChunk(std::string_view bytes, std::string* text);
 
 // The chunk that ends a body.
--- a/src/gateway/simple_http_server.cc
+++ b/src/gateway/simple_http_server.cc
@@ -19,10 +19,10 @@
 constexpr int kBacklog = 1024;
 
 // One connection.
-class SmallSession : public std::enable_shared_from_this<SmallSession> {
+class HttpSession : public std::enable_shared_from_this<HttpSession> {
  public:
-  SmallSession(asio::ip::tcp::socket socket,
-               std::shared_ptr<const SimpleHttpHandler> handler)
+  HttpSession(asio::ip::tcp::socket socket,
+              std::shared_ptr<const SimpleHttpHandler> handler)
       : stream_(std::move(socket)), handler_(std::move(handler)) {}
 
   void Read() {
@@ -32,19 +32,19 @@
                      [self = shared_from_this()](
                          boost::system::error_code error, std::size_t) {
                        if (!error) {
-                         self->Answer();
+                         self->Handle();
                        }
                      });
   }
 
  private:
-  void Answer() {
-    SimpleHttpReply answer = (*handler_)(request_);
-    reply_ = std::move(answer.reply);
+  void Handle() {
+    SimpleHttpReply response = (*handler_)(request_);
+    reply_ = std::move(response.reply);
     keeps_alive_ = request_.keep_alive();
     reply_.keep_alive(keeps_alive_);
-    if (answer.shared_body != nullptr) {
-      WriteShared(std::move(answer.shared_body));
+    if (response.shared_body != nullptr) {
+      WriteShared(std::move(response.shared_body));
       return;
     }
     reply_.prepare_payload();
@@ -126,7 +126,7 @@
       return;
     }
     if (!error) {
-      std::make_shared<SmallSession>(std::move(socket), handler_)->Read();
+      std::make_shared<HttpSession>(std::move(socket), handler_)->Read();
     }
     Accept();
   });
--- a/src/gateway/simple_http_server.h
+++ b/src/gateway/simple_http_server.h
@@ -1,4 +1,5 @@
-// A server of small answers: readiness, metrics, and what peers ask.
+// HTTP server for short replies: readiness, metrics, and requests of other
+// hosts.
 
 #ifndef HARECRANK_SRC_GATEWAY_SIMPLE_HTTP_SERVER_H_
 #define HARECRANK_SRC_GATEWAY_SIMPLE_HTTP_SERVER_H_
@@ -14,11 +15,12 @@
 
 namespace harecrank {
 
-// An answer. Its body stands in `reply`, or is shared with other answers and
-// held until it has gone out.
+// A reply. Its body is either in `reply` or in `shared_body`, which may be
+// shared with other replies and is kept until it has been sent.
 struct SimpleHttpReply {
-  // NOLINTNEXTLINE(google-explicit-constructor): most answers are their own.
-  SimpleHttpReply(HttpReply own) : reply(std::move(own)) {}
+  // NOLINTNEXTLINE(google-explicit-constructor): most replies own it.
+  SimpleHttpReply(HttpReply reply_with_body)
+      : reply(std::move(reply_with_body)) {}
   SimpleHttpReply(HttpReply head, std::shared_ptr<const std::string> body)
       : reply(std::move(head)), shared_body(std::move(body)) {}
 
@@ -26,18 +28,18 @@
   std::shared_ptr<const std::string> shared_body;
 };
 
-// Answers one request at once.
+// Returns the reply to a request; must not block.
 using SimpleHttpHandler =
     std::function<SimpleHttpReply(const HttpRequest& request)>;
 
-// Makes an answer of `status` with `body`.
+// Returns a reply of `status` with `body`.
 HttpReply MakeReply(unsigned status, const std::string& content_type,
                     std::string body);
 
 // Not thread-safe; runs on its io_context.
 class SimpleHttpServer {
  public:
-  // Throws boost::system::system_error if `address` cannot be had.
+  // Throws boost::system::system_error if `address` cannot be bound.
   SimpleHttpServer(boost::asio::io_context* io, const std::string& address,
                    SimpleHttpHandler handler);
 
@@ -53,7 +55,7 @@
 };
 
 // Opens a listening socket. Throws boost::system::system_error if `address`
-// cannot be had or is no "IP:PORT".
+// cannot be bound or is not of the form "IP:PORT".
 boost::asio::ip::tcp::acceptor Listen(boost::asio::io_context* io,
                                       const std::string& address);
 
--- a/src/gateway/socket_options.h
+++ b/src/gateway/socket_options.h
@@ -1,4 +1,4 @@
-// Options of every TCP connection of the gateway.
+// Options of the gateway's TCP connections.
 
 #ifndef HARECRANK_SRC_GATEWAY_SOCKET_OPTIONS_H_
 #define HARECRANK_SRC_GATEWAY_SOCKET_OPTIONS_H_
@@ -9,24 +9,26 @@
 
 namespace harecrank {
 
-// How long bytes may stay unacknowledged before the connection counts as lost.
-// A peer that lost power or is cut off says nothing; without this a write to it
-// hangs for minutes.
+// How long sent bytes may stay unacknowledged before the connection is
+// considered lost. A peer that has lost power or network access sends nothing;
+// without this limit a write to it blocks for minutes.
 constexpr Millis kUnacknowledgedTimeout{4000};
 
-// Sets them, as far as the system takes them.
+// Sets the options of a connection to a caller. Options that the system does
+// not support are ignored.
 void SetConnectionOptions(boost::asio::ip::tcp::socket* socket);
 
-// The same for a connection to an endpoint, and asks the peer's host now and
-// then whether it is there: an endpoint that is silent may be reading a long
-// prompt, or may have lost power. One that does not answer is given up within
-// kKeepaliveTimeout, well before memory that other engines hold for its request
-// must be free again.
+// Sets the options of a connection to an endpoint, with TCP keepalive: an
+// endpoint that sends nothing may be busy with the prefill of a long prompt or
+// may have lost power. A connection whose keepalive probes are not answered is
+// closed within kKeepaliveTimeout, well before memory that other engines have
+// reserved for its request must be free again.
 void SetEndpointOptions(boost::asio::ip::tcp::socket* socket);
 
-// When the first question is asked, and how long after it the next.
+// Idle time before the first keepalive probe, and interval between probes.
 constexpr int kProbeIntervalSeconds = 1;
-// How many stay unanswered: one may be lost on the way.
+// Number of unanswered probes after which the connection is closed; a single
+// probe may be lost.
 constexpr int kUnansweredProbes = 2;
 constexpr Millis kKeepaliveTimeout{1000 * kProbeIntervalSeconds *
                                    (1 + kUnansweredProbes)};
--- a/src/gateway/timer.h
+++ b/src/gateway/timer.h
@@ -1,4 +1,4 @@
-// Timers on the clock that all decisions are made by.
+// Timers on the clock on which all decisions are based.
 
 #ifndef HARECRANK_SRC_GATEWAY_TIMER_H_
 #define HARECRANK_SRC_GATEWAY_TIMER_H_
@@ -9,9 +9,10 @@
 
 namespace harecrank {
 
-// What was due while the machine was suspended is due at once when it wakes:
-// the kernel's own timers go by a clock that stood still, but whichever of them
-// fires first, after a tick of the gateway at the latest, brings all others.
+// A timer that expires while the machine is suspended fires soon after it
+// resumes. The kernel's timers use a clock that stops during the suspension,
+// but as soon as one of them fires, after one tick of the gateway at the
+// latest, all expired timers are run.
 using Timer = boost::asio::basic_waitable_timer<BootClock>;
 
 }  // namespace harecrank
