--- a/src/gateway/crash_relay.cc
+++ b/src/gateway/crash_relay.cc
@@ -34,7 +34,7 @@
   if (!missing.reports.empty()) {
     socket_->Send(received.from, missing);
   }
-  // Other hosts do not know all that are alive; the planner does.
+  // Other hosts do not know all alive hosts; the planner does.
   if (ports_.is_planner()) {
     for (CrashReport& report : new_reports) {
       Share(std::move(report));
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -7,14 +7,14 @@
 namespace harecrank {
 namespace {
 
-// How soon after a change the planner is told.
+// Delay of a heartbeat about a change, so that further changes go with it.
 constexpr Millis kSendDelay{1};
-// The pause between two words to strangers: while no planner is known, and
-// then.
+// Interval of gossip. While no planner is known it starts at kSearchInterval
+// and doubles up to kMaxSearchInterval.
 constexpr Millis kSearchInterval{100};
 constexpr Millis kMaxSearchInterval{800};
 constexpr Millis kGossipInterval{1000};
-// A planner that has not been heard for this long has missed a word.
+// A planner that has sent nothing for this long has missed a heartbeat.
 constexpr Millis kMissedHeartbeat{400};
 
 }  // namespace
@@ -137,7 +137,7 @@
     socket_->Send(to, message);
     return;
   }
-  // As if it had come from another host, and never from within a call.
+  // Delivered like a message from another host, and never from within a call.
   boost::asio::post(*io_, [this, message] { OnMessage(message); });
 }
 
@@ -156,7 +156,7 @@
              followed_planner_.has_value() &&
              *followed_planner_ != self_.address &&
              now - planner_heard_at_ > kMissedHeartbeat) {
-    // Another host took over, and the old planner has missed a word.
+    // Another host has taken over, and the old planner has missed a heartbeat.
     membership_->OnUnresponsive(*followed_planner_);
   }
   if (heartbeat.planner != heartbeat.address) {
@@ -169,8 +169,8 @@
   FollowPlanner();
   if (heartbeat.planner == heartbeat.address &&
       heartbeat.address != followed_planner_) {
-    // It plans, for some hosts at least, and must not take this host's engines
-    // for idle.
+    // The sender is the planner of some hosts at least. It needs this host's
+    // work, or it would consider the engines that run it idle.
     Heartbeat work_report = OwnHeartbeat();
     work_report.work = placement_client_.Work();
     Send(heartbeat.address, work_report);
@@ -199,7 +199,8 @@
   const auto found = std::find(pollers_.begin(), pollers_.end(), host);
   heartbeat->should_poll = found != pollers_.end();
   if (*heartbeat->should_poll) {
-    // While the platform does not answer this host, the first reads for it.
+    // While the store does not answer the planner, the first of these hosts
+    // polls continuously in its place.
     heartbeat->poll_rank =
         static_cast<int>(found - pollers_.begin()) + (store_answers_ ? 1 : 0);
   }
@@ -280,7 +281,8 @@
 
 void FleetMember::SendGossip() {
   last_gossip_at_ = clock_();
-  // Hundreds of hosts that start together turn to the same few seeds.
+  // Hundreds of hosts that start together contact the same few seeds, so the
+  // interval backs off.
   search_interval_ = followed_planner_.has_value()
                          ? kSearchInterval
                          : std::min(2 * search_interval_, kMaxSearchInterval);
@@ -316,14 +318,15 @@
     planner_->Begin(membership_->OtherAliveHosts());
     Announce();
   }
-  // Without a planner nobody else tells what this host has read.
+  // While no planner is known, a former planner keeps its rank, since no other
+  // host distributes the store's data.
   if (planner == self_.address) {
     ports_.on_poll_rank(0);
   } else if (planner.has_value() && was_planner) {
     ports_.on_poll_rank(std::nullopt);
   }
   SendHeartbeatSoon();
-  // Not from within what told of the change.
+  // Posted, since this may be called from within a callback of the client.
   boost::asio::post(*io_, [this] { placement_client_.OnPlannerChanged(); });
 }
 
@@ -376,8 +379,10 @@
   if (own.known_up_to < heartbeat.known_up_to) {
     return;
   }
-  // The planner tells what it has from others too; it itself believes only
-  // those that read, or two hosts would assure each other of what neither sees.
+  // The planner's data also count as fresh if they come from other hosts. The
+  // planner itself only believes hosts that poll the store; otherwise two hosts
+  // could keep confirming to each other that their data are fresh while the
+  // store answers neither.
   const bool is_up_to_date =
       from_planner
           ? heartbeat.store_data_fresh
@@ -391,7 +396,8 @@
   if (IsPlanner()) {
     InformPollers();
   } else {
-    // The planner tells the others, and chooses who reads by it.
+    // The planner updates the other hosts, and uses this to choose the hosts
+    // that poll.
     SendHeartbeatSoon();
   }
 }
--- a/src/gateway/fleet_socket.cc
+++ b/src/gateway/fleet_socket.cc
@@ -13,8 +13,9 @@
 asio::ip::udp::endpoint UdpEndpoint(const std::string& address) {
   const auto endpoint = ParseTcpEndpoint(address);
   if (!endpoint.has_value()) {
-    throw boost::system::system_error(asio::error::invalid_argument,
-                                      "'" + address + "' is no IP:PORT");
+    throw boost::system::system_error(
+        asio::error::invalid_argument,
+        "'" + address + "' is not of the form IP:PORT");
   }
   return {endpoint->address(), endpoint->port()};
 }
@@ -26,7 +27,8 @@
     : socket_(*io, UdpEndpoint(address)),
       port_(socket_.local_endpoint().port()),
       metrics_(metrics) {
-  // Hosts that are gone answer with errors, and a full buffer drops.
+  // A host that is gone causes ICMP errors, and a full send buffer drops
+  // datagrams instead of blocking.
   socket_.non_blocking(true);
 }
 
@@ -80,8 +82,8 @@
   boost::system::error_code error;
   socket_.send_to(asio::buffer(bytes), {target->address(), port_}, 0, error);
   if (error) {
-    // Counted and not logged: it comes again with each word to a host that is
-    // gone.
+    // Counted and not logged, since it recurs with each heartbeat to a host
+    // that is gone.
     metrics_->GetCounter("harecrank_gateway_unsent_fleet_messages_total")
         ->Add();
   }
