--- a/src/gateway/placement_client.cc
+++ b/src/gateway/placement_client.cc
@@ -6,15 +6,17 @@
 namespace harecrank {
 namespace {
 
-// Notes of so long go in one datagram: far less than a step of any prompt
-// takes, and events of one pass come together.
+// Progress is collected for this long and sent in one datagram. This is much
+// shorter than a step of any prompt, and events of one forward pass come
+// together.
 constexpr Millis kReportDelay{2};
-// A host that was sent on to this many others places by itself.
+// Number of hosts to which a query is sent before the request is placed
+// locally.
 constexpr int kMaxHostsQueried = 3;
-// Weight of the newest answer in the mean of what answers take.
+// Weight of the newest reply in the moving average of the reply time.
 constexpr double kNewestWeight = 0.1;
-// How many of its usual times an answer may take before the ask is repeated,
-// and before its host counts as silent.
+// Time-outs in multiples of the average reply time: for sending a query again,
+// and for considering its host unresponsive.
 constexpr double kResendFactor = 3;
 constexpr double kUnresponsiveFactor = 6;
 
@@ -65,13 +67,13 @@
   const bool is_same_planner =
       pending.hosts_queried > 0 && planner == pending.host;
   if (!planner.has_value() && pending.hosts_queried == 0) {
-    // One is found soon, and told by OnPlannerChanged.
+    // A planner is expected soon; OnPlannerChanged then sends the query.
     pending.last_reply_at = pending.sent_at = clock_();
     return;
   }
   if (!planner.has_value() || is_same_planner ||
       pending.hosts_queried >= kMaxHostsQueried) {
-    // Looked at by the timer, so that SendQuery never calls back from within.
+    // Resolved by the timer, so that SendQuery never calls back from within.
     pending.host = HostAddress{};
     pending.last_reply_at = pending.sent_at = TimePoint{};
     return;
@@ -99,7 +101,7 @@
     const bool placed =
         std::holds_alternative<PlannedPlacement>(reply.decision);
     if (placed && in_progress_.count(reply.id) == 0) {
-      // Nobody waits for it any more.
+      // The query has ended and its placement is not needed any more.
       ReleasePlacement(reply.from, reply.id);
     }
     return;
@@ -119,7 +121,7 @@
     const bool already_reported = pending.queued;
     pending.queued = true;
     if (!already_reported) {
-      // A copy, since what it does may end the ask.
+      // A copy, since the callback may end the query.
       const OnResult on_result = pending.on_result;
       on_result(QueryQueued{});
     }
@@ -285,7 +287,8 @@
                         std::move(requests_done_)};
   prefill_done_.clear();
   requests_done_.clear();
-  // Without a planner the next one is told all by this host's word.
+  // Without a planner the reports are dropped; the next planner gets all work
+  // with this host's heartbeat.
   if (const auto planner = ports_.planner()) {
     ports_.send(*planner, std::move(report));
   }
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -13,21 +13,21 @@
 namespace harecrank {
 namespace {
 
-// The pause between two questions to others for what they know of the platform,
-// and how long an answer may take.
+// Minimum interval between two fetches of a snapshot, and time-out of one.
 constexpr Millis kFetchInterval{100};
 constexpr Millis kFetchTimeout{1500};
-// How long another host may know more before it is asked: what it tells by
-// itself is on its way, or, for a host that reads, the service's own answer.
+// How long this host waits for newer data of another host before it fetches
+// them. Without own polling, the planner's changes are on their way; a host
+// that polls gets the store's own answer.
 constexpr Millis kPeerUpdateDelay{30};
 constexpr Millis kPollDelay{300};
-// Changes go by datagram up to this size. Larger ones, such as a configuration
-// of many routes, are asked for over a connection.
+// Largest part of changes that is sent as a datagram. Larger changes, such as a
+// configuration with many routes, are fetched over a connection.
 constexpr std::size_t kMaxChangesBytes = 16384;
 
 namespace http = boost::beast::http;
 
-// Returns the host that `reply` sends on to, or nothing if it names none.
+// Returns the host to which `reply` redirects, or nothing if it names none.
 std::optional<HostAddress> RedirectTarget(const HttpReply& reply) {
   constexpr std::string_view kScheme = "http://";
   const std::string location(reply[http::field::location]);
@@ -39,7 +39,8 @@
   return HostAddress{location.substr(kScheme.size(), end - kScheme.size())};
 }
 
-// Returns when `reply` says to come again, or nothing if it does not say.
+// Returns the delay in the Retry-After header of `reply`, or nothing if it has
+// none.
 std::optional<Millis> RetryAfter(const HttpReply& reply) {
   const auto field = reply.find(http::field::retry_after);
   if (field == reply.end()) {
@@ -71,7 +72,7 @@
     return;
   }
   changes_scheduled_ = true;
-  // What was published together is told together.
+  // Posted, so that changes which arrive together are sent together.
   boost::asio::post(*io_, [this] { SendChanges(); });
 }
 
@@ -89,7 +90,7 @@
   sent_up_to_ = own.known_up_to;
   const bool is_first_data = since == StoreRevision{};
   if (is_first_data && own.poll_state != PollState::kNone) {
-    // Others that have just started too wait for what this host has read.
+    // Other hosts that have just started wait for these data too.
     ports_.announce();
     return;
   }
@@ -113,12 +114,13 @@
 }
 
 void PublicationRelay::OnChanges(const PublishedChanges& published) {
-  // Changes that leave a gap are asked for when the next word shows it.
+  // If the changes leave a gap, this host fetches the missing data once the
+  // next heartbeat shows that it is behind.
   ports_.on_published(published.changes, true);
 }
 
 void PublicationRelay::FetchIfBehind(const Heartbeat& own) {
-  // What this host is reading already need not be asked for.
+  // A routing table that is being parsed need not be fetched.
   const RoutingVersion routing =
       ports_.is_parsing_routing()
           ? RoutingVersion{std::numeric_limits<std::uint64_t>::max()}
@@ -174,8 +176,9 @@
   if (!redirect.has_value()) {
     ScheduleNextFetch(reply);
   }
-  // The connection is closed, or the host that all ask would keep one for each;
-  // but not from within the client.
+  // The connection is closed, since otherwise a host that serves many others
+  // would keep one open for each. Posted, since the client must not be
+  // destroyed from within its callback.
   boost::asio::post(*io_, [this, redirect, since] {
     if (is_fetching_) {
       return;
@@ -189,7 +192,8 @@
 
 void PublicationRelay::ScheduleNextFetch(const HttpReply* reply) {
   const auto retry_after = reply == nullptr ? std::nullopt : RetryAfter(*reply);
-  // With a random part, so that those that came together do not come back so.
+  // With jitter, so that hosts that were rejected together do not retry
+  // together.
   const Millis jitter(static_cast<std::int64_t>(
       random_() % static_cast<std::uint64_t>(kFetchInterval.count())));
   next_fetch_at_ =
--- a/src/gateway/snapshot_server.cc
+++ b/src/gateway/snapshot_server.cc
@@ -13,10 +13,12 @@
 namespace http = boost::beast::http;
 
 constexpr double kMillisOfSecond = 1000;
-// Hosts are sent on to others that have at least this part of the power.
+// Requesters are only redirected to hosts with at least this fraction of this
+// host's CPU share.
 constexpr double kMinCpuShareRatio = 0.5;
 
-// Keeps a copy's bytes until it has gone out, and tells the desk then.
+// Keeps the bytes of a snapshot until they have been sent, then records the end
+// of the transfer.
 class SnapshotTransfer {
  public:
   SnapshotTransfer(std::shared_ptr<const std::string> bytes,
@@ -77,7 +79,8 @@
 }
 
 SimpleHttpReply SnapshotServer::Serve(StoreRevision since) {
-  // Made first, so that the desk is told whatever happens.
+  // Created before anything else, so that the end of the transfer is recorded
+  // in any case.
   std::shared_ptr<const std::string> bytes = source_(since);
   if (bytes == nullptr) {
     bytes = std::make_shared<const std::string>();
