--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -13,7 +13,7 @@
   return names;
 }
 
-// What this host tells of the fleet while it plans.
+// Gauges of the planner's view of the fleet.
 void RegisterPlannerGauges(const GatewayParts& parts, Metrics* metrics) {
   metrics->AddGauge("harecrank_gateway_is_planner",
                     [parts] { return parts.fleet->IsPlanner() ? 1.0 : 0.0; });
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -13,25 +13,27 @@
 namespace harecrank {
 namespace {
 
-// How often the process looks after itself.
+// Interval of the periodic work of the process.
 constexpr Millis kTick{100};
-// How often the settings are read again: they may change without a signal, and
-// what changes in them is not urgent.
+// Interval at which the settings are read again. They may change without a
+// signal, and no change is urgent.
 constexpr Millis kSettingsPollInterval{3000};
-// How often idle connections to endpoints are looked at.
+// Interval at which idle connections to endpoints and expired quarantine
+// records are removed.
 constexpr Millis kSweepInterval{1000};
-// After a stop signal callers' idle connections are kept for as long as the
-// balancer needs to miss two checks, one a second, and a moment more.
+// How long callers' idle connections are kept after a stop signal: the load
+// balancer has to miss two health checks, one per second, plus a margin.
 constexpr Millis kBalancerNoticeTime{3000};
-// After a stop signal streams are still begun for this long: those that are
-// begun later could not end before the process has to.
+// How long new streams are accepted after a stop signal. Streams that start
+// later could not end before the process must.
 constexpr Millis kStreamAcceptTime{2700};
-// What is left of the platform's patience when the process gives up waiting.
+// Time left until the platform's stop limit when the process stops waiting for
+// requests to end.
 constexpr Millis kStopMargin{400};
-// How long callers wait for a process that has just started to know anything.
-// They allow a connection a second.
+// How long callers' connections wait for the first configuration after the
+// start. Callers allow one second to connect.
 constexpr Millis kConfigurationWait{700};
-// How many hosts share a bound where fewer are known.
+// Minimum number of hosts that is assumed to share a limit.
 constexpr int kMinHosts = 3;
 
 }  // namespace
@@ -220,7 +222,7 @@
     dump["version"] = HARECRANK_VERSION;
     dump["ready"] = IsReady();
     dump["draining"] = draining_;
-    // What hosts tell of endpoints need not be text.
+    // Strings that come from other hosts may be invalid UTF-8.
     return MakeReply(
         http_status::kOk, "application/json",
         dump.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
@@ -337,8 +339,8 @@
                LogRateLimit::kExempt);
     return;
   }
-  // Addresses are those of this incarnation of the process; a change of them
-  // needs a restart, and the platform restarts where it moves a process.
+  // The addresses are fixed for the lifetime of the process. A change of them
+  // needs a restart, and the platform restarts a process that it moves.
   settings_.seed_peers = new_settings->seed_peers;
   settings_.stop_limit = new_settings->stop_limit;
   membership_.SetSeeds(Addresses(new_settings->seed_peers));
@@ -361,8 +363,9 @@
 }
 
 void GatewayNode::AcceptCallers() {
-  // Connections wait in the listening socket for the moment that the first
-  // configuration takes; without one for longer they are told so.
+  // Connections wait in the listen queue until the first configuration is in
+  // force. If that takes too long, callers are accepted and get an error
+  // response.
   const bool has_waited = clock_() - started_at_ >= kConfigurationWait;
   if (!accepting_ && (IsReady() || has_waited)) {
     accepting_ = true;
--- a/src/gateway/settings_views.cc
+++ b/src/gateway/settings_views.cc
@@ -5,7 +5,8 @@
 namespace harecrank {
 namespace {
 
-// Descriptors that are not callers': files, listening sockets, endpoints.
+// Descriptors for other purposes than callers' connections: files, listening
+// sockets, and connections to endpoints.
 constexpr std::size_t kReservedDescriptors = 1200;
 constexpr std::size_t kMinSessions = 256;
 
