--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -52,9 +52,10 @@
 }
 
 bool CrashGuard::MayProbe(const EndpointRecord& endpoint) const {
-  // Who empties a data centre may stop its endpoints, and one that leaves ends
-  // by itself: that is no request's doing, and nothing more is sent there, not
-  // even a probe. One that rests is not disturbed by it either.
+  // Operators may stop the endpoints of a drained data centre, and an endpoint
+  // that has announced its leave ends by itself; no request has caused this,
+  // and nothing more is sent there, not even a probe. An endpoint that has
+  // asked for back-off is not probed either.
   return !directory_->Drained().IsDrained(endpoint.data_centre) &&
          !directory_->HasAnnouncedLeave(endpoint.id, endpoint.incarnation) &&
          !is_backing_off_(endpoint.id);
@@ -131,7 +132,7 @@
                {"crashes", quarantine_->CrashCount(request)}},
               LogRateLimit::kExempt);
   metrics_->GetCounter("harecrank_gateway_requests_held_total")->Add();
-  // A copy: a request that ends is watched no more.
+  // A copy, since a request that ends is removed from the set.
   const RequestSet requests = *requests_;
   for (GuardedRequest* candidate : requests) {
     if (requests_->count(candidate) != 0 &&
--- a/src/gateway/crash_guard_test.cc
+++ b/src/gateway/crash_guard_test.cc
@@ -10,22 +10,23 @@
 namespace harecrank {
 namespace {
 
-class OneRequest : public GuardedRequest {
+class FakeRequest : public GuardedRequest {
  public:
-  explicit OneRequest(std::uint64_t number)
+  explicit FakeRequest(std::uint64_t number)
       : fingerprint_{AccountId{"acme"}, number, number} {}
 
   const RequestFingerprint& Fingerprint() override { return fingerprint_; }
-  void OnQuarantined() override { ++held; }
+  void OnQuarantined() override { ++quarantined_count; }
 
-  int held = 0;
+  int quarantined_count = 0;
 
  private:
   RequestFingerprint fingerprint_;
 };
 
-// What another host tells of a request under which `crashes` endpoints ended.
-CrashReport Report(std::uint64_t number, int crashes) {
+// Returns another host's report on a request during which `crashes` endpoints
+// crashed.
+CrashReport MakeReport(std::uint64_t number, int crashes) {
   CrashReport report;
   report.request = RequestFingerprint{AccountId{"acme"}, number, number};
   for (int i = 0; i < crashes; ++i) {
@@ -42,45 +43,45 @@
   RequestQuarantine quarantine{SystemClock()};
   EndpointProber prober{&io};
   EndpointDirectory directory{SystemClock()};
-  bool rests = false;
+  bool is_backing_off = false;
   CrashGuard guard{&quarantine,
                    &prober,
                    &directory,
-                   [this](const EndpointId&) { return rests; },
+                   [this](const EndpointId&) { return is_backing_off; },
                    [](const RequestFingerprint&) {},
                    &log,
                    &metrics};
 };
 
-TEST_CASE("Requests under way hear that they are held, and no others") {
+TEST_CASE("Only the quarantined request in progress is notified") {
   Host host;
-  OneRequest deadly(1);
-  OneRequest harmless(2);
-  OneRequest ended(1);
-  const auto watches_deadly = host.guard.Watch(&deadly);
-  const auto watches_harmless = host.guard.Watch(&harmless);
+  FakeRequest crashing(1);
+  FakeRequest harmless(2);
+  FakeRequest ended(1);
+  const auto crashing_registration = host.guard.Watch(&crashing);
+  const auto harmless_registration = host.guard.Watch(&harmless);
   host.guard.Watch(&ended).reset();
   std::vector<CrashReport> missing;
-  CHECK(host.guard.OnReports({Report(1, 3)}, &missing).size() == 1);
+  CHECK(host.guard.OnReports({MakeReport(1, 3)}, &missing).size() == 1);
   CHECK(missing.empty());
-  CHECK(deadly.held == 1);
-  CHECK(harmless.held == 0);
-  CHECK(ended.held == 0);
-  CHECK(host.guard.IsQuarantined(&deadly));
+  CHECK(crashing.quarantined_count == 1);
+  CHECK(harmless.quarantined_count == 0);
+  CHECK(ended.quarantined_count == 0);
+  CHECK(host.guard.IsQuarantined(&crashing));
 }
 
-TEST_CASE("A host that knows more than it is told says so") {
+TEST_CASE("Data that a peer's report lacks are returned as missing") {
   Host host;
   std::vector<CrashReport> missing;
-  host.guard.OnReports({Report(1, 2)}, &missing);
-  CHECK(host.guard.OnReports({Report(1, 1)}, &missing).empty());
+  host.guard.OnReports({MakeReport(1, 2)}, &missing);
+  CHECK(host.guard.OnReports({MakeReport(1, 1)}, &missing).empty());
   REQUIRE(missing.size() == 1);
   CHECK(missing.front().crashes.size() == 2);
 }
 
-// Who empties a data centre may stop its endpoints while requests run there.
-// One whose process has ended: nobody listens at its address.
-EndpointRecord EndedEndpoint() {
+// Returns an endpoint whose process has ended: connections to its address are
+// refused.
+EndpointRecord MakeEndedEndpoint() {
   EndpointRecord endpoint;
   endpoint.id = EndpointId{"e1"};
   endpoint.data_centre = DataCentreId{"a"};
@@ -88,12 +89,14 @@
   return endpoint;
 }
 
-// Returns what is found out of `endpoint` after it broke a request off.
-std::optional<ProbeResult> Judged(Host* host, const EndpointRecord& endpoint) {
-  OneRequest request(1);
+// Returns the result of the probe after `endpoint` has aborted a response.
+std::optional<ProbeResult> ProbeAfterAbort(Host* host,
+                                           const EndpointRecord& endpoint) {
+  FakeRequest request(1);
   std::optional<ProbeResult> result;
-  host->guard.OnResponseAborted(request.Fingerprint(), endpoint, true,
-                                [&result](ProbeResult told) { result = told; });
+  host->guard.OnResponseAborted(
+      request.Fingerprint(), endpoint, true,
+      [&result](ProbeResult probed) { result = probed; });
   CHECK_FALSE(result.has_value());
   host->io.restart();
   host->io.run();
@@ -101,43 +104,44 @@
 }
 
 TEST_CASE(
-    "An endpoint that leaves or rests is not probed, and its end counts "
-    "against no request") {
+    "An endpoint that is leaving or backing off is not probed, and its crash "
+    "is not counted") {
   Host host;
-  EndpointRecord endpoint = EndedEndpoint();
+  EndpointRecord endpoint = MakeEndedEndpoint();
   endpoint.incarnation = EndpointIncarnation{1};
-  host.rests = true;
-  CHECK(Judged(&host, endpoint) == ProbeResult::kSkipped);
-  host.rests = false;
+  host.is_backing_off = true;
+  CHECK(ProbeAfterAbort(&host, endpoint) == ProbeResult::kSkipped);
+  host.is_backing_off = false;
   host.directory.MarkLeaving(endpoint.id, endpoint.incarnation);
-  CHECK(Judged(&host, endpoint) == ProbeResult::kSkipped);
+  CHECK(ProbeAfterAbort(&host, endpoint) == ProbeResult::kSkipped);
   CHECK(host.quarantine.Count() == 0);
   endpoint.incarnation = EndpointIncarnation{2};
-  CHECK(Judged(&host, endpoint) == ProbeResult::kRefused);
+  CHECK(ProbeAfterAbort(&host, endpoint) == ProbeResult::kRefused);
   CHECK(host.quarantine.Count() == 1);
 }
 
 TEST_CASE(
-    "An endpoint of a closed data centre is not probed, and its end counts "
-    "against no request") {
+    "An endpoint of a drained data centre is not probed, and its crash is "
+    "not counted") {
   Host host;
-  const EndpointRecord endpoint = EndedEndpoint();
+  const EndpointRecord endpoint = MakeEndedEndpoint();
   host.directory.DrainDataCentre({endpoint.data_centre, StoreRevision{2}});
-  CHECK(Judged(&host, endpoint) == ProbeResult::kSkipped);
+  CHECK(ProbeAfterAbort(&host, endpoint) == ProbeResult::kSkipped);
   CHECK(host.quarantine.Count() == 0);
   host.directory.RestoreDataCentre(endpoint.data_centre, StoreRevision{3});
-  CHECK(Judged(&host, endpoint) == ProbeResult::kRefused);
+  CHECK(ProbeAfterAbort(&host, endpoint) == ProbeResult::kRefused);
   CHECK(host.quarantine.Count() == 1);
 }
 
-// Sessions that a stop cuts end with the event loop, after all else.
-TEST_CASE("A request may outlive the guard that watches it") {
+// Guards against a use after free: sessions that are aborted by a stop are
+// destroyed with the event loop, after the guard.
+TEST_CASE("A request may outlive the guard with which it is registered") {
   auto host = std::make_unique<Host>();
-  OneRequest request(1);
-  auto watching = host->guard.Watch(&request);
+  FakeRequest request(1);
+  auto registration = host->guard.Watch(&request);
   host.reset();
-  watching.reset();
-  CHECK(request.held == 0);
+  registration.reset();
+  CHECK(request.quarantined_count == 0);
 }
 
 }  // namespace
--- a/src/gateway/endpoint_prober.cc
+++ b/src/gateway/endpoint_prober.cc
@@ -30,7 +30,8 @@
   if (error == asio::error::connection_refused) {
     return ProbeResult::kRefused;
   }
-  // An endpoint that has all the connections it takes resets a further one.
+  // An endpoint that has reached its connection limit resets further
+  // connections.
   return timed_out || error != asio::error::connection_reset
              ? ProbeResult::kTimedOut
              : ProbeResult::kAccepted;
--- a/src/gateway/endpoint_prober.h
+++ b/src/gateway/endpoint_prober.h
@@ -19,8 +19,8 @@
   kRefused,
   // The connection was accepted or reset: the process is running.
   kAccepted,
-  // No response within the time-out: a network link may have failed, or the
-  // whole machine.
+  // No response within the time-out, or the address cannot be reached: a
+  // network link may have failed, or the whole machine.
   kTimedOut,
   // The endpoint was not probed.
   kSkipped
