--- a/src/gateway/endpoint_updater.cc
+++ b/src/gateway/endpoint_updater.cc
@@ -6,7 +6,7 @@
 namespace harecrank {
 namespace {
 
-// So many ids stand in a line about several endpoints.
+// Maximum number of ids in a log line about several endpoints.
 constexpr std::size_t kMaxLoggedIds = 12;
 
 nlohmann::json FirstIds(const std::vector<EndpointId>& endpoints) {
@@ -62,7 +62,8 @@
 
 void EndpointUpdater::OnGone(const EndpointId& id, StoreRevision revision) {
   const RemovalResult result = directory_->Remove(id, revision);
-  // Should it still be there, or come back under its id, it is learned anew.
+  // If the endpoint is still there or comes back under its id, its health is
+  // observed from the beginning.
   health_->Forget(id);
   if (result == RemovalResult::kDeparted) {
     connections_->Forget(id);
@@ -127,7 +128,7 @@
 void EndpointUpdater::LogDrained(const DrainedDataCentre& order) {
   const std::vector<EndpointId> endpoints = directory_->In(order.id);
   for (const EndpointId& id : endpoints) {
-    // Nothing is to be sent there any more, and they may be stopped soon.
+    // Nothing more is sent to these endpoints, and they may be stopped soon.
     connections_->Forget(id);
   }
   log_->Write("data_centre_closed",
@@ -196,8 +197,8 @@
 }
 
 void EndpointUpdater::Forget(const EndpointId& id) {
-  // Failures of an earlier incarnation would keep a sound endpoint unused, and
-  // a connection to it cannot answer.
+  // Failures of an earlier incarnation would keep a healthy endpoint unused,
+  // and connections to it are dead.
   health_->Forget(id);
   connections_->Forget(id);
 }
--- a/src/gateway/endpoint_updater_test.cc
+++ b/src/gateway/endpoint_updater_test.cc
@@ -8,7 +8,7 @@
 
 const EndpointId kId{"a"};
 
-class NewsFixture {
+class UpdaterFixture {
  protected:
   static EndpointRecord Record(std::int64_t incarnation,
                                std::uint64_t revision) {
@@ -21,9 +21,9 @@
     return record;
   }
 
-  // The endpoint is known, and could not be reached.
-  void FailOnce() {
-    news_.OnEndpoint(Record(1000, 2));
+  // Adds the endpoint and marks it as unreachable.
+  void AddUnreachable() {
+    updater_.OnEndpoint(Record(1000, 2));
     health_.OnUnreachable(kId);
     REQUIRE(health_.IsSuspect(kId));
   }
@@ -36,34 +36,35 @@
   EndpointConnectionPool connections_{&io_, clock_};
   EventLog log_{"node-1", clock_};
   Metrics metrics_;
-  EndpointUpdater news_{&directory_, &health_, &connections_, &log_, &metrics_};
+  EndpointUpdater updater_{&directory_, &health_, &connections_, &log_,
+                           &metrics_};
 };
 
-TEST_CASE_METHOD(NewsFixture,
-                 "A new life under an id starts without the failures before") {
-  FailOnce();
-  SECTION("Told alone") { news_.OnEndpoint(Record(900, 3)); }
+TEST_CASE_METHOD(UpdaterFixture,
+                 "A new incarnation of an endpoint starts with clean health") {
+  AddUnreachable();
+  SECTION("In a single update") { updater_.OnEndpoint(Record(900, 3)); }
   SECTION("In a listing") {
-    news_.OnListing({Record(900, 3)}, StoreRevision{3});
+    updater_.OnListing({Record(900, 3)}, StoreRevision{3});
   }
   CHECK_FALSE(health_.IsSuspect(kId));
   CHECK(directory_.Find(kId)->incarnation == EndpointIncarnation{900});
 }
 
 TEST_CASE_METHOD(
-    NewsFixture,
-    "Another word of the same life, or an old one, forgets nothing") {
-  FailOnce();
-  news_.OnEndpoint(Record(1000, 3));
+    UpdaterFixture,
+    "An update of the same or an older incarnation keeps the health") {
+  AddUnreachable();
+  updater_.OnEndpoint(Record(1000, 3));
   CHECK(health_.IsSuspect(kId));
-  news_.OnEndpoint(Record(900, 1));
+  updater_.OnEndpoint(Record(900, 1));
   CHECK(health_.IsSuspect(kId));
   CHECK(directory_.Find(kId)->incarnation == EndpointIncarnation{1000});
 }
 
-TEST_CASE_METHOD(NewsFixture, "An unusable entry takes its endpoint away") {
-  FailOnce();
-  news_.OnUnusable(kId, StoreRevision{3}, "not as servers write theirs");
+TEST_CASE_METHOD(UpdaterFixture, "An unusable entry removes its endpoint") {
+  AddUnreachable();
+  updater_.OnUnusable(kId, StoreRevision{3}, "not as servers write theirs");
   CHECK(directory_.Find(kId) == nullptr);
   CHECK_FALSE(health_.IsSuspect(kId));
 }
--- a/src/gateway/store_sync_state.cc
+++ b/src/gateway/store_sync_state.cc
@@ -43,7 +43,7 @@
 
 void StoreSyncState::SetPollRank(std::optional<int> rank) {
   poll_schedule_.SetPollRank(rank);
-  Update("told to stop reading");
+  Update("removed from the polling hosts");
 }
 
 void StoreSyncState::Describe(Heartbeat* heartbeat) const {
--- a/src/gateway/store_sync_state.h
+++ b/src/gateway/store_sync_state.h
@@ -58,7 +58,7 @@
   void SetPollRank(std::optional<int> rank);
 
   // To be called a few times a second.
-  void Tick() { Update("nobody told for a while"); }
+  void Tick() { Update("no update received in time"); }
 
   bool HasFreshData() const { return is_fresh_; }
   StoreRevision KnownUpTo() const { return known_up_to_; }
