--- a/src/gateway/backoff_notifier.cc
+++ b/src/gateway/backoff_notifier.cc
@@ -25,12 +25,13 @@
 }
 
 void BackoffNotifier::NotifyAll() {
-  // Those that are added meanwhile have seen this rest.
+  // Callbacks that are added during the loop belong to requests that already
+  // know of this back-off.
   const Id last_id = last_id_;
   for (auto next = callbacks_.begin();
        next != callbacks_.end() && next->first <= last_id;) {
     const Id id = next->first;
-    // A copy, since the look may remove itself.
+    // A copy, since the callback may remove itself.
     const Callback callback = next->second;
     callback();
     next = callbacks_.upper_bound(id);
--- a/src/gateway/backoff_notifier_test.cc
+++ b/src/gateway/backoff_notifier_test.cc
@@ -7,60 +7,59 @@
 namespace harecrank {
 namespace {
 
-class WatchFixture {
+class NotifierFixture {
  protected:
   void RunSoon() {
-    std::vector<std::function<void()>> due = std::move(due_);
-    due_.clear();
-    for (const auto& run : due) {
+    std::vector<std::function<void()>> scheduled = std::move(scheduled_);
+    scheduled_.clear();
+    for (const auto& run : scheduled) {
       run();
     }
   }
 
-  std::vector<std::function<void()>> due_;
-  BackoffNotifier watch_{
-      [this](std::function<void()> run) { due_.push_back(std::move(run)); }};
+  std::vector<std::function<void()>> scheduled_;
+  BackoffNotifier notifier_{[this](std::function<void()> run) {
+    scheduled_.push_back(std::move(run));
+  }};
 };
 
-TEST_CASE_METHOD(WatchFixture,
-                 "Each request that waits looks once after rests that were "
-                 "asked for together") {
-  int looks = 0;
-  watch_.Add([&looks] { ++looks; });
-  watch_.Add([&looks] { ++looks; });
-  watch_.NotifyBackoff();
-  watch_.NotifyBackoff();
-  CHECK(looks == 0);
+TEST_CASE_METHOD(NotifierFixture,
+                 "Back-offs that come together are notified once") {
+  int calls = 0;
+  notifier_.Add([&calls] { ++calls; });
+  notifier_.Add([&calls] { ++calls; });
+  notifier_.NotifyBackoff();
+  notifier_.NotifyBackoff();
+  CHECK(calls == 0);
   RunSoon();
-  CHECK(looks == 2);
+  CHECK(calls == 2);
   RunSoon();
-  CHECK(looks == 2);
-  watch_.NotifyBackoff();
+  CHECK(calls == 2);
+  notifier_.NotifyBackoff();
   RunSoon();
-  CHECK(looks == 4);
+  CHECK(calls == 4);
 }
 
-TEST_CASE_METHOD(WatchFixture,
-                 "A look may end its own wait and that of others") {
-  int looks = 0;
+TEST_CASE_METHOD(NotifierFixture, "A callback may remove itself and others") {
+  int calls = 0;
   BackoffNotifier::Id second = 0;
   BackoffNotifier::Id first = 0;
-  first = watch_.Add([&] {
-    ++looks;
-    watch_.Remove(first);
-    watch_.Remove(second);
+  first = notifier_.Add([&] {
+    ++calls;
+    notifier_.Remove(first);
+    notifier_.Remove(second);
   });
-  second = watch_.Add([&looks] { ++looks; });
-  watch_.NotifyBackoff();
+  second = notifier_.Add([&calls] { ++calls; });
+  notifier_.NotifyBackoff();
   RunSoon();
-  CHECK(looks == 1);
-  watch_.NotifyBackoff();
-  CHECK(due_.empty());
+  CHECK(calls == 1);
+  notifier_.NotifyBackoff();
+  CHECK(scheduled_.empty());
 }
 
-TEST_CASE_METHOD(WatchFixture, "Where nobody waits nothing is looked at") {
-  watch_.NotifyBackoff();
-  CHECK(due_.empty());
+TEST_CASE_METHOD(NotifierFixture, "Without callbacks nothing is scheduled") {
+  notifier_.NotifyBackoff();
+  CHECK(scheduled_.empty());
 }
 
 }  // namespace
--- a/src/gateway/event_loop_monitor_test.cc
+++ b/src/gateway/event_loop_monitor_test.cc
@@ -5,7 +5,7 @@
 namespace harecrank {
 namespace {
 
-TEST_CASE("A hold is counted under what held the loop", "[loop_holds]") {
+TEST_CASE("A task's duration is recorded under its name", "[loop_holds]") {
   TimePoint now{};
   const MonotonicClock clock = [&now] { return now; };
   EventLog log("n", clock);
--- a/src/gateway/simple_http_server.cc
+++ b/src/gateway/simple_http_server.cc
@@ -13,12 +13,13 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-// Peers, the balancer and operators ask small things and come back often.
+// Other hosts, the load balancer and operators send short requests repeatedly,
+// so idle connections are kept for a while.
 constexpr Millis kIdleLimit{30000};
 constexpr unsigned kHttp11 = 11;
 constexpr int kBacklog = 1024;
 
-// One connection.
+// Serves one connection.
 class HttpSession : public std::enable_shared_from_this<HttpSession> {
  public:
   HttpSession(asio::ip::tcp::socket socket,
@@ -95,8 +96,9 @@
                                const std::string& address) {
   const auto endpoint = ParseTcpEndpoint(address);
   if (!endpoint.has_value()) {
-    throw boost::system::system_error(asio::error::invalid_argument,
-                                      "'" + address + "' is no IP:PORT");
+    throw boost::system::system_error(
+        asio::error::invalid_argument,
+        "'" + address + "' is not of the form IP:PORT");
   }
   asio::ip::tcp::acceptor acceptor(*io, endpoint->protocol());
   acceptor.set_option(asio::socket_base::reuse_address(true));
--- a/src/gateway/socket_options.cc
+++ b/src/gateway/socket_options.cc
@@ -10,7 +10,8 @@
   using UserTimeout =
       boost::asio::detail::socket_option::integer<IPPROTO_TCP,
                                                   TCP_USER_TIMEOUT>;
-  // An option that is not taken costs time under faults, never an answer.
+  // An option that the system does not support delays the detection of faults
+  // but does not affect correctness.
   boost::system::error_code ignored;
   socket->set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   socket->set_option(UserTimeout(static_cast<int>(unacknowledged.count())),
@@ -24,7 +25,8 @@
 }
 
 void SetEndpointOptions(boost::asio::ip::tcp::socket* socket) {
-  // Where it is set, this limit also decides for unanswered probes.
+  // Where TCP_USER_TIMEOUT is set, it also limits the wait for unanswered
+  // keepalive probes.
   SetOptions(socket, kKeepaliveTimeout);
   using Idle =
       boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
