--- a/src/gateway/endpoint_prober.cc
+++ b/src/gateway/endpoint_prober.cc
@@ -15,8 +15,8 @@
 namespace asio = boost::asio;
 using Error = boost::system::error_code;
 
-struct Attempt {
-  explicit Attempt(asio::io_context* io) : socket(*io), timer(*io) {}
+struct ConnectAttempt {
+  explicit ConnectAttempt(asio::io_context* io) : socket(*io), timer(*io) {}
 
   asio::ip::tcp::socket socket;
   Timer timer;
@@ -65,7 +65,7 @@
                [this, address] { OnDone(address, ProbeResult::kTimedOut); });
     return;
   }
-  const auto attempt = std::make_shared<Attempt>(io_);
+  const auto attempt = std::make_shared<ConnectAttempt>(io_);
   attempt->timer.expires_after(kTimeout);
   attempt->timer.async_wait([attempt](const Error& error) {
     if (!error) {
--- a/src/gateway/simple_http_server.h
+++ b/src/gateway/simple_http_server.h
@@ -18,7 +18,7 @@
 // A reply. Its body is either in `reply` or in `shared_body`, which may be
 // shared with other replies and is kept until it has been sent.
 struct SimpleHttpReply {
-  // NOLINTNEXTLINE(google-explicit-constructor): most replies own it.
+  // NOLINTNEXTLINE(google-explicit-constructor): the usual case, own body.
   SimpleHttpReply(HttpReply reply_with_body)
       : reply(std::move(reply_with_body)) {}
   SimpleHttpReply(HttpReply head, std::shared_ptr<const std::string> body)
