--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -85,7 +85,7 @@
   ports.send = [this](const HostAddress& to, const FleetMessage& message) {
     Send(to, message);
   };
-  ports.on_silent = [this](const HostAddress& host) {
+  ports.on_unresponsive = [this](const HostAddress& host) {
     membership_->OnUnresponsive(host);
     log_->Write("planner_silent", {{"planner", host.value}, {"by", "ask"}},
                 LogRateLimit::kExempt);
@@ -117,7 +117,7 @@
   ports.is_parsing_routing = ports_.is_parsing_routing;
   ports.is_planner = [this] { return IsPlanner(); };
   ports.announce = [this] { Announce(); };
-  ports.tell_planner = [this] { SendHeartbeatSoon(); };
+  ports.send_heartbeat = [this] { SendHeartbeatSoon(); };
   return ports;
 }
 
--- a/src/gateway/placement_client.cc
+++ b/src/gateway/placement_client.cc
@@ -237,7 +237,7 @@
     return;
   }
   ReleasePlacement(pending.host, id);
-  ports_.on_silent(pending.host);
+  ports_.on_unresponsive(pending.host);
   SendToPlanner(id);
 }
 
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -25,7 +25,7 @@
   std::function<std::optional<HostAddress>()> planner;
   std::function<void(const HostAddress& to, const FleetMessage& message)> send;
   // Called when `host` has left a query unanswered for the time-out.
-  std::function<void(const HostAddress& host)> on_silent;
+  std::function<void(const HostAddress& host)> on_unresponsive;
   // Called when `host` replies that `planner` is the planner.
   std::function<void(const HostAddress& host, const HostAddress& planner)>
       on_redirect;
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -95,7 +95,7 @@
     return;
   }
   if (!ports_.is_planner()) {
-    ports_.tell_planner();
+    ports_.send_heartbeat();
     return;
   }
   const std::vector<std::string> parts =
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -36,9 +36,10 @@
   // soon.
   std::function<bool()> is_parsing_routing;
   std::function<bool()> is_planner;
-  // Send this host's heartbeat to all other hosts, and to the planner.
+  // `announce` sends this host's heartbeat to all other hosts,
+  // `send_heartbeat` sends it to the planner.
   std::function<void()> announce;
-  std::function<void()> tell_planner;
+  std::function<void()> send_heartbeat;
 };
 
 // Not thread-safe; runs on its io_context.
@@ -69,7 +70,7 @@
   // Informs the other hosts of the changes after `sent_up_to_`.
   void SendChanges();
   // Returns how long this host waits for newer data of another host before it
-  // fetches them.
+  // fetches them; zero if it has no routing table yet.
   Millis FetchDelay(const Heartbeat& own) const;
   void Fetch(const HostAddress& host, StoreRevision since, bool is_redirected);
   void OnFetched(const HostAddress& host, StoreRevision since,
