--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -9,8 +9,8 @@
 
 // Delay of a heartbeat about a change, so that further changes go with it.
 constexpr Millis kSendDelay{1};
-// Interval of gossip. While no planner is known it starts at kSearchInterval
-// and doubles up to kMaxSearchInterval.
+// Intervals of gossip. While no planner is known, the interval doubles from
+// kSearchInterval up to kMaxSearchInterval; otherwise it is kGossipInterval.
 constexpr Millis kSearchInterval{100};
 constexpr Millis kMaxSearchInterval{800};
 constexpr Millis kGossipInterval{1000};
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -13,7 +13,8 @@
 namespace harecrank {
 namespace {
 
-// Minimum interval between two fetches of a snapshot, and time-out of one.
+// Longest pause between two fetches of a snapshot, unless a Retry-After header
+// sets a longer one, and time-out of a fetch.
 constexpr Millis kFetchInterval{100};
 constexpr Millis kFetchTimeout{1500};
 // How long this host waits for newer data of another host before it fetches
