--- a/src/gateway/settings_views.cc
+++ b/src/gateway/settings_views.cc
@@ -5,16 +5,17 @@
 namespace harecrank {
 namespace {
 
-// Descriptors that are not callers': files, listening sockets, endpoints.
+// Descriptors for other purposes than callers' connections: files, listening
+// sockets, and connections to endpoints.
 constexpr std::size_t kReservedDescriptors = 1200;
-constexpr std::size_t kLeastSessions = 256;
+constexpr std::size_t kMinSessions = 256;
 
 }  // namespace
 
 std::size_t MaxSessions(std::size_t descriptors) {
-  return descriptors > kReservedDescriptors + kLeastSessions
+  return descriptors > kReservedDescriptors + kMinSessions
              ? descriptors - kReservedDescriptors
-             : kLeastSessions;
+             : kMinSessions;
 }
 
 KnownHost Self(const GatewaySettings& settings) {
--- a/src/gateway/simple_http_server.cc
+++ b/src/gateway/simple_http_server.cc
@@ -13,16 +13,17 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-// Peers, the balancer and operators ask small things and come back often.
+// Other hosts, the load balancer and operators send short requests repeatedly,
+// so idle connections are kept for a while.
 constexpr Millis kIdleLimit{30000};
 constexpr unsigned kHttp11 = 11;
 constexpr int kBacklog = 1024;
 
-// One connection.
-class SmallSession : public std::enable_shared_from_this<SmallSession> {
+// Serves one connection.
+class HttpSession : public std::enable_shared_from_this<HttpSession> {
  public:
-  SmallSession(asio::ip::tcp::socket socket,
-               std::shared_ptr<const SimpleHttpHandler> handler)
+  HttpSession(asio::ip::tcp::socket socket,
+              std::shared_ptr<const SimpleHttpHandler> handler)
       : stream_(std::move(socket)), handler_(std::move(handler)) {}
 
   void Read() {
@@ -32,19 +33,19 @@
                      [self = shared_from_this()](
                          boost::system::error_code error, std::size_t) {
                        if (!error) {
-                         self->Answer();
+                         self->Handle();
                        }
                      });
   }
 
  private:
-  void Answer() {
-    SimpleHttpReply answer = (*handler_)(request_);
-    reply_ = std::move(answer.reply);
+  void Handle() {
+    SimpleHttpReply response = (*handler_)(request_);
+    reply_ = std::move(response.reply);
     keeps_alive_ = request_.keep_alive();
     reply_.keep_alive(keeps_alive_);
-    if (answer.shared_body != nullptr) {
-      WriteShared(std::move(answer.shared_body));
+    if (response.shared_body != nullptr) {
+      WriteShared(std::move(response.shared_body));
       return;
     }
     reply_.prepare_payload();
@@ -95,8 +96,9 @@
                                const std::string& address) {
   const auto endpoint = ParseTcpEndpoint(address);
   if (!endpoint.has_value()) {
-    throw boost::system::system_error(asio::error::invalid_argument,
-                                      "'" + address + "' is no IP:PORT");
+    throw boost::system::system_error(
+        asio::error::invalid_argument,
+        "'" + address + "' is not of the form IP:PORT");
   }
   asio::ip::tcp::acceptor acceptor(*io, endpoint->protocol());
   acceptor.set_option(asio::socket_base::reuse_address(true));
@@ -126,7 +128,7 @@
       return;
     }
     if (!error) {
-      std::make_shared<SmallSession>(std::move(socket), handler_)->Read();
+      std::make_shared<HttpSession>(std::move(socket), handler_)->Read();
     }
     Accept();
   });
