--- a/standins/engine_server.cc
+++ b/standins/engine_server.cc
@@ -94,22 +94,22 @@
       HandleExport(path.substr(segments.size()), response);
     } else if (path.compare(0, holdings.size(), holdings) == 0) {
       model_.Remove(path.substr(holdings.size()));
-      Answer(response, http_status::kOk, "{}");
+      SendResponse(response, http_status::kOk, "{}");
     } else if (path == "/v1/account") {
       HandleAccount(response);
     } else if (path == "/v1/orders") {
       HandleOrder(request, response);
     } else if (path == "/control/runs") {
       const std::lock_guard<std::mutex> lock(mutex_);
-      Answer(response, http_status::kOk, json(runs_).dump());
+      SendResponse(response, http_status::kOk, json(runs_).dump());
     } else if (path == "/control/resumes") {
       const std::lock_guard<std::mutex> lock(mutex_);
-      Answer(response, http_status::kOk, json(resumed_from_).dump());
+      SendResponse(response, http_status::kOk, json(resumed_from_).dump());
     } else if (path == "/control/orders") {
       const std::lock_guard<std::mutex> lock(mutex_);
-      Answer(response, http_status::kOk, json(orders_).dump());
+      SendResponse(response, http_status::kOk, json(orders_).dump());
     } else {
-      Answer(response, http_status::kNotFound, "{}");
+      SendResponse(response, http_status::kNotFound, "{}");
     }
   }
 
@@ -120,7 +120,7 @@
     *body = json::parse(text);
     const std::lock_guard<std::mutex> lock(mutex_);
     if (models_.count(body->value("model", std::string())) == 0) {
-      Answer(response, http_status::kNotFound, "model not loaded");
+      SendResponse(response, http_status::kNotFound, "model not loaded");
       return false;
     }
     // Counted by the prompt's beginning, so that a test can tell whether a
@@ -139,11 +139,12 @@
     EngineWork work = ToWork(body);
     const json members = body.value("segments", json::array());
     if (!Gather(members, &work)) {
-      Answer(response, http_status::kFailedDependency, "a segment is gone");
+      SendResponse(response, http_status::kFailedDependency,
+                   "a segment is gone");
       return;
     }
     if (!model_.Add(work)) {
-      Answer(response, http_status::kUnavailable, "out of memory");
+      SendResponse(response, http_status::kUnavailable, "out of memory");
       return;
     }
     if (Stream(request, response, work, members)) {
@@ -254,7 +255,7 @@
     work.is_segment = true;
     work.answer_tokens = 0;
     if (!model_.Add(work)) {
-      Answer(response, http_status::kUnavailable, "out of memory");
+      SendResponse(response, http_status::kUnavailable, "out of memory");
       return;
     }
     WorkState state = WorkState::kRunning;
@@ -263,23 +264,23 @@
       state = model_.Wait(work.id, &none);
     }
     if (state != WorkState::kDone) {
-      Answer(response, http_status::kUnavailable, "cancelled");
+      SendResponse(response, http_status::kUnavailable, "cancelled");
       return;
     }
-    Answer(response, http_status::kOk, "{}");
+    SendResponse(response, http_status::kOk, "{}");
   }
 
   void HandleExport(const std::string& id, HTTPServerResponse& response) {
     const auto digest = model_.Segment(id);
     if (!digest) {
-      Answer(response, http_status::kNotFound, "{}");
+      SendResponse(response, http_status::kNotFound, "{}");
       return;
     }
-    Answer(response, http_status::kOk,
-           json{{"hash", digest->hash},
-                {"power", digest->power},
-                {"bytes", digest->bytes}}
-               .dump());
+    SendResponse(response, http_status::kOk,
+                 json{{"hash", digest->hash},
+                      {"power", digest->power},
+                      {"bytes", digest->bytes}}
+                     .dump());
   }
 
   void HandleAccount(HTTPServerResponse& response) {
@@ -294,12 +295,12 @@
     for (const auto& [name, held] : models_) {
       models[name] = {{"version", held.version}, {"adapters", held.adapters}};
     }
-    Answer(response, http_status::kOk,
-           json{{"memory", model_.Memory()},
-                {"used", model_.Used()},
-                {"holdings", holdings},
-                {"models", models}}
-               .dump());
+    SendResponse(response, http_status::kOk,
+                 json{{"memory", model_.Memory()},
+                      {"used", model_.Used()},
+                      {"holdings", holdings},
+                      {"models", models}}
+                     .dump());
   }
 
   void HandleOrder(HTTPServerRequest& request, HTTPServerResponse& response) {
@@ -310,7 +311,7 @@
       const std::lock_guard<std::mutex> lock(mutex_);
       const auto fence = order.at("fence").get<std::uint64_t>();
       if (!options_.ignores_fences && fence < fence_) {
-        Answer(response, http_status::kConflict, "an older fence");
+        SendResponse(response, http_status::kConflict, "an older fence");
         return;
       }
       fence_ = fence;
@@ -318,11 +319,12 @@
     }
     const std::string kind = order.at("kind").get<std::string>();
     if (kind != "unload_model" && !LoadWeights(order)) {
-      Answer(response, http_status::kUnavailable, "the weight store refused");
+      SendResponse(response, http_status::kUnavailable,
+                   "the weight store refused");
       return;
     }
     Apply(kind, order);
-    Answer(response, http_status::kOk, "{}");
+    SendResponse(response, http_status::kOk, "{}");
   }
 
   bool LoadWeights(const json& order) {
--- a/standins/fault_proxy.cc
+++ b/standins/fault_proxy.cc
@@ -55,7 +55,7 @@
           std::string body;
           ReadBody(request, kPiece, &body);
           Set(json::parse(body));
-          Answer(response, http_status::kOk, "{}");
+          SendResponse(response, http_status::kOk, "{}");
         });
     acceptor_ = std::thread([this] { Accept(); });
   }
