--- a/src/adapters/event_log.cc
+++ b/src/adapters/event_log.cc
@@ -23,8 +23,8 @@
       writer_(STDOUT_FILENO) {}
 
 void EventLog::Write(const char* kind, nlohmann::json fields,
-                     LogRateLimit weight) {
-  if (!Admit(kind, weight, &fields)) {
+                     LogRateLimit rate_limit) {
+  if (!Admit(kind, rate_limit, &fields)) {
     ++dropped_;
     return;
   }
@@ -32,27 +32,27 @@
   fields["node"] = node_;
   fields["steady_ms"] = ToMillis(clock_());
   fields["time_ms"] = WallMillis();
-  if (no_room_ > 0) {
-    fields["dropped_before"] = no_room_;
+  if (dropped_since_append_ > 0) {
+    fields["dropped_before"] = dropped_since_append_;
   }
   const bool written = writer_.Append(
       fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
   if (!written) {
     ++dropped_;
   }
-  no_room_ = written ? 0 : no_room_ + 1;
+  dropped_since_append_ = written ? 0 : dropped_since_append_ + 1;
 }
 
-bool EventLog::Admit(const char* kind, LogRateLimit weight,
+bool EventLog::Admit(const char* kind, LogRateLimit rate_limit,
                      nlohmann::json* fields) {
   Rate& rate = rates_[kind];
   const TimePoint now = clock_();
-  if (now - rate.second >= std::chrono::seconds(1)) {
-    rate.second = now;
+  if (now - rate.period_start >= std::chrono::seconds(1)) {
+    rate.period_start = now;
     rate.lines = 0;
   }
   ++rate.lines;
-  if (weight == LogRateLimit::kLimited && rate.lines > kMaxLinesPerSecond) {
+  if (rate_limit == LogRateLimit::kLimited && rate.lines > kMaxLinesPerSecond) {
     ++rate.left_out;
     return false;
   }
--- a/src/adapters/event_log.h
+++ b/src/adapters/event_log.h
@@ -1,7 +1,7 @@
-// Structured logs: one JSON object a line on standard output.
+// Structured event log: one JSON object per line on standard output.
 //
-// Writing never waits for whoever reads standard output: lines go through a
-// bounded buffer, and those for which there is no room are dropped and counted.
+// Writing never blocks on the process that reads standard output. Lines pass
+// through a bounded buffer; lines that do not fit are dropped and counted.
 
 #ifndef HARECRANK_SRC_ADAPTERS_EVENT_LOG_H_
 #define HARECRANK_SRC_ADAPTERS_EVENT_LOG_H_
@@ -17,43 +17,51 @@
 
 namespace harecrank {
 
-// Whether a line may be left out when its kind exceeds its rate.
+// Whether a line is subject to the rate limit of its kind.
 enum class LogRateLimit { kLimited, kExempt };
 
 // Thread-compatible: one thread writes.
 class EventLog {
  public:
-  // `node` stands in every line.
+  // `node` is the name of this process; every line contains it.
   EventLog(std::string node, MonotonicClock clock);
 
-  // Writes a line of `kind` with `fields`.
+  // Writes a line with the event name `kind` and the given fields. Adds the
+  // node, the time of day and the monotonic time.
   void Write(const char* kind, nlohmann::json fields,
-             LogRateLimit weight = LogRateLimit::kLimited);
+             LogRateLimit rate_limit = LogRateLimit::kLimited);
 
-  // Lines that were left out: beyond their kind's rate, or because the reader
-  // of standard output did not keep up.
+  // Number of lines that were not written, because of the rate limit or because
+  // the buffer was full.
   std::uint64_t Dropped() const { return dropped_; }
 
-  // Lines of one kind in a second, beyond which they are counted only. Some
-  // hundred requests a second and host are the most that its share of a core
-  // carries; failures are always kept.
+  // Maximum number of lines of one kind per second; further lines are only
+  // counted. The CPU share of a host is sufficient for a few hundred requests
+  // per second at most. Failures are logged as kExempt.
   static constexpr int kMaxLinesPerSecond = 300;
 
  private:
+  // Rate limit state of one kind of line.
   struct Rate {
-    TimePoint second{};
+    // Start of the current period of one second.
+    TimePoint period_start{};
+    // Lines in the current period, written or not.
     int lines = 0;
+    // Lines suppressed by the limit since the last line that was written.
     std::uint64_t left_out = 0;
   };
 
-  bool Admit(const char* kind, LogRateLimit weight, nlohmann::json* fields);
+  // Returns whether the rate limit allows the line. If it does, adds the number
+  // of suppressed lines before it to `fields`.
+  bool Admit(const char* kind, LogRateLimit rate_limit, nlohmann::json* fields);
 
   std::string node_;
   MonotonicClock clock_;
   std::unordered_map<std::string, Rate> rates_;
   std::uint64_t dropped_ = 0;
-  // Lines for which there was no room since the last that got in.
-  std::uint64_t no_room_ = 0;
+  // Lines dropped because the buffer was full since the last line that was
+  // buffered.
+  std::uint64_t dropped_since_append_ = 0;
   LineWriter writer_;
 };
 
--- a/src/adapters/line_writer.cc
+++ b/src/adapters/line_writer.cc
@@ -36,7 +36,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     // Without what is in hand the bound held for half: a writer that was stuck
     // with a full batch let a second one grow, 512 kB instead of 256 kB.
-    if (in_hand_ + buffered_.size() + line.size() >= kMaxBufferedBytes) {
+    if (batch_bytes_ + buffered_.size() + line.size() >= kMaxBufferedBytes) {
       return false;
     }
     buffered_ += line;
@@ -56,18 +56,18 @@
         return;
       }
       batch.swap(buffered_);
-      in_hand_ = batch.size();
+      batch_bytes_ = batch.size();
     }
     WriteBatch(batch);
     const std::lock_guard<std::mutex> lock(mutex_);
-    in_hand_ = 0;
+    batch_bytes_ = 0;
   }
 }
 
 void LineWriter::WriteBatch(const std::string& batch) {
   std::size_t written = 0;
   while (written < batch.size()) {
-    if (!AwaitRoom()) {
+    if (!WaitUntilWritable()) {
       return;
     }
     const std::size_t piece = std::min(kPiece, batch.size() - written);
@@ -81,20 +81,20 @@
   }
 }
 
-bool LineWriter::AwaitRoom() {
+bool LineWriter::WaitUntilWritable() {
   while (true) {
     pollfd ready{descriptor_, POLLOUT, 0};
     const int count = ::poll(&ready, 1, static_cast<int>(kLook.count()));
     if (count > 0) {
       return true;
     }
-    if (IsPastEnd()) {
+    if (IsFlushTimeOver()) {
       return false;
     }
   }
 }
 
-bool LineWriter::IsPastEnd() {
+bool LineWriter::IsFlushTimeOver() {
   const std::lock_guard<std::mutex> lock(mutex_);
   return stopping_ && std::chrono::steady_clock::now() >= flush_until_;
 }
--- a/src/adapters/line_writer.h
+++ b/src/adapters/line_writer.h
@@ -1,9 +1,9 @@
-// Writes lines to a descriptor on a thread of its own, and never waits for
-// whoever reads there longer than it is told.
+// Writes lines to a descriptor on a separate thread, so that a slow reader does
+// not block the caller, and delays the shutdown only by a limited time.
 //
-// log4cxx's asynchronous appender is not used for this: it ends only when its
-// last line has been taken, so a process whose reader is stuck could not stop,
-// and it does not tell its caller which lines it leaves out.
+// log4cxx's asynchronous appender is not suitable: it stops only after its last
+// line has been written, so a process whose reader has stalled could not exit,
+// and it does not report to its caller which lines it drops.
 
 #ifndef HARECRANK_SRC_ADAPTERS_LINE_WRITER_H_
 #define HARECRANK_SRC_ADAPTERS_LINE_WRITER_H_
@@ -22,38 +22,41 @@
 // Thread-safe.
 class LineWriter {
  public:
-  // `descriptor` stays open for as long as this lives.
+  // `descriptor` must stay open for the lifetime of this object.
   explicit LineWriter(int descriptor);
-  // Gives the reader kFlushLimit to take what is buffered.
+  // Writes the buffered lines for at most kFlushLimit, and discards the rest.
   ~LineWriter();
   LineWriter(const LineWriter&) = delete;
   LineWriter& operator=(const LineWriter&) = delete;
 
-  // Buffers `line`, to which it adds the line's end. Returns false if there is
-  // no room, and leaves it out.
+  // Buffers `line` and appends a newline to it. Returns false and drops the
+  // line if the buffer is full.
   bool Append(const std::string& line);
 
-  // What waits for the reader, with what the thread is writing: about five
-  // hundred lines of a request.
+  // Maximum number of bytes that are buffered or being written. Sufficient for
+  // about 500 log lines of requests.
   static constexpr std::size_t kMaxBufferedBytes = 256U << 10U;
-  // What a process that stops still gives to a slow reader.
+  // How long a process that exits waits for a slow reader.
   static constexpr Millis kFlushLimit{300};
 
  private:
   void Run();
-  // Writes all of `batch`, or as much as the reader takes in time.
+  // Writes `batch`. Discards the rest of it at the end of the flush time or on
+  // a write error.
   void WriteBatch(const std::string& batch);
-  // Returns whether a piece can be written without waiting.
-  bool AwaitRoom();
-  bool IsPastEnd();
+  // Waits until the descriptor is writable. Returns false if the flush time
+  // ends first.
+  bool WaitUntilWritable();
+  bool IsFlushTimeOver();
 
   int descriptor_;
   std::mutex mutex_;
   std::condition_variable changed_;
   std::string buffered_;
-  // Bytes that the thread has taken and not yet written.
-  std::size_t in_hand_ = 0;
+  // Size of the batch that the thread is writing.
+  std::size_t batch_bytes_ = 0;
   bool stopping_ = false;
+  // End of the flush time; set when stopping.
   std::chrono::steady_clock::time_point flush_until_{};
   std::thread thread_;
 };
