--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -242,13 +242,13 @@
 }
 
 std::string QueryValue(const std::string& uri, const std::string& name,
-                       const std::string& otherwise) {
+                       const std::string& default_value) {
   for (const auto& [key, value] : Poco::URI(uri).getQueryParameters()) {
     if (key == name) {
       return value;
     }
   }
-  return otherwise;
+  return default_value;
 }
 
 std::string PathOf(const std::string& uri) {
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -1,4 +1,4 @@
-// HTTP calls and servers, as thin covers over POCO Net.
+// HTTP client calls and servers: thin wrappers around POCO Net.
 
 #ifndef HARECRANK_SRC_ADAPTERS_HTTP_H_
 #define HARECRANK_SRC_ADAPTERS_HTTP_H_
@@ -21,54 +21,60 @@
 
 namespace harecrank {
 
-// Why a call brought no answer.
+// No connection could be opened, so nothing was sent.
 struct Unreachable {
   std::string reason;
 };
-// The call was sent, and what became of it is not known.
+// The call failed after the connection was opened. The server may or may not
+// have processed the request.
 struct NoResponse {
   std::string reason;
 };
 struct ResponseTooLarge {
+  // In bytes.
   std::size_t limit = 0;
 };
+// Why a call failed.
 using HttpError = std::variant<Unreachable, NoResponse, ResponseTooLarge>;
 
-// Returns one sentence for a person.
+// Returns a one-line message for logs and operators.
 std::string Describe(const HttpError& error);
 
-// A header field of a call or an answer.
 struct HttpHeader {
   std::string name;
   std::string value;
 };
 
-// One call.
+// A request from a client.
 struct HttpCall {
+  // IP address and port.
   std::string address;
   std::string method = "GET";
   std::string path = "/";
   std::string body;
   std::string content_type = "application/json";
+  // Additional header fields.
   std::vector<HttpHeader> fields;
-  // How long to wait for a connection, and for each read.
+  // Time-out of the connection set-up, and of each read.
   Millis timeout{2000};
 };
 
-// One answer. The status is zero where there was none.
+// A response to a call. The status is zero if there was no response.
 struct HttpResponse {
   int status = 0;
   std::string content_type;
+  // Value of the Retry-After header; empty if absent.
   std::string retry_after;
   std::string body;
 };
 
-// Makes a call and reads the whole answer, up to `max_bytes`.
+// Sends `call` and reads the complete response. Fails with ResponseTooLarge if
+// the body exceeds `max_bytes`, and with NoResponse if it is truncated.
 boost::leaf::result<HttpResponse> SendHttpRequest(
     const HttpCall& call, std::size_t max_bytes = 64U << 20U);
 
-// Makes a call and gives the answer's body to `read` as it comes. `read` is
-// called once, also for answers that tell of an error.
+// Sends `call` and passes the response body to `read` as a stream. `read` is
+// called once for any response, also for one with an error status.
 boost::leaf::result<void> StreamHttp(
     const HttpCall& call,
     const std::function<void(int status, std::istream& body)>& read);
@@ -77,30 +83,32 @@
 using HttpHandler = std::function<void(Poco::Net::HTTPServerRequest&,
                                        Poco::Net::HTTPServerResponse&)>;
 
-// How a server is set.
 struct HttpServerOptions {
+  // IP address and port to listen on.
   std::string address;
+  // Maximum number of connections that are handled concurrently.
   int threads = 8;
-  // Connections that may wait for a thread.
+  // Maximum number of connections that wait for a thread.
   int queued = 64;
 };
 
-// A server that gives each request to one handler. It listens from its
-// construction to Stop.
+// A server that passes each request to one handler. It listens from its
+// construction until StopListening or Stop.
 class HttpServer {
  public:
-  // Throws Poco::Exception if the address cannot be listened on.
+  // Throws Poco::Exception if the address cannot be bound.
   HttpServer(const HttpServerOptions& options, HttpHandler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Stops taking connections. Requests in hand go on to their end.
+  // Stops accepting connections. Active requests are completed.
   void StopListening();
 
-  // Stops taking connections and cuts those in hand.
+  // Stops accepting connections and closes the active ones.
   void Stop();
 
+  // Number of threads that are handling connections.
   int Threads() const { return server_->currentThreads(); }
 
  private:
@@ -108,28 +116,31 @@
   std::unique_ptr<Poco::Net::HTTPServer> server_;
 };
 
-// Writes a whole answer.
+// Sends a complete response.
 void SendResponse(Poco::Net::HTTPServerResponse& response, int status,
                   const std::string& body,
                   const std::string& content_type = "application/json");
 
-// Reads a body of at most `limit` bytes. Returns false if it is longer.
+// Reads a request body of at most `limit` bytes. Returns false if the body is
+// longer.
 bool ReadBody(Poco::Net::HTTPServerRequest& request, std::size_t limit,
               std::string* body);
 
-// Reads and drops what is left of a body, up to `limit` bytes. A caller that is
-// still sending would lose an answer that came before its last byte was read.
+// Reads and discards the rest of a request body, up to `limit` bytes. A caller
+// that is still sending can lose a response that is sent before its whole body
+// has been read.
 void DiscardBody(Poco::Net::HTTPServerRequest& request, std::size_t limit);
 
 // Returns whether the caller's side of the connection is still open. Does not
-// wait.
+// block.
 bool IsCallerConnected(Poco::Net::HTTPServerRequest& request);
 
-// Returns the value of `name` in the query of `uri`, or `otherwise`.
+// Returns the value of the query parameter `name` of `uri`, or `default_value`
+// if there is none.
 std::string QueryValue(const std::string& uri, const std::string& name,
-                       const std::string& otherwise);
+                       const std::string& default_value);
 
-// Returns the part of `uri` before its query.
+// Returns `uri` without its query.
 std::string PathOf(const std::string& uri);
 
 }  // namespace harecrank
