--- a/src/adapters/link_client.h
+++ b/src/adapters/link_client.h
@@ -1,4 +1,4 @@
-// The entry host's end of the links to sidecars.
+// The entry host's side of the links to sidecars.
 
 #ifndef HARECRANK_SRC_ADAPTERS_LINK_CLIENT_H_
 #define HARECRANK_SRC_ADAPTERS_LINK_CLIENT_H_
@@ -12,17 +12,18 @@
 
 namespace harecrank {
 
-// Names one connection that this process opened. Never reused.
+// Identifies a connection that this process opened or tried to open. Never
+// reused.
 using DialId = StrongNumber<struct DialTag, std::uint64_t>;
 
-// Opens links and carries messages on them. Sending is thread-safe; the
-// handlers are called on the client's own thread and must not wait.
+// Opens links and transfers messages over them. Sending is thread-safe; the
+// handlers are called on the client's own thread and must not block.
 class LinkClient {
  public:
   struct Handlers {
     std::function<void(DialId)> on_open;
     std::function<void(DialId, wire::Message)> on_message;
-    // The link was lost, or could not be opened. Called once per Dial.
+    // The link was closed or could not be opened. Called once per Dial.
     std::function<void(DialId)> on_close;
   };
 
@@ -31,16 +32,17 @@
   LinkClient(const LinkClient&) = delete;
   LinkClient& operator=(const LinkClient&) = delete;
 
-  // Begins to open a link to `address`, an IP number and port.
+  // Starts to open a link to `address`, an IP address and port.
   DialId Dial(const std::string& address);
 
   // Sends a message. Returns false if the link is not open.
   bool Send(DialId dial, const wire::Message& message);
 
-  // Cuts a link.
+  // Closes a link.
   void Close(DialId dial);
 
-  // Cuts all links and ends the client's thread. No handler is called after.
+  // Closes all links and stops the client's thread. No handler is called after
+  // this returns.
   void Stop();
 
  private:
--- a/src/adapters/link_server.h
+++ b/src/adapters/link_server.h
@@ -1,4 +1,4 @@
-// The sidecar's end of the links from entry hosts.
+// The sidecar's side of the links from entry hosts.
 
 #ifndef HARECRANK_SRC_ADAPTERS_LINK_SERVER_H_
 #define HARECRANK_SRC_ADAPTERS_LINK_SERVER_H_
@@ -12,11 +12,11 @@
 
 namespace harecrank {
 
-// Names one connection. Never reused within one incarnation.
+// Identifies a connection. Never reused within one incarnation of the process.
 using ConnectionId = StrongNumber<struct ConnectionTag, std::uint64_t>;
 
-// Takes links and the messages on them. Sending is thread-safe; the handlers
-// are called on the server's own thread and must not wait.
+// Accepts links and transfers messages over them. Sending is thread-safe; the
+// handlers are called on the server's own thread and must not block.
 class LinkServer {
  public:
   struct Handlers {
@@ -24,26 +24,26 @@
     std::function<void(ConnectionId)> on_close;
   };
 
-  // Listens on `address`, an IP number and port. Throws std::exception if that
-  // cannot be had. Links wait until Start.
+  // Listens on `address`, an IP address and port. Throws std::exception if it
+  // cannot be bound. Incoming connections wait until Start.
   LinkServer(const std::string& address, Handlers handlers);
   ~LinkServer();
   LinkServer(const LinkServer&) = delete;
   LinkServer& operator=(const LinkServer&) = delete;
 
-  // Takes links from now on. To be called once, by an owner that can be called
-  // back: a handler that ran while its owner was still making the server ended
-  // a sidecar that had just started. Beside busy processes that came in 48 of
-  // 1,600 starts.
+  // Starts to accept connections. Must be called once, after the owner has
+  // stored the server: a handler that runs while the owner is still
+  // constructing the server dereferences a null pointer. On a busy machine,
+  // accepting connections in the constructor crashes about 3% of starts.
   void Start();
 
   // Sends a message. Returns false if the connection is gone.
   bool Send(ConnectionId connection, const wire::Message& message);
 
-  // Cuts one connection.
+  // Closes one connection.
   void Close(ConnectionId connection);
 
-  // Cuts all connections and ends the server's thread.
+  // Closes all connections and stops the server's thread.
   void Stop();
 
  private:
--- a/src/adapters/websocket_config.h
+++ b/src/adapters/websocket_config.h
@@ -1,4 +1,4 @@
-// The settings of websocketpp that both ends of a link share.
+// The websocketpp options that both sides of a link share.
 
 #ifndef HARECRANK_SRC_ADAPTERS_WEBSOCKET_CONFIG_H_
 #define HARECRANK_SRC_ADAPTERS_WEBSOCKET_CONFIG_H_
@@ -12,7 +12,7 @@
 
 namespace harecrank::internal {
 
-// Sets what both ends have in common on a server or client.
+// Applies the common options to a websocketpp server or client.
 template <typename Endpoint>
 void SetUpWebsocket(Endpoint* endpoint) {
   endpoint->clear_access_channels(websocketpp::log::alevel::all);
@@ -26,7 +26,8 @@
         if (!connection) {
           return;
         }
-        // A token must not wait for the next one to fill a segment.
+        // Without this, Nagle's algorithm would delay a token until the next
+        // one fills a segment.
         boost::system::error_code ignored;
         connection->get_raw_socket().set_option(
             boost::asio::ip::tcp::no_delay(true), ignored);
--- a/src/adapters/wire.h
+++ b/src/adapters/wire.h
@@ -1,8 +1,9 @@
 // The messages between entry hosts and sidecars, as CBOR in websocket frames.
 //
-// Each message is an array of its type's number and its fields as an object,
-// or as an array where it is sent often. A reader checks the version once, at
-// the greeting, and every size before it keeps anything.
+// A message is encoded as an array of its type number and its fields. The
+// fields are an object, or an array for messages that are sent often. Receivers
+// check the protocol version once, in Hello and Welcome, and check all sizes
+// before they store anything.
 
 #ifndef HARECRANK_SRC_ADAPTERS_WIRE_H_
 #define HARECRANK_SRC_ADAPTERS_WIRE_H_
@@ -21,10 +22,11 @@
 namespace harecrank::wire {
 
 constexpr int kProtocolVersion = 1;
-// The largest frame that is read, and the largest piece of a body in one.
+// Maximum size of a received frame.
 constexpr std::size_t kMaxFrameBytes = 1U << 20U;
+// Maximum size of the chunk of a body in one frame.
 constexpr std::size_t kChunkBytes = 256U << 10U;
-// The largest body that a sidecar takes for one request.
+// Maximum body size of one request that a sidecar accepts.
 constexpr std::size_t kMaxBodyBytes = 64U << 20U;
 
 // Entry host to sidecar: the first message of a link.
@@ -34,24 +36,24 @@
   Incarnation incarnation;
 };
 
-// A part of a group's prompt that an engine holds.
+// Refers to a part of a group's prompt whose KV data an engine holds.
 struct SegmentRef {
-  // Where the engine that holds it exports it from.
+  // Address of the engine that holds the segment and exports it.
   std::string engine_address;
   std::string segment;
 };
 
-// What a submission asks for.
+// The kind of work that a submission requests.
 enum class Work {
-  // Tokens from a model.
+  // Generates tokens with a model.
   kGenerate,
-  // Prefill of one part of a group's prompt, under a reservation.
+  // Prefills one part of a group's prompt, under a reservation.
   kSegment,
-  // One call to a plain service.
+  // Makes one call to a service that is not a model.
   kCall,
 };
 
-// Submits a request. Its body follows in pieces.
+// Submits a request. Its body follows in BodyChunk messages.
 struct Submit {
   StreamId stream;
   Work work = Work::kGenerate;
@@ -61,64 +63,69 @@
   AdapterName adapter;
   LengthClass length = LengthClass::kShort;
   Tokens prompt;
+  // Maximum length of the answer.
   Tokens answer;
-  // The first position of the answer that is still wanted.
+  // Position in the answer from which the output is to be sent.
   std::int64_t resume_from = 0;
-  // On the receiver's clock. Past it nothing may start.
+  // Deadline on the receiver's clock. The request must not start after it.
   RemoteMillis deadline;
-  // Empty for a request that may be repeated.
+  // The request's ticket, which allows it to start at most once. Empty for a
+  // request that may be repeated.
   std::string ticket;
-  // Tokens that may be sent before more credit comes.
+  // Number of tokens that the sidecar may send before it receives Credit.
   std::int64_t window = 0;
-  // For kGenerate over a group: the parts, in order, and the reservation under
-  // which this member generates.
+  // For kGenerate in a group: the parts of the prompt, in order.
   std::vector<SegmentRef> segments;
-  // The stream whose reservation this uses. Zero for none.
+  // Stream whose reservation the request uses. Zero for none.
   StreamId reservation;
   // For kCall.
   std::string method;
   std::string path;
   std::string content_type;
+  // Total size of the body that follows.
   std::size_t body_bytes = 0;
 };
 
-// A piece of a submission's body, in order.
+// The next chunk of a submission's body. Chunks are sent in order.
 struct BodyChunk {
   StreamId stream;
   std::string bytes;
 };
 
-// Withdraws a request that is not to start any more. Answered by Refused if it
-// had not started.
+// Withdraws a request unless it is already running. The sidecar answers with
+// Refused if the request had not started; otherwise the message has no effect.
 struct Revoke {
   StreamId stream;
 };
 
-// Ends a request wherever it is. Not answered.
+// Ends a request in any state and releases its reservation. The sidecar does
+// not answer.
 struct Cancel {
   StreamId stream;
 };
 
-// Allows more tokens on one stream.
+// Allows the sidecar to send `tokens` more tokens on one stream.
 struct Credit {
   StreamId stream;
   std::int64_t tokens = 0;
 };
 
-// Asks for a ticket, or ends one. Answered by TicketAnswer.
+// Requests a ticket. The sidecar answers with TicketAnswer.
 struct TicketRequest {
   StreamId call;
   AccountId account;
   Millis ttl{0};
 };
+// Revokes a ticket. The sidecar answers with TicketAnswer.
 struct TicketRevoke {
   StreamId call;
   AccountId account;
   std::string ticket;
 };
 
-// Asks for memory for a part of a group's prompt. Answered at once by Reserved
-// or Refused. Asking again for the same stream renews it.
+// Reserves KV memory for a part of a group's prompt. The sidecar answers at
+// once with Reserved or Refused. A repeated message for the same stream renews
+// the reservation.
 struct Reserve {
   StreamId stream;
   ModelId model;
@@ -131,38 +138,41 @@
   int version = kProtocolVersion;
   NodeId node;
   Incarnation incarnation;
-  // How often it pulses: a link that is silent for several of these is lost.
+  // Interval between two heartbeats of the sidecar. A link without a message
+  // for several intervals is considered lost.
   Millis pulse_interval{1000};
 };
 
-// The sidecar's clock and load, sent at intervals and when load changes much.
+// The sidecar's clock and load. Sent periodically, and when the load has
+// changed considerably.
 struct SidecarHeartbeat {
   RemoteMillis clock;
   LoadReport load;
   bool draining = false;
 };
 
-// The submission is whole and waits for its start.
+// The submission has been received completely and is queued.
 struct Accepted {
   StreamId stream;
 };
 
-// The endpoint is given the request now.
+// The request is being passed to the endpoint.
 struct Started {
   StreamId stream;
 };
 
-// Tokens of the answer, or for kCall bytes of it, from `position` on.
+// Part of the answer, starting at `position`: tokens, or for kCall chunks of
+// bytes.
 struct Output {
   StreamId stream;
   std::int64_t position = 0;
   std::vector<std::string> tokens;
 };
 
-// The answer is whole.
+// The answer is complete.
 struct Finished {
   StreamId stream;
-  // The number of tokens or pieces in the whole answer.
+  // Number of tokens or chunks in the whole answer.
   std::int64_t length = 0;
   std::string reason;
   // For kCall.
@@ -172,32 +182,36 @@
   SegmentRef segment;
 };
 
-// The request did not start and never will.
+// The request was rejected. It has not started and will not start.
 struct Refused {
   StreamId stream;
   std::string code;
   std::string message;
-  // Negative if coming back makes no sense.
+  // Delay before a retry. Negative if a retry would be pointless.
   Millis retry_after{-1};
 };
 
-// The request started, or may have, and brings no more.
+// The request failed after it was, or may have been, started. No more output
+// follows.
 struct Failed {
   StreamId stream;
   std::string code;
   std::string message;
-  // Whether the end of the run is certain ("failed") or not ("unknown").
+  // Whether the request is known to have ended ("failed"). Otherwise it may
+  // still be running ("unknown").
   bool ended = false;
 };
 
+// The response to TicketRequest and TicketRevoke.
 struct TicketAnswer {
   StreamId call;
   // Empty if none was issued.
   std::string ticket;
-  // What became of a revocation, as OutcomeName would say it.
+  // Result of a revocation: the OutcomeName of the ticket's request.
   std::string outcome;
 };
 
+// Confirms a reservation.
 struct Reserved {
   StreamId stream;
 };
@@ -207,23 +221,25 @@
                              SidecarHeartbeat, Accepted, Started, Output,
                              Finished, Refused, Failed, TicketAnswer, Reserved>;
 
-// Why bytes are no message.
+// The bytes are not CBOR, or not an array of a type number and fields.
 struct NotCbor {};
+// The type number is not known.
 struct UnknownMessage {
   int type = 0;
 };
+// A field is missing or has the wrong type.
 struct BadField {
   std::string reason;
 };
+// Why a message could not be decoded.
 using WireError = std::variant<NotCbor, UnknownMessage, BadField>;
 
-// Returns one sentence for a person.
+// Returns a one-line message for logs and operators.
 std::string Describe(const WireError& error);
 
-// Returns the bytes of `message`.
 std::string Encode(const Message& message);
 
-// Reads the bytes of one message.
+// Decodes one message. Fails with WireError.
 boost::leaf::result<Message> Decode(const std::string& bytes);
 
 }  // namespace harecrank::wire
