--- a/src/adapters/logging.h
+++ b/src/adapters/logging.h
@@ -1,4 +1,5 @@
-// Logs: lines for changes of state only. What happens often is counted.
+// Text logs for changes of state. Frequent events are counted by metrics
+// instead.
 
 #ifndef HARECRANK_SRC_ADAPTERS_LOGGING_H_
 #define HARECRANK_SRC_ADAPTERS_LOGGING_H_
@@ -9,8 +10,8 @@
 
 namespace harecrank {
 
-// Sends log lines to standard error from `level` ("debug", "info", "warn" or
-// "error") on. Called once, before other threads begin.
+// Writes log lines of `level` ("debug", "info", "warn" or "error") and above to
+// standard error. Must be called once, before other threads are started.
 void ConfigureLogging(const std::string& level);
 
 // Returns the logger of one module.
--- a/src/adapters/metrics.h
+++ b/src/adapters/metrics.h
@@ -1,4 +1,4 @@
-// Counters, gauges and histograms, as text that Prometheus reads.
+// Counters, gauges and histograms in Prometheus's text format.
 
 #ifndef HARECRANK_SRC_ADAPTERS_METRICS_H_
 #define HARECRANK_SRC_ADAPTERS_METRICS_H_
@@ -16,7 +16,7 @@
 
 namespace harecrank {
 
-// A number that only grows. Thread-safe.
+// A monotonically increasing counter. Thread-safe.
 class Counter {
  public:
   void Add(std::uint64_t amount = 1) {
@@ -28,8 +28,8 @@
   std::atomic<std::uint64_t> value_{0};
 };
 
-// A distribution of durations, in a Boost.Histogram over logarithmic buckets
-// of milliseconds. Thread-safe and lock-free.
+// A histogram of durations with logarithmic buckets, based on Boost.Histogram.
+// Thread-safe and lock-free.
 class DurationHistogram {
  public:
   DurationHistogram();
@@ -39,7 +39,8 @@
 
   void Record(std::chrono::nanoseconds duration);
 
-  // Appends the cumulative buckets, sum and count under `name`.
+  // Appends the cumulative buckets, the sum and the count under `name` in
+  // Prometheus's text format, with times in seconds.
   void AppendText(const std::string& name, const std::string& labels,
                   std::string* text) const;
 
@@ -48,21 +49,25 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// The metrics of one process, by name. Objects that it returns live as long as
-// it does. Thread-safe; look-ups take a lock, so hold on to what they return.
+// The metrics of one process by name. Returned pointers stay valid for the
+// lifetime of this object. Thread-safe. Look-ups take a lock, so frequent users
+// should keep the pointer.
 class Metrics {
  public:
-  // Returns the counter called `name`, with `labels` as in `a="b",c="d"`.
+  // Returns the counter `name` with `labels`, such as `a="b",c="d"`. Creates it
+  // if it does not exist.
   Counter* GetCounter(const std::string& name, const std::string& labels = "");
 
-  // Returns the histogram called `name`.
+  // Returns the histogram `name` with `labels`. Creates it if it does not
+  // exist.
   DurationHistogram* GetHistogram(const std::string& name,
                                   const std::string& labels = "");
 
-  // Adds a value that is read when asked for.
+  // Adds or replaces a gauge whose value is obtained by `read` for each call of
+  // Text. `read` is called with the lock held and must not use this object.
   void AddGauge(const std::string& name, std::function<double()> read);
 
-  // Returns all of it in Prometheus's text format.
+  // Returns all metrics in Prometheus's text format.
   std::string Text() const;
 
  private:
--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -1,4 +1,5 @@
-// The settings of one process, read from a JSON file and checked at start.
+// The settings of a process, which are read from a JSON file and validated at
+// the start.
 
 #ifndef HARECRANK_SRC_ADAPTERS_SETTINGS_H_
 #define HARECRANK_SRC_ADAPTERS_SETTINGS_H_
@@ -17,21 +18,23 @@
 
 namespace harecrank {
 
-// What every process of the system needs to know.
+// Settings that entry hosts and sidecars have in common.
 struct NodeSettings {
   NodeId node_id;
   DataCentreId data_centre;
-  // IP number and port of metrics, dump, administration and peers.
+  // IP address and port that serve metrics, state dumps, administration and
+  // requests from peers.
   std::string operations_address;
-  // Where the configuration service and the host list answer. The host list
-  // may be left out.
+  // Address of the configuration service.
   std::string config_service;
+  // Address of the host list service. Empty if there is none.
   std::string host_list;
-  // Operations addresses to ask while no configuration is known.
+  // Operations addresses of peers to query while no configuration is known.
   std::vector<std::string> seed_peers;
-  // SHA-256 of the keys that may call administration.
+  // SHA-256 hashes of the keys that authorise administration calls.
   std::vector<std::string> operator_keys_sha256;
-  // How often this node compares revisions with a random peer.
+  // Interval at which this node compares configuration revisions with a random
+  // peer.
   Millis compare_interval{2000};
   std::string log_level = "info";
 };
@@ -39,75 +42,92 @@
 // Settings of an entry host.
 struct EntrySettings {
   NodeSettings node;
+  // Address on which callers' requests are accepted.
   std::string callers_address;
-  // Requests in hand at once. More are refused at once.
+  // Maximum number of concurrent requests. Further requests are rejected
+  // immediately.
   int max_requests = 512;
   std::size_t max_body_bytes = 16U << 20U;
   std::string routing_policy = "length_aware";
-  // How long a drain waits for requests in hand.
+  // Maximum time that a drain waits for active requests.
   Millis drain_limit{600000};
 };
 
 // Settings of a sidecar.
 struct SidecarSettings {
   NodeSettings node;
+  // IP address and port on which links from entry hosts are accepted.
   std::string link_address;
-  // IP number and port of the endpoint beside it.
+  // IP address and port of the endpoint that this sidecar serves.
   std::string endpoint_address;
+  // Maximum number of queued requests.
   std::size_t queue_limit = 512;
+  // Maximum number of concurrently running requests.
   int max_running = 64;
+  // Interval between two heartbeats to an entry host.
   Millis pulse_interval{1000};
-  // How often the engine's own account is compared with the leases.
+  // Interval at which the holdings that the engine reports are compared with
+  // the leases.
   Millis reconcile_interval{2000};
-  // About how long the store takes to give the weights of one model.
+  // Approximate time to load the weights of one model from the store.
   Millis weight_load_time{10000};
+  // Maximum time that a drain waits for active requests.
   Millis drain_limit{600000};
 };
 
-// Settings of an entry host that forwards straight to endpoints.
+// Settings of an entry host that forwards requests directly to endpoints,
+// without sidecars.
 struct GatewaySettings {
   NodeId node_id;
   DataCentreId data_centre;
+  // Address on which callers' requests are accepted.
   std::string callers_address;
-  // Where the balancer asks whether this host takes new connections.
+  // Address at which the load balancer checks whether this host accepts new
+  // connections.
   std::string readiness_address;
-  // Metrics, dump and peers' questions.
+  // Address that serves metrics, state dumps and requests from peers.
   std::string operations_address;
-  // Where peers' datagrams arrive. All hosts use the same port.
+  // Address on which datagrams from peers are received. All hosts use the same
+  // port.
   std::string peers_address;
-  // The platform's service that publishes routes and endpoints.
+  // Address of the store, the platform's service that publishes routes and
+  // endpoints.
   std::string directory_service;
-  // Operations addresses of some other hosts, which may be stale.
+  // Operations addresses of some other hosts. They may be out of date.
   std::vector<std::string> seed_peers;
-  // Requests that may be sent once more, for all hosts together.
+  // Limit on repeated requests, for all hosts together.
   RepeatLimit repeat_limit;
-  // How long the platform waits after a stop signal before it kills.
+  // Time between the platform's stop signal and its kill signal.
   Millis stop_limit{8000};
-  // How long after an endpoint has left a request may still reach it.
+  // Maximum time after an endpoint has left within which a request may still
+  // arrive there.
   Millis leave_limit = EndpointDirectory::kDefaultLeaveLimit;
-  // Descriptors that this process may have open.
+  // Maximum number of file descriptors that this process may have open.
   std::size_t descriptors = 1024;
-  // The share of a core that this host has: the strongest plans for the fleet.
+  // CPU share of this host, in cores. Hosts with a greater share are preferred
+  // as the planner.
   double power = 1;
-  // What all hosts together may send to a cold endpoint.
+  // Limit on requests to cold endpoints, for all hosts together.
   ColdLimit cold_limit;
   PlacementPolicy placement;
 };
 
-// Why settings were refused.
+// The text is not a JSON object.
 struct UnreadableSettings {
   std::string reason;
 };
+// Keys are missing or unknown, or values are not allowed.
 struct InvalidSettings {
   std::vector<ConfigProblem> problems;
 };
+// Why settings were rejected.
 using SettingsError = std::variant<UnreadableSettings, InvalidSettings>;
 
-// Returns the faults, one a line.
+// Returns the problems, one per line.
 std::string Describe(const SettingsError& error);
 
-// Read and check the text of a settings file. Every fault is reported, not
-// the first alone.
+// Parse and validate the text of a settings file. All problems are reported,
+// not only the first one.
 boost::leaf::result<EntrySettings> ParseEntrySettings(const std::string& text);
 boost::leaf::result<SidecarSettings> ParseSidecarSettings(
     const std::string& text);
--- a/src/adapters/system_sources.h
+++ b/src/adapters/system_sources.h
@@ -1,4 +1,5 @@
-// The real clock and the real random numbers.
+// The system implementations of the clock and the random source, and helpers
+// for hashes and times.
 
 #ifndef HARECRANK_SRC_ADAPTERS_SYSTEM_SOURCES_H_
 #define HARECRANK_SRC_ADAPTERS_SYSTEM_SOURCES_H_
@@ -8,16 +9,16 @@
 
 namespace harecrank {
 
-// Returns the system's monotonic clock.
+// Returns the system's monotonic clock, which includes time in suspend.
 MonotonicClock SystemClock();
 
-// Returns a thread-safe source seeded by the system.
+// Returns a thread-safe random source that is seeded by the system.
 RandomSource SystemRandom();
 
-// Returns a new incarnation for a process that has just begun.
+// Returns a random non-zero incarnation for a process that is starting.
 Incarnation DrawIncarnation(const RandomSource& random);
 
-// Returns `time` in milliseconds since the clock's own beginning.
+// Returns `time` in milliseconds since the epoch of the monotonic clock.
 std::int64_t ToMillis(TimePoint time);
 
 // Returns the SHA-256 of `text` in lower-case hexadecimal.
