--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -8,22 +8,23 @@
 
 namespace harecrank {
 
-// What the process tells its caller.
+// Exit codes of the process.
 constexpr int kExitOk = 0;
-// The command ran and the answer is no: a check failed, a call was refused.
+// The command ran, but a check failed or a call was rejected.
 constexpr int kExitFailure = 1;
 // The command line is wrong.
 constexpr int kExitUsage = 2;
-// Settings or files cannot be used.
+// Settings or files are unreadable or invalid.
 constexpr int kExitBadInput = 3;
-// Something outside could not be reached, or an address cannot be had.
+// A service could not be reached, or an address could not be bound.
 constexpr int kExitUnavailable = 4;
 
 constexpr char kExitCodeHelp[] =
     "exit codes: 0 done, 1 refused or failed, 2 wrong command line, 3 "
     "unusable settings or files, 4 not reachable";
 
-// Each adds one subcommand. When it is parsed it runs, and sets `exit_code`.
+// Each function adds one subcommand to `app`. The subcommand runs when it is
+// parsed, and sets `exit_code`.
 void AddEntryCommand(CLI::App* app, int* exit_code);
 void AddSidecarCommand(CLI::App* app, int* exit_code);
 void AddAdminCommand(CLI::App* app, int* exit_code);
@@ -32,13 +33,15 @@
 void AddLoadCommand(CLI::App* app, int* exit_code);
 void AddExplainCommand(CLI::App* app, int* exit_code);
 
-// Reads a whole file. Returns false, and says why on standard error, if that
-// cannot be done.
+// Reads a whole file. On failure, prints the reason to standard error and
+// returns false.
 bool ReadFile(const std::string& path, std::string* text);
 
-// Waits for SIGTERM or SIGINT. All threads must have them blocked: call
-// BlockStopSignals first, before any thread begins.
+// Blocks SIGTERM and SIGINT in the calling thread and in threads that it starts
+// later, and ignores SIGPIPE. Must be called before any thread is started.
 void BlockStopSignals();
+
+// Waits for SIGTERM or SIGINT, which must be blocked in all threads.
 void WaitForStopSignal();
 
 }  // namespace harecrank
--- a/src/cli/explain.cc
+++ b/src/cli/explain.cc
@@ -43,7 +43,7 @@
 }  // namespace
 
 void ReadTimeline(std::istream* input, const std::string& request,
-                  RequestTimeline* story) {
+                  RequestTimeline* timeline) {
   std::string text;
   while (std::getline(*input, text)) {
     // Collectors put words of their own before a line.
@@ -53,22 +53,22 @@
                     ? json()
                     : json::parse(text.substr(begin), nullptr, kThrow);
     if (!line.is_object() || !line.contains("event")) {
-      ++story->unreadable;
+      ++timeline->unreadable;
       continue;
     }
-    story->left_out += line.value("left_out_before", std::size_t{0});
+    timeline->left_out += line.value("left_out_before", std::size_t{0});
     if (IsOf(line, request) ||
         BeliefKinds().count(line.value("event", "")) != 0) {
-      story->lines.push_back(std::move(line));
+      timeline->lines.push_back(std::move(line));
     }
   }
 }
 
-void FinalizeTimeline(const std::string& request, RequestTimeline* story) {
+void FinalizeTimeline(const std::string& request, RequestTimeline* timeline) {
   std::set<std::string> nodes;
   std::int64_t first = INT64_MAX;
   std::int64_t last = 0;
-  for (const json& line : story->lines) {
+  for (const json& line : timeline->lines) {
     if (IsOf(line, request)) {
       nodes.insert(line.value("node", ""));
       const auto time = line.value("time_ms", std::int64_t{0});
@@ -79,7 +79,7 @@
   // What a host came to believe up to this long before the request may have
   // decided it: an outage of the platform's service and what follows.
   constexpr std::int64_t kBeforeMs = 5000;
-  auto& lines = story->lines;
+  auto& lines = timeline->lines;
   lines.erase(
       std::remove_if(lines.begin(), lines.end(),
                      [&](const json& line) {
@@ -97,31 +97,31 @@
 }
 
 std::string FormatTimeline(const std::string& request,
-                           const RequestTimeline& story) {
+                           const RequestTimeline& timeline) {
   std::ostringstream text;
   const auto first_own =
-      std::find_if(story.lines.begin(), story.lines.end(),
+      std::find_if(timeline.lines.begin(), timeline.lines.end(),
                    [&](const json& line) { return IsOf(line, request); });
-  if (first_own == story.lines.end()) {
+  if (first_own == timeline.lines.end()) {
     text << "request " << request << ": no line in these logs\n";
   }
   const std::int64_t start =
-      first_own == story.lines.end()
+      first_own == timeline.lines.end()
           ? 0
           : first_own->value("time_ms", std::int64_t{0}) -
                 first_own->value("age_ms", std::int64_t{0});
-  for (const json& line : story.lines) {
+  for (const json& line : timeline.lines) {
     const auto time = line.value("time_ms", std::int64_t{0});
     text << (IsOf(line, request) ? "  " : "  (host) ") << time - start
          << " ms  " << line.value("node", "") << "  " << line.value("event", "")
          << DetailsOf(line) << "\n";
   }
-  if (story.left_out > 0) {
-    text << "  " << story.left_out
+  if (timeline.left_out > 0) {
+    text << "  " << timeline.left_out
          << " lines were left out by the processes under load\n";
   }
-  if (story.unreadable > 0) {
-    text << "  " << story.unreadable << " lines could not be read\n";
+  if (timeline.unreadable > 0) {
+    text << "  " << timeline.unreadable << " lines could not be read\n";
   }
   return text.str();
 }
--- a/src/cli/explain.h
+++ b/src/cli/explain.h
@@ -1,4 +1,5 @@
-// One request's story from the logs of any number of processes.
+// Reconstructs the timeline of one request from the event logs of any number of
+// processes.
 
 #ifndef HARECRANK_SRC_CLI_EXPLAIN_H_
 #define HARECRANK_SRC_CLI_EXPLAIN_H_
@@ -10,27 +11,31 @@
 
 namespace harecrank {
 
-// What was found in the logs.
+// The log lines that concern one request.
 struct RequestTimeline {
-  // The request's lines, and those on what its hosts believed around it, by
-  // time of day.
+  // The lines of the request, and the lines on state changes of its hosts
+  // around that time. Sorted by time of day after FinalizeTimeline.
   std::vector<nlohmann::json> lines;
-  // Lines that are no JSON object: cut, or of another program.
+  // Number of lines that are no event, because they are truncated or come from
+  // another program.
   std::size_t unreadable = 0;
-  // Lines that the processes say they left out.
+  // Number of lines that the processes report as suppressed by their rate
+  // limit.
   std::size_t left_out = 0;
 };
 
-// Reads `input` to its end and adds what concerns `request`.
+// Reads `input` to its end, and adds the lines of `request` and all lines on
+// state changes of hosts.
 void ReadTimeline(std::istream* input, const std::string& request,
-                  RequestTimeline* story);
+                  RequestTimeline* timeline);
 
-// Sorts the lines and drops beliefs of hosts that never saw the request.
-void FinalizeTimeline(const std::string& request, RequestTimeline* story);
+// Sorts the lines by time. Removes state changes of hosts that have no line of
+// the request, and state changes that are too early or too late to concern it.
+void FinalizeTimeline(const std::string& request, RequestTimeline* timeline);
 
-// Returns the story for a person, one line a decision.
+// Returns the timeline as text, one line per event.
 std::string FormatTimeline(const std::string& request,
-                           const RequestTimeline& story);
+                           const RequestTimeline& timeline);
 
 }  // namespace harecrank
 
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -18,9 +18,9 @@
 };
 
 int Explain(const ExplainOptions& options) {
-  RequestTimeline story;
+  RequestTimeline timeline;
   if (options.files.empty()) {
-    ReadTimeline(&std::cin, options.request, &story);
+    ReadTimeline(&std::cin, options.request, &timeline);
   }
   for (const std::string& path : options.files) {
     std::ifstream file(path);
@@ -28,19 +28,19 @@
       std::cerr << "harecrank: cannot read the file " << path << "\n";
       return kExitBadInput;
     }
-    ReadTimeline(&file, options.request, &story);
+    ReadTimeline(&file, options.request, &timeline);
   }
-  FinalizeTimeline(options.request, &story);
+  FinalizeTimeline(options.request, &timeline);
   if (options.as_json) {
-    std::cout << nlohmann::json{{"lines", story.lines},
-                                {"unreadable", story.unreadable},
-                                {"left_out", story.left_out}}
+    std::cout << nlohmann::json{{"lines", timeline.lines},
+                                {"unreadable", timeline.unreadable},
+                                {"left_out", timeline.left_out}}
                      .dump(2)
               << "\n";
   } else {
-    std::cout << FormatTimeline(options.request, story);
+    std::cout << FormatTimeline(options.request, timeline);
   }
-  return story.lines.empty() ? kExitFailure : kExitOk;
+  return timeline.lines.empty() ? kExitFailure : kExitOk;
 }
 
 }  // namespace
--- a/src/cli/explain_test.cc
+++ b/src/cli/explain_test.cc
@@ -17,36 +17,36 @@
 {"event":"placed","node":"c","request":"r3","time_ms":1,"left_out_before":4}
 )";
 
-RequestTimeline StoryOf(const std::string& request) {
-  RequestTimeline story;
+RequestTimeline TimelineOf(const std::string& request) {
+  RequestTimeline timeline;
   std::istringstream input(kLogs);
-  ReadTimeline(&input, request, &story);
-  FinalizeTimeline(request, &story);
-  return story;
+  ReadTimeline(&input, request, &timeline);
+  FinalizeTimeline(request, &timeline);
+  return timeline;
 }
 
 TEST_CASE(
     "A story has the request's lines in order and what its host "
     "believed") {
-  const RequestTimeline story = StoryOf("r1");
-  REQUIRE(story.lines.size() == 3);
-  CHECK(story.lines[0]["event"] == "source_lost");
-  CHECK(story.lines[1]["event"] == "placed");
-  CHECK(story.lines[2]["event"] == "ended");
+  const RequestTimeline timeline = TimelineOf("r1");
+  REQUIRE(timeline.lines.size() == 3);
+  CHECK(timeline.lines[0]["event"] == "source_lost");
+  CHECK(timeline.lines[1]["event"] == "placed");
+  CHECK(timeline.lines[2]["event"] == "ended");
   // The cut line and the two empty ones.
-  CHECK(story.unreadable >= 1);
-  CHECK(story.left_out == 4);
+  CHECK(timeline.unreadable >= 1);
+  CHECK(timeline.left_out == 4);
 }
 
 TEST_CASE("Times are told from the request's arrival") {
-  const std::string text = FormatTimeline("r1", StoryOf("r1"));
+  const std::string text = FormatTimeline("r1", TimelineOf("r1"));
   CHECK(text.find("100 ms  b  placed") != std::string::npos);
   CHECK(text.find("900 ms  b  ended outcome=\"refused\"") != std::string::npos);
   CHECK(text.find("4 lines were left out") != std::string::npos);
 }
 
 TEST_CASE("A request without lines is said to have none") {
-  const std::string text = FormatTimeline("r9", StoryOf("r9"));
+  const std::string text = FormatTimeline("r9", TimelineOf("r9"));
   CHECK(text.find("no line in these logs") != std::string::npos);
 }
 
--- a/src/cli/gateway_command.h
+++ b/src/cli/gateway_command.h
@@ -1,4 +1,5 @@
-// "gateway": the entry host's process that forwards straight to endpoints.
+// The subcommand "gateway": an entry host that forwards requests directly to
+// endpoints.
 
 #ifndef HARECRANK_SRC_CLI_GATEWAY_COMMAND_H_
 #define HARECRANK_SRC_CLI_GATEWAY_COMMAND_H_
@@ -9,7 +10,8 @@
 
 namespace harecrank {
 
-// Adds the subcommand, for the platform that `platform` speaks to.
+// Adds the subcommand to `app`. `platform` adapts the gateway to the platform's
+// services.
 void AddGatewayCommand(CLI::App* app, int* exit_code,
                        PlatformAdapters platform);
 
--- a/src/cli/load_run.h
+++ b/src/cli/load_run.h
@@ -1,4 +1,4 @@
-// One run of an open-loop load.
+// Generates an open-loop load and measures the responses.
 
 #ifndef HARECRANK_SRC_CLI_LOAD_RUN_H_
 #define HARECRANK_SRC_CLI_LOAD_RUN_H_
@@ -9,34 +9,42 @@
 
 namespace harecrank {
 
-// What to send.
+// The requests to send.
 struct LoadPlan {
+  // Addresses of entry hosts. Each request goes to a random one.
   std::vector<std::string> targets;
+  // Key of the client account.
   std::string key;
   std::string model;
+  // Requests per second.
   double rate = 10;
   double seconds = 10;
-  // "TOKENS:SHARE" each.
+  // Prompt lengths and their shares of the requests, each as "TOKENS:SHARE".
   std::vector<std::string> mix{"1000:1"};
   std::int64_t answer_tokens = 32;
   std::int64_t time_limit_ms = 30000;
+  // Seed of the arrival times, prompt lengths and prompts.
   std::uint64_t seed = 1;
+  // Maximum number of concurrent requests.
   int threads = 512;
-  // Sends a single request at once in place of a rate.
+  // Whether to send one request immediately instead of a load.
   bool single_request = false;
-  // Where set, the engine stand-in's own address: the baseline without hops.
+  // If not empty, the address of an engine stand-in, to which the requests are
+  // sent directly. This gives the baseline without entry host and sidecar.
   std::string engine_address;
 };
 
-// What came of it.
+// The results of a run.
 struct LoadRunReport {
   std::string text;
   std::string json;
+  // Number of requests with a complete answer.
   std::int64_t answered = 0;
 };
 
-// Sends by `plan`, waits for every answer, and reports. Arrivals do not wait
-// for answers: a slow system meets the load that it would meet in life.
+// Sends the requests of `plan`, waits for all answers and returns the results.
+// Requests are sent at their arrival times without waiting for earlier answers,
+// so a slow system receives the same load as in production.
 LoadRunReport RunLoad(const LoadPlan& plan);
 
 }  // namespace harecrank
