--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -23,10 +23,12 @@
 using Poco::Net::HTTPRequest;
 using Poco::Net::HTTPResponse;
 
+// Length of the listen queue.
 constexpr int kBacklog = 512;
-constexpr std::size_t kReadPiece = 16384;
+constexpr std::size_t kReadChunk = 16384;
 constexpr int kKeepAliveSeconds = 5;
 constexpr std::int64_t kMicrosPerMilli = 1000;
+// Threads of the pool in addition to those that handle connections.
 constexpr int kSpareThreads = 2;
 
 struct Describer {
@@ -47,16 +49,17 @@
       static_cast<Poco::Timespan::TimeDiff>(time.count() * kMicrosPerMilli)};
 }
 
-// Reads all of `from` into `to`. Returns false past `limit` bytes.
-bool ReadAll(std::istream& from, std::size_t limit, std::string* to) {
-  std::array<char, kReadPiece> piece{};
-  while (from.good()) {
-    from.read(piece.data(), piece.size());
-    const auto got = static_cast<std::size_t>(from.gcount());
-    if (to->size() + got > limit) {
+// Appends all of `from` to `to`. Returns false if `to` would exceed `limit`
+// bytes.
+bool ReadAll(std::istream& source, std::size_t limit, std::string* to) {
+  std::array<char, kReadChunk> chunk{};
+  while (source.good()) {
+    source.read(chunk.data(), chunk.size());
+    const auto received = static_cast<std::size_t>(source.gcount());
+    if (to->size() + received > limit) {
       return false;
     }
-    to->append(piece.data(), got);
+    to->append(chunk.data(), received);
   }
   return true;
 }
@@ -73,8 +76,8 @@
   session.sendRequest(request) << call.body << std::flush;
 }
 
-// Runs `exchange` on a connected session, and tells a failure to connect from
-// a failure after something was sent.
+// Runs `exchange` on a connected session. Returns Unreachable if the connection
+// cannot be opened, and NoResponse for later failures.
 leaf::result<void> WithSession(
     const HttpCall& call,
     const std::function<leaf::result<void>(HTTPClientSession&)>& exchange) {
@@ -101,14 +104,15 @@
 
   void handleRequest(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override {
-    // A token that waits for the next one to fill a segment is late.
+    // Without this, Nagle's algorithm would delay a token until the next one
+    // fills a segment.
     auto& implementation =
         static_cast<Poco::Net::HTTPServerRequestImpl&>(request);
     implementation.socket().setNoDelay(true);
     try {
       handler_(request, response);
     } catch (const Poco::Exception&) {
-      // The other side left; there is nobody to tell.
+      // The peer has disconnected, so the error cannot be reported to it.
       response.setKeepAlive(false);
     }
   }
@@ -150,7 +154,7 @@
     if (!ReadAll(body, max_bytes, &answer.body)) {
       return leaf::new_error(HttpError{ResponseTooLarge{max_bytes}});
     }
-    // POCO ends a body that was cut as it ends a whole one.
+    // POCO reports the end of a truncated body like that of a complete one.
     if (response.hasContentLength() &&
         static_cast<Poco::Int64>(answer.body.size()) <
             response.getContentLength64()) {
@@ -218,11 +222,11 @@
 }
 
 void DiscardBody(Poco::Net::HTTPServerRequest& request, std::size_t limit) {
-  std::array<char, kReadPiece> piece{};
+  std::array<char, kReadChunk> chunk{};
   std::istream& body = request.stream();
   for (std::size_t read = 0; body.good() && read < limit;
-       read += piece.size()) {
-    body.read(piece.data(), piece.size());
+       read += chunk.size()) {
+    body.read(chunk.data(), chunk.size());
   }
 }
 
--- a/src/adapters/line_writer.cc
+++ b/src/adapters/line_writer.cc
@@ -10,11 +10,11 @@
 namespace harecrank {
 namespace {
 
-// A descriptor that is ready takes this much at once without waiting: POSIX
-// promises it for pipes.
-constexpr std::size_t kPiece = PIPE_BUF;
-// How often a writer that waits for its reader looks whether it shall stop.
-constexpr Millis kLook{100};
+// Maximum size of one write. POSIX guarantees that a write of up to PIPE_BUF
+// bytes to a pipe that poll reports as writable does not block.
+constexpr std::size_t kMaxWriteBytes = PIPE_BUF;
+// Interval at which a blocked writer checks whether the flush time is over.
+constexpr Millis kPollInterval{100};
 
 }  // namespace
 
@@ -34,8 +34,9 @@
 bool LineWriter::Append(const std::string& line) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    // Without what is in hand the bound held for half: a writer that was stuck
-    // with a full batch let a second one grow, 512 kB instead of 256 kB.
+    // The batch that is being written counts too. Otherwise a stalled writer
+    // with a full batch would allow a second full buffer: 512 kB instead of 256
+    // kB.
     if (batch_bytes_ + buffered_.size() + line.size() >= kMaxBufferedBytes) {
       return false;
     }
@@ -70,12 +71,14 @@
     if (!WaitUntilWritable()) {
       return;
     }
-    const std::size_t piece = std::min(kPiece, batch.size() - written);
-    const ssize_t got = ::write(descriptor_, batch.data() + written, piece);
-    if (got > 0) {
-      written += static_cast<std::size_t>(got);
+    const std::size_t write_size =
+        std::min(kMaxWriteBytes, batch.size() - written);
+    const ssize_t result =
+        ::write(descriptor_, batch.data() + written, write_size);
+    if (result > 0) {
+      written += static_cast<std::size_t>(result);
     } else if (errno != EINTR && errno != EAGAIN) {
-      // Nobody reads any more, and there is no other place to say so.
+      // The reader is gone, and the error cannot be reported elsewhere.
       return;
     }
   }
@@ -83,8 +86,9 @@
 
 bool LineWriter::WaitUntilWritable() {
   while (true) {
-    pollfd ready{descriptor_, POLLOUT, 0};
-    const int count = ::poll(&ready, 1, static_cast<int>(kLook.count()));
+    pollfd poll_request{descriptor_, POLLOUT, 0};
+    const int count =
+        ::poll(&poll_request, 1, static_cast<int>(kPollInterval.count()));
     if (count > 0) {
       return true;
     }
--- a/src/adapters/link_client.cc
+++ b/src/adapters/link_client.cc
@@ -98,14 +98,16 @@
   }
 
  private:
-  // One message that cannot be handled must not end the process.
+  // Runs the event loop. If the handling of a message throws, the message is
+  // dropped and the loop continues, so that one message cannot end the process.
   void Run() {
     while (true) {
       try {
         client_.run();
         return;
       } catch (const std::exception& error) {
-        LOG4CXX_ERROR(log_, "a message was dropped: " << error.what());
+        LOG4CXX_ERROR(log_, "message dropped: exception in the event loop: "
+                                << error.what());
       }
     }
   }
@@ -131,11 +133,12 @@
           return {};
         },
         [&](const wire::WireError& error) { Reject(dial, Describe(error)); },
-        [&] { Reject(dial, "an error of another layer"); });
+        [&] { Reject(dial, "unexpected error type"); });
   }
 
   void Reject(DialId dial, const std::string& reason) {
-    LOG4CXX_WARN(log_, "link " << dial.value << " cut: " << reason);
+    LOG4CXX_WARN(
+        log_, "link " << dial.value << " closed: invalid message: " << reason);
     Close(dial);
   }
 
--- a/src/adapters/link_server.cc
+++ b/src/adapters/link_server.cc
@@ -79,14 +79,16 @@
   }
 
  private:
-  // One message that cannot be handled must not end the process.
+  // Runs the event loop. If the handling of a message throws, the message is
+  // dropped and the loop continues, so that one message cannot end the process.
   void Run() {
     while (true) {
       try {
         server_.run();
         return;
       } catch (const std::exception& error) {
-        LOG4CXX_ERROR(log_, "a message was dropped: " << error.what());
+        LOG4CXX_ERROR(log_, "message dropped: exception in the event loop: "
+                                << error.what());
       }
     }
   }
@@ -122,11 +124,12 @@
           return {};
         },
         [&](const wire::WireError& error) { Reject(id, Describe(error)); },
-        [&] { Reject(id, "an error of another layer"); });
+        [&] { Reject(id, "unexpected error type"); });
   }
 
   void Reject(ConnectionId id, const std::string& reason) {
-    LOG4CXX_WARN(log_, "link " << id.value << " cut: " << reason);
+    LOG4CXX_WARN(log_,
+                 "link " << id.value << " closed: invalid message: " << reason);
     Close(id);
   }
 
