--- a/src/adapters/metrics.cc
+++ b/src/adapters/metrics.cc
@@ -13,10 +13,10 @@
 namespace bh = boost::histogram;
 
 constexpr unsigned kBuckets = 40;
-// Enough for a time in milliseconds.
+// Sufficient for a time of day in milliseconds.
 constexpr int kGaugeDigits = 15;
-constexpr double kLeastMillis = 0.1;
-constexpr double kMostMillis = 1e6;
+constexpr double kMinMillis = 0.1;
+constexpr double kMaxMillis = 1e6;
 constexpr double kNanosPerMilli = 1e6;
 constexpr double kMillisPerSecond = 1000.0;
 
@@ -24,7 +24,7 @@
 using Storage = bh::dense_storage<bh::accumulators::count<std::uint64_t, true>>;
 using Histogram = bh::histogram<std::tuple<Axis>, Storage>;
 
-std::string Braced(const std::string& labels) {
+std::string FormatLabels(const std::string& labels) {
   return labels.empty() ? "" : "{" + labels + "}";
 }
 
@@ -33,7 +33,7 @@
 class DurationHistogram::Impl {
  public:
   Impl()
-      : histogram_(std::make_tuple(Axis(kBuckets, kLeastMillis, kMostMillis)),
+      : histogram_(std::make_tuple(Axis(kBuckets, kMinMillis, kMaxMillis)),
                    Storage()) {}
 
   void Record(std::chrono::nanoseconds duration) {
@@ -60,8 +60,9 @@
     }
     const double sum = static_cast<double>(sum_nanos_.load()) / kNanosPerMilli /
                        kMillisPerSecond;
-    out << name << "_sum" << Braced(labels) << " " << sum << "\n"
-        << name << "_count" << Braced(labels) << " " << cumulative << "\n";
+    out << name << "_sum" << FormatLabels(labels) << " " << sum << "\n"
+        << name << "_count" << FormatLabels(labels) << " " << cumulative
+        << "\n";
     *text += out.str();
   }
 
@@ -116,23 +117,24 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   std::ostringstream out;
   out << std::setprecision(kGaugeDigits);
-  std::string last;
+  std::string previous_name;
   for (const auto& [key, counter] : counters_) {
-    if (key.name != last) {
+    if (key.name != previous_name) {
       out << "# TYPE " << key.name << " counter\n";
-      last = key.name;
+      previous_name = key.name;
     }
-    out << key.name << Braced(key.labels) << " " << counter->Value() << "\n";
+    out << key.name << FormatLabels(key.labels) << " " << counter->Value()
+        << "\n";
   }
   for (const auto& [name, read] : gauges_) {
     out << "# TYPE " << name << " gauge\n" << name << " " << read() << "\n";
   }
   std::string text = out.str();
-  last.clear();
+  previous_name.clear();
   for (const auto& [key, histogram] : histograms_) {
-    if (key.name != last) {
+    if (key.name != previous_name) {
       text += "# TYPE " + key.name + " histogram\n";
-      last = key.name;
+      previous_name = key.name;
     }
     histogram->AppendText(key.name, key.labels, &text);
   }
--- a/src/adapters/system_sources.cc
+++ b/src/adapters/system_sources.cc
@@ -9,7 +9,7 @@
 
 BootClock::time_point BootClock::now() noexcept {
   timespec now{};
-  // Cannot fail: every Linux since 2.6.39 has the clock.
+  // Cannot fail: Linux has had this clock since version 2.6.39.
   clock_gettime(CLOCK_BOOTTIME, &now);
   return time_point(std::chrono::seconds(now.tv_sec) +
                     std::chrono::nanoseconds(now.tv_nsec));
@@ -29,11 +29,11 @@
 }
 
 Incarnation DrawIncarnation(const RandomSource& random) {
-  std::uint64_t drawn = random();
-  while (drawn == 0) {
-    drawn = random();
+  std::uint64_t incarnation = random();
+  while (incarnation == 0) {
+    incarnation = random();
   }
-  return Incarnation{drawn};
+  return Incarnation{incarnation};
 }
 
 std::int64_t ToMillis(TimePoint time) {
--- a/src/adapters/wire.cc
+++ b/src/adapters/wire.cc
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-// Conversions of the strong types and of durations, for every message.
+// JSON conversions of strong types and durations, which all messages use.
 namespace nlohmann {
 
 template <typename Tag>
@@ -41,7 +41,8 @@
 
 using nlohmann::json;
 
-// A report goes out with every pulse, so it travels without field names.
+// A load report is part of each heartbeat, so it is encoded without field
+// names.
 void to_json(json& to, const LoadReport& from) {
   to = json::array({from.short_backlog.value, from.long_backlog.value,
                     from.free_memory.value, from.memory.value, from.running});
@@ -89,7 +90,8 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(TicketAnswer, call, ticket, outcome)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Reserved, stream)
 
-// A prompt is bytes, not text: a piece may end inside a character.
+// Chunks are encoded as bytes, not text, because a chunk may end inside a
+// character.
 void to_json(json& to, const BodyChunk& from) {
   to = json::array(
       {from.stream.value, json::binary(std::vector<std::uint8_t>(
@@ -112,7 +114,8 @@
   from.at(2).get_to(to.draining);
 }
 
-// Output is most of all messages. A service's answer is bytes as well.
+// Most messages are Output, so it is encoded without field names. Its items are
+// bytes because the response of a service need not be text.
 void to_json(json& to, const Output& from) {
   json tokens = json::array();
   for (const std::string& token : from.tokens) {
@@ -147,15 +150,15 @@
   }
 };
 
-// Reads the fields of the message with number `type`, one alternative of
-// Message after the other.
+// Decodes the fields of the message type with the number `type`, which is the
+// index of its alternative in Message. Tests the alternatives from kIndex on.
 template <std::size_t kIndex = 0>
-leaf::result<Message> ReadFields(int type, const json& fields) {
+leaf::result<Message> DecodeFields(int type, const json& fields) {
   if constexpr (kIndex == std::variant_size_v<Message>) {
     return leaf::new_error(WireError{UnknownMessage{type}});
   } else {
     if (static_cast<std::size_t>(type) != kIndex) {
-      return ReadFields<kIndex + 1>(type, fields);
+      return DecodeFields<kIndex + 1>(type, fields);
     }
     return Message(fields.get<std::variant_alternative_t<kIndex, Message>>());
   }
@@ -183,7 +186,7 @@
     return leaf::new_error(WireError{NotCbor{}});
   }
   try {
-    return ReadFields(frame[0].get<int>(), frame[1]);
+    return DecodeFields(frame[0].get<int>(), frame[1]);
   } catch (const json::exception& error) {
     return leaf::new_error(WireError{BadField{error.what()}});
   }
