--- a/src/cli/explain.cc
+++ b/src/cli/explain.cc
@@ -10,27 +10,28 @@
 
 using nlohmann::json;
 
-// Kinds of lines that tell what a host came to believe.
-const std::set<std::string>& BeliefKinds() {
-  static const std::set<std::string> kKinds = {
+// Names of events that report a change of a host's state, which may explain its
+// decisions.
+const std::set<std::string>& StateChangeEvents() {
+  static const std::set<std::string> kEvents = {
       "start",          "stop",        "reload",          "drain",
       "configuration",  "source_lost", "source_regained", "endpoint_gone",
       "endpoints_told", "peer_asked"};
-  return kKinds;
+  return kEvents;
 }
 
-// Fields that every line has and that the telling shows apart.
+// Fields that are not repeated among the details of a line.
 const std::set<std::string>& CommonFields() {
   static const std::set<std::string> kFields = {"event", "node", "request",
                                                 "time_ms", "steady_ms"};
   return kFields;
 }
 
-bool IsOf(const json& line, const std::string& request) {
+bool BelongsTo(const json& line, const std::string& request) {
   return line.value("request", "") == request;
 }
 
-std::string DetailsOf(const json& line) {
+std::string FormatDetails(const json& line) {
   std::ostringstream text;
   for (const auto& [key, value] : line.items()) {
     if (CommonFields().count(key) == 0) {
@@ -46,7 +47,7 @@
                   RequestTimeline* timeline) {
   std::string text;
   while (std::getline(*input, text)) {
-    // Collectors put words of their own before a line.
+    // Log collectors may add a prefix to a line.
     const std::size_t begin = text.find('{');
     constexpr bool kThrow = false;
     json line = begin == std::string::npos
@@ -57,8 +58,8 @@
       continue;
     }
     timeline->left_out += line.value("left_out_before", std::size_t{0});
-    if (IsOf(line, request) ||
-        BeliefKinds().count(line.value("event", "")) != 0) {
+    if (BelongsTo(line, request) ||
+        StateChangeEvents().count(line.value("event", "")) != 0) {
       timeline->lines.push_back(std::move(line));
     }
   }
@@ -69,24 +70,25 @@
   std::int64_t first = INT64_MAX;
   std::int64_t last = 0;
   for (const json& line : timeline->lines) {
-    if (IsOf(line, request)) {
+    if (BelongsTo(line, request)) {
       nodes.insert(line.value("node", ""));
       const auto time = line.value("time_ms", std::int64_t{0});
       first = std::min(first, time);
       last = std::max(last, time);
     }
   }
-  // What a host came to believe up to this long before the request may have
-  // decided it: an outage of the platform's service and what follows.
-  constexpr std::int64_t kBeforeMs = 5000;
+  // State changes up to this long before the request's first line may have
+  // influenced its handling, such as an outage of the store and its
+  // consequences.
+  constexpr std::int64_t kMaxLeadMs = 5000;
   auto& lines = timeline->lines;
   lines.erase(
       std::remove_if(lines.begin(), lines.end(),
                      [&](const json& line) {
                        const auto time = line.value("time_ms", std::int64_t{0});
-                       return !IsOf(line, request) &&
+                       return !BelongsTo(line, request) &&
                               (nodes.count(line.value("node", "")) == 0 ||
-                               time < first - kBeforeMs || time > last);
+                               time < first - kMaxLeadMs || time > last);
                      }),
       lines.end());
   std::stable_sort(lines.begin(), lines.end(),
@@ -99,22 +101,22 @@
 std::string FormatTimeline(const std::string& request,
                            const RequestTimeline& timeline) {
   std::ostringstream text;
-  const auto first_own =
+  const auto first_line =
       std::find_if(timeline.lines.begin(), timeline.lines.end(),
-                   [&](const json& line) { return IsOf(line, request); });
-  if (first_own == timeline.lines.end()) {
+                   [&](const json& line) { return BelongsTo(line, request); });
+  if (first_line == timeline.lines.end()) {
     text << "request " << request << ": no line in these logs\n";
   }
   const std::int64_t start =
-      first_own == timeline.lines.end()
+      first_line == timeline.lines.end()
           ? 0
-          : first_own->value("time_ms", std::int64_t{0}) -
-                first_own->value("age_ms", std::int64_t{0});
+          : first_line->value("time_ms", std::int64_t{0}) -
+                first_line->value("age_ms", std::int64_t{0});
   for (const json& line : timeline.lines) {
     const auto time = line.value("time_ms", std::int64_t{0});
-    text << (IsOf(line, request) ? "  " : "  (host) ") << time - start
+    text << (BelongsTo(line, request) ? "  " : "  (host) ") << time - start
          << " ms  " << line.value("node", "") << "  " << line.value("event", "")
-         << DetailsOf(line) << "\n";
+         << FormatDetails(line) << "\n";
   }
   if (timeline.left_out > 0) {
     text << "  " << timeline.left_out
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -1,4 +1,5 @@
-// "explain": one request's story from collected logs.
+// The subcommand "explain": prints the timeline of one request from collected
+// logs.
 
 #include <fstream>
 #include <iostream>
