--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -1,4 +1,5 @@
-// "load": an open-loop load with a mix of prompt lengths.
+// The subcommand "load": generates an open-loop load with a mix of prompt
+// lengths.
 
 #include <cmath>
 #include <fstream>
--- a/src/cli/load_run.cc
+++ b/src/cli/load_run.cc
@@ -28,9 +28,10 @@
 constexpr double kMedian = 0.50;
 constexpr double kP95 = 0.95;
 constexpr double kP99 = 0.99;
+// Added to a request's time limit to give the time-out of the HTTP call.
 constexpr Millis kTimeoutMargin{5000};
 
-// One prompt length of the mix.
+// One prompt length of the mix, with its share of the requests.
 struct MixPart {
   std::int64_t tokens = 0;
   double share = 0;
@@ -39,60 +40,67 @@
 // One request to send.
 struct Arrival {
   Clock::time_point due;
+  // Length of the prompt.
   std::int64_t tokens = 0;
   std::uint64_t seed = 0;
   std::string target;
 };
 
-// What came of one request.
+// The result of one request.
 struct Sample {
+  // Length of the prompt.
   std::int64_t tokens = 0;
+  // Whether the answer was complete.
   bool answered = false;
   int status = 0;
   std::string error;
+  // Time from the due time to the first part of the answer.
   double first_ms = 0;
+  // Time from the due time to the end of the answer.
   double total_ms = 0;
+  // Longest time between two parts of the answer.
   double worst_gap_ms = 0;
 };
 
 std::vector<MixPart> ParseMix(const std::vector<std::string>& mix) {
-  std::vector<MixPart> parts;
+  std::vector<MixPart> mix_parts;
   for (const std::string& text : mix) {
     const auto colon = text.find(':');
     MixPart part;
     part.tokens = std::stoll(text.substr(0, colon));
     part.share =
         colon == std::string::npos ? 1 : std::stod(text.substr(colon + 1));
-    parts.push_back(part);
+    mix_parts.push_back(part);
   }
-  return parts;
+  return mix_parts;
 }
 
-// Arrivals of a Poisson process, drawn ahead so that a seed gives one load.
+// Returns the arrivals of a Poisson process. They are generated in advance, so
+// that the load depends only on the plan and its seed.
 std::deque<Arrival> DrawArrivals(const LoadPlan& plan,
-                                 Clock::time_point began) {
+                                 Clock::time_point start) {
   std::mt19937_64 random(plan.seed);
   std::exponential_distribution<double> gap(plan.rate);
-  const auto parts = ParseMix(plan.mix);
+  const auto mix_parts = ParseMix(plan.mix);
   std::vector<double> shares;
-  shares.reserve(parts.size());
-  for (const MixPart& part : parts) {
+  shares.reserve(mix_parts.size());
+  for (const MixPart& part : mix_parts) {
     shares.push_back(part.share);
   }
   std::discrete_distribution<std::size_t> pick(shares.begin(), shares.end());
   std::deque<Arrival> arrivals;
-  auto due = began;
+  auto due = start;
   while (!plan.single_request || arrivals.empty()) {
     due += std::chrono::duration_cast<Clock::duration>(
         std::chrono::duration<double>(gap(random)));
     if (plan.single_request) {
-      due = began;
-    } else if (due - began >= std::chrono::duration<double>(plan.seconds)) {
+      due = start;
+    } else if (due - start >= std::chrono::duration<double>(plan.seconds)) {
       break;
     }
     Arrival arrival;
     arrival.due = due;
-    arrival.tokens = parts[pick(random)].tokens;
+    arrival.tokens = mix_parts[pick(random)].tokens;
     arrival.seed = random();
     arrival.target = plan.targets[random() % plan.targets.size()];
     arrivals.push_back(std::move(arrival));
@@ -100,7 +108,8 @@
   return arrivals;
 }
 
-// A prompt of so many tokens, with a beginning that no other has.
+// Returns a prompt of about `tokens` tokens. It starts with the seed, so that
+// different prompts share no prefix.
 std::string MakePrompt(std::int64_t tokens, std::uint64_t seed) {
   std::string prompt = std::to_string(seed) + " ";
   const std::size_t bytes = static_cast<std::size_t>(tokens) * kBytesPerToken;
@@ -135,11 +144,14 @@
   return call;
 }
 
-// Notes the times of the parts of one answer.
+// Reads one answer and measures the times of its parts.
 class AnswerReader {
  public:
-  AnswerReader(Clock::time_point began, bool direct, Sample* sample)
-      : began_(began), last_(began), direct_(direct), sample_(sample) {}
+  AnswerReader(Clock::time_point start, bool is_direct, Sample* sample)
+      : start_(start),
+        last_part_at_(start),
+        is_direct_(is_direct),
+        sample_(sample) {}
 
   void Read(int status, std::istream& body) {
     sample_->status = status;
@@ -149,15 +161,15 @@
         sample_->error = ErrorCode(line);
         return;
       }
-      OnLine(line);
+      ProcessLine(line);
     }
-    sample_->total_ms = MillisSince(began_);
+    sample_->total_ms = MillisSince(start_);
   }
 
  private:
-  void OnLine(const std::string& line) {
+  void ProcessLine(const std::string& line) {
     if (line == "event: done" ||
-        (direct_ && line.find("\"length\"") != std::string::npos)) {
+        (is_direct_ && line.find("\"length\"") != std::string::npos)) {
       sample_->answered = true;
       return;
     }
@@ -165,18 +177,18 @@
       sample_->error = "in_stream";
       return;
     }
-    const bool part = direct_ ? line.find("\"t\"") != std::string::npos
-                              : line.compare(0, 7, "data: {") == 0;
+    const bool part = is_direct_ ? line.find("\"t\"") != std::string::npos
+                                 : line.compare(0, 7, "data: {") == 0;
     if (!part || sample_->answered) {
       return;
     }
     if (sample_->first_ms == 0) {
-      sample_->first_ms = MillisSince(began_);
+      sample_->first_ms = MillisSince(start_);
     } else {
       sample_->worst_gap_ms =
-          std::max(sample_->worst_gap_ms, MillisSince(last_));
+          std::max(sample_->worst_gap_ms, MillisSince(last_part_at_));
     }
-    last_ = Clock::now();
+    last_part_at_ = Clock::now();
   }
 
   static std::string ErrorCode(const std::string& line) {
@@ -192,9 +204,9 @@
         .count();
   }
 
-  Clock::time_point began_;
-  Clock::time_point last_;
-  bool direct_;
+  Clock::time_point start_;
+  Clock::time_point last_part_at_;
+  bool is_direct_;
   Sample* sample_;
 };
 
@@ -202,8 +214,8 @@
   Sample sample;
   sample.tokens = arrival.tokens;
   const HttpCall call = MakeCall(plan, arrival);
-  // Counted from when the request was due: a sender that lags must not hide
-  // the wait that it caused.
+  // Times are measured from the due time, so that the delay of a generator that
+  // falls behind is included.
   AnswerReader reader(arrival.due, !plan.engine_address.empty(), &sample);
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
@@ -212,7 +224,7 @@
         });
       },
       [&](const HttpError& error) { sample.error = Describe(error); },
-      [&] { sample.error = "an error of another layer"; });
+      [&] { sample.error = "unexpected error type"; });
   return sample;
 }
 
@@ -225,7 +237,7 @@
   return values[static_cast<std::size_t>(std::lround(index))];
 }
 
-// The figures of one prompt length.
+// Returns the statistics of the requests of one prompt length.
 json Summarise(const std::vector<Sample>& samples) {
   std::vector<double> first;
   std::vector<double> gaps;
@@ -285,11 +297,11 @@
 }  // namespace
 
 LoadRunReport RunLoad(const LoadPlan& plan) {
-  const auto began = Clock::now();
-  std::deque<Arrival> arrivals = DrawArrivals(plan, began);
+  const auto start = Clock::now();
+  std::deque<Arrival> arrivals = DrawArrivals(plan, start);
   std::mutex mutex;
   std::vector<Sample> samples;
-  const auto work = [&] {
+  const auto run_sender = [&] {
     while (true) {
       Arrival arrival;
       {
@@ -309,12 +321,12 @@
   std::vector<std::thread> threads;
   threads.reserve(static_cast<std::size_t>(plan.threads));
   for (int i = 0; i < plan.threads; ++i) {
-    threads.emplace_back(work);
+    threads.emplace_back(run_sender);
   }
   for (std::thread& thread : threads) {
     thread.join();
   }
-  const std::chrono::duration<double> elapsed = Clock::now() - began;
+  const std::chrono::duration<double> elapsed = Clock::now() - start;
   return Report(plan, samples, elapsed.count());
 }
 
