--- a/src/cli/gateway_command.cc
+++ b/src/cli/gateway_command.cc
@@ -16,8 +16,8 @@
 
 namespace leaf = boost::leaf;
 
-// Reads and checks the settings. Returns nothing, and says why on standard
-// error, if they cannot be used.
+// Reads and validates the settings. On failure, prints the reason to standard
+// error and returns nothing.
 std::optional<GatewaySettings> ReadSettings(const std::string& path) {
   std::string text;
   if (!ReadFile(path, &text)) {
@@ -39,7 +39,8 @@
 }
 
 int RunGateway(const std::string& path, const PlatformAdapters& platform) {
-  // A peer that closes a socket is an error to handle, not a reason to die.
+  // Writing to a closed socket must return an error instead of raising SIGPIPE,
+  // which would end the process.
   std::signal(SIGPIPE, SIG_IGN);
   std::optional<GatewaySettings> settings = ReadSettings(path);
   if (!settings.has_value()) {
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -1,4 +1,4 @@
-// The one binary of harecrank.
+// The entry point of the harecrank binary.
 
 #include <CLI/CLI.hpp>
 
--- a/src/cli/operator_commands.cc
+++ b/src/cli/operator_commands.cc
@@ -1,4 +1,4 @@
-// "admin", "check" and "dump": what an operator runs.
+// The subcommands "admin", "check" and "dump" for operators.
 
 #include <cstdlib>
 #include <iostream>
@@ -18,7 +18,7 @@
 constexpr Millis kCallTimeout{30000};
 constexpr char kKeyVariable[] = "HARECRANK_OPERATOR_KEY";
 
-// Where and how an operator's call goes.
+// A request of an operator to a node.
 struct OperatorCall {
   std::string node;
   std::string key;
@@ -27,23 +27,24 @@
   std::string body;
 };
 
-int MakeCall(const OperatorCall& asked) {
+int MakeCall(const OperatorCall& operator_call) {
   HttpCall call;
-  call.address = asked.node;
-  call.method = asked.method;
-  call.path = asked.path;
-  call.body = asked.body;
+  call.address = operator_call.node;
+  call.method = operator_call.method;
+  call.path = operator_call.path;
+  call.body = operator_call.body;
   call.timeout = kCallTimeout;
-  call.fields.push_back(HttpHeader{"Authorization", "Bearer " + asked.key});
+  call.fields.push_back(
+      HttpHeader{"Authorization", "Bearer " + operator_call.key});
   return leaf::try_handle_all(
       [&]() -> leaf::result<int> {
-        BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
-        std::cout << answer.body << "\n";
-        return answer.status == http_status::kOk ? kExitOk : kExitFailure;
+        BOOST_LEAF_AUTO(response, SendHttpRequest(call));
+        std::cout << response.body << "\n";
+        return response.status == http_status::kOk ? kExitOk : kExitFailure;
       },
       [&](const HttpError& error) {
-        std::cerr << "harecrank: " << asked.node << ": " << Describe(error)
-                  << "\n";
+        std::cerr << "harecrank: " << operator_call.node << ": "
+                  << Describe(error) << "\n";
         return kExitUnavailable;
       },
       [] { return kExitUnavailable; });
@@ -142,20 +143,23 @@
   command->add_option("--gateway", *gateway, "settings of a gateway");
   command->require_option(1, 4);
   command->callback([document, entry, sidecar, gateway, exit_code] {
-    int worst = kExitOk;
+    int highest_code = kExitOk;
     if (!document->empty()) {
-      worst = std::max(worst, CheckDocument(*document));
+      highest_code = std::max(highest_code, CheckDocument(*document));
     }
     if (!entry->empty()) {
-      worst = std::max(worst, CheckSettings(*entry, ParseEntrySettings));
+      highest_code =
+          std::max(highest_code, CheckSettings(*entry, ParseEntrySettings));
     }
     if (!sidecar->empty()) {
-      worst = std::max(worst, CheckSettings(*sidecar, ParseSidecarSettings));
+      highest_code =
+          std::max(highest_code, CheckSettings(*sidecar, ParseSidecarSettings));
     }
     if (!gateway->empty()) {
-      worst = std::max(worst, CheckSettings(*gateway, ParseGatewaySettings));
+      highest_code =
+          std::max(highest_code, CheckSettings(*gateway, ParseGatewaySettings));
     }
-    *exit_code = worst;
+    *exit_code = highest_code;
   });
 }
 
--- a/src/cli/run_commands.cc
+++ b/src/cli/run_commands.cc
@@ -1,4 +1,4 @@
-// "entry" and "sidecar": the two roles of a running process.
+// The subcommands "entry" and "sidecar", which run the server processes.
 
 #include <Poco/Exception.h>
 
@@ -29,7 +29,7 @@
   return signals;
 }
 
-// Runs one role from its settings to its end.
+// Starts a node, waits for a stop signal, and drains and stops the node.
 template <typename NodeType, typename Settings>
 int RunNode(const Settings& settings, const char* role) {
   ConfigureLogging(settings.node.log_level);
@@ -40,7 +40,7 @@
     node.Start();
     LOG4CXX_INFO(log, role << " " << settings.node.node_id.value << " started");
     WaitForStopSignal();
-    LOG4CXX_INFO(log, role << " drains");
+    LOG4CXX_INFO(log, role << " is draining");
     node.DrainAndStop();
     LOG4CXX_INFO(log, role << " stopped");
     return kExitOk;
@@ -52,7 +52,8 @@
   return kExitUnavailable;
 }
 
-// Reads settings by `parse` and hands them to `run`.
+// Reads the settings file at `path`, parses it with `parse` and passes the
+// settings to `run`. Returns the exit code.
 template <typename Parse, typename Run>
 int WithSettings(const std::string& path, Parse parse, Run run) {
   std::string text;
@@ -103,16 +104,17 @@
     std::cerr << "harecrank: cannot read the file " << path << "\n";
     return false;
   }
-  std::ostringstream all;
-  all << file.rdbuf();
-  *text = all.str();
+  std::ostringstream content;
+  content << file.rdbuf();
+  *text = content.str();
   return true;
 }
 
 void BlockStopSignals() {
   const sigset_t signals = StopSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-  // A peer that closes a socket is an error to handle, not a reason to die.
+  // Writing to a closed socket must return an error instead of raising SIGPIPE,
+  // which would end the process.
   std::signal(SIGPIPE, SIG_IGN);
 }
 
