--- a/src/adapters/event_log_test.cc
+++ b/src/adapters/event_log_test.cc
@@ -15,59 +15,59 @@
 namespace harecrank {
 namespace {
 
-// Far beyond what anything here takes unless it waits for the reader.
-constexpr std::chrono::seconds kNeverThisLong(20);
-// Several times what the pipe and the log's buffer hold.
+// Much longer than the writes take unless they wait for the reader.
+constexpr std::chrono::seconds kTimeout(20);
+// Several times as many lines as fit into the pipe and the log's buffer.
 constexpr int kManyLines = 5000;
 
-// Standard output becomes a pipe that nobody reads until Read is called.
-class StuckReader {
+// Redirects standard output to a pipe that is read only by calls of Read.
+class StalledReader {
  public:
-  StuckReader() : saved_(::dup(STDOUT_FILENO)) {
+  StalledReader() : saved_stdout_(::dup(STDOUT_FILENO)) {
     std::cout.flush();
     std::array<int, 2> ends{};
     REQUIRE(::pipe(ends.data()) == 0);
-    reading_ = ends[0];
+    read_end_ = ends[0];
     ::dup2(ends[1], STDOUT_FILENO);
     ::close(ends[1]);
   }
 
-  ~StuckReader() {
+  ~StalledReader() {
     Restore();
-    ::close(reading_);
+    ::close(read_end_);
   }
-  StuckReader(const StuckReader&) = delete;
-  StuckReader& operator=(const StuckReader&) = delete;
+  StalledReader(const StalledReader&) = delete;
+  StalledReader& operator=(const StalledReader&) = delete;
 
-  // Gives standard output back; the pipe's other end is closed with it.
+  // Restores standard output, which closes the write end of the pipe.
   void Restore() {
-    if (saved_ >= 0) {
-      ::dup2(saved_, STDOUT_FILENO);
-      ::close(saved_);
-      saved_ = -1;
+    if (saved_stdout_ >= 0) {
+      ::dup2(saved_stdout_, STDOUT_FILENO);
+      ::close(saved_stdout_);
+      saved_stdout_ = -1;
     }
   }
 
-  // Returns what is in the pipe, without waiting for more.
+  // Returns the contents of the pipe without blocking.
   std::string Read() const {
-    ::fcntl(reading_, F_SETFL, O_NONBLOCK);
+    ::fcntl(read_end_, F_SETFL, O_NONBLOCK);
     std::string text;
-    std::array<char, 4096> piece{};
-    ssize_t got = 0;
-    while ((got = ::read(reading_, piece.data(), piece.size())) > 0) {
-      text.append(piece.data(), static_cast<std::size_t>(got));
+    std::array<char, 4096> buffer{};
+    ssize_t received = 0;
+    while ((received = ::read(read_end_, buffer.data(), buffer.size())) > 0) {
+      text.append(buffer.data(), static_cast<std::size_t>(received));
     }
     return text;
   }
 
  private:
-  int saved_;
-  int reading_ = -1;
+  int saved_stdout_;
+  int read_end_ = -1;
 };
 
-TEST_CASE("A reader that is stuck holds up neither lines nor the end",
+TEST_CASE("A stalled reader blocks neither writing nor shutdown",
           "[adapters][log]") {
-  StuckReader reader;
+  StalledReader reader;
   std::uint64_t dropped = 0;
   auto work = std::async(std::launch::async, [&dropped] {
     EventLog log("node-1", SystemClock());
@@ -76,9 +76,10 @@
     }
     dropped = log.Dropped();
   });
-  const bool ended = work.wait_for(kNeverThisLong) == std::future_status::ready;
+  const bool ended = work.wait_for(kTimeout) == std::future_status::ready;
   const std::string text = reader.Read();
-  // A writer that waits gets on now, so that a failure does not hang.
+  // Drains the pipe so that a writer that blocks can finish: the test then
+  // fails instead of hanging.
   while (work.wait_for(std::chrono::milliseconds(10)) !=
          std::future_status::ready) {
     reader.Read();
@@ -89,9 +90,9 @@
   CHECK(dropped > 0);
 }
 
-TEST_CASE("Lines beyond the rate are left out, and failures are not",
+TEST_CASE("Lines over the rate limit are suppressed, except exempt ones",
           "[adapters][log]") {
-  StuckReader reader;
+  StalledReader reader;
   TimePoint now{std::chrono::hours(1)};
   {
     EventLog log("node-1", [&now] { return now; });
--- a/src/adapters/line_writer_test.cc
+++ b/src/adapters/line_writer_test.cc
@@ -14,18 +14,18 @@
 namespace {
 
 constexpr std::size_t kLineBytes = 1024;
-// What the writer's thread is given to take a batch. A thread that is slower
-// only makes the test see less.
-constexpr Millis kTakesBatch{300};
+// Time for the writer's thread to take a batch. If the thread is slower, the
+// test passes without covering the case.
+constexpr Millis kTakeBatchTime{300};
 
-// A pipe that is full and that nobody reads.
+// A full pipe without a reader.
 class FullPipe {
  public:
   FullPipe() {
     REQUIRE(::pipe(ends_.data()) == 0);
     ::fcntl(ends_[1], F_SETFL, O_NONBLOCK);
-    const std::string piece(kLineBytes, 'x');
-    while (::write(ends_[1], piece.data(), piece.size()) > 0) {
+    const std::string block(kLineBytes, 'x');
+    while (::write(ends_[1], block.data(), block.size()) > 0) {
     }
     ::fcntl(ends_[1], F_SETFL, 0);
   }
@@ -36,29 +36,30 @@
   FullPipe(const FullPipe&) = delete;
   FullPipe& operator=(const FullPipe&) = delete;
 
-  int WritingEnd() const { return ends_[1]; }
+  int WriteEnd() const { return ends_[1]; }
 
  private:
   std::array<int, 2> ends_{};
 };
 
-// On a busy machine a log before a stuck reader once dropped nothing of 5,000
-// lines, 465 kB, though its bound is 256 kB: its thread had come late, had
-// taken a whole buffer at once, and a second buffer had room for the rest.
-TEST_CASE("What the writer has in hand counts towards its bound",
+// Guards against a buffer limit that ignores the batch being written. If the
+// writer's thread runs late, it takes a full buffer as one batch, and a second
+// buffer could then fill up: 465 kB would be accepted despite the limit of 256
+// kB.
+TEST_CASE("The batch that is being written counts towards the buffer limit",
           "[adapters][log]") {
   const FullPipe pipe;
-  LineWriter writer(pipe.WritingEnd());
+  LineWriter writer(pipe.WriteEnd());
   const std::string line(kLineBytes - 1, 'x');
-  std::size_t taken = 0;
-  while (taken < LineWriter::kMaxBufferedBytes / 2 && writer.Append(line)) {
-    taken += kLineBytes;
+  std::size_t accepted = 0;
+  while (accepted < LineWriter::kMaxBufferedBytes / 2 && writer.Append(line)) {
+    accepted += kLineBytes;
   }
-  std::this_thread::sleep_for(kTakesBatch);
-  while (taken < 4 * LineWriter::kMaxBufferedBytes && writer.Append(line)) {
-    taken += kLineBytes;
+  std::this_thread::sleep_for(kTakeBatchTime);
+  while (accepted < 4 * LineWriter::kMaxBufferedBytes && writer.Append(line)) {
+    accepted += kLineBytes;
   }
-  CHECK(taken <= LineWriter::kMaxBufferedBytes);
+  CHECK(accepted <= LineWriter::kMaxBufferedBytes);
 }
 
 }  // namespace
