--- a/src/adapters/link_server_test.cc
+++ b/src/adapters/link_server_test.cc
@@ -1,6 +1,6 @@
-// A link server that takes links from within its own construction may be asked
-// before its owner holds it: an entry host's first message is then answered
-// through a null pointer.
+// Guards against a link server that accepts connections while it is being
+// constructed: its owner has no pointer to it yet, so a handler that answers
+// the first message of an entry host dereferences a null pointer.
 
 #include "src/adapters/link_server.h"
 
@@ -14,23 +14,23 @@
 namespace harecrank {
 namespace {
 
-constexpr Millis kLongEnough{100};
-constexpr Millis kLimit{5000};
+constexpr Millis kObservationTime{100};
+constexpr Millis kTimeout{5000};
 
-// Dials until a link is open, and greets on each.
-class Greeter {
+// Opens links repeatedly, and sends Hello on each.
+class HelloSender {
  public:
-  explicit Greeter(std::string address)
+  explicit HelloSender(std::string address)
       : address_(std::move(address)),
         client_(MakeHandlers()),
-        dialling_([this] { DialAll(); }) {}
-  ~Greeter() {
+        dial_thread_([this] { DialAll(); }) {}
+  ~HelloSender() {
     stopping_ = true;
-    dialling_.join();
+    dial_thread_.join();
     client_.Stop();
   }
-  Greeter(const Greeter&) = delete;
-  Greeter& operator=(const Greeter&) = delete;
+  HelloSender(const HelloSender&) = delete;
+  HelloSender& operator=(const HelloSender&) = delete;
 
  private:
   LinkClient::Handlers MakeHandlers() {
@@ -53,10 +53,10 @@
   std::string address_;
   std::atomic<bool> stopping_{false};
   LinkClient client_;
-  std::thread dialling_;
+  std::thread dial_thread_;
 };
 
-TEST_CASE("No message comes before a link server's owner has started it") {
+TEST_CASE("A link server delivers no message before Start") {
   constexpr int kPort = 29001;
   const std::string address = testing::OwnIp() + ":" + std::to_string(kPort);
   std::atomic<int> messages{0};
@@ -67,12 +67,12 @@
   handlers.on_close = [](ConnectionId) {};
   LinkServer server(address, std::move(handlers));
   {
-    const Greeter greeter(address);
-    std::this_thread::sleep_for(kLongEnough);
+    const HelloSender hello_sender(address);
+    std::this_thread::sleep_for(kObservationTime);
     CHECK(messages == 0);
     server.Start();
-    const auto limit = std::chrono::steady_clock::now() + kLimit;
-    while (messages == 0 && std::chrono::steady_clock::now() < limit) {
+    const auto deadline = std::chrono::steady_clock::now() + kTimeout;
+    while (messages == 0 && std::chrono::steady_clock::now() < deadline) {
       std::this_thread::sleep_for(Millis(5));
     }
     CHECK(messages > 0);
--- a/src/adapters/settings_test.cc
+++ b/src/adapters/settings_test.cc
@@ -7,12 +7,12 @@
 
 namespace leaf = boost::leaf;
 
-constexpr char kGood[] = R"({
+constexpr char kValid[] = R"({
   "node_id": "e1", "data_centre": "pasig",
   "operations_address": "127.0.0.1:1", "config_service": "127.0.0.1:2",
   "callers_address": "127.0.0.1:3"})";
 
-// Returns the words in which `text` is refused, or "" if it is taken.
+// Returns the error message for entry settings `text`, or "" if they are valid.
 std::string ErrorOf(const std::string& text) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
@@ -20,19 +20,20 @@
         return std::string();
       },
       [](const SettingsError& error) { return Describe(error); },
-      [] { return std::string("another layer"); });
+      [] { return std::string("unexpected error type"); });
 }
 
-// Returns the good settings with `from` replaced by `to`.
+// Returns the valid settings with `from` replaced by `to`.
 std::string With(const std::string& from, const std::string& to) {
-  std::string text = kGood;
+  std::string text = kValid;
   text.replace(text.find(from), from.size(), to);
   return text;
 }
 
-TEST_CASE("Good settings are taken") { CHECK(ErrorOf(kGood).empty()); }
+TEST_CASE("Valid settings are accepted") { CHECK(ErrorOf(kValid).empty()); }
 
-// Returns the words in which gateway settings are refused, or "".
+// Returns the error message for gateway settings `text`, or "" if they are
+// valid.
 std::string GatewayErrorOf(const std::string& text) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
@@ -40,57 +41,60 @@
         return std::string();
       },
       [](const SettingsError& error) { return Describe(error); },
-      [] { return std::string("another layer"); });
+      [] { return std::string("unexpected error type"); });
 }
 
-TEST_CASE("A gateway's settings are checked with units and bounds") {
-  const std::string good = R"({
+TEST_CASE("Gateway settings are checked for types and limits") {
+  const std::string valid_prefix = R"({
     "node_id": "g1", "data_centre": "pasig",
     "callers_address": "127.0.0.1:1", "readiness_address": "127.0.0.1:2",
     "operations_address": "127.0.0.1:3", "peers_address": "127.0.0.1:4",
     "directory_service": "127.0.0.1:5")";
-  CHECK(GatewayErrorOf(good + R"(, "repeat_ratio": 0.2, "stop_limit_s": 8})")
+  CHECK(GatewayErrorOf(valid_prefix +
+                       R"(, "repeat_ratio": 0.2, "stop_limit_s": 8})")
             .empty());
-  CHECK(GatewayErrorOf(good + R"(, "leave_limit_ms": 2000})").empty());
-  CHECK(GatewayErrorOf(good + R"(, "leave_limit_ms": "soon"})")
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "leave_limit_ms": 2000})").empty());
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "leave_limit_ms": "soon"})")
             .find("leave_limit_ms: found") != std::string::npos);
-  CHECK(GatewayErrorOf(good + R"(, "cold_overage": 1.5, "cold_slack": 5})")
+  CHECK(GatewayErrorOf(valid_prefix +
+                       R"(, "cold_overage": 1.5, "cold_slack": 5})")
             .empty());
-  CHECK(GatewayErrorOf(good + R"(, "cold_overage": -1})")
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "cold_overage": -1})")
             .find("cold_overage: found -1; allowed: a number from 0 to 1000") !=
         std::string::npos);
-  CHECK(GatewayErrorOf(good + R"(, "cold_slack": "5"})")
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "cold_slack": "5"})")
             .find("cold_slack: found \"5\"") != std::string::npos);
-  CHECK(GatewayErrorOf(good + R"(, "cold_slack": 5})")
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "cold_slack": 5})")
             .find("cold_slack: found 5; allowed: 0, or cold_overage above 0") !=
         std::string::npos);
-  CHECK(GatewayErrorOf(good + R"(, "repeat_ratio": 2})")
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "repeat_ratio": 2})")
             .find("repeat_ratio: found 2; allowed: a number from 0 to 1") !=
         std::string::npos);
-  CHECK(GatewayErrorOf(good + R"(, "descriptors": "many"})")
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "descriptors": "many"})")
             .find("descriptors") != std::string::npos);
-  CHECK(GatewayErrorOf(good + R"(, "placement": {"packed_writers": 3,
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "placement": {"packed_writers": 3,
                                  "bound_late_parts": false}})")
             .empty());
-  CHECK(GatewayErrorOf(good + R"(, "placement": {"hurry_share": 7}})")
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "placement": {"hurry_share": 7}})")
             .find("placement.hurry_share: found 7; allowed: a number from 0 "
                   "to 1") != std::string::npos);
-  CHECK(GatewayErrorOf(good + R"(, "placement": {"bound_late_parts": 1}})")
+  CHECK(GatewayErrorOf(valid_prefix +
+                       R"(, "placement": {"bound_late_parts": 1}})")
             .find("placement.bound_late_parts: found 1; allowed: true or "
                   "false") != std::string::npos);
-  CHECK(GatewayErrorOf(good + R"(, "placement": {"packed": 3}})")
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "placement": {"packed": 3}})")
             .find("placement.packed: found an unknown key") !=
         std::string::npos);
-  CHECK(GatewayErrorOf(good + R"(, "placement": []})").find("an object") !=
-        std::string::npos);
+  CHECK(GatewayErrorOf(valid_prefix + R"(, "placement": []})")
+            .find("an object") != std::string::npos);
   CHECK(GatewayErrorOf("{}").find("peers_address: found nothing") !=
         std::string::npos);
 }
 
-TEST_CASE("Each fault of settings is named with its place and its remedy") {
+TEST_CASE("Each problem is reported with its key and the allowed values") {
   struct Case {
     std::string text;
-    std::string said;
+    std::string expected;
   };
   const std::vector<Case> cases{
       {With("\"node_id\"", "\"node_idd\""), "node_idd: found an unknown key"},
@@ -106,14 +110,14 @@
        "allowed: 'random', 'least_loaded', 'length_aware'"},
       {"[]", "no JSON object"},
       {"{", "cannot be read"}};
-  for (const Case& one : cases) {
-    const std::string error = ErrorOf(one.text);
-    INFO("expected '" << one.said << "' and saw '" << error << "'");
-    CHECK(error.find(one.said) != std::string::npos);
+  for (const Case& test_case : cases) {
+    const std::string error = ErrorOf(test_case.text);
+    INFO("expected '" << test_case.expected << "' and saw '" << error << "'");
+    CHECK(error.find(test_case.expected) != std::string::npos);
   }
 }
 
-TEST_CASE("All faults are reported at once") {
+TEST_CASE("All problems are reported at once") {
   const std::string error = ErrorOf("{}");
   CHECK(error.find("node_id") != std::string::npos);
   CHECK(error.find("callers_address") != std::string::npos);
--- a/src/adapters/wire_test.cc
+++ b/src/adapters/wire_test.cc
@@ -15,7 +15,7 @@
   return std::get<T>(decoded.value());
 }
 
-// Returns the words of the error that `bytes` give, or "" if they decode.
+// Returns the message of the error from decoding `bytes`, or "" if they decode.
 std::string ErrorOf(const std::string& bytes) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
@@ -23,10 +23,10 @@
         return std::string();
       },
       [](const WireError& error) { return Describe(error); },
-      [] { return std::string("another layer"); });
+      [] { return std::string("unexpected error type"); });
 }
 
-TEST_CASE("A submission survives the wire") {
+TEST_CASE("A submission is unchanged by encoding and decoding") {
   Submit submit;
   submit.stream = StreamId{7};
   submit.work = Work::kSegment;
@@ -34,29 +34,29 @@
   submit.prompt = Tokens{1000000};
   submit.deadline = RemoteMillis{-5};
   submit.segments = {SegmentRef{"127.0.0.1:1", "s"}};
-  const Submit read = RoundTrip(submit);
-  CHECK(read.stream == submit.stream);
-  CHECK(read.work == Work::kSegment);
-  CHECK(read.prompt == submit.prompt);
-  CHECK(read.deadline == submit.deadline);
-  CHECK(read.segments.front().segment == "s");
+  const Submit decoded_submit = RoundTrip(submit);
+  CHECK(decoded_submit.stream == submit.stream);
+  CHECK(decoded_submit.work == Work::kSegment);
+  CHECK(decoded_submit.prompt == submit.prompt);
+  CHECK(decoded_submit.deadline == submit.deadline);
+  CHECK(decoded_submit.segments.front().segment == "s");
 }
 
-TEST_CASE("A piece may end inside a character") {
+TEST_CASE("A body chunk may end inside a character") {
   const std::string bytes("\xC3\x28\x00\xFF", 4);
   CHECK(RoundTrip(BodyChunk{StreamId{1}, bytes}).bytes == bytes);
 }
 
-TEST_CASE("A pulse is small") {
-  SidecarHeartbeat pulse;
-  pulse.clock = RemoteMillis{123456789};
-  pulse.load.memory = Tokens{500000};
-  const std::size_t size = Encode(pulse).size();
-  INFO("a pulse takes " << size << " bytes");
+TEST_CASE("An encoded heartbeat is at most 40 bytes long") {
+  SidecarHeartbeat heartbeat;
+  heartbeat.clock = RemoteMillis{123456789};
+  heartbeat.load.memory = Tokens{500000};
+  const std::size_t size = Encode(heartbeat).size();
+  INFO("a heartbeat takes " << size << " bytes");
   CHECK(size <= 40);
 }
 
-TEST_CASE("Bytes that are no message are refused with a reason") {
+TEST_CASE("Invalid messages are rejected with a reason") {
   CHECK(ErrorOf("") != "");
   CHECK(ErrorOf("not cbor") != "");
   CHECK(ErrorOf("\x82\x18\x63\xA0").find("no message type 99") !=
--- a/src/cli/explain_test.cc
+++ b/src/cli/explain_test.cc
@@ -26,26 +26,26 @@
 }
 
 TEST_CASE(
-    "A story has the request's lines in order and what its host "
-    "believed") {
+    "A timeline has the request's lines in order and the state changes of its "
+    "host") {
   const RequestTimeline timeline = TimelineOf("r1");
   REQUIRE(timeline.lines.size() == 3);
   CHECK(timeline.lines[0]["event"] == "source_lost");
   CHECK(timeline.lines[1]["event"] == "placed");
   CHECK(timeline.lines[2]["event"] == "ended");
-  // The cut line and the two empty ones.
+  // The truncated line, and the empty lines at the start and the end.
   CHECK(timeline.unreadable >= 1);
   CHECK(timeline.left_out == 4);
 }
 
-TEST_CASE("Times are told from the request's arrival") {
+TEST_CASE("Times are relative to the request's arrival") {
   const std::string text = FormatTimeline("r1", TimelineOf("r1"));
   CHECK(text.find("100 ms  b  placed") != std::string::npos);
   CHECK(text.find("900 ms  b  ended outcome=\"refused\"") != std::string::npos);
   CHECK(text.find("4 lines were left out") != std::string::npos);
 }
 
-TEST_CASE("A request without lines is said to have none") {
+TEST_CASE("A request without lines is reported as such") {
   const std::string text = FormatTimeline("r9", TimelineOf("r9"));
   CHECK(text.find("no line in these logs") != std::string::npos);
 }
