--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -69,7 +69,8 @@
   // Interval at which the holdings that the engine reports are compared with
   // the leases.
   Millis reconcile_interval{2000};
-  // Approximate time to load the weights of one model from the store.
+  // Approximate time to load the weights of one model from the weight
+  // store.
   Millis weight_load_time{10000};
   // Maximum time that a drain waits for active requests.
   Millis drain_limit{600000};
