--- a/src/adapters/wire.h
+++ b/src/adapters/wire.h
@@ -143,8 +143,9 @@
   Millis pulse_interval{1000};
 };
 
-// The sidecar's clock and load. Sent periodically, and when the load has
-// changed considerably.
+// The sidecar's clock and load. Sent to all links at `pulse_interval`, and up
+// to five times as often to links with active requests while the load changes.
+// Settings and metrics call this message a pulse.
 struct SidecarHeartbeat {
   RemoteMillis clock;
   LoadReport load;
