--- a/src/adapters/settings.cc
+++ b/src/adapters/settings.cc
@@ -12,6 +12,7 @@
 namespace leaf = boost::leaf;
 using nlohmann::json;
 
+// Limits of the values in a settings file. The maximum duration is one day.
 constexpr std::int64_t kMaxMillis = 24LL * 3600 * 1000;
 constexpr std::int64_t kMaxThreads = 4096;
 constexpr std::int64_t kMaxQueue = 1000000;
@@ -35,6 +36,7 @@
   }
 };
 
+// Whether a settings key must be present.
 enum class Presence { kRequired, kOptional };
 
 // Reads the values of a JSON object and collects all problems.
@@ -197,6 +199,8 @@
   }
 
  private:
+  // Returns the value of `key`, or null if it is missing. Reports a required
+  // key that is missing.
   const json* Find(const char* key, Presence presence,
                    const std::string& allowed) {
     read_keys_.insert(key);
@@ -236,6 +240,7 @@
                    &node->log_level);
 }
 
+// Returns the name of a queue order in the settings.
 struct OrderName {
   std::string operator()(LeastSlackFirst /*order*/) const {
     return "least_spare";
@@ -248,6 +253,7 @@
   }
 };
 
+// Reads the name of a queue order into `order`.
 void ReadOrder(SettingsReader* reader, const char* key, QueueOrder* order) {
   const std::vector<QueueOrder> orders = {LeastSlackFirst{}, MostSlackFirst{},
                                           LeastWorkFirst{}};
