--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -143,27 +143,27 @@
 
 leaf::result<HttpResponse> SendHttpRequest(const HttpCall& call,
                                            std::size_t max_bytes) {
-  HttpResponse answer{};
+  HttpResponse http_response{};
   const auto exchange = [&](HTTPClientSession& session) -> leaf::result<void> {
     SendRequest(session, call);
     HTTPResponse response;
     std::istream& body = session.receiveResponse(response);
-    answer.status = response.getStatus();
-    answer.content_type = response.getContentType();
-    answer.retry_after = response.get("Retry-After", "");
-    if (!ReadAll(body, max_bytes, &answer.body)) {
+    http_response.status = response.getStatus();
+    http_response.content_type = response.getContentType();
+    http_response.retry_after = response.get("Retry-After", "");
+    if (!ReadAll(body, max_bytes, &http_response.body)) {
       return leaf::new_error(HttpError{ResponseTooLarge{max_bytes}});
     }
     // POCO reports the end of a truncated body like that of a complete one.
     if (response.hasContentLength() &&
-        static_cast<Poco::Int64>(answer.body.size()) <
+        static_cast<Poco::Int64>(http_response.body.size()) <
             response.getContentLength64()) {
       return leaf::new_error(HttpError{NoResponse{"the answer was cut"}});
     }
     return {};
   };
   BOOST_LEAF_CHECK(WithSession(call, exchange));
-  return answer;
+  return http_response;
 }
 
 leaf::result<void> StreamHttp(
--- a/src/adapters/line_writer_test.cc
+++ b/src/adapters/line_writer_test.cc
@@ -44,8 +44,8 @@
 
 // Guards against a buffer limit that ignores the batch being written. If the
 // writer's thread runs late, it takes a full buffer as one batch, and a second
-// buffer could then fill up: 465 kB would be accepted despite the limit of 256
-// kB.
+// buffer can then fill up. A log of 5,000 lines (465 kB) is then accepted
+// without a drop, although the limit is 256 kB.
 TEST_CASE("The batch that is being written counts towards the buffer limit",
           "[adapters][log]") {
   const FullPipe pipe;
