--- a/src/adapters/line_writer.cc
+++ b/src/adapters/line_writer.cc
@@ -10,11 +10,11 @@
 namespace harecrank {
 namespace {
 
-// A descriptor that is ready takes this much at once without waiting: POSIX
-// promises it for pipes.
-constexpr std::size_t kPiece = PIPE_BUF;
-// How often a writer that waits for its reader looks whether it shall stop.
-constexpr Millis kLook{100};
+// Maximum size of one write. POSIX guarantees that a write of up to PIPE_BUF
+// bytes to a pipe that poll reports as writable does not block.
+constexpr std::size_t kMaxWriteBytes = PIPE_BUF;
+// Interval at which a blocked writer checks whether the flush time is over.
+constexpr Millis kPollInterval{100};
 
 }  // namespace
 
@@ -34,9 +34,10 @@
 bool LineWriter::Append(const std::string& line) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    // Without what is in hand the bound held for half: a writer that was stuck
-    // with a full batch let a second one grow, 512 kB instead of 256 kB.
-    if (in_hand_ + buffered_.size() + line.size() >= kMaxBufferedBytes) {
+    // The batch that is being written counts too. Otherwise a stalled writer
+    // with a full batch would allow a second full buffer: 512 kB instead of 256
+    // kB.
+    if (batch_bytes_ + buffered_.size() + line.size() >= kMaxBufferedBytes) {
       return false;
     }
     buffered_ += line;
@@ -56,45 +57,48 @@
         return;
       }
       batch.swap(buffered_);
-      in_hand_ = batch.size();
+      batch_bytes_ = batch.size();
     }
     WriteBatch(batch);
     const std::lock_guard<std::mutex> lock(mutex_);
-    in_hand_ = 0;
+    batch_bytes_ = 0;
   }
 }
 
 void LineWriter::WriteBatch(const std::string& batch) {
   std::size_t written = 0;
   while (written < batch.size()) {
-    if (!AwaitRoom()) {
+    if (!WaitUntilWritable()) {
       return;
     }
-    const std::size_t piece = std::min(kPiece, batch.size() - written);
-    const ssize_t got = ::write(descriptor_, batch.data() + written, piece);
-    if (got > 0) {
-      written += static_cast<std::size_t>(got);
+    const std::size_t write_size =
+        std::min(kMaxWriteBytes, batch.size() - written);
+    const ssize_t result =
+        ::write(descriptor_, batch.data() + written, write_size);
+    if (result > 0) {
+      written += static_cast<std::size_t>(result);
     } else if (errno != EINTR && errno != EAGAIN) {
-      // Nobody reads any more, and there is no other place to say so.
+      // The reader is gone, and the error cannot be reported elsewhere.
       return;
     }
   }
 }
 
-bool LineWriter::AwaitRoom() {
+bool LineWriter::WaitUntilWritable() {
   while (true) {
-    pollfd ready{descriptor_, POLLOUT, 0};
-    const int count = ::poll(&ready, 1, static_cast<int>(kLook.count()));
+    pollfd poll_request{descriptor_, POLLOUT, 0};
+    const int count =
+        ::poll(&poll_request, 1, static_cast<int>(kPollInterval.count()));
     if (count > 0) {
       return true;
     }
-    if (IsPastEnd()) {
+    if (IsFlushTimeOver()) {
       return false;
     }
   }
 }
 
-bool LineWriter::IsPastEnd() {
+bool LineWriter::IsFlushTimeOver() {
   const std::lock_guard<std::mutex> lock(mutex_);
   return stopping_ && std::chrono::steady_clock::now() >= flush_until_;
 }
