--- a/src/sidecar/engine_keeper.cc
+++ b/src/sidecar/engine_keeper.cc
@@ -50,8 +50,8 @@
 
 }  // namespace
 
-EngineKeeper::EngineKeeper(const SidecarSettings& settings,
-                           EngineKeeperPorts ports)
+EngineReconciler::EngineReconciler(const SidecarSettings& settings,
+                                   EngineKeeperPorts ports)
     : settings_(settings),
       ports_(std::move(ports)),
       guard_(kMostDecisionAge, ports_.clock) {
@@ -64,13 +64,13 @@
   log_ = GetLog("engine_keeper");
 }
 
-EngineKeeper::~EngineKeeper() { Stop(); }
+EngineReconciler::~EngineReconciler() { Stop(); }
 
-void EngineKeeper::Start() {
+void EngineReconciler::Start() {
   thread_ = std::thread([this] { Run(); });
 }
 
-void EngineKeeper::Stop() {
+void EngineReconciler::Stop() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     stopping_ = true;
@@ -81,7 +81,7 @@
   }
 }
 
-void EngineKeeper::Wake() {
+void EngineReconciler::Wake() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     woken_ = true;
@@ -89,12 +89,12 @@
   wake_.notify_all();
 }
 
-bool EngineKeeper::HasModel(const ModelId& model) const {
+bool EngineReconciler::HasModel(const ModelId& model) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return models_.count(model.value) > 0;
 }
 
-void EngineKeeper::Run() {
+void EngineReconciler::Run() {
   while (!stopping_) {
     Keep();
     std::unique_lock<std::mutex> lock(mutex_);
@@ -104,7 +104,7 @@
   }
 }
 
-bool EngineKeeper::IsBesideEngine() const {
+bool EngineReconciler::IsBesideEngine() const {
   const auto configuration = ports_.node->InForce();
   const v1::Endpoint* self =
       configuration == nullptr ? nullptr
@@ -113,7 +113,7 @@
   return self != nullptr && self->has_engine();
 }
 
-void EngineKeeper::Keep() {
+void EngineReconciler::Keep() {
   // A plain service must not get calls that are meant for an engine.
   if (!IsBesideEngine()) {
     return;
@@ -139,7 +139,7 @@
       });
 }
 
-void EngineKeeper::Release(const EngineAccount& account) {
+void EngineReconciler::Release(const EngineAccount& account) {
   const std::set<std::string> live = ports_.live_holdings();
   std::set<std::string> suspects;
   bool clean = true;
@@ -164,7 +164,7 @@
   }
 }
 
-void EngineKeeper::GiveOrders(const EngineAccount& account) {
+void EngineReconciler::GiveOrders(const EngineAccount& account) {
   const auto configuration = ports_.node->InForce();
   if (configuration == nullptr || !ports_.node->IsConfigured()) {
     return;
@@ -183,8 +183,8 @@
   }
 }
 
-bool EngineKeeper::IsDue(const EngineOrder& order,
-                         const Configuration& configuration) {
+bool EngineReconciler::IsDue(const EngineOrder& order,
+                             const Configuration& configuration) {
   const std::string name = std::visit(OrderName{}, order);
   const auto seen = wanted_since_.emplace(name, ports_.clock()).first->second;
   const auto loaders = std::visit(LoadersOf{configuration}, order);
@@ -195,7 +195,7 @@
   return ports_.clock() >= seen + delay;
 }
 
-bool EngineKeeper::Give(const EngineOrder& order, Revision fence) {
+bool EngineReconciler::Give(const EngineOrder& order, Revision fence) {
   const std::string name = std::visit(OrderName{}, order);
   if (!guard_.MayAct()) {
     orders_withheld_->Add();
--- a/src/sidecar/engine_keeper.h
+++ b/src/sidecar/engine_keeper.h
@@ -38,12 +38,12 @@
 // Releasing: a holding of another incarnation was left by a process that is
 // gone, and goes at once; one of this incarnation that nothing here knows goes
 // when two accounts in a row show it, since a run may just be ending.
-class EngineKeeper {
+class EngineReconciler {
  public:
-  EngineKeeper(const SidecarSettings& settings, EngineKeeperPorts ports);
-  ~EngineKeeper();
-  EngineKeeper(const EngineKeeper&) = delete;
-  EngineKeeper& operator=(const EngineKeeper&) = delete;
+  EngineReconciler(const SidecarSettings& settings, EngineKeeperPorts ports);
+  ~EngineReconciler();
+  EngineReconciler(const EngineReconciler&) = delete;
+  EngineReconciler& operator=(const EngineReconciler&) = delete;
 
   void Start();
   void Stop();
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -108,7 +108,7 @@
   Node node_;
   std::unique_ptr<EnginePort> engine_;
   WorkRunner runner_;
-  EngineKeeper keeper_;
+  EngineReconciler keeper_;
   Poco::ThreadPool pool_;
 
   std::mutex mutex_;
