--- a/src/sidecar/engine_keeper.cc
+++ b/src/sidecar/engine_keeper.cc
@@ -51,7 +51,7 @@
 }  // namespace
 
 EngineReconciler::EngineReconciler(const SidecarSettings& settings,
-                                   EngineKeeperPorts ports)
+                                   EngineReconcilerPorts ports)
     : settings_(settings),
       ports_(std::move(ports)),
       guard_(kMostDecisionAge, ports_.clock) {
--- a/src/sidecar/engine_keeper.h
+++ b/src/sidecar/engine_keeper.h
@@ -21,7 +21,7 @@
 namespace harecrank {
 
 // What a keeper is made from. All must outlive it.
-struct EngineKeeperPorts {
+struct EngineReconcilerPorts {
   EnginePort* engine = nullptr;
   Node* node = nullptr;
   Incarnation incarnation;
@@ -40,7 +40,8 @@
 // when two accounts in a row show it, since a run may just be ending.
 class EngineReconciler {
  public:
-  EngineReconciler(const SidecarSettings& settings, EngineKeeperPorts ports);
+  EngineReconciler(const SidecarSettings& settings,
+                   EngineReconcilerPorts ports);
   ~EngineReconciler();
   EngineReconciler(const EngineReconciler&) = delete;
   EngineReconciler& operator=(const EngineReconciler&) = delete;
@@ -68,7 +69,7 @@
   bool Give(const EngineOrder& order, Revision fence);
 
   SidecarSettings settings_;
-  EngineKeeperPorts ports_;
+  EngineReconcilerPorts ports_;
   PauseGuard guard_;
   std::atomic<bool> reconciled_{false};
   std::atomic<bool> stopping_{false};
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -86,7 +86,7 @@
           [this](ConnectionId to, const wire::Message& message) {
             return links_->Send(to, message);
           }}),
-      keeper_(settings, EngineKeeperPorts{
+      keeper_(settings, EngineReconcilerPorts{
                             engine_.get(), &node_, incarnation_, clock,
                             [this] { return LiveHoldings(); },
                             [this](Tokens memory) {
