--- a/src/sidecar/engine_keeper.cc
+++ b/src/sidecar/engine_keeper.cc
@@ -139,7 +139,7 @@
       });
 }
 
-void EngineReconciler::Release(const EngineAccount& account) {
+void EngineReconciler::Release(const EngineStatus& account) {
   const std::set<std::string> live = ports_.live_holdings();
   std::set<std::string> suspects;
   bool clean = true;
@@ -164,7 +164,7 @@
   }
 }
 
-void EngineReconciler::GiveOrders(const EngineAccount& account) {
+void EngineReconciler::GiveOrders(const EngineStatus& account) {
   const auto configuration = ports_.node->InForce();
   if (configuration == nullptr || !ports_.node->IsConfigured()) {
     return;
--- a/src/sidecar/engine_keeper.h
+++ b/src/sidecar/engine_keeper.h
@@ -63,8 +63,8 @@
   void Run();
   bool IsBesideEngine() const;
   void Keep();
-  void Release(const EngineAccount& account);
-  void GiveOrders(const EngineAccount& account);
+  void Release(const EngineStatus& account);
+  void GiveOrders(const EngineStatus& account);
   bool IsDue(const EngineOrder& order, const Configuration& configuration);
   bool Give(const EngineOrder& order, Revision fence);
 
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -139,8 +139,8 @@
   return std::nullopt;
 }
 
-EngineAccount ToAccount(const json& body) {
-  EngineAccount account;
+EngineStatus ToAccount(const json& body) {
+  EngineStatus account;
   body.at("memory").get_to(account.memory.value);
   body.at("used").get_to(account.used.value);
   for (const json& holding : body.at("holdings")) {
@@ -209,7 +209,7 @@
   return {};
 }
 
-leaf::result<EngineAccount> HttpEngine::Account() {
+leaf::result<EngineStatus> HttpEngine::Account() {
   BOOST_LEAF_AUTO(answer, CallExpectingOk(MakeCall(
                               address_, "GET", "/v1/account", kShortTimeout)));
   try {
