--- a/src/sidecar/engine_keeper.cc
+++ b/src/sidecar/engine_keeper.cc
@@ -121,7 +121,7 @@
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         guard_.OnDecision();
-        BOOST_LEAF_AUTO(account, ports_.engine->Account());
+        BOOST_LEAF_AUTO(account, ports_.engine->GetStatus());
         ports_.on_memory(account.memory);
         {
           const std::lock_guard<std::mutex> lock(mutex_);
--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -107,7 +107,7 @@
   // Ends a request or drops a segment. Does nothing for an unknown id.
   virtual boost::leaf::result<void> Cancel(const HoldingId& id) = 0;
 
-  virtual boost::leaf::result<EngineStatus> Account() = 0;
+  virtual boost::leaf::result<EngineStatus> GetStatus() = 0;
 
   // Gives an order under a fence.
   virtual boost::leaf::result<void> Order(const EngineOrder& order,
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -209,7 +209,7 @@
   return {};
 }
 
-leaf::result<EngineStatus> HttpEngine::Account() {
+leaf::result<EngineStatus> HttpEngine::GetStatus() {
   BOOST_LEAF_AUTO(answer, CallExpectingOk(MakeCall(
                               address_, "GET", "/v1/account", kShortTimeout)));
   try {
--- a/src/sidecar/http_engine.h
+++ b/src/sidecar/http_engine.h
@@ -19,7 +19,7 @@
                                              const OnToken& on_token) override;
   boost::leaf::result<void> Prefill(const EngineRequest& request) override;
   boost::leaf::result<void> Cancel(const HoldingId& id) override;
-  boost::leaf::result<EngineStatus> Account() override;
+  boost::leaf::result<EngineStatus> GetStatus() override;
   boost::leaf::result<void> Order(const EngineOrder& order,
                                   Revision fence) override;
 
