--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -22,7 +22,7 @@
 
 // Why an engine did not do what it was asked.
 // It said no: nothing ran.
-struct EngineRefused {
+struct EngineRejected {
   int status = 0;
   std::string reason;
 };
@@ -37,7 +37,7 @@
 // An order had an older fence than one before it.
 struct EngineFenced {};
 using EngineError =
-    std::variant<EngineRefused, EngineUnreachable, EngineLost, EngineFenced>;
+    std::variant<EngineRejected, EngineUnreachable, EngineLost, EngineFenced>;
 
 // Returns one sentence for a person.
 std::string Describe(const EngineError& error);
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -18,7 +18,7 @@
 constexpr Millis kOrderTimeout{120000};
 
 struct Describer {
-  std::string operator()(const EngineRefused& error) const {
+  std::string operator()(const EngineRejected& error) const {
     return "the engine refused: " + error.reason;
   }
   std::string operator()(const EngineUnreachable& error) const {
@@ -66,7 +66,7 @@
   BOOST_LEAF_AUTO(answer, Call(call));
   if (answer.status != http_status::kOk) {
     return leaf::new_error(
-        EngineError{EngineRefused{answer.status, answer.body}});
+        EngineError{EngineRejected{answer.status, answer.body}});
   }
   return answer;
 }
@@ -185,7 +185,7 @@
   };
   auto sent = TurnErrors([&] { return StreamHttp(call, read); });
   if (status != 0 && status != http_status::kOk) {
-    return leaf::new_error(EngineError{EngineRefused{status, reason}});
+    return leaf::new_error(EngineError{EngineRejected{status, reason}});
   }
   if (!sent) {
     return sent.error();
@@ -230,7 +230,7 @@
   }
   if (answer.status != http_status::kOk) {
     return leaf::new_error(
-        EngineError{EngineRefused{answer.status, answer.body}});
+        EngineError{EngineRejected{answer.status, answer.body}});
   }
   return {};
 }
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -25,7 +25,7 @@
 struct EngineErrorToMessage {
   StreamId stream;
 
-  wire::Message operator()(const EngineRefused& error) const {
+  wire::Message operator()(const EngineRejected& error) const {
     return wire::Refused{stream, "engine_refused", error.reason, kRetryAfter};
   }
   wire::Message operator()(const EngineUnreachable& error) const {
