--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -31,13 +31,13 @@
   std::string reason;
 };
 // It was asked, and what became of that is not known.
-struct EngineLost {
+struct EngineOutcomeUnknown {
   std::string reason;
 };
 // An order had an older fence than one before it.
 struct EngineFenced {};
-using EngineError =
-    std::variant<EngineRejected, EngineUnreachable, EngineLost, EngineFenced>;
+using EngineError = std::variant<EngineRejected, EngineUnreachable,
+                                 EngineOutcomeUnknown, EngineFenced>;
 
 // Returns one sentence for a person.
 std::string Describe(const EngineError& error);
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -24,7 +24,7 @@
   std::string operator()(const EngineUnreachable& error) const {
     return "the engine cannot be reached: " + error.reason;
   }
-  std::string operator()(const EngineLost& error) const {
+  std::string operator()(const EngineOutcomeUnknown& error) const {
     return "the engine was lost: " + error.reason;
   }
   std::string operator()(const EngineFenced&) const {
@@ -38,10 +38,10 @@
     return EngineUnreachable{error.reason};
   }
   EngineError operator()(const NoResponse& error) const {
-    return EngineLost{error.reason};
+    return EngineOutcomeUnknown{error.reason};
   }
   EngineError operator()(const ResponseTooLarge& error) const {
-    return EngineLost{Describe(HttpError{error})};
+    return EngineOutcomeUnknown{Describe(HttpError{error})};
   }
 };
 
@@ -191,7 +191,8 @@
     return sent.error();
   }
   if (!length) {
-    return leaf::new_error(EngineError{EngineLost{"the answer was cut"}});
+    return leaf::new_error(
+        EngineError{EngineOutcomeUnknown{"the answer was cut"}});
   }
   return *length;
 }
@@ -215,7 +216,7 @@
   try {
     return ToAccount(json::parse(answer.body));
   } catch (const json::exception& error) {
-    return leaf::new_error(EngineError{EngineLost{error.what()}});
+    return leaf::new_error(EngineError{EngineOutcomeUnknown{error.what()}});
   }
 }
 
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -32,7 +32,7 @@
     return wire::Refused{stream, "endpoint_unreachable", error.reason,
                          kRetryAfter};
   }
-  wire::Message operator()(const EngineLost& error) const {
+  wire::Message operator()(const EngineOutcomeUnknown& error) const {
     return wire::Failed{stream, "engine_lost", error.reason, false};
   }
   wire::Message operator()(const EngineFenced&) const {
@@ -273,7 +273,7 @@
 
 wire::Message WorkRunner::ToMessage(const SidecarStream& stream,
                                     const EngineError& error) const {
-  if (std::holds_alternative<EngineLost>(error) &&
+  if (std::holds_alternative<EngineOutcomeUnknown>(error) &&
       ports_.clock() >= stream.deadline) {
     return wire::Failed{stream.submit.stream, "deadline_exceeded",
                         "the time limit passed while it ran", true};
