--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -35,9 +35,9 @@
   std::string reason;
 };
 // An order had an older fence than one before it.
-struct EngineFenced {};
+struct EngineFenceOutdated {};
 using EngineError = std::variant<EngineRejected, EngineUnreachable,
-                                 EngineOutcomeUnknown, EngineFenced>;
+                                 EngineOutcomeUnknown, EngineFenceOutdated>;
 
 // Returns one sentence for a person.
 std::string Describe(const EngineError& error);
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -27,7 +27,7 @@
   std::string operator()(const EngineOutcomeUnknown& error) const {
     return "the engine was lost: " + error.reason;
   }
-  std::string operator()(const EngineFenced&) const {
+  std::string operator()(const EngineFenceOutdated&) const {
     return "the engine has seen a newer fence";
   }
 };
@@ -227,7 +227,7 @@
   call.body = body.dump();
   BOOST_LEAF_AUTO(answer, Call(call));
   if (answer.status == http_status::kConflict) {
-    return leaf::new_error(EngineError{EngineFenced{}});
+    return leaf::new_error(EngineError{EngineFenceOutdated{}});
   }
   if (answer.status != http_status::kOk) {
     return leaf::new_error(
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -35,7 +35,7 @@
   wire::Message operator()(const EngineOutcomeUnknown& error) const {
     return wire::Failed{stream, "engine_lost", error.reason, false};
   }
-  wire::Message operator()(const EngineFenced&) const {
+  wire::Message operator()(const EngineFenceOutdated&) const {
     return wire::Refused{stream, "engine_refused", "fenced", kRetryAfter};
   }
 };
