--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -72,7 +72,7 @@
 };
 
 // Something an engine holds memory for.
-struct Holding {
+struct EngineAllocation {
   HoldingId id;
   Incarnation owner;
   Tokens amount;
@@ -82,7 +82,7 @@
 struct EngineStatus {
   Tokens memory;
   Tokens used;
-  std::vector<Holding> holdings;
+  std::vector<EngineAllocation> holdings;
   std::map<std::string, LoadedModel> models;
 };
 
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -145,9 +145,9 @@
   body.at("used").get_to(account.used.value);
   for (const json& holding : body.at("holdings")) {
     account.holdings.push_back(
-        Holding{HoldingId{holding.at("id").get<std::string>()},
-                Incarnation{holding.at("owner").get<std::uint64_t>()},
-                Tokens{holding.at("tokens").get<std::int64_t>()}});
+        EngineAllocation{HoldingId{holding.at("id").get<std::string>()},
+                         Incarnation{holding.at("owner").get<std::uint64_t>()},
+                         Tokens{holding.at("tokens").get<std::int64_t>()}});
   }
   for (const auto& model : body.at("models").items()) {
     LoadedModel loaded;
