--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -43,17 +43,17 @@
 std::string Describe(const EngineError& error);
 
 // Names what an engine holds for this process.
-using HoldingId = StrongString<struct HoldingTag>;
+using AllocationId = StrongString<struct HoldingTag>;
 
 // A part of a prompt that another engine holds.
 struct RemoteSegment {
   std::string engine_address;
-  HoldingId segment;
+  AllocationId segment;
 };
 
 // Asks for an answer, or for the prefill of one segment.
 struct EngineRequest {
-  HoldingId id;
+  AllocationId id;
   // Who holds what it takes, so that a later process can tell what is left
   // over.
   Incarnation owner;
@@ -73,7 +73,7 @@
 
 // Something an engine holds memory for.
 struct EngineAllocation {
-  HoldingId id;
+  AllocationId id;
   Incarnation owner;
   Tokens amount;
 };
@@ -105,7 +105,7 @@
   virtual boost::leaf::result<void> Prefill(const EngineRequest& request) = 0;
 
   // Ends a request or drops a segment. Does nothing for an unknown id.
-  virtual boost::leaf::result<void> Cancel(const HoldingId& id) = 0;
+  virtual boost::leaf::result<void> Cancel(const AllocationId& id) = 0;
 
   virtual boost::leaf::result<EngineStatus> GetStatus() = 0;
 
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -145,7 +145,7 @@
   body.at("used").get_to(account.used.value);
   for (const json& holding : body.at("holdings")) {
     account.holdings.push_back(
-        EngineAllocation{HoldingId{holding.at("id").get<std::string>()},
+        EngineAllocation{AllocationId{holding.at("id").get<std::string>()},
                          Incarnation{holding.at("owner").get<std::uint64_t>()},
                          Tokens{holding.at("tokens").get<std::int64_t>()}});
   }
@@ -204,7 +204,7 @@
   return {};
 }
 
-leaf::result<void> HttpEngine::Cancel(const HoldingId& id) {
+leaf::result<void> HttpEngine::Cancel(const AllocationId& id) {
   BOOST_LEAF_CHECK(CallExpectingOk(
       MakeCall(address_, "DELETE", "/v1/holdings/" + id.value, kShortTimeout)));
   return {};
--- a/src/sidecar/http_engine.h
+++ b/src/sidecar/http_engine.h
@@ -18,7 +18,7 @@
                                              const OnTaken& on_taken,
                                              const OnToken& on_token) override;
   boost::leaf::result<void> Prefill(const EngineRequest& request) override;
-  boost::leaf::result<void> Cancel(const HoldingId& id) override;
+  boost::leaf::result<void> Cancel(const AllocationId& id) override;
   boost::leaf::result<EngineStatus> GetStatus() override;
   boost::leaf::result<void> Order(const EngineOrder& order,
                                   Revision fence) override;
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -577,7 +577,7 @@
   by_key_.erase(stream->key);
 }
 
-void SidecarNode::CancelLater(const HoldingId& holding) {
+void SidecarNode::CancelLater(const AllocationId& holding) {
   to_cancel_.push_back(holding);
   wake_.notify_all();
 }
@@ -671,7 +671,7 @@
       wake_.wait_for(lock, kTick);
       continue;
     }
-    const HoldingId holding = to_cancel_.front();
+    const AllocationId holding = to_cancel_.front();
     to_cancel_.pop_front();
     lock.unlock();
     // What fails here is found again by the keeper's next account.
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -89,7 +89,7 @@
   void Abandon(const StreamPtr& stream);
   void Refuse(const StreamPtr& stream, const wire::Refused& refused);
   void Forget(const StreamPtr& stream);
-  void CancelLater(const HoldingId& holding);
+  void CancelLater(const AllocationId& holding);
   StreamPtr Find(ConnectionId connection, StreamId stream) const;
 
   void OnRunEnded(const StreamPtr& stream, bool replay);
@@ -123,7 +123,7 @@
   // The order in which logs were made, so that the oldest goes first.
   std::deque<std::uint64_t> log_order_;
   std::set<ConnectionId> connections_;
-  std::deque<HoldingId> to_cancel_;
+  std::deque<AllocationId> to_cancel_;
   std::uint64_t next_key_ = 1;
   PrefillPolicy prefill_;
   Tokens reported_memory_;
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -131,13 +131,13 @@
   ports_.send(stream->connection, mine);
 }
 
-HoldingId WorkRunner::HoldingOf(std::uint64_t key) const {
+AllocationId WorkRunner::HoldingOf(std::uint64_t key) const {
   constexpr std::size_t kSize = 40;
   char text[kSize];
   std::snprintf(text, sizeof(text), "%016llx-%llu",
                 static_cast<unsigned long long>(ports_.incarnation.value),
                 static_cast<unsigned long long>(key));
-  return HoldingId{text};
+  return AllocationId{text};
 }
 
 wire::Message WorkRunner::Generate(SidecarStream* stream,
@@ -265,7 +265,7 @@
                                  : kMostChunk};
   for (const wire::SegmentRef& segment : submit.segments) {
     request.segments.push_back(
-        RemoteSegment{segment.engine_address, HoldingId{segment.segment}});
+        RemoteSegment{segment.engine_address, AllocationId{segment.segment}});
   }
   request.timeout = TimeLeft(stream);
   return request;
--- a/src/sidecar/work_runner.h
+++ b/src/sidecar/work_runner.h
@@ -44,7 +44,7 @@
   void Replay(const std::shared_ptr<SidecarStream>& stream);
 
   // Returns the name under which the engine holds what `key` takes.
-  HoldingId HoldingOf(std::uint64_t key) const;
+  AllocationId HoldingOf(std::uint64_t key) const;
 
  private:
   wire::Message Generate(SidecarStream* stream, const PrefillPolicy& policy);
