--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -43,7 +43,7 @@
 std::string Describe(const EngineError& error);
 
 // Names what an engine holds for this process.
-using AllocationId = StrongString<struct HoldingTag>;
+using AllocationId = StrongString<struct AllocationTag>;
 
 // A part of a prompt that another engine holds.
 struct RemoteSegment {
