--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -190,7 +190,7 @@
       continue;
     }
     scheduler_.Finish(held->second);
-    CancelLater(runner_.HoldingOf(held->second));
+    CancelLater(runner_.AllocationIdFor(held->second));
     held = reservations_.erase(held);
   }
   StartWaiting();
@@ -263,7 +263,7 @@
   const auto held = reservations_.find(StreamName{connection, cancel.stream});
   if (held != reservations_.end()) {
     scheduler_.Finish(held->second);
-    CancelLater(runner_.HoldingOf(held->second));
+    CancelLater(runner_.AllocationIdFor(held->second));
     reservations_.erase(held);
   }
   const StreamPtr stream = Find(connection, cancel.stream);
@@ -512,7 +512,7 @@
 
 void SidecarNode::EndLeases() {
   for (const std::uint64_t key : scheduler_.DropExpiredLeases()) {
-    CancelLater(runner_.HoldingOf(key));
+    CancelLater(runner_.AllocationIdFor(key));
     const auto stream = by_key_.find(key);
     if (stream != by_key_.end()) {
       stream->second->cancelled = true;
@@ -527,7 +527,7 @@
     if (stream.second->reservation_key == reservation) {
       stream.second->cancelled = true;
       stream.second->window.Close();
-      CancelLater(runner_.HoldingOf(stream.first));
+      CancelLater(runner_.AllocationIdFor(stream.first));
     }
   }
   for (auto held = reservations_.begin(); held != reservations_.end();) {
@@ -559,7 +559,7 @@
     Forget(stream);
     return;
   }
-  CancelLater(runner_.HoldingOf(stream->key));
+  CancelLater(runner_.AllocationIdFor(stream->key));
 }
 
 void SidecarNode::Refuse(const StreamPtr& stream,
@@ -594,7 +594,7 @@
     scheduler_.Finish(stream->key);
     // A request that brought no whole answer may still hold memory there.
     if (stream->cancelled || clock_() >= stream->deadline) {
-      CancelLater(runner_.HoldingOf(stream->key));
+      CancelLater(runner_.AllocationIdFor(stream->key));
     }
   }
   // With a ticket the replay is what the entry host waits for.
@@ -708,10 +708,10 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   std::set<std::string> live;
   for (const auto& stream : by_key_) {
-    live.insert(runner_.HoldingOf(stream.first).value);
+    live.insert(runner_.AllocationIdFor(stream.first).value);
   }
   for (const auto& held : reservations_) {
-    live.insert(runner_.HoldingOf(held.second).value);
+    live.insert(runner_.AllocationIdFor(held.second).value);
   }
   return live;
 }
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -131,7 +131,7 @@
   ports_.send(stream->connection, mine);
 }
 
-AllocationId WorkRunner::HoldingOf(std::uint64_t key) const {
+AllocationId WorkRunner::AllocationIdFor(std::uint64_t key) const {
   constexpr std::size_t kSize = 40;
   char text[kSize];
   std::snprintf(text, sizeof(text), "%016llx-%llu",
@@ -173,7 +173,7 @@
                                          const PrefillPolicy& policy) {
   EngineRequest request = MakeRequest(*stream, policy);
   // The segment belongs to the reservation: it is held until that ends.
-  request.id = HoldingOf(stream->reservation_key);
+  request.id = AllocationIdFor(stream->reservation_key);
   const StreamId id = stream->submit.stream;
   return leaf::try_handle_all(
       [&]() -> leaf::result<wire::Message> {
@@ -250,7 +250,7 @@
                                       const PrefillPolicy& policy) const {
   const wire::Submit& submit = stream.submit;
   EngineRequest request;
-  request.id = HoldingOf(stream.key);
+  request.id = AllocationIdFor(stream.key);
   request.owner = ports_.incarnation;
   request.model = submit.model;
   request.adapter = submit.adapter;
--- a/src/sidecar/work_runner.h
+++ b/src/sidecar/work_runner.h
@@ -44,7 +44,7 @@
   void Replay(const std::shared_ptr<SidecarStream>& stream);
 
   // Returns the name under which the engine holds what `key` takes.
-  AllocationId HoldingOf(std::uint64_t key) const;
+  AllocationId AllocationIdFor(std::uint64_t key) const;
 
  private:
   wire::Message Generate(SidecarStream* stream, const PrefillPolicy& policy);
