--- a/src/sidecar/engine_keeper.cc
+++ b/src/sidecar/engine_keeper.cc
@@ -143,7 +143,7 @@
   const std::set<std::string> live = ports_.live_holdings();
   std::set<std::string> suspects;
   bool clean = true;
-  for (const EngineAllocation& holding : account.holdings) {
+  for (const EngineAllocation& holding : account.allocations) {
     const bool ours = holding.owner == ports_.incarnation;
     if (ours && live.count(holding.id.value) > 0) {
       continue;
--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -82,7 +82,7 @@
 struct EngineStatus {
   Tokens memory;
   Tokens used;
-  std::vector<EngineAllocation> holdings;
+  std::vector<EngineAllocation> allocations;
   std::map<std::string, LoadedModel> models;
 };
 
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -144,7 +144,7 @@
   body.at("memory").get_to(account.memory.value);
   body.at("used").get_to(account.used.value);
   for (const json& holding : body.at("holdings")) {
-    account.holdings.push_back(
+    account.allocations.push_back(
         EngineAllocation{AllocationId{holding.at("id").get<std::string>()},
                          Incarnation{holding.at("owner").get<std::uint64_t>()},
                          Tokens{holding.at("tokens").get<std::int64_t>()}});
