--- a/src/sidecar/engine_keeper.cc
+++ b/src/sidecar/engine_keeper.cc
@@ -140,7 +140,7 @@
 }
 
 void EngineReconciler::Release(const EngineStatus& account) {
-  const std::set<std::string> live = ports_.live_holdings();
+  const std::set<std::string> live = ports_.live_allocations();
   std::set<std::string> suspects;
   bool clean = true;
   for (const EngineAllocation& holding : account.allocations) {
--- a/src/sidecar/engine_keeper.h
+++ b/src/sidecar/engine_keeper.h
@@ -27,7 +27,7 @@
   Incarnation incarnation;
   MonotonicClock clock;
   // Returns the names of what this process knows the engine to hold for it.
-  std::function<std::set<std::string>()> live_holdings;
+  std::function<std::set<std::string>()> live_allocations;
   // Takes the engine's memory as the engine tells it.
   std::function<void(Tokens)> on_memory;
 };
