--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -90,7 +90,7 @@
 class EnginePort {
  public:
   // Called once the engine has taken the request.
-  using OnTaken = std::function<void()>;
+  using OnAccepted = std::function<void()>;
   // Takes one token. Returns false to stop.
   using OnToken = std::function<bool(std::int64_t position, std::string token)>;
 
@@ -98,7 +98,7 @@
 
   // Runs a request to its end. Returns the length of the whole answer.
   virtual boost::leaf::result<std::int64_t> Generate(
-      const EngineRequest& request, const OnTaken& on_taken,
+      const EngineRequest& request, const OnAccepted& on_taken,
       const OnToken& on_token) = 0;
 
   // Prefills one segment and holds it until it is cancelled.
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -167,7 +167,7 @@
 HttpEngine::HttpEngine(std::string address) : address_(std::move(address)) {}
 
 leaf::result<std::int64_t> HttpEngine::Generate(const EngineRequest& request,
-                                                const OnTaken& on_taken,
+                                                const OnAccepted& on_taken,
                                                 const OnToken& on_token) {
   HttpCall call = MakeCall(address_, "POST", "/v1/streams", request.timeout);
   call.body = ToJson(request);
