--- a/src/entry/caller_server.h
+++ b/src/entry/caller_server.h
@@ -31,7 +31,7 @@
   void Drain() { draining_ = true; }
 
   // Returns how many requests are in hand.
-  int InHand() const { return in_hand_.load(); }
+  int InFlight() const { return in_hand_.load(); }
 
   void Stop();
 
--- a/src/entry/entry_node.cc
+++ b/src/entry/entry_node.cc
@@ -43,7 +43,7 @@
 void EntryNode::DrainAndStop() {
   const TimePoint limit = clock_() + settings_.drain_limit;
   callers_.Drain();
-  while (callers_.InHand() > 0 && clock_() < limit) {
+  while (callers_.InFlight() > 0 && clock_() < limit) {
     std::this_thread::sleep_for(kDrainPoll);
   }
   {
@@ -81,7 +81,7 @@
                      {"unreported", view.unreported.value},
                      {"running", view.load.running}});
   }
-  (*dump)["entry"] = {{"requests_in_hand", callers_.InHand()},
+  (*dump)["entry"] = {{"requests_in_hand", callers_.InFlight()},
                       {"routing_policy", settings_.routing_policy},
                       {"retries_left", dispatcher_.RetriesLeft()},
                       {"limited_accounts", dispatcher_.LimitedAccounts()},
