--- a/src/entry/answer_sink.h
+++ b/src/entry/answer_sink.h
@@ -17,7 +17,7 @@
 
   // Called now and then while no part comes. Returns false if the caller has
   // left.
-  virtual bool OnSilence() = 0;
+  virtual bool OnIdle() = 0;
 };
 
 }  // namespace harecrank
--- a/src/entry/answer_writer.cc
+++ b/src/entry/answer_writer.cc
@@ -66,7 +66,7 @@
   return WriteEvent(PartJson(part));
 }
 
-bool AnswerWriter::OnSilence() {
+bool AnswerWriter::OnIdle() {
   if (!IsCallerConnected(*ports_.request)) {
     return false;
   }
--- a/src/entry/answer_writer.h
+++ b/src/entry/answer_writer.h
@@ -44,7 +44,7 @@
   AnswerWriter(AnswerWriterPorts ports, const CallerRequest& asked);
 
   bool OnPart(const std::string& part) override;
-  bool OnSilence() override;
+  bool OnIdle() override;
 
   // Writes what remains once the request has ended.
   void Finish(const DispatchResult& result);
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -85,7 +85,7 @@
     }
     const auto event = inbox_->Take(std::min(now + kLook, times_.deadline));
     if (!event) {
-      caller_left_ = !ports_.sink->OnSilence();
+      caller_left_ = !ports_.sink->OnIdle();
       if (caller_left_) {
         return AttemptEnd{CallerDisconnected{}};
       }
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -379,7 +379,7 @@
     }
     // With one endpoint tried already there is nothing to wait for.
     if (!context.tried.empty() || ports_.clock() >= until ||
-        (sink != nullptr && !sink->OnSilence())) {
+        (sink != nullptr && !sink->OnIdle())) {
       return nullptr;
     }
     std::this_thread::sleep_for(kLinkPoll);
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -100,7 +100,7 @@
                      Candidates(), ports_.min_members);
     if (!plan) {
       // Reports are late: what looks full now may be free at the next one.
-      if (!ports_.attempt.sink->OnSilence()) {
+      if (!ports_.attempt.sink->OnIdle()) {
         *why = CallerDisconnected{};
         return false;
       }
@@ -193,7 +193,7 @@
     const auto event = inbox_->Take(ports_.attempt.clock() + kLook);
     if (event) {
       OnEvent(*event, evidence);
-    } else if (!ports_.attempt.sink->OnSilence()) {
+    } else if (!ports_.attempt.sink->OnIdle()) {
       *why = CallerDisconnected{};
       return false;
     }
@@ -356,9 +356,9 @@
       runner_->RenewAll();
       return inner_->OnPart(part);
     }
-    bool OnSilence() override {
+    bool OnIdle() override {
       runner_->RenewAll();
-      return inner_->OnSilence();
+      return inner_->OnIdle();
     }
 
    private:
