--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -70,7 +70,9 @@
   return limiter_.Count();
 }
 
-void Dispatcher::Maintain() { ports_.links->Maintain(table_.Load()->Wanted()); }
+void Dispatcher::Maintain() {
+  ports_.links->Maintain(table_.Load()->AllEndpoints());
+}
 
 DispatchResult Dispatcher::Run(const CallerRequest& request, AnswerSink* sink) {
   Context context{request, ports_.node->InForce(), table_.Load(),
--- a/src/entry/endpoint_table.h
+++ b/src/entry/endpoint_table.h
@@ -48,7 +48,9 @@
                                        const ModelId& model) const;
 
   // Returns every endpoint of every subset, with its address.
-  const std::map<EndpointId, std::string>& Wanted() const { return wanted_; }
+  const std::map<EndpointId, std::string>& AllEndpoints() const {
+    return wanted_;
+  }
 
   Revision GetRevision() const { return revision_; }
 
