--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -249,7 +249,7 @@
       context->table->ForGroup(*context->configuration, context->request.model),
       context->deadline);
   AttemptResult result = runner.Run(evidence);
-  answered->endpoint = runner.Lead();
+  answered->endpoint = runner.DecodeEndpoint();
   answered->members = runner.MemberCount();
   return result;
 }
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -72,7 +72,7 @@
   return result;
 }
 
-EndpointId GroupRunner::Lead() const {
+EndpointId GroupRunner::DecodeEndpoint() const {
   return members_.empty() ? EndpointId{} : members_.back().segment.member;
 }
 
--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -46,7 +46,7 @@
 
   // Returns the member that generates, and how many there are; none before
   // Run has reserved them.
-  EndpointId Lead() const;
+  EndpointId DecodeEndpoint() const;
   int MemberCount() const { return static_cast<int>(members_.size()); }
 
  private:
