--- a/src/entry/link_pool.cc
+++ b/src/entry/link_pool.cc
@@ -166,7 +166,7 @@
       dial = link->dial_;
       redial = dial.value == 0 && now >= link->next_dial_;
       cut = link->open_ && now - link->last_heard_ >
-                               link->pulse_interval_ * Link::kMissedBeforeCut;
+                               link->pulse_interval_ * Link::kMissedBeforeClose;
       idle = link->streams_.empty() && now - link->last_used_ > kIdleClose;
     }
     if (idle) {
--- a/src/entry/link_pool.h
+++ b/src/entry/link_pool.h
@@ -80,7 +80,7 @@
   // How many of its sidecar's pulses a link may miss before it counts as
   // silent, and before it is cut and all that waits on it told so.
   static constexpr int kMissedBeforeSilent = 3;
-  static constexpr int kMissedBeforeCut = 8;
+  static constexpr int kMissedBeforeClose = 8;
 
  private:
   friend class LinkPool;
