--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -239,7 +239,7 @@
   GroupPorts group;
   group.attempt = std::move(ports);
   group.random = ports_.random;
-  group.may_use = [this](const EndpointId& id) { return MayUse(id); };
+  group.is_available = [this](const EndpointId& id) { return MayUse(id); };
   group.short_headroom_percent = static_cast<int>(
       context->configuration->GetDocument().policy().short_headroom_percent());
   group.segments_redone = segments_redone_;
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -442,7 +442,7 @@
     const auto link =
         ports_.attempt.links->Get(endpoint.id, endpoint.link_address);
     if (!link->IsUsable() || link->IsDraining() ||
-        !ports_.may_use(endpoint.id) || failed_.count(endpoint.id) > 0) {
+        !ports_.is_available(endpoint.id) || failed_.count(endpoint.id) > 0) {
       continue;
     }
     const EndpointView view = link->View();
--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -21,7 +21,7 @@
   AttemptPorts attempt;
   RandomSource random;
   // Returns whether an endpoint may be given new work.
-  std::function<bool(const EndpointId&)> may_use;
+  std::function<bool(const EndpointId&)> is_available;
   int short_headroom_percent = 0;
   // Among how many engines to spread a prompt that fewer could hold. Halved
   // with each round that finds no room.
