--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -111,7 +111,7 @@
   return UpdateFor(theirs);
 }
 
-PeerState ConfigFeed::OnOffer(const PeerUpdate& update) {
+PeerState ConfigFeed::OnPush(const PeerUpdate& update) {
   TakeUpdate(update);
   return MyState();
 }
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -61,7 +61,7 @@
   PeerUpdate OnCompare(const PeerState& theirs);
 
   // Takes what a peer pushed, and returns what this node has afterwards.
-  PeerState OnOffer(const PeerUpdate& update);
+  PeerState OnPush(const PeerUpdate& update);
 
   PeerState MyState() const;
 
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -116,7 +116,7 @@
     const auto update = DecodePeerUpdate(body);
     if (update) {
       SendResponse(response, http_status::kOk,
-                   EncodePeerState(feed_.OnOffer(*update)), "application/cbor");
+                   EncodePeerState(feed_.OnPush(*update)), "application/cbor");
       return;
     }
   }
