--- a/src/node/platform.cc
+++ b/src/node/platform.cc
@@ -20,7 +20,7 @@
   std::string operator()(const PlatformUnreachable& error) const {
     return error.reason;
   }
-  std::string operator()(const PlatformRefused& error) const {
+  std::string operator()(const PlatformRejected& error) const {
     return "the platform answered with status " + std::to_string(error.status);
   }
   std::string operator()(const PlatformAnswerUnreadable& error) const {
@@ -58,7 +58,7 @@
 
 leaf::result<PublishedValue> ToValue(const HttpResponse& answer) {
   if (answer.status != http_status::kOk) {
-    return leaf::new_error(PlatformError{PlatformRefused{answer.status}});
+    return leaf::new_error(PlatformError{PlatformRejected{answer.status}});
   }
   BOOST_LEAF_AUTO(body, ParseBody(answer.body));
   try {
@@ -103,7 +103,7 @@
 leaf::result<HostListVersion> HttpHostList::Read() {
   BOOST_LEAF_AUTO(answer, Get(address_, "/v1/hosts", kReadTimeout));
   if (answer.status != http_status::kOk) {
-    return leaf::new_error(PlatformError{PlatformRefused{answer.status}});
+    return leaf::new_error(PlatformError{PlatformRejected{answer.status}});
   }
   BOOST_LEAF_AUTO(body, ParseBody(answer.body));
   try {
--- a/src/node/platform.h
+++ b/src/node/platform.h
@@ -19,13 +19,13 @@
 struct PlatformUnreachable {
   std::string reason;
 };
-struct PlatformRefused {
+struct PlatformRejected {
   int status = 0;
 };
 struct PlatformAnswerUnreadable {
   std::string reason;
 };
-using PlatformError = std::variant<PlatformUnreachable, PlatformRefused,
+using PlatformError = std::variant<PlatformUnreachable, PlatformRejected,
                                    PlatformAnswerUnreadable>;
 
 // Returns one sentence for a person.
