--- a/src/node/platform.cc
+++ b/src/node/platform.cc
@@ -23,7 +23,7 @@
   std::string operator()(const PlatformRejected& error) const {
     return "the platform answered with status " + std::to_string(error.status);
   }
-  std::string operator()(const PlatformAnswerUnreadable& error) const {
+  std::string operator()(const PlatformResponseMalformed& error) const {
     return "the platform's answer cannot be read: " + error.reason;
   }
 };
@@ -52,7 +52,7 @@
     return json::parse(body);
   } catch (const json::exception& error) {
     return leaf::new_error(
-        PlatformError{PlatformAnswerUnreadable{error.what()}});
+        PlatformError{PlatformResponseMalformed{error.what()}});
   }
 }
 
@@ -66,7 +66,7 @@
                           body.at("value").get<std::string>()};
   } catch (const json::exception& error) {
     return leaf::new_error(
-        PlatformError{PlatformAnswerUnreadable{error.what()}});
+        PlatformError{PlatformResponseMalformed{error.what()}});
   }
 }
 
@@ -117,7 +117,7 @@
     return list;
   } catch (const json::exception& error) {
     return leaf::new_error(
-        PlatformError{PlatformAnswerUnreadable{error.what()}});
+        PlatformError{PlatformResponseMalformed{error.what()}});
   }
 }
 
--- a/src/node/platform.h
+++ b/src/node/platform.h
@@ -22,11 +22,11 @@
 struct PlatformRejected {
   int status = 0;
 };
-struct PlatformAnswerUnreadable {
+struct PlatformResponseMalformed {
   std::string reason;
 };
 using PlatformError = std::variant<PlatformUnreachable, PlatformRejected,
-                                   PlatformAnswerUnreadable>;
+                                   PlatformResponseMalformed>;
 
 // Returns one sentence for a person.
 std::string Describe(const PlatformError& error);
