--- a/src/entry/caller_request.cc
+++ b/src/entry/caller_request.cc
@@ -136,7 +136,7 @@
   }
   // A call that may change something is not sent twice, even unmarked.
   if (headers.method != "GET" && headers.method != "HEAD") {
-    request->repeat = RetryMode::kOnlyIfNotRun;
+    request->retry_mode = RetryMode::kOnlyIfNotRun;
   }
   return {};
 }
@@ -169,7 +169,7 @@
                   "Harecrank-Ticket");
   }
   request->ticket = headers.ticket;
-  request->repeat = RetryMode::kNever;
+  request->retry_mode = RetryMode::kNever;
   return {};
 }
 
--- a/src/entry/caller_request.h
+++ b/src/entry/caller_request.h
@@ -30,7 +30,7 @@
   Millis time_limit{0};
   // Empty unless the request may run once only.
   std::string ticket;
-  RetryMode repeat = RetryMode::kAllowed;
+  RetryMode retry_mode = RetryMode::kAllowed;
   // For kService.
   ServiceName service;
   std::string method;
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -166,8 +166,8 @@
 DispatchResult Dispatcher::RunAttempts(Context* context, AnswerSink* sink) {
   AnswerAssembler assembler;
   AttemptPorts ports{ports_.links, ports_.clock, &assembler, sink};
-  RetryPolicy policy(context->request.repeat, context->deadline, ports_.clock,
-                     &budget_);
+  RetryPolicy policy(context->request.retry_mode, context->deadline,
+                     ports_.clock, &budget_);
   // Zero for a request that one engine serves.
   const std::size_t members = GroupSize(*context);
   while (true) {
