--- a/src/node/administration.cc
+++ b/src/node/administration.cc
@@ -165,8 +165,8 @@
   done->Run();
 }
 
-RpcAnswer CallRpc(pb::Service* service, const std::string& method,
-                  const std::string& request_json) {
+RpcResponse CallRpc(pb::Service* service, const std::string& method,
+                    const std::string& request_json) {
   const pb::MethodDescriptor* descriptor =
       service->GetDescriptor()->FindMethodByName(method);
   if (descriptor == nullptr) {
--- a/src/node/administration.h
+++ b/src/node/administration.h
@@ -37,15 +37,15 @@
 };
 
 // An answer to a call over HTTP.
-struct RpcAnswer {
+struct RpcResponse {
   int status = 0;
   std::string body;
 };
 
 // Calls `method` of `service` with a JSON request, by the generated service's
 // own reflection, so that a method added to the schema needs no code here.
-RpcAnswer CallRpc(google::protobuf::Service* service, const std::string& method,
-                  const std::string& request_json);
+RpcResponse CallRpc(google::protobuf::Service* service,
+                    const std::string& method, const std::string& request_json);
 
 }  // namespace harecrank
 
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -149,7 +149,7 @@
     return;
   }
   const std::string method = path.substr(sizeof(kRpcPrefix) - 1);
-  const RpcAnswer answer = CallRpc(&administration_, method, body);
+  const RpcResponse answer = CallRpc(&administration_, method, body);
   SendResponse(response, answer.status, answer.body);
 }
 
