--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -57,9 +57,9 @@
   if (!SendWhole(std::move(submit), body)) {
     return AttemptEnd{AttemptLost{"the link broke while sending"}};
   }
-  acknowledge_by_ = times_.acknowledge.count() == 0
+  acknowledge_by_ = times_.acknowledge_timeout.count() == 0
                         ? times_.deadline
-                        : ports_.clock() + times_.acknowledge;
+                        : ports_.clock() + times_.acknowledge_timeout;
   return Follow(evidence);
 }
 
@@ -172,12 +172,12 @@
                     AttemptEnd{AttemptLost{"the sidecar gave no word"}});
   }
   // What has nowhere else to go waits on: its answer may still come.
-  if (times_.acknowledge.count() > 0 && link_->IsSilent()) {
+  if (times_.acknowledge_timeout.count() > 0 && link_->IsSilent()) {
     return Withdraw(evidence,
                     AttemptEnd{AttemptLost{"the link to the endpoint is "
                                            "silent"}});
   }
-  if (times_.acknowledge.count() > 0 && last_output_ &&
+  if (times_.acknowledge_timeout.count() > 0 && last_output_ &&
       now - *last_output_ > kMostStall) {
     return AttemptEnd{AttemptLost{"the stream is stuck"}};
   }
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -27,7 +27,7 @@
   TimePoint deadline;
   // How long to wait for the sidecar's word that it has the request. Zero to
   // wait to the deadline, for a request that has nowhere else to go.
-  Millis acknowledge{1500};
+  Millis acknowledge_timeout{1500};
 };
 
 using AttemptResult = std::variant<wire::Finished, AttemptEnd>;
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -261,7 +261,7 @@
   context->tried.insert(link->Endpoint());
   AttemptTimes times{context->deadline};
   if (!context->request.ticket.empty()) {
-    times.acknowledge = Millis(0);
+    times.acknowledge_timeout = Millis(0);
   }
   const wire::Submit submit = MakeSubmit(*context, *ports.assembler);
   Attempt attempt(std::move(ports), link, times);
