--- a/src/sidecar/engine_keeper.cc
+++ b/src/sidecar/engine_reconciler.cc
@@ -1,4 +1,4 @@
-#include "src/sidecar/engine_keeper.h"
+#include "src/sidecar/engine_reconciler.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/sidecar/engine_keeper.h
+++ b/src/sidecar/engine_reconciler.h
@@ -1,7 +1,7 @@
 // Keeps one engine's memory and models in order.
 
-#ifndef HARECRANK_SRC_SIDECAR_ENGINE_KEEPER_H_
-#define HARECRANK_SRC_SIDECAR_ENGINE_KEEPER_H_
+#ifndef HARECRANK_SRC_SIDECAR_ENGINE_RECONCILER_H_
+#define HARECRANK_SRC_SIDECAR_ENGINE_RECONCILER_H_
 
 #include <atomic>
 #include <condition_variable>
@@ -92,4 +92,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_SIDECAR_ENGINE_KEEPER_H_
+#endif  // HARECRANK_SRC_SIDECAR_ENGINE_RECONCILER_H_
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -21,7 +21,7 @@
 #include "src/adapters/link_server.h"
 #include "src/adapters/settings.h"
 #include "src/node/node.h"
-#include "src/sidecar/engine_keeper.h"
+#include "src/sidecar/engine_reconciler.h"
 #include "src/sidecar/sidecar_stream.h"
 #include "src/sidecar/work_runner.h"
 
