--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -70,7 +70,9 @@
   return limiter_.Count();
 }
 
-void Dispatcher::Maintain() { ports_.links->Maintain(table_.Load()->Wanted()); }
+void Dispatcher::Maintain() {
+  ports_.links->Maintain(table_.Load()->AllEndpoints());
+}
 
 DispatchResult Dispatcher::Run(const CallerRequest& request, AnswerSink* sink) {
   Context context{request, ports_.node->InForce(), table_.Load(),
@@ -164,8 +166,8 @@
 DispatchResult Dispatcher::RunAttempts(Context* context, AnswerSink* sink) {
   AnswerAssembler assembler;
   AttemptPorts ports{ports_.links, ports_.clock, &assembler, sink};
-  RetryPolicy policy(context->request.repeat, context->deadline, ports_.clock,
-                     &budget_);
+  RetryPolicy policy(context->request.retry_mode, context->deadline,
+                     ports_.clock, &budget_);
   // Zero for a request that one engine serves.
   const std::size_t members = GroupSize(*context);
   while (true) {
@@ -237,7 +239,7 @@
   GroupPorts group;
   group.attempt = std::move(ports);
   group.random = ports_.random;
-  group.may_use = [this](const EndpointId& id) { return MayUse(id); };
+  group.is_available = [this](const EndpointId& id) { return MayUse(id); };
   group.short_headroom_percent = static_cast<int>(
       context->configuration->GetDocument().policy().short_headroom_percent());
   group.segments_redone = segments_redone_;
@@ -247,7 +249,7 @@
       context->table->ForGroup(*context->configuration, context->request.model),
       context->deadline);
   AttemptResult result = runner.Run(evidence);
-  answered->endpoint = runner.Lead();
+  answered->endpoint = runner.DecodeEndpoint();
   answered->members = runner.MemberCount();
   return result;
 }
@@ -259,7 +261,7 @@
   context->tried.insert(link->Endpoint());
   AttemptTimes times{context->deadline};
   if (!context->request.ticket.empty()) {
-    times.acknowledge = Millis(0);
+    times.acknowledge_timeout = Millis(0);
   }
   const wire::Submit submit = MakeSubmit(*context, *ports.assembler);
   Attempt attempt(std::move(ports), link, times);
@@ -379,7 +381,7 @@
     }
     // With one endpoint tried already there is nothing to wait for.
     if (!context.tried.empty() || ports_.clock() >= until ||
-        (sink != nullptr && !sink->OnSilence())) {
+        (sink != nullptr && !sink->OnIdle())) {
       return nullptr;
     }
     std::this_thread::sleep_for(kLinkPoll);
--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -21,7 +21,7 @@
   AttemptPorts attempt;
   RandomSource random;
   // Returns whether an endpoint may be given new work.
-  std::function<bool(const EndpointId&)> may_use;
+  std::function<bool(const EndpointId&)> is_available;
   int short_headroom_percent = 0;
   // Among how many engines to spread a prompt that fewer could hold. Halved
   // with each round that finds no room.
@@ -46,7 +46,7 @@
 
   // Returns the member that generates, and how many there are; none before
   // Run has reserved them.
-  EndpointId Lead() const;
+  EndpointId DecodeEndpoint() const;
   int MemberCount() const { return static_cast<int>(members_.size()); }
 
  private:
--- a/src/node/platform.cc
+++ b/src/node/platform.cc
@@ -20,10 +20,10 @@
   std::string operator()(const PlatformUnreachable& error) const {
     return error.reason;
   }
-  std::string operator()(const PlatformRefused& error) const {
+  std::string operator()(const PlatformRejected& error) const {
     return "the platform answered with status " + std::to_string(error.status);
   }
-  std::string operator()(const PlatformAnswerUnreadable& error) const {
+  std::string operator()(const PlatformResponseMalformed& error) const {
     return "the platform's answer cannot be read: " + error.reason;
   }
 };
@@ -52,13 +52,13 @@
     return json::parse(body);
   } catch (const json::exception& error) {
     return leaf::new_error(
-        PlatformError{PlatformAnswerUnreadable{error.what()}});
+        PlatformError{PlatformResponseMalformed{error.what()}});
   }
 }
 
 leaf::result<PublishedValue> ToValue(const HttpResponse& answer) {
   if (answer.status != http_status::kOk) {
-    return leaf::new_error(PlatformError{PlatformRefused{answer.status}});
+    return leaf::new_error(PlatformError{PlatformRejected{answer.status}});
   }
   BOOST_LEAF_AUTO(body, ParseBody(answer.body));
   try {
@@ -66,7 +66,7 @@
                           body.at("value").get<std::string>()};
   } catch (const json::exception& error) {
     return leaf::new_error(
-        PlatformError{PlatformAnswerUnreadable{error.what()}});
+        PlatformError{PlatformResponseMalformed{error.what()}});
   }
 }
 
@@ -103,7 +103,7 @@
 leaf::result<HostListVersion> HttpHostList::Read() {
   BOOST_LEAF_AUTO(answer, Get(address_, "/v1/hosts", kReadTimeout));
   if (answer.status != http_status::kOk) {
-    return leaf::new_error(PlatformError{PlatformRefused{answer.status}});
+    return leaf::new_error(PlatformError{PlatformRejected{answer.status}});
   }
   BOOST_LEAF_AUTO(body, ParseBody(answer.body));
   try {
@@ -117,7 +117,7 @@
     return list;
   } catch (const json::exception& error) {
     return leaf::new_error(
-        PlatformError{PlatformAnswerUnreadable{error.what()}});
+        PlatformError{PlatformResponseMalformed{error.what()}});
   }
 }
 
--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -22,7 +22,7 @@
 
 // Why an engine did not do what it was asked.
 // It said no: nothing ran.
-struct EngineRefused {
+struct EngineRejected {
   int status = 0;
   std::string reason;
 };
@@ -31,29 +31,29 @@
   std::string reason;
 };
 // It was asked, and what became of that is not known.
-struct EngineLost {
+struct EngineOutcomeUnknown {
   std::string reason;
 };
 // An order had an older fence than one before it.
-struct EngineFenced {};
-using EngineError =
-    std::variant<EngineRefused, EngineUnreachable, EngineLost, EngineFenced>;
+struct EngineFenceOutdated {};
+using EngineError = std::variant<EngineRejected, EngineUnreachable,
+                                 EngineOutcomeUnknown, EngineFenceOutdated>;
 
 // Returns one sentence for a person.
 std::string Describe(const EngineError& error);
 
 // Names what an engine holds for this process.
-using HoldingId = StrongString<struct HoldingTag>;
+using AllocationId = StrongString<struct AllocationTag>;
 
 // A part of a prompt that another engine holds.
 struct RemoteSegment {
   std::string engine_address;
-  HoldingId segment;
+  AllocationId segment;
 };
 
 // Asks for an answer, or for the prefill of one segment.
 struct EngineRequest {
-  HoldingId id;
+  AllocationId id;
   // Who holds what it takes, so that a later process can tell what is left
   // over.
   Incarnation owner;
@@ -72,17 +72,17 @@
 };
 
 // Something an engine holds memory for.
-struct Holding {
-  HoldingId id;
+struct EngineAllocation {
+  AllocationId id;
   Incarnation owner;
   Tokens amount;
 };
 
 // An engine's own account of itself.
-struct EngineAccount {
+struct EngineStatus {
   Tokens memory;
   Tokens used;
-  std::vector<Holding> holdings;
+  std::vector<EngineAllocation> allocations;
   std::map<std::string, LoadedModel> models;
 };
 
@@ -90,7 +90,7 @@
 class EnginePort {
  public:
   // Called once the engine has taken the request.
-  using OnTaken = std::function<void()>;
+  using OnAccepted = std::function<void()>;
   // Takes one token. Returns false to stop.
   using OnToken = std::function<bool(std::int64_t position, std::string token)>;
 
@@ -98,16 +98,16 @@
 
   // Runs a request to its end. Returns the length of the whole answer.
   virtual boost::leaf::result<std::int64_t> Generate(
-      const EngineRequest& request, const OnTaken& on_taken,
+      const EngineRequest& request, const OnAccepted& on_taken,
       const OnToken& on_token) = 0;
 
   // Prefills one segment and holds it until it is cancelled.
   virtual boost::leaf::result<void> Prefill(const EngineRequest& request) = 0;
 
   // Ends a request or drops a segment. Does nothing for an unknown id.
-  virtual boost::leaf::result<void> Cancel(const HoldingId& id) = 0;
+  virtual boost::leaf::result<void> Cancel(const AllocationId& id) = 0;
 
-  virtual boost::leaf::result<EngineAccount> Account() = 0;
+  virtual boost::leaf::result<EngineStatus> GetStatus() = 0;
 
   // Gives an order under a fence.
   virtual boost::leaf::result<void> Order(const EngineOrder& order,
--- a/src/sidecar/engine_keeper.h
+++ b/src/sidecar/engine_reconciler.h
@@ -1,7 +1,7 @@
 // Keeps one engine's memory and models in order.
 
-#ifndef HARECRANK_SRC_SIDECAR_ENGINE_KEEPER_H_
-#define HARECRANK_SRC_SIDECAR_ENGINE_KEEPER_H_
+#ifndef HARECRANK_SRC_SIDECAR_ENGINE_RECONCILER_H_
+#define HARECRANK_SRC_SIDECAR_ENGINE_RECONCILER_H_
 
 #include <atomic>
 #include <condition_variable>
@@ -21,13 +21,13 @@
 namespace harecrank {
 
 // What a keeper is made from. All must outlive it.
-struct EngineKeeperPorts {
+struct EngineReconcilerPorts {
   EnginePort* engine = nullptr;
   Node* node = nullptr;
   Incarnation incarnation;
   MonotonicClock clock;
   // Returns the names of what this process knows the engine to hold for it.
-  std::function<std::set<std::string>()> live_holdings;
+  std::function<std::set<std::string>()> live_allocations;
   // Takes the engine's memory as the engine tells it.
   std::function<void(Tokens)> on_memory;
 };
@@ -38,12 +38,13 @@
 // Releasing: a holding of another incarnation was left by a process that is
 // gone, and goes at once; one of this incarnation that nothing here knows goes
 // when two accounts in a row show it, since a run may just be ending.
-class EngineKeeper {
+class EngineReconciler {
  public:
-  EngineKeeper(const SidecarSettings& settings, EngineKeeperPorts ports);
-  ~EngineKeeper();
-  EngineKeeper(const EngineKeeper&) = delete;
-  EngineKeeper& operator=(const EngineKeeper&) = delete;
+  EngineReconciler(const SidecarSettings& settings,
+                   EngineReconcilerPorts ports);
+  ~EngineReconciler();
+  EngineReconciler(const EngineReconciler&) = delete;
+  EngineReconciler& operator=(const EngineReconciler&) = delete;
 
   void Start();
   void Stop();
@@ -62,13 +63,13 @@
   void Run();
   bool IsBesideEngine() const;
   void Keep();
-  void Release(const EngineAccount& account);
-  void GiveOrders(const EngineAccount& account);
+  void Release(const EngineStatus& account);
+  void GiveOrders(const EngineStatus& account);
   bool IsDue(const EngineOrder& order, const Configuration& configuration);
   bool Give(const EngineOrder& order, Revision fence);
 
   SidecarSettings settings_;
-  EngineKeeperPorts ports_;
+  EngineReconcilerPorts ports_;
   PauseGuard guard_;
   std::atomic<bool> reconciled_{false};
   std::atomic<bool> stopping_{false};
@@ -91,4 +92,4 @@
 
 }  // namespace harecrank
 
-#endif  // HARECRANK_SRC_SIDECAR_ENGINE_KEEPER_H_
+#endif  // HARECRANK_SRC_SIDECAR_ENGINE_RECONCILER_H_
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -18,16 +18,16 @@
 constexpr Millis kOrderTimeout{120000};
 
 struct Describer {
-  std::string operator()(const EngineRefused& error) const {
+  std::string operator()(const EngineRejected& error) const {
     return "the engine refused: " + error.reason;
   }
   std::string operator()(const EngineUnreachable& error) const {
     return "the engine cannot be reached: " + error.reason;
   }
-  std::string operator()(const EngineLost& error) const {
+  std::string operator()(const EngineOutcomeUnknown& error) const {
     return "the engine was lost: " + error.reason;
   }
-  std::string operator()(const EngineFenced&) const {
+  std::string operator()(const EngineFenceOutdated&) const {
     return "the engine has seen a newer fence";
   }
 };
@@ -38,10 +38,10 @@
     return EngineUnreachable{error.reason};
   }
   EngineError operator()(const NoResponse& error) const {
-    return EngineLost{error.reason};
+    return EngineOutcomeUnknown{error.reason};
   }
   EngineError operator()(const ResponseTooLarge& error) const {
-    return EngineLost{Describe(HttpError{error})};
+    return EngineOutcomeUnknown{Describe(HttpError{error})};
   }
 };
 
@@ -66,7 +66,7 @@
   BOOST_LEAF_AUTO(answer, Call(call));
   if (answer.status != http_status::kOk) {
     return leaf::new_error(
-        EngineError{EngineRefused{answer.status, answer.body}});
+        EngineError{EngineRejected{answer.status, answer.body}});
   }
   return answer;
 }
@@ -139,15 +139,15 @@
   return std::nullopt;
 }
 
-EngineAccount ToAccount(const json& body) {
-  EngineAccount account;
+EngineStatus ToAccount(const json& body) {
+  EngineStatus account;
   body.at("memory").get_to(account.memory.value);
   body.at("used").get_to(account.used.value);
   for (const json& holding : body.at("holdings")) {
-    account.holdings.push_back(
-        Holding{HoldingId{holding.at("id").get<std::string>()},
-                Incarnation{holding.at("owner").get<std::uint64_t>()},
-                Tokens{holding.at("tokens").get<std::int64_t>()}});
+    account.allocations.push_back(
+        EngineAllocation{AllocationId{holding.at("id").get<std::string>()},
+                         Incarnation{holding.at("owner").get<std::uint64_t>()},
+                         Tokens{holding.at("tokens").get<std::int64_t>()}});
   }
   for (const auto& model : body.at("models").items()) {
     LoadedModel loaded;
@@ -167,7 +167,7 @@
 HttpEngine::HttpEngine(std::string address) : address_(std::move(address)) {}
 
 leaf::result<std::int64_t> HttpEngine::Generate(const EngineRequest& request,
-                                                const OnTaken& on_taken,
+                                                const OnAccepted& on_taken,
                                                 const OnToken& on_token) {
   HttpCall call = MakeCall(address_, "POST", "/v1/streams", request.timeout);
   call.body = ToJson(request);
@@ -185,13 +185,14 @@
   };
   auto sent = TurnErrors([&] { return StreamHttp(call, read); });
   if (status != 0 && status != http_status::kOk) {
-    return leaf::new_error(EngineError{EngineRefused{status, reason}});
+    return leaf::new_error(EngineError{EngineRejected{status, reason}});
   }
   if (!sent) {
     return sent.error();
   }
   if (!length) {
-    return leaf::new_error(EngineError{EngineLost{"the answer was cut"}});
+    return leaf::new_error(
+        EngineError{EngineOutcomeUnknown{"the answer was cut"}});
   }
   return *length;
 }
@@ -203,19 +204,19 @@
   return {};
 }
 
-leaf::result<void> HttpEngine::Cancel(const HoldingId& id) {
+leaf::result<void> HttpEngine::Cancel(const AllocationId& id) {
   BOOST_LEAF_CHECK(CallExpectingOk(
       MakeCall(address_, "DELETE", "/v1/holdings/" + id.value, kShortTimeout)));
   return {};
 }
 
-leaf::result<EngineAccount> HttpEngine::Account() {
+leaf::result<EngineStatus> HttpEngine::GetStatus() {
   BOOST_LEAF_AUTO(answer, CallExpectingOk(MakeCall(
                               address_, "GET", "/v1/account", kShortTimeout)));
   try {
     return ToAccount(json::parse(answer.body));
   } catch (const json::exception& error) {
-    return leaf::new_error(EngineError{EngineLost{error.what()}});
+    return leaf::new_error(EngineError{EngineOutcomeUnknown{error.what()}});
   }
 }
 
@@ -226,11 +227,11 @@
   call.body = body.dump();
   BOOST_LEAF_AUTO(answer, Call(call));
   if (answer.status == http_status::kConflict) {
-    return leaf::new_error(EngineError{EngineFenced{}});
+    return leaf::new_error(EngineError{EngineFenceOutdated{}});
   }
   if (answer.status != http_status::kOk) {
     return leaf::new_error(
-        EngineError{EngineRefused{answer.status, answer.body}});
+        EngineError{EngineRejected{answer.status, answer.body}});
   }
   return {};
 }
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -25,17 +25,17 @@
 struct EngineErrorToMessage {
   StreamId stream;
 
-  wire::Message operator()(const EngineRefused& error) const {
+  wire::Message operator()(const EngineRejected& error) const {
     return wire::Refused{stream, "engine_refused", error.reason, kRetryAfter};
   }
   wire::Message operator()(const EngineUnreachable& error) const {
     return wire::Refused{stream, "endpoint_unreachable", error.reason,
                          kRetryAfter};
   }
-  wire::Message operator()(const EngineLost& error) const {
+  wire::Message operator()(const EngineOutcomeUnknown& error) const {
     return wire::Failed{stream, "engine_lost", error.reason, false};
   }
-  wire::Message operator()(const EngineFenced&) const {
+  wire::Message operator()(const EngineFenceOutdated&) const {
     return wire::Refused{stream, "engine_refused", "fenced", kRetryAfter};
   }
 };
@@ -131,13 +131,13 @@
   ports_.send(stream->connection, mine);
 }
 
-HoldingId WorkRunner::HoldingOf(std::uint64_t key) const {
+AllocationId WorkRunner::AllocationIdFor(std::uint64_t key) const {
   constexpr std::size_t kSize = 40;
   char text[kSize];
   std::snprintf(text, sizeof(text), "%016llx-%llu",
                 static_cast<unsigned long long>(ports_.incarnation.value),
                 static_cast<unsigned long long>(key));
-  return HoldingId{text};
+  return AllocationId{text};
 }
 
 wire::Message WorkRunner::Generate(SidecarStream* stream,
@@ -173,7 +173,7 @@
                                          const PrefillPolicy& policy) {
   EngineRequest request = MakeRequest(*stream, policy);
   // The segment belongs to the reservation: it is held until that ends.
-  request.id = HoldingOf(stream->reservation_key);
+  request.id = AllocationIdFor(stream->reservation_key);
   const StreamId id = stream->submit.stream;
   return leaf::try_handle_all(
       [&]() -> leaf::result<wire::Message> {
@@ -250,7 +250,7 @@
                                       const PrefillPolicy& policy) const {
   const wire::Submit& submit = stream.submit;
   EngineRequest request;
-  request.id = HoldingOf(stream.key);
+  request.id = AllocationIdFor(stream.key);
   request.owner = ports_.incarnation;
   request.model = submit.model;
   request.adapter = submit.adapter;
@@ -265,7 +265,7 @@
                                  : kMostChunk};
   for (const wire::SegmentRef& segment : submit.segments) {
     request.segments.push_back(
-        RemoteSegment{segment.engine_address, HoldingId{segment.segment}});
+        RemoteSegment{segment.engine_address, AllocationId{segment.segment}});
   }
   request.timeout = TimeLeft(stream);
   return request;
@@ -273,7 +273,7 @@
 
 wire::Message WorkRunner::ToMessage(const SidecarStream& stream,
                                     const EngineError& error) const {
-  if (std::holds_alternative<EngineLost>(error) &&
+  if (std::holds_alternative<EngineOutcomeUnknown>(error) &&
       ports_.clock() >= stream.deadline) {
     return wire::Failed{stream.submit.stream, "deadline_exceeded",
                         "the time limit passed while it ran", true};
