--- a/src/gateway/admission.cc
+++ b/src/gateway/admission.cc
@@ -11,19 +11,19 @@
 namespace http = boost::beast::http;
 
 // Each step returns a refusal, or nothing if the request goes on.
-using Step = std::optional<Rejection>;
+using StepResult = std::optional<Rejection>;
 
 // Judges one request, step by step.
-class Judge {
+class AdmissionCheck {
  public:
-  Judge(const GatewayServices& services, const CallerRequest& request,
-        TimePoint arrived, AdmittedRequest* admitted)
+  AdmissionCheck(const GatewayServices& services, const CallerRequest& request,
+                 TimePoint arrived, AdmittedRequest* admitted)
       : services_(services),
         request_(request),
         arrived_(arrived),
         admitted_(admitted) {}
 
-  Step FindRoute() {
+  StepResult FindRoute() {
     admitted_->table = services_.routing->InForce();
     if (admitted_->table == nullptr) {
       return Rejection{http_status::kUnavailable, "no_configuration",
@@ -36,16 +36,17 @@
       return Rejection{http_status::kNotFound, "no_route", std::nullopt};
     }
     admitted_->route = route;
-    Millis held = route->timeout;
-    const auto asked = ParseInteger(View(request_[services_.names->time_left]));
-    if (asked.has_value()) {
-      held = std::min(held, Millis(*asked));
+    Millis time_limit = route->timeout;
+    const auto requested =
+        ParseInteger(View(request_[services_.names->time_left]));
+    if (requested.has_value()) {
+      time_limit = std::min(time_limit, Millis(*requested));
     }
-    admitted_->deadline = arrived_ + held;
+    admitted_->deadline = arrived_ + time_limit;
     return std::nullopt;
   }
 
-  Step Authenticate() {
+  StepResult Authenticate() {
     if (!admitted_->table->NeedsKeys()) {
       return std::nullopt;
     }
@@ -60,7 +61,7 @@
     return std::nullopt;
   }
 
-  Step FitBeforeStop() {
+  StepResult FitBeforeStop() {
     const std::optional<TimePoint> stop = services_.stops_at();
     if (!stop.has_value()) {
       return std::nullopt;
@@ -73,9 +74,9 @@
     return std::nullopt;
   }
 
-  Step ChooseService() {
-    ReadSizes();
-    admitted_->service = DrawService();
+  StepResult ChooseService() {
+    ParseTokenCounts();
+    admitted_->service = PickWeightedService();
     if (admitted_->service == nullptr) {
       return Rejection{http_status::kUnavailable, "no_service",
                        kRetryAfterRejection};
@@ -87,7 +88,7 @@
   }
 
  private:
-  void ReadSizes() {
+  void ParseTokenCounts() {
     PlacementRequest& placement = admitted_->placement;
     placement.target_latency = admitted_->route->target_latency;
     placement.target_gap = admitted_->route->target_gap;
@@ -107,7 +108,7 @@
     placement.answer = Tokens{answer};
   }
 
-  const ServiceProfile* DrawService() const {
+  const ServiceProfile* PickWeightedService() const {
     std::uint64_t total = 0;
     for (const WeightedService& target : admitted_->route->services) {
       total += target.weight;
@@ -115,12 +116,12 @@
     if (total == 0) {
       return nullptr;
     }
-    std::uint64_t drawn = services_.random() % total;
+    std::uint64_t pick = services_.random() % total;
     for (const WeightedService& target : admitted_->route->services) {
-      if (drawn < target.weight) {
+      if (pick < target.weight) {
         return admitted_->table->FindService(target.service);
       }
-      drawn -= target.weight;
+      pick -= target.weight;
     }
     return nullptr;
   }
@@ -136,11 +137,12 @@
 AdmittedRequest Admit(const GatewayServices& services,
                       const CallerRequest& request, TimePoint arrived) {
   AdmittedRequest admitted;
-  Judge judge(services, request, arrived, &admitted);
-  using Judgement = Step (Judge::*)();
-  for (const Judgement step : {&Judge::FindRoute, &Judge::Authenticate,
-                               &Judge::FitBeforeStop, &Judge::ChooseService}) {
-    admitted.refusal = (judge.*step)();
+  AdmissionCheck check(services, request, arrived, &admitted);
+  using Step = StepResult (AdmissionCheck::*)();
+  for (const Step step :
+       {&AdmissionCheck::FindRoute, &AdmissionCheck::Authenticate,
+        &AdmissionCheck::FitBeforeStop, &AdmissionCheck::ChooseService}) {
+    admitted.refusal = (check.*step)();
     if (admitted.refusal.has_value()) {
       break;
     }
--- a/src/gateway/attempt.cc
+++ b/src/gateway/attempt.cc
@@ -15,10 +15,10 @@
 namespace http = boost::beast::http;
 
 // Heads of endpoints' answers are small; a larger one is no answer.
-constexpr std::uint32_t kMostHeadBytes = 64U << 10U;
+constexpr std::uint32_t kMaxHeaderBytes = 64U << 10U;
 // Answers to earlier requests that are read over before a connection counts as
 // spoiled. An endpoint sends one too many, not a series.
-constexpr int kMostForeignMessages = 2;
+constexpr int kMaxStaleMessages = 2;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
                     Millis connect_timeout) {
   connection_ = std::move(connection);
   request_ = std::move(request);
-  if (connection_->kept) {
+  if (connection_->reused) {
     Send();
   } else {
     Connect(address, connect_timeout);
@@ -108,14 +108,14 @@
   }
   // A failed write is not the end: the endpoint may have answered before it
   // read all. The read tells.
-  written_ = !error;
+  request_written_ = !error;
 }
 
 void Attempt::ReadHead() {
   parser_ = std::make_unique<Parser>();
-  parser_->header_limit(kMostHeadBytes);
+  parser_->header_limit(kMaxHeaderBytes);
   parser_->body_limit(boost::none);
-  if (request_.answer_has_no_body) {
+  if (request_.response_has_no_body) {
     parser_->skip(true);
   }
   http::async_read_header(
@@ -130,7 +130,7 @@
     return;
   }
   if (error) {
-    Break("answer", error);
+    FailBroken("answer", error);
     return;
   }
   const ResponseHead& head = parser_->get();
@@ -138,16 +138,16 @@
     ReadHead();
     return;
   }
-  foreign_ = !IsForThisRequest();
-  if (foreign_ && ++foreign_messages_ > kMostForeignMessages) {
-    Fail(AttemptBroken{"answers of other requests", false, connection_->kept,
+  is_stale_ = !IsResponseToThisRequest();
+  if (is_stale_ && ++stale_messages_ > kMaxStaleMessages) {
+    Fail(AttemptBroken{"answers of other requests", false, connection_->reused,
                        false});
     return;
   }
-  if (!foreign_) {
-    answer_began_ = true;
+  if (!is_stale_) {
+    response_began_ = true;
     NoteKeepAlive(head);
-    observer_->OnAnswerHead(head);
+    observer_->OnResponseHead(head);
     if (ended_) {
       return;
     }
@@ -159,7 +159,7 @@
   }
 }
 
-bool Attempt::IsForThisRequest() const {
+bool Attempt::IsResponseToThisRequest() const {
   const auto& head = parser_->get();
   const auto id = head.find(names_->request_id);
   return id != head.end() && id->value() == request_.request_id;
@@ -180,15 +180,15 @@
   if (ended_) {
     return;
   }
-  const std::size_t got = bytes_.size() - parser_->get().body().size;
-  if (!foreign_ && got > 0) {
-    observer_->OnAnswerBytes(std::string_view(bytes_.data(), got));
+  const std::size_t received = bytes_.size() - parser_->get().body().size;
+  if (!is_stale_ && received > 0) {
+    observer_->OnResponseBytes(std::string_view(bytes_.data(), received));
     if (ended_) {
       return;
     }
   }
   if (error && error != http::error::need_buffer) {
-    Break("answer's body", error);
+    FailBroken("answer's body", error);
     return;
   }
   if (parser_->is_done()) {
@@ -199,26 +199,26 @@
 }
 
 void Attempt::OnMessageEnd() {
-  if (foreign_) {
+  if (is_stale_) {
     if (parser_->keep_alive()) {
       ReadHead();
     } else {
-      Break("another request's answer", asio::error::eof);
+      FailBroken("another request's answer", asio::error::eof);
     }
     return;
   }
   ended_ = true;
   // Bytes behind the answer belong to no request: such a connection is spoiled,
   // and so is one on which the endpoint answered before it had read all.
-  const bool reusable =
-      written_ && parser_->keep_alive() && connection_->buffer.size() == 0;
+  const bool reusable = request_written_ && parser_->keep_alive() &&
+                        connection_->buffer.size() == 0;
   if (reusable) {
     connections_->PutIdle(std::move(connection_));
   } else {
     Error ignored;
     connection_->socket.close(ignored);
   }
-  observer_->OnAnswerEnd();
+  observer_->OnResponseEnd();
 }
 
 void Attempt::NoteKeepAlive(const ResponseHead& head) {
@@ -248,14 +248,14 @@
   observer_->OnFailure(failure);
 }
 
-void Attempt::Break(const std::string& step, const Error& error) {
-  const bool by_endpoint = error == asio::error::eof ||
-                           error == asio::error::connection_reset ||
-                           error == asio::error::broken_pipe ||
-                           error == http::error::end_of_stream ||
-                           error == http::error::partial_message;
-  Fail(AttemptBroken{step + ": " + error.message(), answer_began_,
-                     connection_->kept, by_endpoint});
+void Attempt::FailBroken(const std::string& step, const Error& error) {
+  const bool closed_by_endpoint = error == asio::error::eof ||
+                                  error == asio::error::connection_reset ||
+                                  error == asio::error::broken_pipe ||
+                                  error == http::error::end_of_stream ||
+                                  error == http::error::partial_message;
+  Fail(AttemptBroken{step + ": " + error.message(), response_began_,
+                     connection_->reused, closed_by_endpoint});
 }
 
 }  // namespace harecrank
--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -31,11 +31,11 @@
   // `kept` whether the connection had been used before, and may have been
   // closed by the endpoint while the request was on its way.
   std::string reason;
-  bool answer_began = false;
-  bool kept = false;
+  bool response_began = false;
+  bool reused = false;
   // The endpoint closed or reset the connection. Otherwise what came was no
   // answer, or nothing came and the connection timed out.
-  bool by_endpoint = false;
+  bool closed_by_endpoint = false;
 };
 using AttemptFailure = std::variant<AttemptNotSent, AttemptBroken>;
 
@@ -45,7 +45,7 @@
   std::string head;
   std::shared_ptr<const std::string> body;
   // The answer to a HEAD request has no body.
-  bool answer_has_no_body = false;
+  bool response_has_no_body = false;
 };
 
 // Told of what an attempt brings. After OnAnswerEnd or OnFailure nothing more
@@ -58,10 +58,10 @@
   virtual ~AttemptObserver() = default;
 
   virtual void OnSent() = 0;
-  virtual void OnAnswerHead(const ResponseHead& head) = 0;
-  virtual void OnAnswerBytes(std::string_view bytes) = 0;
+  virtual void OnResponseHead(const ResponseHead& head) = 0;
+  virtual void OnResponseBytes(std::string_view bytes) = 0;
   // The answer is whole.
-  virtual void OnAnswerEnd() = 0;
+  virtual void OnResponseEnd() = 0;
   virtual void OnFailure(const AttemptFailure& failure) = 0;
 };
 
@@ -95,13 +95,13 @@
   void OnWritten(const Error& error);
   void ReadHead();
   void OnHead(const Error& error);
-  bool IsForThisRequest() const;
+  bool IsResponseToThisRequest() const;
   void ReadBody();
   void OnBody(const Error& error);
   void OnMessageEnd();
   void NoteKeepAlive(const ResponseHead& head);
   void Fail(const AttemptFailure& failure);
-  void Break(const std::string& step, const Error& error);
+  void FailBroken(const std::string& step, const Error& error);
 
   boost::asio::io_context* io_;
   EndpointConnectionPool* connections_;
@@ -114,11 +114,11 @@
   std::array<char, kReadBytes> bytes_{};
   // No byte of the request has been handed to the connection yet.
   bool connecting_ = false;
-  bool written_ = false;
-  bool answer_began_ = false;
+  bool request_written_ = false;
+  bool response_began_ = false;
   // The message being read belongs to an earlier request on the connection.
-  bool foreign_ = false;
-  int foreign_messages_ = 0;
+  bool is_stale_ = false;
+  int stale_messages_ = 0;
   bool ended_ = false;
 };
 
--- a/src/gateway/attempt_test.cc
+++ b/src/gateway/attempt_test.cc
@@ -21,9 +21,9 @@
 class RecordingObserver : public AttemptObserver {
  public:
   void OnSent() override { ++sent_; }
-  void OnAnswerHead(const ResponseHead&) override {}
-  void OnAnswerBytes(std::string_view) override {}
-  void OnAnswerEnd() override {}
+  void OnResponseHead(const ResponseHead&) override {}
+  void OnResponseBytes(std::string_view) override {}
+  void OnResponseEnd() override {}
   void OnFailure(const AttemptFailure& failure) override {
     failures_.push_back(failure);
   }
--- a/src/gateway/caller_listener.cc
+++ b/src/gateway/caller_listener.cc
@@ -11,22 +11,21 @@
 namespace asio = boost::asio;
 
 // How long to wait for descriptors when none are left.
-constexpr Millis kAcceptPause{50};
+constexpr Millis kAcceptRetryDelay{50};
 // Ended sessions are swept out of the list when it has grown to twice what was
 // left by the sweep before, and to this at least.
-constexpr std::size_t kLeastSweep = 64;
+constexpr std::size_t kMinSweepThreshold = 64;
 
 }  // namespace
 
 CallerListener::CallerListener(asio::io_context* io, const std::string& address,
-                               std::size_t most_sessions,
-                               SessionContext context)
+                               std::size_t max_sessions, SessionContext context)
     : io_(io),
       acceptor_(Listen(io, address)),
       retry_timer_(*io),
-      most_sessions_(most_sessions),
+      max_sessions_(max_sessions),
       context_(std::move(context)),
-      clean_at_(kLeastSweep) {}
+      sweep_threshold_(kMinSweepThreshold) {}
 
 void CallerListener::Start() { Accept(); }
 
@@ -43,11 +42,11 @@
       session->CloseIfIdle();
     }
   }
-  DropClosed();
+  RemoveClosed();
 }
 
 std::size_t CallerListener::BusyCount() {
-  DropClosed();
+  RemoveClosed();
   return static_cast<std::size_t>(
       std::count_if(sessions_.begin(), sessions_.end(), [](const auto& weak) {
         const auto session = weak.lock();
@@ -62,41 +61,41 @@
       return;
     }
     if (error) {
-      AcceptLater();
+      RetryAccept();
       return;
     }
     const auto session =
         std::make_shared<CallerSession>(std::move(socket), &context_);
     sessions_.push_back(session);
     session->Start();
-    if (sessions_.size() >= clean_at_) {
-      DropClosed();
-      clean_at_ = std::max(kLeastSweep, 2 * sessions_.size());
+    if (sessions_.size() >= sweep_threshold_) {
+      RemoveClosed();
+      sweep_threshold_ = std::max(kMinSweepThreshold, 2 * sessions_.size());
     }
-    if (sessions_.size() >= most_sessions_) {
-      AcceptLater();
+    if (sessions_.size() >= max_sessions_) {
+      RetryAccept();
     } else {
       Accept();
     }
   });
 }
 
-void CallerListener::AcceptLater() {
-  retry_timer_.expires_after(kAcceptPause);
+void CallerListener::RetryAccept() {
+  retry_timer_.expires_after(kAcceptRetryDelay);
   retry_timer_.async_wait([this](boost::system::error_code error) {
     if (error) {
       return;
     }
-    DropClosed();
-    if (sessions_.size() >= most_sessions_) {
-      AcceptLater();
+    RemoveClosed();
+    if (sessions_.size() >= max_sessions_) {
+      RetryAccept();
     } else {
       Accept();
     }
   });
 }
 
-void CallerListener::DropClosed() {
+void CallerListener::RemoveClosed() {
   sessions_.erase(std::remove_if(sessions_.begin(), sessions_.end(),
                                  [](const auto& weak) {
                                    const auto session = weak.lock();
--- a/src/gateway/caller_listener.h
+++ b/src/gateway/caller_listener.h
@@ -20,7 +20,7 @@
   // Throws boost::system::system_error if `address` cannot be had. At most
   // `most_sessions` connections are open at once; more wait to be accepted.
   CallerListener(boost::asio::io_context* io, const std::string& address,
-                 std::size_t most_sessions, SessionContext context);
+                 std::size_t max_sessions, SessionContext context);
 
   void Start();
 
@@ -37,16 +37,16 @@
 
  private:
   void Accept();
-  void AcceptLater();
-  void DropClosed();
+  void RetryAccept();
+  void RemoveClosed();
 
   boost::asio::io_context* io_;
   boost::asio::ip::tcp::acceptor acceptor_;
   Timer retry_timer_;
-  std::size_t most_sessions_;
+  std::size_t max_sessions_;
   SessionContext context_;
   std::vector<std::weak_ptr<CallerSession>> sessions_;
-  std::size_t clean_at_;
+  std::size_t sweep_threshold_;
 };
 
 }  // namespace harecrank
--- a/src/gateway/caller_session.cc
+++ b/src/gateway/caller_session.cc
@@ -17,10 +17,10 @@
 namespace http = boost::beast::http;
 
 // An answer that its caller does not take for this long is given up.
-constexpr Millis kFlushLimit{10000};
+constexpr Millis kFlushTimeout{10000};
 // What is buffered for a caller that reads slowly before it is dropped. The
 // longest streams of a million-token prompt stay far below.
-constexpr std::size_t kMostQueuedBytes = 4U << 20U;
+constexpr std::size_t kMaxQueuedBytes = 4U << 20U;
 constexpr int kVersion11 = 11;
 
 }  // namespace
@@ -49,7 +49,7 @@
     return;
   }
   buffer_.shrink_to_fit();
-  StartTimer(context_->limits().idle_timeout, &CallerSession::OnIdleTooLong);
+  StartTimer(context_->limits().idle_timeout, &CallerSession::OnIdleTimeout);
   WatchSocket();
 }
 
@@ -74,20 +74,20 @@
   }
   if (state_ == State::kIdle) {
     ReadHead();
-  } else if (state_ == State::kAnswering) {
-    CheckWhetherCallerLeft();
+  } else if (state_ == State::kResponding) {
+    CheckCallerConnection();
   }
 }
 
-void CallerSession::CheckWhetherCallerLeft() {
+void CallerSession::CheckCallerConnection() {
   char byte = 0;
-  const ssize_t got =
+  const ssize_t received =
       ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (got > 0) {
+  if (received > 0) {
     // The next request is there already. It waits; its caller is there.
     return;
   }
-  if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
+  if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
     WatchSocket();
     return;
   }
@@ -96,9 +96,9 @@
 
 void CallerSession::ReadHead() {
   state_ = State::kReading;
-  answer_complete_ = false;
+  response_complete_ = false;
   const CallerLimits limits = context_->limits();
-  StartTimer(limits.header_timeout, &CallerSession::OnTooSlow);
+  StartTimer(limits.header_timeout, &CallerSession::OnReadTimeout);
   parser_.emplace();
   parser_->header_limit(limits.max_header_bytes);
   parser_->body_limit(limits.max_body_bytes);
@@ -114,12 +114,12 @@
     return;
   }
   if (error) {
-    RefuseUnreadable(error);
+    RejectUnreadable(error);
     return;
   }
   arrived_ = context_->clock();
   keep_alive_ = parser_->keep_alive();
-  answer_has_no_body_ = parser_->get().method() == http::verb::head;
+  response_has_no_body_ = parser_->get().method() == http::verb::head;
   chunked_ = parser_->get().version() >= kVersion11;
   if (parser_->is_done()) {
     OnRequest();
@@ -133,7 +133,7 @@
 }
 
 void CallerSession::ReadBody() {
-  StartTimer(context_->limits().idle_timeout, &CallerSession::OnTooSlow);
+  StartTimer(context_->limits().idle_timeout, &CallerSession::OnReadTimeout);
   http::async_read(
       socket_, buffer_, *parser_,
       [self = shared_from_this()](const Error& error, std::size_t) {
@@ -141,7 +141,7 @@
           return;
         }
         if (error) {
-          self->RefuseUnreadable(error);
+          self->RejectUnreadable(error);
           return;
         }
         self->OnRequest();
@@ -149,54 +149,56 @@
 }
 
 void CallerSession::OnRequest() {
-  state_ = State::kAnswering;
-  ++timer_round_;
+  state_ = State::kResponding;
+  ++timer_generation_;
   timer_.cancel();
   CallerRequest request = parser_->release();
   parser_.reset();
   std::shared_ptr<RequestHandle> handle =
       context_->start_request(std::move(request), arrived_, shared_from_this());
-  if (state_ == State::kAnswering && !answer_complete_) {
+  if (state_ == State::kResponding && !response_complete_) {
     request_ = std::move(handle);
     WatchSocket();
   }
 }
 
-void CallerSession::RefuseUnreadable(const Error& error) {
+void CallerSession::RejectUnreadable(const Error& error) {
   if (error == http::error::end_of_stream ||
       error.category() == asio::error::get_system_category() ||
       error == asio::error::eof || error == http::error::partial_message) {
     Close();
   } else if (error == http::error::header_limit) {
-    AnswerAndClose(431, "the head is larger than allowed");
+    RespondAndClose(431, "the head is larger than allowed");
   } else if (error == http::error::body_limit) {
-    AnswerAndClose(http_status::kTooLarge, "the body is larger than allowed");
+    RespondAndClose(http_status::kTooLarge, "the body is larger than allowed");
   } else {
-    AnswerAndClose(http_status::kBadRequest,
-                   "not a request: " + error.message());
+    RespondAndClose(http_status::kBadRequest,
+                    "not a request: " + error.message());
   }
 }
 
 void CallerSession::StartTimer(Millis limit, void (CallerSession::*expired)()) {
-  const std::uint64_t round = ++timer_round_;
+  const std::uint64_t generation = ++timer_generation_;
   timer_.expires_after(limit);
   timer_.async_wait(
-      [self = weak_from_this(), round, expired](const Error& error) {
+      [self = weak_from_this(), generation, expired](const Error& error) {
         const auto session = self.lock();
-        if (!error && session != nullptr && session->timer_round_ == round) {
+        if (!error && session != nullptr &&
+            session->timer_generation_ == generation) {
           ((*session).*expired)();
         }
       });
 }
 
-void CallerSession::OnIdleTooLong() { Close(); }
+void CallerSession::OnIdleTimeout() { Close(); }
 
-void CallerSession::OnTooSlow() {
-  AnswerAndClose(408, "the request did not come in time");
+void CallerSession::OnReadTimeout() {
+  RespondAndClose(408, "the request did not come in time");
 }
 
-void CallerSession::AnswerAndClose(unsigned status, const std::string& reason) {
-  state_ = State::kAnswering;
+void CallerSession::RespondAndClose(unsigned status,
+                                    const std::string& reason) {
+  state_ = State::kResponding;
   keep_alive_ = false;
   ResponseHead head;
   head.result(status);
@@ -205,7 +207,7 @@
 }
 
 void CallerSession::SendWhole(ResponseHead head, std::string body) {
-  if (state_ != State::kAnswering) {
+  if (state_ != State::kResponding) {
     return;
   }
   keep_alive_ = keep_alive_ && !context_->is_draining();
@@ -213,9 +215,9 @@
   AppendAnswerHead(head, &text);
   const unsigned status = head.result_int();
   const bool may_have_body = status != 204 && status != 304;
-  if (may_have_body && !(answer_has_no_body_ && body.empty())) {
+  if (may_have_body && !(response_has_no_body_ && body.empty())) {
     AppendHeader("Content-Length", std::to_string(body.size()), &text);
-  } else if (answer_has_no_body_) {
+  } else if (response_has_no_body_) {
     const auto length = head.find(http::field::content_length);
     if (length != head.end()) {
       AppendHeader(
@@ -228,15 +230,15 @@
     AppendHeader("Connection", "close", &text);
   }
   text.append("\r\n");
-  if (may_have_body && !answer_has_no_body_) {
+  if (may_have_body && !response_has_no_body_) {
     text.append(body);
   }
   Queue(text);
-  FinishAnswer();
+  FinishResponse();
 }
 
 void CallerSession::BeginStream(ResponseHead head) {
-  if (state_ != State::kAnswering) {
+  if (state_ != State::kResponding) {
     return;
   }
   keep_alive_ = keep_alive_ && chunked_ && !context_->is_draining();
@@ -253,7 +255,7 @@
 }
 
 void CallerSession::SendEvents(std::string bytes) {
-  if (state_ != State::kAnswering) {
+  if (state_ != State::kResponding) {
     return;
   }
   if (!chunked_) {
@@ -266,13 +268,13 @@
 }
 
 void CallerSession::EndStream() {
-  if (state_ != State::kAnswering) {
+  if (state_ != State::kResponding) {
     return;
   }
   if (chunked_) {
     Queue(kLastChunk);
   }
-  FinishAnswer();
+  FinishResponse();
 }
 
 void CallerSession::AbortStream() {
@@ -289,7 +291,7 @@
     return;
   }
   queued_.append(bytes);
-  if (queued_.size() > kMostQueuedBytes) {
+  if (queued_.size() > kMaxQueuedBytes) {
     Close();
     return;
   }
@@ -300,7 +302,7 @@
 
 void CallerSession::Flush() {
   in_flight_.swap(queued_);
-  StartTimer(kFlushLimit, &CallerSession::Close);
+  StartTimer(kFlushTimeout, &CallerSession::Close);
   asio::async_write(
       socket_, asio::buffer(in_flight_),
       [self = shared_from_this()](const Error& error, std::size_t) {
@@ -321,19 +323,19 @@
     Flush();
     return;
   }
-  ++timer_round_;
+  ++timer_generation_;
   if (close_after_flush_) {
     Close();
-  } else if (answer_complete_) {
+  } else if (response_complete_) {
     std::string().swap(in_flight_);
     std::string().swap(queued_);
     AwaitRequest();
   }
 }
 
-void CallerSession::FinishAnswer() {
+void CallerSession::FinishResponse() {
   request_.reset();
-  answer_complete_ = true;
+  response_complete_ = true;
   close_after_flush_ = !keep_alive_;
 }
 
@@ -342,7 +344,7 @@
     return;
   }
   state_ = State::kClosed;
-  ++timer_round_;
+  ++timer_generation_;
   timer_.cancel();
   // The handle may drop the last reference to this.
   const auto self = shared_from_this();
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -39,7 +39,7 @@
 // to `answer`. Returns nothing if it was given at once.
 using RequestStarter = std::function<std::shared_ptr<RequestHandle>(
     CallerRequest request, TimePoint arrived,
-    std::shared_ptr<ResponseSink> answer)>;
+    std::shared_ptr<ResponseSink> sink)>;
 
 // What sessions ask of their owner.
 struct SessionContext {
@@ -77,7 +77,7 @@
   void AbortStream() override;
 
  private:
-  enum class State { kIdle, kReading, kAnswering, kClosed };
+  enum class State { kIdle, kReading, kResponding, kClosed };
   using Parser =
       boost::beast::http::request_parser<boost::beast::http::string_body>;
   using Error = boost::system::error_code;
@@ -85,20 +85,20 @@
   void AwaitRequest();
   void WatchSocket();
   void OnReadable(const Error& error);
-  void CheckWhetherCallerLeft();
+  void CheckCallerConnection();
   void ReadHead();
   void OnHead(const Error& error);
   void ReadBody();
   void OnRequest();
-  void RefuseUnreadable(const Error& error);
+  void RejectUnreadable(const Error& error);
   void StartTimer(Millis limit, void (CallerSession::*expired)());
-  void OnIdleTooLong();
-  void OnTooSlow();
-  void AnswerAndClose(unsigned status, const std::string& reason);
+  void OnIdleTimeout();
+  void OnReadTimeout();
+  void RespondAndClose(unsigned status, const std::string& reason);
   void Queue(std::string_view bytes);
   void Flush();
   void OnFlushed(const Error& error);
-  void FinishAnswer();
+  void FinishResponse();
   void Close();
 
   boost::asio::ip::tcp::socket socket_;
@@ -106,7 +106,7 @@
   Timer timer_;
   // Set while a wait on the timer counts; an earlier wait that fires late does
   // not match.
-  std::uint64_t timer_round_ = 0;
+  std::uint64_t timer_generation_ = 0;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   TimePoint arrived_{};
@@ -115,10 +115,10 @@
   std::shared_ptr<RequestHandle> request_;
   // Of the request under way.
   bool keep_alive_ = false;
-  bool answer_has_no_body_ = false;
+  bool response_has_no_body_ = false;
   bool chunked_ = false;
   bool close_after_flush_ = false;
-  bool answer_complete_ = false;
+  bool response_complete_ = false;
   std::string queued_;
   std::string in_flight_;
 };
--- a/src/gateway/dispatch_queue.cc
+++ b/src/gateway/dispatch_queue.cc
@@ -5,32 +5,33 @@
 namespace harecrank {
 
 DispatchQueue::DispatchQueue(boost::asio::io_context* io, MonotonicClock clock,
-                             std::size_t tried, bool shares_by_account)
-    : room_(clock, {}, shares_by_account),
-      tried_(tried),
+                             std::size_t max_tried, bool shares_by_account)
+    : queue_(clock, {}, shares_by_account),
+      max_tried_(max_tried),
       timer_(*io),
       clock_(std::move(clock)) {}
 
-WaitingRequestId DispatchQueue::Add(const WaitingRequest& waiter, Start start) {
-  const WaitingRequestId id = room_.Add(waiter);
+WaitingRequestId DispatchQueue::Add(const WaitingRequest& request,
+                                    Start start) {
+  const WaitingRequestId id = queue_.Add(request);
   starts_.emplace(id, std::move(start));
   PumpSoon();
   return id;
 }
 
 void DispatchQueue::Remove(WaitingRequestId id) {
-  room_.Remove(id);
+  queue_.Remove(id);
   starts_.erase(id);
 }
 
 void DispatchQueue::PumpSoon() {
-  if (!room_.IsEmpty()) {
+  if (!queue_.IsEmpty()) {
     Schedule(Millis(0));
   }
 }
 
 void DispatchQueue::Pump() {
-  for (const WaitingRequestId id : room_.InOrder(tried_)) {
+  for (const WaitingRequestId id : queue_.InOrder(max_tried_)) {
     const auto found = starts_.find(id);
     if (found == starts_.end()) {
       continue;
@@ -41,21 +42,21 @@
       Remove(id);
     }
   }
-  if (!room_.IsEmpty()) {
-    Schedule(kInterval);
+  if (!queue_.IsEmpty()) {
+    Schedule(kRetryInterval);
   }
 }
 
-void DispatchQueue::Schedule(Millis pause) {
-  const TimePoint due = clock_() + pause;
-  if (due >= due_) {
+void DispatchQueue::Schedule(Millis delay) {
+  const TimePoint next_pump = clock_() + delay;
+  if (next_pump >= next_pump_) {
     return;
   }
-  due_ = due;
-  timer_.expires_at(due);
+  next_pump_ = next_pump;
+  timer_.expires_at(next_pump);
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error) {
-      due_ = TimePoint::max();
+      next_pump_ = TimePoint::max();
       Pump();
     }
   });
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -26,11 +26,11 @@
   // Of those that wait, `tried` are tried at a time: the first may want more
   // engines than are open, and the next fewer.
   DispatchQueue(boost::asio::io_context* io, MonotonicClock clock,
-                std::size_t tried, bool shares_by_account);
+                std::size_t max_tried, bool shares_by_account);
 
   // `start` may be called until the waiter has been removed, also from within
   // Pump. A waiter whose `start` returns true is removed.
-  WaitingRequestId Add(const WaitingRequest& waiter, Start start);
+  WaitingRequestId Add(const WaitingRequest& request, Start start);
   void Remove(WaitingRequestId id);
 
   // Tries those that wait, soon. Called when an engine may have opened.
@@ -38,30 +38,30 @@
 
   // Returns the least work that waits here and can no longer be in time.
   std::optional<FractionalMillis> LeastLateWork() const {
-    return room_.LeastLateWork();
+    return queue_.LeastLateWork();
   }
 
   // Shares of what this host itself gives; it knows of no other's.
-  void OnGranted(const ShareClaim& claim) { room_.OnGranted(claim); }
+  void OnGranted(const ShareClaim& claim) { queue_.OnGranted(claim); }
   ShareRank ShareRankOf(const ShareClaim& claim) const {
-    return room_.ShareRankOf(claim);
+    return queue_.ShareRankOf(claim);
   }
 
-  std::size_t Count() const { return room_.Count(); }
+  std::size_t Count() const { return queue_.Count(); }
 
   // How often those that wait are tried while nothing is heard.
-  static constexpr Millis kInterval{40};
+  static constexpr Millis kRetryInterval{40};
 
  private:
   void Pump();
-  void Schedule(Millis pause);
+  void Schedule(Millis delay);
 
-  WaitQueue room_;
-  std::size_t tried_;
+  WaitQueue queue_;
+  std::size_t max_tried_;
   std::map<WaitingRequestId, Start> starts_;
   Timer timer_;
   // When the next try is due; the clock's end while none is.
-  TimePoint due_ = TimePoint::max();
+  TimePoint next_pump_ = TimePoint::max();
   MonotonicClock clock_;
 };
 
--- a/src/gateway/endpoint_connection_pool.cc
+++ b/src/gateway/endpoint_connection_pool.cc
@@ -20,7 +20,7 @@
   auto& connections = found->second;
   std::unique_ptr<EndpointConnection> taken;
   while (!connections.empty() && taken == nullptr) {
-    if (!IsSpent(connections.back().get())) {
+    if (!IsUnusable(connections.back().get())) {
       taken = std::move(connections.back());
     }
     connections.pop_back();
@@ -52,7 +52,7 @@
   if (connections.size() >= kMaxIdlePerEndpoint) {
     return;
   }
-  connection->kept = true;
+  connection->reused = true;
   connection->idle_since = clock_();
   if (connection->idle_limit == Millis(0)) {
     connection->idle_limit = kDefaultIdleLimit;
@@ -74,7 +74,7 @@
     auto& connections = it->second;
     connections.erase(
         std::remove_if(connections.begin(), connections.end(),
-                       [this](const auto& c) { return IsSpent(c.get()); }),
+                       [this](const auto& c) { return IsUnusable(c.get()); }),
         connections.end());
     it = connections.empty() ? idle_.erase(it) : std::next(it);
   }
@@ -88,15 +88,15 @@
   return count;
 }
 
-bool EndpointConnectionPool::IsSpent(EndpointConnection* connection) const {
+bool EndpointConnectionPool::IsUnusable(EndpointConnection* connection) const {
   if (clock_() - connection->idle_since >= connection->idle_limit) {
     return true;
   }
   char byte = 0;
-  const ssize_t got = ::recv(connection->socket.native_handle(), &byte, 1,
-                             MSG_PEEK | MSG_DONTWAIT);
+  const ssize_t received = ::recv(connection->socket.native_handle(), &byte, 1,
+                                  MSG_PEEK | MSG_DONTWAIT);
   // An idle connection has nothing to say: neither bytes nor its end.
-  return got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
+  return received >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
 }  // namespace harecrank
--- a/src/gateway/endpoint_connection_pool.h
+++ b/src/gateway/endpoint_connection_pool.h
@@ -24,7 +24,7 @@
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
   // It has carried a request before.
-  bool kept = false;
+  bool reused = false;
   TimePoint idle_since{};
   // How long the endpoint said that it keeps an idle connection.
   Millis idle_limit{0};
@@ -69,7 +69,7 @@
   static constexpr Millis kForgottenRetention{600000};
 
  private:
-  bool IsSpent(EndpointConnection* connection) const;
+  bool IsUnusable(EndpointConnection* connection) const;
 
   boost::asio::io_context* io_;
   MonotonicClock clock_;
--- a/src/gateway/endpoint_connection_pool_test.cc
+++ b/src/gateway/endpoint_connection_pool_test.cc
@@ -11,10 +11,10 @@
 
 const EndpointId kId{"a"};
 
-class ConnectionsFixture {
+class PoolFixture {
  protected:
-  std::unique_ptr<EndpointConnection> Opened() {
-    auto connection = connections_.MakeNew(kId);
+  std::unique_ptr<EndpointConnection> Open() {
+    auto connection = pool_.MakeNew(kId);
     connection->socket.connect(acceptor_.local_endpoint());
     return connection;
   }
@@ -23,14 +23,13 @@
   asio::ip::tcp::acceptor acceptor_{
       io_, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
   TimePoint now_{std::chrono::hours(1)};
-  EndpointConnectionPool connections_{&io_, [this] { return now_; }};
+  EndpointConnectionPool pool_{&io_, [this] { return now_; }};
 };
 
-TEST_CASE_METHOD(ConnectionsFixture,
-                 "A connection that comes back is used again") {
-  connections_.PutIdle(Opened());
-  CHECK(connections_.TakeIdle(kId) != nullptr);
-  CHECK(connections_.TakeIdle(kId) == nullptr);
+TEST_CASE_METHOD(PoolFixture, "A connection that comes back is used again") {
+  pool_.PutIdle(Open());
+  CHECK(pool_.TakeIdle(kId) != nullptr);
+  CHECK(pool_.TakeIdle(kId) == nullptr);
 }
 
 // A server began its next incarnation elsewhere while a request was under way
@@ -38,19 +37,19 @@
 // closed, and every further request was placed by the new entry and sent over
 // it: placed on s0, entry_revision 13, for five seconds, all at the address of
 // revision 11.
-TEST_CASE_METHOD(ConnectionsFixture,
+TEST_CASE_METHOD(PoolFixture,
                  "A connection that was in use when its endpoint was forgotten "
                  "is not kept") {
-  connections_.PutIdle(Opened());
-  auto in_use = Opened();
+  pool_.PutIdle(Open());
+  auto in_use = Open();
   now_ += Millis(5);
-  connections_.Forget(kId);
-  CHECK(connections_.IdleCount() == 0);
-  connections_.PutIdle(std::move(in_use));
-  CHECK(connections_.TakeIdle(kId) == nullptr);
+  pool_.Forget(kId);
+  CHECK(pool_.IdleCount() == 0);
+  pool_.PutIdle(std::move(in_use));
+  CHECK(pool_.TakeIdle(kId) == nullptr);
   now_ += Millis(5);
-  connections_.PutIdle(Opened());
-  CHECK(connections_.TakeIdle(kId) != nullptr);
+  pool_.PutIdle(Open());
+  CHECK(pool_.TakeIdle(kId) != nullptr);
 }
 
 }  // namespace
--- a/src/gateway/endpoint_request.cc
+++ b/src/gateway/endpoint_request.cc
@@ -15,18 +15,19 @@
 // Whether a caller's header of this name gives way to the gateway's own.
 bool IsSetByGateway(std::string_view name, const ProtocolNames& names,
                     const HeadChanges& changes) {
-  const boost::beast::string_view given(name.data(), name.size());
-  const auto is = [&given](const std::string& known) {
-    return boost::beast::iequals(known, given);
+  const boost::beast::string_view header_name(name.data(), name.size());
+  const auto matches = [&header_name](const std::string& known) {
+    return boost::beast::iequals(known, header_name);
   };
-  if (is("Authorization")) {
+  if (matches("Authorization")) {
     return changes.strip_key;
   }
-  if (is(kResumeAfter)) {
+  if (matches(kResumeAfter)) {
     return !changes.resume_after.empty();
   }
-  return is(names.time_left) || is(names.expected_endpoint) ||
-         is(names.account) || is(names.urgency) || is(names.helpers);
+  return matches(names.time_left) || matches(names.expected_endpoint) ||
+         matches(names.account) || matches(names.urgency) ||
+         matches(names.helpers);
 }
 
 }  // namespace
--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -7,52 +7,52 @@
 EndpointResponseHandler::EndpointResponseHandler(
     const EndpointDirectory* directory, EndpointHealth* health,
     EndpointUpdater* endpoint_updater, StartLimiter* start_limiter,
-    BackoffNotifier* backoff_notifier, std::function<void()> on_endpoint_fault)
+    BackoffNotifier* backoff_notifier, std::function<void()> on_change)
     : directory_(directory),
       health_(health),
       endpoint_updater_(endpoint_updater),
       start_limiter_(start_limiter),
       backoff_notifier_(backoff_notifier),
-      on_news_(std::move(on_endpoint_fault)) {}
+      on_change_(std::move(on_change)) {}
 
 void EndpointResponseHandler::OnAnswer(const EndpointRecord& endpoint,
-                                       const EndpointResponse& answer,
+                                       const EndpointResponse& response,
                                        TimePoint sent_at) {
-  const EndpointRecord* held = directory_->Find(endpoint.id);
+  const EndpointRecord* known = directory_->Find(endpoint.id);
   const bool is_of_earlier_incarnation =
-      held != nullptr && held->incarnation != endpoint.incarnation;
-  if (answer.IsMisdirected() || is_of_earlier_incarnation) {
+      known != nullptr && known->incarnation != endpoint.incarnation;
+  if (response.IsMisdirected() || is_of_earlier_incarnation) {
     return;
   }
-  TakeLimit(endpoint.id, answer, sent_at);
-  start_limiter_->OnBackoffHint(endpoint, answer.backoff);
-  if (!std::holds_alternative<NoBackoff>(answer.backoff)) {
+  ApplyRateLimit(endpoint.id, response, sent_at);
+  start_limiter_->OnBackoffHint(endpoint, response.backoff);
+  if (!std::holds_alternative<NoBackoff>(response.backoff)) {
     backoff_notifier_->NotifyBackoff();
   }
-  TakeLeaving(endpoint, answer.leaving);
+  ApplyLeavingHint(endpoint, response.leaving);
 }
 
-void EndpointResponseHandler::TakeLeaving(const EndpointRecord& endpoint,
-                                          LeavingHint word) {
-  const bool is_readable = word == LeavingHint::kLeaving;
-  if (word == LeavingHint::kNone ||
+void EndpointResponseHandler::ApplyLeavingHint(const EndpointRecord& endpoint,
+                                               LeavingHint hint) {
+  const bool is_readable = hint == LeavingHint::kLeaving;
+  if (hint == LeavingHint::kNone ||
       !endpoint_updater_->OnLeaveAnnounced(endpoint, is_readable)) {
     return;
   }
   // Hosts that have not been told themselves leave it alone for a while, too.
   health_->OnReportedAtFault(endpoint.id);
-  on_news_();
+  on_change_();
 }
 
-void EndpointResponseHandler::TakeLimit(const EndpointId& endpoint,
-                                        const EndpointResponse& answer,
-                                        TimePoint sent_at) {
-  const bool names_none = std::holds_alternative<NoRateLimit>(answer.limit);
-  if (names_none && !(answer.IsSuccess() && answer.is_signed)) {
+void EndpointResponseHandler::ApplyRateLimit(const EndpointId& endpoint,
+                                             const EndpointResponse& response,
+                                             TimePoint sent_at) {
+  const bool has_no_limit = std::holds_alternative<NoRateLimit>(response.limit);
+  if (has_no_limit && !(response.IsSuccess() && response.is_signed)) {
     return;  // Refusals and failures may be given without a look at the need.
   }
-  if (start_limiter_->OnAnswer(endpoint, answer.limit, sent_at)) {
-    on_news_();
+  if (start_limiter_->OnAnswer(endpoint, response.limit, sent_at)) {
+    on_change_();
   }
 }
 
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -26,24 +26,24 @@
                           EndpointUpdater* endpoint_updater,
                           StartLimiter* start_limiter,
                           BackoffNotifier* backoff_notifier,
-                          std::function<void()> on_endpoint_fault);
+                          std::function<void()> on_change);
 
   // Takes the answer to what was sent to `endpoint` at `sent_at`. One that
   // comes from an earlier incarnation of it says nothing of the present one.
-  void OnAnswer(const EndpointRecord& endpoint, const EndpointResponse& answer,
-                TimePoint sent_at);
+  void OnAnswer(const EndpointRecord& endpoint,
+                const EndpointResponse& response, TimePoint sent_at);
 
  private:
-  void TakeLimit(const EndpointId& endpoint, const EndpointResponse& answer,
-                 TimePoint sent_at);
-  void TakeLeaving(const EndpointRecord& endpoint, LeavingHint word);
+  void ApplyRateLimit(const EndpointId& endpoint,
+                      const EndpointResponse& response, TimePoint sent_at);
+  void ApplyLeavingHint(const EndpointRecord& endpoint, LeavingHint hint);
 
   const EndpointDirectory* directory_;
   EndpointHealth* health_;
   EndpointUpdater* endpoint_updater_;
   StartLimiter* start_limiter_;
   BackoffNotifier* backoff_notifier_;
-  std::function<void()> on_news_;
+  std::function<void()> on_change_;
 };
 
 }  // namespace harecrank
--- a/src/gateway/endpoint_response_handler_test.cc
+++ b/src/gateway/endpoint_response_handler_test.cc
@@ -9,7 +9,7 @@
 const EndpointId kEndpoint{"e0"};
 const ServiceName kService{"svc"};
 
-class AnswersFixture {
+class ResponseHandlerFixture {
  protected:
   static EndpointRecord Record(std::int64_t incarnation,
                                std::uint64_t revision) {
@@ -23,22 +23,23 @@
   }
 
   // Refuses, rests, names a limit and leaves, all in one.
-  static EndpointResponse FullAnswer() {
-    EndpointResponse answer;
-    answer.status = 503;
-    answer.not_run = true;
-    answer.limit = RequestRate{2};
-    answer.backoff = Millis(3000);
-    answer.leaving = LeavingHint::kLeaving;
-    return answer;
+  static EndpointResponse ResponseWithAllHints() {
+    EndpointResponse response;
+    response.status = 503;
+    response.not_run = true;
+    response.limit = RequestRate{2};
+    response.backoff = Millis(3000);
+    response.leaving = LeavingHint::kLeaving;
+    return response;
   }
 
-  void Answer(const EndpointRecord& endpoint, const EndpointResponse& answer) {
-    answers_.OnAnswer(endpoint, answer, now_);
+  void Respond(const EndpointRecord& endpoint,
+               const EndpointResponse& response) {
+    handler_.OnAnswer(endpoint, response, now_);
   }
 
-  bool IsKnownOf() const {
-    return gate_.BackoffCount() + gate_.LimitedCount() +
+  bool HasAnyHint() const {
+    return limiter_.BackoffCount() + limiter_.LimitedCount() +
                directory_.Leaving().size() >
            0;
   }
@@ -52,64 +53,66 @@
   EndpointHealth health_{clock_};
   EndpointConnectionPool connections_{&io_, clock_};
   EndpointUpdater news_{&directory_, &health_, &connections_, &log_, &metrics_};
-  StartLimiter gate_{HostAddress{"h"},
-                     ColdLimit{},
-                     [] { return 1; },
-                     [] { return nullptr; },
-                     &log_,
-                     &metrics_,
-                     clock_};
-  int told_ = 0;
-  int rests_looked_at_ = 0;
+  StartLimiter limiter_{HostAddress{"h"},
+                        ColdLimit{},
+                        [] { return 1; },
+                        [] { return nullptr; },
+                        &log_,
+                        &metrics_,
+                        clock_};
+  int changes_ = 0;
+  int backoff_checks_ = 0;
   BackoffNotifier backoff_notifier_{
-      [this](const auto& /*look*/) { ++rests_looked_at_; }};
-  EndpointResponseHandler answers_{
+      [this](const auto& /*look*/) { ++backoff_checks_; }};
+  EndpointResponseHandler handler_{
       &directory_, &health_,           &news_,
-      &gate_,      &backoff_notifier_, [this] { ++told_; }};
+      &limiter_,   &backoff_notifier_, [this] { ++changes_; }};
 };
 
-TEST_CASE_METHOD(AnswersFixture,
+TEST_CASE_METHOD(ResponseHandlerFixture,
                  "Requests that wait look when an endpoint asks for rest") {
   backoff_notifier_.Add([] {});
-  Answer(Record(1000, 2), EndpointResponse{});
-  CHECK(rests_looked_at_ == 0);
-  Answer(Record(1000, 2), FullAnswer());
-  CHECK(rests_looked_at_ == 1);
+  Respond(Record(1000, 2), EndpointResponse{});
+  CHECK(backoff_checks_ == 0);
+  Respond(Record(1000, 2), ResponseWithAllHints());
+  CHECK(backoff_checks_ == 1);
 }
 
-TEST_CASE_METHOD(AnswersFixture, "Each word of an answer reaches its keeper") {
+TEST_CASE_METHOD(ResponseHandlerFixture,
+                 "Each word of an answer reaches its keeper") {
   news_.OnEndpoint(Record(1000, 2));
-  Answer(Record(1000, 2), FullAnswer());
-  CHECK(gate_.LimitedCount() == 1);
-  CHECK(gate_.IsBackingOff(kEndpoint));
+  Respond(Record(1000, 2), ResponseWithAllHints());
+  CHECK(limiter_.LimitedCount() == 1);
+  CHECK(limiter_.IsBackingOff(kEndpoint));
   CHECK(directory_.UsableOf(kService).empty());
   CHECK(health_.IsSuspect(kEndpoint));
   // Of the limit, and of its leaving.
-  CHECK(told_ == 2);
-  Answer(Record(1000, 2), FullAnswer());
-  CHECK(told_ == 2);
+  CHECK(changes_ == 2);
+  Respond(Record(1000, 2), ResponseWithAllHints());
+  CHECK(changes_ == 2);
 }
 
-TEST_CASE_METHOD(AnswersFixture,
+TEST_CASE_METHOD(ResponseHandlerFixture,
                  "The answer of another endpoint says nothing of this one") {
   news_.OnEndpoint(Record(1000, 2));
-  EndpointResponse answer = FullAnswer();
-  answer.status = 421;
-  Answer(Record(1000, 2), answer);
-  CHECK_FALSE(IsKnownOf());
+  EndpointResponse response = ResponseWithAllHints();
+  response.status = 421;
+  Respond(Record(1000, 2), response);
+  CHECK_FALSE(HasAnyHint());
 }
 
-TEST_CASE_METHOD(AnswersFixture,
+TEST_CASE_METHOD(ResponseHandlerFixture,
                  "A late answer of an earlier life binds no later one") {
   news_.OnEndpoint(Record(1000, 2));
   news_.OnEndpoint(Record(2000, 3));
-  Answer(Record(1000, 2), FullAnswer());
-  CHECK_FALSE(IsKnownOf());
+  Respond(Record(1000, 2), ResponseWithAllHints());
+  CHECK_FALSE(HasAnyHint());
 }
 
-TEST_CASE_METHOD(AnswersFixture, "An endpoint whose entry is gone is heard") {
-  Answer(Record(1000, 2), FullAnswer());
-  CHECK(gate_.IsBackingOff(kEndpoint));
+TEST_CASE_METHOD(ResponseHandlerFixture,
+                 "An endpoint whose entry is gone is heard") {
+  Respond(Record(1000, 2), ResponseWithAllHints());
+  CHECK(limiter_.IsBackingOff(kEndpoint));
   news_.OnEndpoint(Record(1000, 3));
   CHECK(directory_.UsableOf(kService).empty());
 }
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -15,20 +15,20 @@
 constexpr int kLeastUrgent = 9;
 // How often a request that waits looks whether this host is about to stop, or
 // all endpoints have come to rest.
-constexpr Millis kWaitLook{100};
+constexpr Millis kWaitCheckInterval{100};
 
 }  // namespace
 
 Exchange::Exchange(const GatewayServices* services, CallerRequest request,
-                   TimePoint arrived, std::shared_ptr<ResponseSink> answer)
+                   TimePoint arrived, std::shared_ptr<ResponseSink> response)
     : services_(services),
       request_(std::move(request)),
       arrived_(arrived),
-      answer_(std::move(answer)),
+      sink_(std::move(response)),
       timer_(*services->io),
       id_(request_[services->names->request_id]),
       log_(services, id_, arrived),
-      relay_(answer_, services->clock) {}
+      relay_(sink_, services->clock) {}
 
 void Exchange::Start() {
   body_ = std::make_shared<const std::string>(std::move(request_.body()));
@@ -42,28 +42,28 @@
   prompt_ = admitted.placement.prompt;
   log_.SetRoute(route_ == nullptr ? "" : route_->name,
                 table_ == nullptr ? RoutingVersion{} : table_->Version());
-  if (const std::optional<Rejection>& refusal = admitted.refusal) {
-    Refuse(refusal->status, refusal->code, refusal->retry_after);
+  if (const std::optional<Rejection>& rejection = admitted.rejection) {
+    Reject(rejection->status, rejection->code, rejection->retry_after);
     return;
   }
   admitted.placement.origin = RequestOrigin{Fingerprint(), Priority()};
-  PlacementSearchParams sought{std::move(admitted.placement),
+  PlacementSearchParams params{std::move(admitted.placement),
                                arrived_ + route_->target_latency, deadline_,
                                id_};
-  place_ = std::make_shared<PlacementSearch>(services_, std::move(sought), this,
-                                             [this] { return log_.Fields(); });
+  search_ = std::make_shared<PlacementSearch>(
+      services_, std::move(params), this, [this] { return log_.Fields(); });
   sender_.emplace(services_, route_, this);
-  watching_ = services_->crashes->Watch(this);
+  crash_guard_registration_ = services_->crashes->Watch(this);
   services_->budgets->OnFirstAttempt(service_->name);
   TryNext();
 }
 
 void Exchange::TryNext() {
   if (services_->crashes->IsQuarantined(this)) {
-    RefuseHeld();
+    RejectQuarantined();
     return;
   }
-  place_->Search(History());
+  search_->Search(History());
 }
 
 SendingHistory Exchange::History() const {
@@ -74,12 +74,12 @@
                                   : SendingHistory::kNew;
 }
 
-void Exchange::OnRejected(RejectionReason reason, Millis pause) {
+void Exchange::OnRejected(RejectionReason reason, Millis retry_after) {
   const auto self = shared_from_this();
   const char* code = reason == RejectionReason::kStartQuotaExhausted
                          ? "starts_used_up"
                          : "waits_in_vain";
-  Refuse(http_status::kUnavailable, code, pause);
+  Reject(http_status::kUnavailable, code, retry_after);
 }
 
 void Exchange::OnNoEndpoint() {
@@ -89,13 +89,13 @@
 
 void Exchange::OnWaiting() {
   ArmTimer();
-  if (rest_look_.has_value()) {
+  if (backoff_watch_.has_value()) {
     return;
   }
-  rest_look_ = services_->backoff_notifier->Add([weak = weak_from_this()] {
+  backoff_watch_ = services_->backoff_notifier->Add([weak = weak_from_this()] {
     const auto self = weak.lock();
-    if (self != nullptr && !self->finished_ && self->place_->IsWaiting()) {
-      self->EndWaitAt(self->services_->clock());
+    if (self != nullptr && !self->finished_ && self->search_->IsWaiting()) {
+      self->EndWaitIfDue(self->services_->clock());
     }
   });
 }
@@ -104,17 +104,17 @@
   const auto self = shared_from_this();
   // Others may have ended endpoints while this one waited for its place.
   if (!services_->crashes->TryAdmit(this, &is_trial_)) {
-    RefuseHeld();
+    RejectQuarantined();
     return;
   }
-  place_->MarkTried(placement.endpoint.id);
+  search_->MarkTried(placement.endpoint.id);
   relay_.BeginAttempt();
-  log_.LogPlaced(placement, prompt_, place_->Waited());
+  log_.LogPlaced(placement, prompt_, search_->Waited());
   OutgoingRequest outgoing;
   outgoing.request_id = id_;
   outgoing.head = HeadFor(placement);
   outgoing.body = body_;
-  outgoing.answer_has_no_body = request_.method() == http::verb::head;
+  outgoing.response_has_no_body = request_.method() == http::verb::head;
   sender_->Send(placement, std::move(outgoing));
   ArmTimer();
 }
@@ -135,7 +135,7 @@
     changes.helpers +=
         (changes.helpers.empty() ? "" : ",") + helper.record.address;
     if (Tokens{0} < helper.held) {
-      changes.helpers += "/" + place_->TicketFor(helper.record.id).value;
+      changes.helpers += "/" + search_->TicketFor(helper.record.id).value;
     }
   }
   if (relay_.StreamBegun()) {
@@ -152,14 +152,14 @@
 
 void Exchange::ArmTimer() {
   TimePoint next = deadline_;
-  if (const auto patience = PatienceEnd()) {
-    next = std::min(next, *patience);
+  if (const auto overdue_at = AttemptOverdueAt()) {
+    next = std::min(next, *overdue_at);
   }
-  if (const auto limit = place_->WaitEnd(may_have_run_)) {
-    next = std::min(next, *limit);
+  if (const auto wait_end = search_->WaitEnd(may_have_run_)) {
+    next = std::min(next, *wait_end);
   }
-  if (place_->IsWaiting()) {
-    next = std::min(next, services_->clock() + kWaitLook);
+  if (search_->IsWaiting()) {
+    next = std::min(next, services_->clock() + kWaitCheckInterval);
   }
   timer_.expires_at(next);
   timer_.async_wait(
@@ -179,44 +179,44 @@
     GiveUp("out_of_time");
     return;
   }
-  if (EndWaitAt(now)) {
+  if (EndWaitIfDue(now)) {
     return;
   }
-  const auto patience = PatienceEnd();
-  if (patience.has_value() && now >= *patience) {
-    if (LeaveOverdue()) {
+  const auto overdue_at = AttemptOverdueAt();
+  if (overdue_at.has_value() && now >= *overdue_at) {
+    if (RetryOverdue()) {
       return;
     }
-    budget_refused_ = true;
+    budget_exhausted_ = true;
   }
   ArmTimer();
 }
 
-bool Exchange::EndWaitAt(TimePoint now) {
-  if (place_->IsWaiting() && services_->stops_at().has_value()) {
-    place_->LeaveQueue();
+bool Exchange::EndWaitIfDue(TimePoint now) {
+  if (search_->IsWaiting() && services_->stops_at().has_value()) {
+    search_->LeaveQueue();
     if (may_have_run_) {
       GiveUp("stopping");
     } else {
-      Refuse(http_status::kUnavailable, "stopping", kRetryElsewhere);
+      Reject(http_status::kUnavailable, "stopping", kRetryElsewhere);
     }
     return true;
   }
-  if (place_->IsWaiting() && place_->RejectIfAllBackingOff()) {
+  if (search_->IsWaiting() && search_->RejectIfAllBackingOff()) {
     return true;
   }
-  const auto wait_end = place_->WaitEnd(may_have_run_);
+  const auto wait_end = search_->WaitEnd(may_have_run_);
   if (wait_end.has_value() && now >= *wait_end) {
-    place_->LeaveQueue();
+    search_->LeaveQueue();
     GiveUp("engines_not_idle");
     return true;
   }
   return false;
 }
 
-bool Exchange::LeaveOverdue() {
+bool Exchange::RetryOverdue() {
   // A second sending only pays while it can still bring something.
-  if (!MaySendAgain()) {
+  if (!MayRetry()) {
     return false;
   }
   may_have_run_ = may_have_run_ || sender_->WasSent();
@@ -230,8 +230,8 @@
   return true;
 }
 
-std::optional<TimePoint> Exchange::PatienceEnd() const {
-  if (!sender_->IsUnderWay() || !route_->MayRepeat() || budget_refused_ ||
+std::optional<TimePoint> Exchange::AttemptOverdueAt() const {
+  if (!sender_->IsUnderWay() || !route_->MayRepeat() || budget_exhausted_ ||
       sender_->SendCount() >= route_->max_attempts) {
     return std::nullopt;
   }
@@ -251,26 +251,27 @@
     return;
   }
   if (!may_have_run_) {
-    const auto pause =
-        place_ == nullptr ? std::nullopt : place_->RetryAfterBackoffs();
-    Refuse(http_status::kUnavailable, reason,
-           std::max(kRetryAfterRejection, pause.value_or(Millis(0))));
+    const auto retry_after =
+        search_ == nullptr ? std::nullopt : search_->RetryAfterBackoffs();
+    Reject(http_status::kUnavailable, reason,
+           std::max(kRetryAfterRejection, retry_after.value_or(Millis(0))));
     return;
   }
-  Refuse(TimeLeft() == Millis(0) ? http_status::kGatewayTimeout
+  Reject(TimeLeft() == Millis(0) ? http_status::kGatewayTimeout
                                  : http_status::kBadGateway,
          reason, std::nullopt);
 }
 
-void Exchange::Refuse(unsigned status, const std::string& code,
+void Exchange::Reject(unsigned status, const std::string& code,
                       std::optional<Millis> retry_after) {
   // Whoever is told when to come again is told that it has not run, too.
-  Answer(GatewayResponse{status, code, retry_after, retry_after.has_value()});
+  Respond(GatewayResponse{status, code, retry_after, retry_after.has_value()});
 }
 
-void Exchange::Answer(const GatewayResponse& answer) {
-  answer_->SendWhole(HeadOf(answer, *services_->names, id_), BodyOf(answer));
-  Finish(answer.not_run ? "refused" : "failed", answer.status, answer.code);
+void Exchange::Respond(const GatewayResponse& response) {
+  sink_->SendWhole(HeadOf(response, *services_->names, id_), BodyOf(response));
+  Finish(response.not_run ? "refused" : "failed", response.status,
+         response.code);
 }
 
 void Exchange::OnCallerDisconnected() {
@@ -287,13 +288,13 @@
   }
   finished_ = true;
   timer_.cancel();
-  if (rest_look_.has_value()) {
-    services_->backoff_notifier->Remove(*rest_look_);
+  if (backoff_watch_.has_value()) {
+    services_->backoff_notifier->Remove(*backoff_watch_);
   }
   AbandonAttempt();
   ExchangeResult end{outcome, status, reason, 0, prompt_, {}, {}};
-  if (place_ != nullptr) {
-    place_->Close();
+  if (search_ != nullptr) {
+    search_->Close();
     end.sendings = sender_->SendCount();
     end.endpoint = sender_->Endpoint().id;
     end.first_event = sender_->FirstEventAt();
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -31,20 +31,20 @@
  public:
   // `services` must outlive this.
   Exchange(const GatewayServices* services, CallerRequest request,
-           TimePoint arrived, std::shared_ptr<ResponseSink> answer);
+           TimePoint arrived, std::shared_ptr<ResponseSink> response);
 
   // Admits the request and sends it, or answers it at once.
   void Start();
 
   void OnCallerDisconnected() override;
   void OnPlaced(const Placement& placement) override;
-  void OnRejected(RejectionReason reason, Millis pause) override;
+  void OnRejected(RejectionReason reason, Millis retry_after) override;
   void OnNoEndpoint() override;
   void OnWaiting() override;
   void OnSent() override;
-  void OnAnswerHead(const ResponseHead& head) override;
-  void OnAnswerBytes(std::string_view bytes) override;
-  void OnAnswerEnd() override;
+  void OnResponseHead(const ResponseHead& head) override;
+  void OnResponseBytes(std::string_view bytes) override;
+  void OnResponseEnd() override;
   void OnFailure(const AttemptFailure& failure) override;
   // Taken when it is first wanted, and kept.
   const RequestFingerprint& Fingerprint() override;
@@ -60,53 +60,54 @@
   void OnFirstEvent();
 
   // What is made of an answer's head: the first that applies is done.
-  void JudgeHead(const EndpointResponse& answer, const ResponseHead& head);
-  void OnNotRunAnswer(const EndpointResponse& answer);
+  void HandleResponseHead(const EndpointResponse& response,
+                          const ResponseHead& head);
+  void OnNotRunResponse(const EndpointResponse& response);
   // Returns whether another endpoint is asked instead.
-  bool TakeUpElsewhere(unsigned status);
+  bool RetryElsewhere(unsigned status);
   void OnNotSent(const AttemptNotSent& failure);
   // Finds out whether the endpoint has ended, and goes on from there.
-  void JudgeBroken(const AttemptBroken& broken);
+  void HandleBroken(const AttemptBroken& broken);
   nlohmann::json BrokenFields(const AttemptBroken& broken);
   // It ends endpoints, and is sent to no other.
-  void RefuseHeld();
+  void RejectQuarantined();
   // The answer has ended. It ended whole only if its head said where it ends:
   // an endpoint that crashes ends its connection, too.
-  void NoteEnd();
+  void ReportCompletion();
 
   // What follows an attempt.
   void OnNotRun(const std::string& reason);
   void OnMayHaveRun(const std::string& reason);
-  bool MaySendAgain();
+  bool MayRetry();
   void AbandonAttempt();
 
   // Time.
   void ArmTimer();
   void OnTimer();
   // Returns whether the request waited and cannot any longer.
-  bool EndWaitAt(TimePoint now);
+  bool EndWaitIfDue(TimePoint now);
   // Sends an overdue request elsewhere. Returns whether it did.
-  bool LeaveOverdue();
-  std::optional<TimePoint> PatienceEnd() const;
+  bool RetryOverdue();
+  std::optional<TimePoint> AttemptOverdueAt() const;
   Millis TimeLeft() const;
 
   // Answers.
-  void Refuse(unsigned status, const std::string& code,
+  void Reject(unsigned status, const std::string& code,
               std::optional<Millis> retry_after);
-  void Answer(const GatewayResponse& answer);
+  void Respond(const GatewayResponse& response);
   void GiveUp(const std::string& reason);
   void Finish(const char* outcome, unsigned status, const std::string& reason);
 
   const GatewayServices* services_;
   CallerRequest request_;
   TimePoint arrived_;
-  std::shared_ptr<ResponseSink> answer_;
+  std::shared_ptr<ResponseSink> sink_;
   Timer timer_;
   std::string id_;
   ExchangeLog log_;
   ResponseRelay relay_;
   std::optional<RequestFingerprint> fingerprint_;
-  std::unique_ptr<CrashGuard::Registration> watching_;
+  std::unique_ptr<CrashGuard::Registration> crash_guard_registration_;
   std::shared_ptr<const std::string> body_;
   std::shared_ptr<const RoutingTable> table_;
   const RouteRule* route_ = nullptr;
@@ -116,17 +117,17 @@
   TimePoint deadline_{};
   Tokens prompt_;
   // Both are set once the request has been admitted.
-  std::shared_ptr<PlacementSearch> place_;
+  std::shared_ptr<PlacementSearch> search_;
   std::optional<RequestSender> sender_;
   int connect_failures_ = 0;
   bool may_have_run_ = false;
   // It was held, and is let through this once.
   bool is_trial_ = false;
-  bool budget_refused_ = false;
+  bool budget_exhausted_ = false;
   bool has_framed_end_ = false;
   bool finished_ = false;
   // While it has waited for a place.
-  std::optional<BackoffNotifier::Id> rest_look_;
+  std::optional<BackoffNotifier::Id> backoff_watch_;
 };
 
 }  // namespace harecrank
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -14,11 +14,11 @@
 namespace http = boost::beast::http;
 
 // How often one request is put to endpoints that cannot be reached.
-constexpr int kMostConnectFailures = 5;
+constexpr int kMaxConnectFailures = 5;
 // With less left than this a further attempt cannot bring anything.
-constexpr Millis kLeastTimeForAttempt{60};
+constexpr Millis kMinTimeForAttempt{60};
 // The reason of the final answer to a request that ends endpoints.
-constexpr char kHeldReason[] = "ends_endpoints";
+constexpr char kQuarantinedReason[] = "ends_endpoints";
 
 bool IsEventStream(const ResponseHead& head) {
   const std::string_view wanted = "text/event-stream";
@@ -29,14 +29,14 @@
 }  // namespace
 
 void Exchange::OnErrorAnswer() {
-  place_->OnFailure();
+  search_->OnFailure();
   sender_->OnErrorAnswer();
 }
 
 void Exchange::OnFirstEvent() {
-  if (const auto pace = sender_->OnFirstEvent()) {
+  if (const auto slowdown = sender_->OnFirstEvent()) {
     services_->queue->PumpSoon();
-    place_->OnPrefillDone(*pace);
+    search_->OnPrefillDone(*slowdown);
   }
 }
 
@@ -47,25 +47,25 @@
   sender_->OnSent();
 }
 
-void Exchange::OnAnswerHead(const ResponseHead& head) {
+void Exchange::OnResponseHead(const ResponseHead& head) {
   const auto self = shared_from_this();
-  const EndpointResponse answer = DecodeResponse(head, *services_->names);
-  sender_->OnAnswer(answer);
+  const EndpointResponse response = DecodeResponse(head, *services_->names);
+  sender_->OnAnswer(response);
   has_framed_end_ = head.count(http::field::content_length) != 0 ||
                     head.count(http::field::transfer_encoding) != 0;
-  JudgeHead(answer, head);
+  HandleResponseHead(response, head);
 }
 
-void Exchange::JudgeHead(const EndpointResponse& answer,
-                         const ResponseHead& head) {
-  const unsigned status = answer.status;
-  const bool says_not_run = answer.not_run || answer.IsMisdirected();
-  if (says_not_run && status != http_status::kBadRequest) {
-    OnNotRunAnswer(answer);
+void Exchange::HandleResponseHead(const EndpointResponse& response,
+                                  const ResponseHead& head) {
+  const unsigned status = response.status;
+  const bool is_not_run = response.not_run || response.IsMisdirected();
+  if (is_not_run && status != http_status::kBadRequest) {
+    OnNotRunResponse(response);
     return;
   }
-  const bool success = answer.IsSuccess();
-  if (success && !answer.is_signed) {
+  const bool success = response.IsSuccess();
+  if (success && !response.is_signed) {
     OnErrorAnswer();
     AbandonAttempt();
     OnMayHaveRun("unsigned_answer");
@@ -73,7 +73,7 @@
   }
   const bool endpoint_failed = status / 100 == 5;
   if (!success && (relay_.StreamBegun() || endpoint_failed) &&
-      route_->MayRepeat() && TakeUpElsewhere(status)) {
+      route_->MayRepeat() && RetryElsewhere(status)) {
     return;
   }
   if (success && route_->kind == RequestKind::kStreaming &&
@@ -84,16 +84,16 @@
   relay_.BufferWhole(head);
 }
 
-void Exchange::OnNotRunAnswer(const EndpointResponse& answer) {
-  if (answer.IsMisdirected()) {
+void Exchange::OnNotRunResponse(const EndpointResponse& response) {
+  if (response.IsMisdirected()) {
     sender_->OnUnreachable();
   }
-  sender_->OnRefusal(answer, log_.Fields());
+  sender_->OnRefusal(response, log_.Fields());
   AbandonAttempt();
-  OnNotRun("endpoint_answered_" + std::to_string(answer.status));
+  OnNotRun("endpoint_answered_" + std::to_string(response.status));
 }
 
-bool Exchange::TakeUpElsewhere(unsigned status) {
+bool Exchange::RetryElsewhere(unsigned status) {
   OnErrorAnswer();
   if (relay_.StreamBegun()) {
     may_have_run_ = true;
@@ -101,7 +101,7 @@
     OnMayHaveRun("resumption_answered_" + std::to_string(status));
     return true;
   }
-  if (!MaySendAgain()) {
+  if (!MayRetry()) {
     return false;
   }
   may_have_run_ = true;
@@ -113,35 +113,35 @@
   return true;
 }
 
-void Exchange::OnAnswerBytes(std::string_view bytes) {
+void Exchange::OnResponseBytes(std::string_view bytes) {
   sender_->OnBytes();
   switch (relay_.Accept(bytes)) {
-    case ResponseRelay::Accepted::kEvents:
+    case ResponseRelay::AcceptResult::kEvents:
       OnFirstEvent();
       break;
-    case ResponseRelay::Accepted::kTooLarge:
+    case ResponseRelay::AcceptResult::kTooLarge:
       AbandonAttempt();
       OnMayHaveRun("answer_too_large");
       break;
-    case ResponseRelay::Accepted::kBuffered:
+    case ResponseRelay::AcceptResult::kBuffered:
       break;
   }
 }
 
-void Exchange::OnAnswerEnd() {
+void Exchange::OnResponseEnd() {
   const auto self = shared_from_this();
   sender_->OnEnded();
-  const bool torn = relay_.IsStream() && relay_.HasPartial();
-  if (torn) {
+  const bool is_truncated = relay_.IsStream() && relay_.HasPartial();
+  if (is_truncated) {
     OnErrorAnswer();
   }
-  place_->End();
-  if (torn) {
+  search_->End();
+  if (is_truncated) {
     relay_.DropPartial();
-    JudgeBroken(AttemptBroken{"ended_inside_an_event", true, false, true});
+    HandleBroken(AttemptBroken{"ended_inside_an_event", true, false, true});
     return;
   }
-  NoteEnd();
+  ReportCompletion();
   if (relay_.IsStream()) {
     relay_.EndStream();
     Finish("completed", http_status::kOk, "");
@@ -165,19 +165,19 @@
   }
   // One broken answer is not a dead endpoint; the next connection tells.
   OnErrorAnswer();
-  place_->End();
+  search_->End();
   relay_.DropPartial();
-  JudgeBroken(std::get<AttemptBroken>(failure));
+  HandleBroken(std::get<AttemptBroken>(failure));
 }
 
 void Exchange::OnNotSent(const AttemptNotSent& failure) {
-  place_->End();
+  search_->End();
   if (is_trial_) {
     services_->crashes->OnTrialNotSent(Fingerprint());
   }
   sender_->OnUnreachable();
   ++connect_failures_;
-  if (connect_failures_ < kMostConnectFailures) {
+  if (connect_failures_ < kMaxConnectFailures) {
     TryNext();
   } else {
     OnNotRun("not_reached: " + failure.reason);
@@ -188,22 +188,22 @@
   nlohmann::json fields = log_.Fields();
   fields["fingerprint"] = LogName(Fingerprint());
   fields["endpoint"] = sender_->Endpoint().id.value;
-  fields["by_endpoint"] = broken.by_endpoint;
-  fields["answer_began"] = broken.answer_began;
+  fields["by_endpoint"] = broken.closed_by_endpoint;
+  fields["answer_began"] = broken.response_began;
   if (const auto since = sender_->SinceFirstEvent()) {
     fields["since_first_event_ms"] = since->count();
   }
   return fields;
 }
 
-void Exchange::JudgeBroken(const AttemptBroken& broken) {
+void Exchange::HandleBroken(const AttemptBroken& broken) {
   // What is sent on is judged first: it may have ended its third endpoint.
   may_have_run_ = true;
-  const bool goes_on = route_->MayRepeat();
+  const bool may_continue = route_->MayRepeat();
   services_->crashes->OnResponseAborted(
       Fingerprint(), sender_->Endpoint(),
-      broken.by_endpoint && sender_->IsStarting(),
-      [weak = weak_from_this(), services = services_, goes_on,
+      broken.closed_by_endpoint && sender_->IsStarting(),
+      [weak = weak_from_this(), services = services_, may_continue,
        reason = broken.reason,
        fields = BrokenFields(broken)](ProbeResult result) {
         nlohmann::json line = fields;
@@ -211,11 +211,11 @@
         services->log->Write("broken_off", std::move(line),
                              LogRateLimit::kExempt);
         const auto self = weak.lock();
-        if (goes_on && self != nullptr && !self->finished_) {
+        if (may_continue && self != nullptr && !self->finished_) {
           self->OnMayHaveRun(reason);
         }
       });
-  if (!goes_on) {
+  if (!may_continue) {
     GiveUp(broken.reason);
   }
 }
@@ -242,29 +242,29 @@
     return;
   }
   may_have_run_ = may_have_run_ || sent;
-  RefuseHeld();
+  RejectQuarantined();
 }
 
-void Exchange::RefuseHeld() {
+void Exchange::RejectQuarantined() {
   AbandonAttempt();
   if (relay_.StreamBegun() || may_have_run_) {
-    GiveUp(kHeldReason);
+    GiveUp(kQuarantinedReason);
     return;
   }
   // Without a time to come back: it will be refused then too. An own 4xx would
   // say more plainly whose fault it is, but platforms bound those.
-  Answer(GatewayResponse{http_status::kUnavailable, kHeldReason, std::nullopt,
-                         true});
+  Respond(GatewayResponse{http_status::kUnavailable, kQuarantinedReason,
+                          std::nullopt, true});
 }
 
-void Exchange::NoteEnd() {
+void Exchange::ReportCompletion() {
   if (has_framed_end_) {
     services_->crashes->OnCompleted(this);
   }
 }
 
 void Exchange::OnNotRun(const std::string& reason) {
-  if (MaySendAgain()) {
+  if (MayRetry()) {
     log_.LogRetry(sender_->Endpoint().id, reason, nlohmann::json::object());
     TryNext();
     return;
@@ -275,10 +275,10 @@
 void Exchange::OnMayHaveRun(const std::string& reason) {
   may_have_run_ = true;
   if (services_->crashes->IsQuarantined(this)) {
-    RefuseHeld();
+    RejectQuarantined();
     return;
   }
-  if (route_->MayRepeat() && MaySendAgain()) {
+  if (route_->MayRepeat() && MayRetry()) {
     log_.LogRetry(sender_->Endpoint().id, reason,
                   {{"resumes_after", relay_.LastEventId()}});
     TryNext();
@@ -287,23 +287,23 @@
   GiveUp(reason);
 }
 
-bool Exchange::MaySendAgain() {
+bool Exchange::MayRetry() {
   if (sender_->SendCount() >= route_->max_attempts ||
-      TimeLeft() < kLeastTimeForAttempt ||
-      place_->CannotStartInTime(History())) {
+      TimeLeft() < kMinTimeForAttempt ||
+      search_->CannotStartInTime(History())) {
     return false;
   }
-  budget_refused_ = !services_->budgets->TryRepeat(service_->name);
-  return !budget_refused_;
+  budget_exhausted_ = !services_->budgets->TryRepeat(service_->name);
+  return !budget_exhausted_;
 }
 
 void Exchange::AbandonAttempt() {
-  if (place_ == nullptr) {
+  if (search_ == nullptr) {
     return;
   }
-  place_->LeaveQueue();
+  search_->LeaveQueue();
   sender_->Cancel();
-  place_->End();
+  search_->End();
 }
 
 }  // namespace harecrank
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -10,7 +10,7 @@
   return std::chrono::duration_cast<Millis>(time).count();
 }
 
-std::string Joined(const std::vector<PrefillHelper>& helpers) {
+std::string JoinIds(const std::vector<PrefillHelper>& helpers) {
   std::string ids;
   for (const PrefillHelper& helper : helpers) {
     ids += (ids.empty() ? "" : " ") + helper.record.id.value;
@@ -52,7 +52,7 @@
   fields["candidates"] = placement.candidates;
   fields["helpers"] = placement.helpers.size();
   if (!placement.helpers.empty()) {
-    fields["helper_ids"] = Joined(placement.helpers);
+    fields["helper_ids"] = JoinIds(placement.helpers);
   }
   fields["predicted_ms"] = placement.first_event.count();
   fields["read_ms"] = placement.prefill_time.count();
@@ -65,11 +65,11 @@
 
 void ExchangeLog::LogRetry(const EndpointId& endpoint,
                            const std::string& reason,
-                           const nlohmann::json& more) const {
+                           const nlohmann::json& extra) const {
   nlohmann::json fields = Fields();
   fields["endpoint"] = endpoint.value;
   fields["reason"] = reason;
-  fields.update(more);
+  fields.update(extra);
   services_->metrics->GetCounter("harecrank_gateway_sent_again_total")->Add();
   services_->log->Write("sent_again", std::move(fields), LogRateLimit::kExempt);
 }
@@ -88,8 +88,8 @@
         ->Record(taken);
     fields["first_event_ms"] = WholeMillis(taken);
   }
-  if (relay.LongestPause().count() > 0) {
-    fields["longest_pause_ms"] = WholeMillis(relay.LongestPause());
+  if (relay.LongestGap().count() > 0) {
+    fields["longest_pause_ms"] = WholeMillis(relay.LongestGap());
   }
   fields["outcome"] = end.outcome;
   fields["status"] = end.status;
--- a/src/gateway/exchange_log.h
+++ b/src/gateway/exchange_log.h
@@ -46,7 +46,7 @@
                  std::optional<Millis> waited) const;
   // It is sent once more, since `reason`. `more` has further fields.
   void LogRetry(const EndpointId& endpoint, const std::string& reason,
-                const nlohmann::json& more) const;
+                const nlohmann::json& extra) const;
   void LogEnd(const ExchangeResult& end, const ResponseRelay& relay) const;
 
  private:
--- a/src/gateway/http_client.cc
+++ b/src/gateway/http_client.cc
@@ -14,7 +14,7 @@
 namespace http = boost::beast::http;
 
 // The platform's values hold a megabyte at most, and pages of them a few.
-constexpr std::uint64_t kMostReplyBytes = 16U << 20U;
+constexpr std::uint64_t kMaxReplyBytes = 16U << 20U;
 constexpr unsigned kHttp11 = 11;
 
 }  // namespace
@@ -59,12 +59,12 @@
   request_.set(http::field::host, address_);
   request_.prepare_payload();
   handler_ = std::move(handler);
-  kept_ = stream_ != nullptr;
+  reused_ = stream_ != nullptr;
   if (stream_ == nullptr) {
     stream_ = std::make_unique<beast::tcp_stream>(*io_);
   }
   stream_->expires_after(timeout);
-  if (kept_) {
+  if (reused_) {
     Send();
   } else {
     Connect();
@@ -103,7 +103,7 @@
 
 void HttpClient::Receive() {
   parser_.emplace();
-  parser_->body_limit(kMostReplyBytes);
+  parser_->body_limit(kMaxReplyBytes);
   http::async_read(*stream_, buffer_, *parser_,
                    [self = shared_from_this()](boost::system::error_code error,
                                                std::size_t) {
@@ -126,7 +126,7 @@
   stream_.reset();
   buffer_.clear();
   Finish(CallFailure{step + ": " + error.message() +
-                     (kept_ ? " on a kept connection" : "")});
+                     (reused_ ? " on a kept connection" : "")});
 }
 
 void HttpClient::Finish(CallResult result) {
--- a/src/gateway/http_client.h
+++ b/src/gateway/http_client.h
@@ -71,7 +71,7 @@
   std::optional<Parser> parser_;
   Handler handler_;
   // The connection has served a call before: a failure may be its age's.
-  bool kept_ = false;
+  bool reused_ = false;
 };
 
 }  // namespace harecrank
--- a/src/gateway/memory_reservation.cc
+++ b/src/gateway/memory_reservation.cc
@@ -13,7 +13,7 @@
       on_answer_(std::move(on_answer)),
       timer_(*io) {}
 
-MemoryOrders::OnResult MemoryReservation::Telling(
+MemoryOrders::OnResult MemoryReservation::ForwardResponse(
     const EndpointRecord& endpoint, std::function<void(bool done)> then) const {
   return [endpoint, on_answer = on_answer_,
           then = std::move(then)](const OrderResult& result) {
@@ -27,20 +27,22 @@
 void MemoryReservation::Reserve(const MemoryNeed& need,
                                 std::function<void(bool done)> then) {
   orders_->Reserve(need.endpoint.address, need.ticket, need.amount,
-                   kLeaseDuration, Telling(need.endpoint, std::move(then)));
+                   kLeaseDuration,
+                   ForwardResponse(need.endpoint, std::move(then)));
 }
 
-void MemoryReservation::Acquire(std::function<void(bool held)> done) {
+void MemoryReservation::Acquire(std::function<void(bool reserved)> done) {
   done_ = std::move(done);
   unanswered_ = needs_.size();
   for (const MemoryNeed& need : needs_) {
-    Reserve(need,
-            [self = shared_from_this()](bool held) { self->OnReserved(held); });
+    Reserve(need, [self = shared_from_this()](bool reserved) {
+      self->OnReserved(reserved);
+    });
   }
 }
 
-void MemoryReservation::OnReserved(bool held) {
-  failed_ = failed_ || !held;
+void MemoryReservation::OnReserved(bool reserved) {
+  failed_ = failed_ || !reserved;
   --unanswered_;
   if (unanswered_ > 0 || released_) {
     return;
@@ -62,7 +64,7 @@
   timer_.cancel();
   for (const MemoryNeed& need : needs_) {
     orders_->Release(need.endpoint.address, need.ticket,
-                     Telling(need.endpoint, [](bool /*done*/) {}));
+                     ForwardResponse(need.endpoint, [](bool /*done*/) {}));
   }
 }
 
--- a/src/gateway/memory_reservation.h
+++ b/src/gateway/memory_reservation.h
@@ -37,7 +37,7 @@
 
   // Calls `done` once with whether all of it is held. Holds are renewed until
   // Release.
-  void Acquire(std::function<void(bool held)> done);
+  void Acquire(std::function<void(bool reserved)> done);
 
   // Gives all of it back. `done` is not called any more.
   void Release();
@@ -50,11 +50,12 @@
   static constexpr Millis kRenewalInterval{900};
 
  private:
-  void OnReserved(bool held);
+  void OnReserved(bool reserved);
   // Returns what tells of the answer of `endpoint`, and then calls `then` with
   // whether the order was carried out.
-  MemoryOrders::OnResult Telling(const EndpointRecord& endpoint,
-                                 std::function<void(bool done)> then) const;
+  MemoryOrders::OnResult ForwardResponse(
+      const EndpointRecord& endpoint,
+      std::function<void(bool done)> then) const;
   void Reserve(const MemoryNeed& need, std::function<void(bool done)> then);
   void RenewLater();
   void Renew();
--- a/src/gateway/memory_reservation_test.cc
+++ b/src/gateway/memory_reservation_test.cc
@@ -12,8 +12,8 @@
  public:
   void Reserve(const std::string& address, const MemoryTicket&, Tokens, Millis,
                OnResult on_result) override {
-    ++reserved_[address];
-    answers_.push_back(std::move(on_result));
+    ++reserve_calls_[address];
+    reservations_.push_back(std::move(on_result));
   }
   void Release(const std::string& address, const MemoryTicket&,
                OnResult on_result) override {
@@ -21,18 +21,18 @@
     releases_.push_back(std::move(on_result));
   }
 
-  void Answer(std::size_t which, bool held) {
-    answers_.at(which)(OrderResult{held, EndpointResponse{}});
+  void Respond(std::size_t which, bool reserved) {
+    reservations_.at(which)(OrderResult{reserved, EndpointResponse{}});
   }
-  void AnswerRelease(std::size_t which) {
+  void RespondToRelease(std::size_t which) {
     releases_.at(which)(OrderResult{true, EndpointResponse{}});
   }
 
-  std::map<std::string, int> reserved_;
+  std::map<std::string, int> reserve_calls_;
   std::map<std::string, int> released_;
 
  private:
-  std::vector<OnResult> answers_;
+  std::vector<OnResult> reservations_;
   std::vector<OnResult> releases_;
 };
 
@@ -45,79 +45,86 @@
   return need;
 }
 
-class HoldFixture {
+class ReservationFixture {
  protected:
   std::shared_ptr<MemoryReservation> Acquire() {
-    auto hold = std::make_shared<MemoryReservation>(
+    auto reservation = std::make_shared<MemoryReservation>(
         &io_, &orders_,
         std::vector<MemoryNeed>{Need("a", "t1"), Need("b", "t2")},
         [this](const EndpointRecord& endpoint, const EndpointResponse&) {
-          heard_.push_back(endpoint.id.value);
+          responded_.push_back(endpoint.id.value);
         });
-    hold->Acquire([this](bool held) { outcomes_.push_back(held); });
-    return hold;
+    reservation->Acquire(
+        [this](bool reserved) { outcomes_.push_back(reserved); });
+    return reservation;
   }
 
   boost::asio::io_context io_;
   ScriptedOrders orders_;
   std::vector<bool> outcomes_;
   // Whose answers were told.
-  std::vector<std::string> heard_;
+  std::vector<std::string> responded_;
 };
 
-TEST_CASE_METHOD(HoldFixture, "Every answer of an engine to an order is told") {
-  const auto hold = Acquire();
-  orders_.Answer(0, true);
-  orders_.Answer(1, true);
-  hold->Release();
-  orders_.AnswerRelease(1);
-  CHECK(heard_ == std::vector<std::string>{"engine-a", "engine-b", "engine-b"});
+TEST_CASE_METHOD(ReservationFixture,
+                 "Every answer of an engine to an order is told") {
+  const auto reservation = Acquire();
+  orders_.Respond(0, true);
+  orders_.Respond(1, true);
+  reservation->Release();
+  orders_.RespondToRelease(1);
+  CHECK(responded_ ==
+        std::vector<std::string>{"engine-a", "engine-b", "engine-b"});
 }
 
-TEST_CASE_METHOD(HoldFixture, "Memory is held when every engine has given it") {
-  const auto hold = Acquire();
-  orders_.Answer(0, true);
+TEST_CASE_METHOD(ReservationFixture,
+                 "Memory is held when every engine has given it") {
+  const auto reservation = Acquire();
+  orders_.Respond(0, true);
   CHECK(outcomes_.empty());
-  orders_.Answer(1, true);
+  orders_.Respond(1, true);
   CHECK(outcomes_ == std::vector<bool>{true});
   CHECK(orders_.released_.empty());
-  hold->Release();
-  hold->Release();
+  reservation->Release();
+  reservation->Release();
   CHECK(orders_.released_ == std::map<std::string, int>{{"a", 1}, {"b", 1}});
 }
 
-TEST_CASE_METHOD(HoldFixture,
+TEST_CASE_METHOD(ReservationFixture,
                  "When one engine gives nothing, all is given back at once, "
                  "also where no answer came") {
-  const auto hold = Acquire();
-  orders_.Answer(0, true);
-  orders_.Answer(1, false);
+  const auto reservation = Acquire();
+  orders_.Respond(0, true);
+  orders_.Respond(1, false);
   CHECK(outcomes_ == std::vector<bool>{false});
   CHECK(orders_.released_ == std::map<std::string, int>{{"a", 1}, {"b", 1}});
 }
 
-TEST_CASE_METHOD(HoldFixture,
+TEST_CASE_METHOD(ReservationFixture,
                  "A request that ends before the engines answer leaves nothing "
                  "held and hears nothing") {
-  const auto hold = Acquire();
-  hold->Release();
-  orders_.Answer(0, true);
-  orders_.Answer(1, true);
+  const auto reservation = Acquire();
+  reservation->Release();
+  orders_.Respond(0, true);
+  orders_.Respond(1, true);
   CHECK(outcomes_.empty());
   CHECK(orders_.released_.size() == 2);
 }
 
-TEST_CASE_METHOD(HoldFixture, "What is held is renewed until it is released") {
-  const auto hold = Acquire();
-  orders_.Answer(0, true);
-  orders_.Answer(1, true);
+TEST_CASE_METHOD(ReservationFixture,
+                 "What is held is renewed until it is released") {
+  const auto reservation = Acquire();
+  orders_.Respond(0, true);
+  orders_.Respond(1, true);
   // Runs the one timer that waits.
   io_.run_one();
-  CHECK(orders_.reserved_ == std::map<std::string, int>{{"a", 2}, {"b", 2}});
-  hold->Release();
+  CHECK(orders_.reserve_calls_ ==
+        std::map<std::string, int>{{"a", 2}, {"b", 2}});
+  reservation->Release();
   io_.restart();
   io_.run();
-  CHECK(orders_.reserved_ == std::map<std::string, int>{{"a", 2}, {"b", 2}});
+  CHECK(orders_.reserve_calls_ ==
+        std::map<std::string, int>{{"a", 2}, {"b", 2}});
 }
 
 }  // namespace
--- a/src/gateway/placement_search.cc
+++ b/src/gateway/placement_search.cc
@@ -10,56 +10,56 @@
 
 // How often one request is given a place that this host cannot use before it
 // places by itself.
-constexpr int kMostUnusablePlaces = 5;
+constexpr int kMaxUnusablePlacements = 5;
 // How long a request waits before it asks for another place after memory that
 // was free has been taken by another.
-constexpr Millis kMemoryRetry{40};
+constexpr Millis kMemoryRetryDelay{40};
 // How long a plain request waits before it looks again whether it may begin.
-constexpr Millis kStartRetry{40};
+constexpr Millis kStartRetryDelay{40};
 
 }  // namespace
 
 PlacementSearch::PlacementSearch(const GatewayServices* services,
-                                 PlacementSearchParams sought,
+                                 PlacementSearchParams params,
                                  PlacementObserver* observer,
                                  std::function<nlohmann::json()> log_fields)
     : services_(services),
-      sought_(std::move(sought)),
+      params_(std::move(params)),
       observer_(observer),
       log_fields_(std::move(log_fields)),
       retry_timer_(*services->io) {}
 
 void PlacementSearch::Search(SendingHistory history) {
   history_ = history;
-  if (EndByBounds()) {
+  if (EndIfStartLimited()) {
     return;
   }
   // Plain services have few endpoints and short work: this host's own knowledge
   // serves them as well, without the way to the planner.
-  if (sought_.request.service->engine.has_value()) {
+  if (params_.request.service->engine.has_value()) {
     SendQuery();
   } else {
-    NotePlacedAlone();
-    PlaceAlone();
+    LogPlacedLocally();
+    PlaceWithLocalState();
   }
 }
 
 void PlacementSearch::SetTimes() {
   const TimePoint now = services_->clock();
-  sought_.request.until_late = sought_.late_at - now;
-  sought_.request.until_deadline = sought_.deadline - now;
+  params_.request.until_late = params_.late_at - now;
+  params_.request.until_deadline = params_.deadline - now;
 }
 
 void PlacementSearch::SetWithheld() {
-  sought_.request.withheld =
-      services_->start_limiter->Withheld(*sought_.request.service);
+  params_.request.withheld =
+      services_->start_limiter->Withheld(*params_.request.service);
 }
 
 void PlacementSearch::SendQuery() {
   SetTimes();
   SetWithheld();
-  ask_ = services_->places->SendQuery(
-      sought_.request, WasSent(),
+  query_id_ = services_->places->SendQuery(
+      params_.request, WasSent(),
       [weak = weak_from_this()](const QueryResult& result) {
         const auto self = weak.lock();
         if (self != nullptr && self->observer_ != nullptr) {
@@ -72,7 +72,7 @@
 void PlacementSearch::OnResult(const QueryResult& result) {
   if (std::holds_alternative<QueryQueued>(result)) {
     waits_at_planner_ = true;
-    NoteWaiting();
+    StartWaitClock();
     observer_->OnWaiting();
     return;
   }
@@ -81,20 +81,20 @@
     UsePlanned(*planned);
     return;
   }
-  ask_.reset();
+  query_id_.reset();
   if (std::holds_alternative<QueryRejected>(result)) {
-    observer_->OnRejected(
-        RejectionReason::kCannotMeetTarget,
-        std::get<QueryRejected>(result).retry_after.value_or(PauseForReturn()));
+    observer_->OnRejected(RejectionReason::kCannotMeetTarget,
+                          std::get<QueryRejected>(result).retry_after.value_or(
+                              RetryAfterRejection()));
   } else if (std::holds_alternative<NoEndpoint>(result)) {
     observer_->OnNoEndpoint();
   } else {
-    NotePlacedAlone();
-    PlaceAlone();
+    LogPlacedLocally();
+    PlaceWithLocalState();
   }
 }
 
-void PlacementSearch::NotePlacedAlone() {
+void PlacementSearch::LogPlacedLocally() {
   services_->metrics->GetCounter("harecrank_gateway_placed_alone_total")->Add();
   services_->log->Write("placed_alone", log_fields_());
 }
@@ -107,22 +107,22 @@
   }
   // The listing of the planner and this host's differ, or another planner has
   // given what this host may begin there.
-  EndAsk();
+  EndQuery();
   ExcludeUnusable(planned);
-  ++unusable_places_;
-  if (unusable_places_ < kMostUnusablePlaces) {
+  ++unusable_placements_;
+  if (unusable_placements_ < kMaxUnusablePlacements) {
     SendQuery();
   } else {
-    PlaceAlone();
+    PlaceWithLocalState();
   }
 }
 
 void PlacementSearch::ExcludeUnusable(const PlannedPlacement& planned) {
-  std::vector<EndpointId> named = {planned.endpoint};
+  std::vector<EndpointId> endpoints = {planned.endpoint};
   for (const PlannedHelper& helper : planned.helpers) {
-    named.push_back(helper.endpoint);
+    endpoints.push_back(helper.endpoint);
   }
-  for (const EndpointId& id : named) {
+  for (const EndpointId& id : endpoints) {
     if (Usable(id) == nullptr) {
       MarkTried(id);
     }
@@ -152,12 +152,12 @@
 }
 
 const EndpointRecord* PlacementSearch::Usable(const EndpointId& id) const {
-  return services_->directory->FindUsable(id, sought_.request.service->name);
+  return services_->directory->FindUsable(id, params_.request.service->name);
 }
 
 bool PlacementSearch::MayStart(const Placement& placement) const {
   return services_->start_limiter->MayStart(placement,
-                                            *sought_.request.service);
+                                            *params_.request.service);
 }
 
 bool PlacementSearch::IsStillUsable(const Placement& placement) const {
@@ -170,137 +170,142 @@
 }
 
 std::optional<ShareClaim> PlacementSearch::Claim() const {
-  if (!sought_.request.service->engine.has_value()) {
+  if (!params_.request.service->engine.has_value()) {
     return std::nullopt;
   }
   const auto table = services_->routing->InForce();
-  return ClaimOf(sought_.request,
+  return ClaimOf(params_.request,
                  table != nullptr && table->HasSeveralAccounts());
 }
 
-void PlacementSearch::PlaceAlone() {
+void PlacementSearch::PlaceWithLocalState() {
   const auto claim = Claim();
-  const ShareRank turn = claim.has_value()
+  const ShareRank rank = claim.has_value()
                              ? services_->queue->ShareRankOf(*claim)
                              : ShareRank::kEqual;
   // It does not take what others wait for that have had less.
-  const bool yields = turn == ShareRank::kAfter && !WasSent();
-  if (!yields && TryPlace()) {
+  const bool is_over_share = rank == ShareRank::kAfter && !WasSent();
+  if (!is_over_share && TryPlace()) {
     return;
   }
-  if (!sought_.request.service->engine.has_value()) {
+  if (!params_.request.service->engine.has_value()) {
     WaitForStart();
     return;
   }
-  if (services_->policy->refuses_by_precedent && turn != ShareRank::kBefore &&
-      WaitsInVain()) {
-    observer_->OnRejected(RejectionReason::kCannotMeetTarget, PauseForReturn());
+  if (services_->policy->refuses_by_precedent && rank != ShareRank::kBefore &&
+      CannotMeetTarget()) {
+    observer_->OnRejected(RejectionReason::kCannotMeetTarget,
+                          RetryAfterRejection());
     return;
   }
   Wait();
 }
 
-std::optional<StartAvailability> PlacementSearch::Outlook(
+std::optional<StartAvailability> PlacementSearch::AvailabilityExcluding(
     const std::set<EndpointId>& tried) const {
-  const ServiceProfile& service = *sought_.request.service;
+  const ServiceProfile& service = *params_.request.service;
   return services_->start_limiter->StartAvailabilityOf(
       services_->directory->UsableOf(service.name), tried, service);
 }
 
-TimePoint PlacementSearch::WaitsOfUseUntil(SendingHistory history) const {
+TimePoint PlacementSearch::WaitDeadline(SendingHistory history) const {
   // One that has waited for an endpoint already and is late all the same is
   // still served late.
-  const bool is_late = sought_.late_at <= services_->clock();
+  const bool is_late = params_.late_at <= services_->clock();
   const bool serves_late = history == SendingHistory::kMayHaveRun ||
                            (history == SendingHistory::kNotRun && is_late);
-  return serves_late ? sought_.deadline : sought_.late_at;
+  return serves_late ? params_.deadline : params_.late_at;
 }
 
 bool PlacementSearch::CannotStartInTime(SendingHistory history) const {
-  const auto outlook = Outlook(sought_.request.tried);
-  return outlook.has_value() && outlook->next > WaitsOfUseUntil(history);
+  const auto availability = AvailabilityExcluding(params_.request.tried);
+  return availability.has_value() && availability->next > WaitDeadline(history);
 }
 
-bool PlacementSearch::EndByBounds() {
-  const auto outlook = Outlook(sought_.request.tried);
-  if (!outlook.has_value() || outlook->next <= WaitsOfUseUntil(history_)) {
+bool PlacementSearch::EndIfStartLimited() {
+  const auto availability = AvailabilityExcluding(params_.request.tried);
+  if (!availability.has_value() ||
+      availability->next <= WaitDeadline(history_)) {
     return false;
   }
   if (history_ == SendingHistory::kMayHaveRun) {
     observer_->OnNoEndpoint();
   } else {
-    TurnAwayByBounds(*outlook);
+    RejectStartLimited(*availability);
   }
   return true;
 }
 
-void PlacementSearch::TurnAwayByBounds(const StartAvailability& outlook) {
+void PlacementSearch::RejectStartLimited(
+    const StartAvailability& availability) {
   observer_->OnRejected(RejectionReason::kStartQuotaExhausted,
                         services_->start_limiter->NextRetryAfter(
-                            sought_.request.service->name, outlook));
+                            params_.request.service->name, availability));
 }
 
 bool PlacementSearch::RejectIfAllBackingOff() {
-  const auto outlook = Outlook(sought_.request.tried);
-  const bool all_rest =
-      outlook.has_value() && outlook->backoff_until > services_->clock();
-  const bool may_be_told = history_ != SendingHistory::kMayHaveRun;
-  if (!all_rest || !may_be_told || outlook->next <= WaitsOfUseUntil(history_)) {
+  const auto availability = AvailabilityExcluding(params_.request.tried);
+  const bool all_backing_off = availability.has_value() &&
+                               availability->backoff_until > services_->clock();
+  const bool may_reject = history_ != SendingHistory::kMayHaveRun;
+  if (!all_backing_off || !may_reject ||
+      availability->next <= WaitDeadline(history_)) {
     return false;
   }
-  TurnAwayByBounds(*outlook);
+  RejectStartLimited(*availability);
   return true;
 }
 
 std::optional<Millis> PlacementSearch::RetryAfterBackoffs() const {
-  const auto outlook = Outlook({});
-  if (!outlook.has_value() || outlook->backoff_until <= services_->clock()) {
+  const auto availability = AvailabilityExcluding({});
+  if (!availability.has_value() ||
+      availability->backoff_until <= services_->clock()) {
     return std::nullopt;
   }
-  return services_->start_limiter->NextRetryAfter(sought_.request.service->name,
-                                                  *outlook);
+  return services_->start_limiter->NextRetryAfter(params_.request.service->name,
+                                                  *availability);
 }
 
 void PlacementSearch::WaitForStart() {
-  if (EndByBounds()) {
+  if (EndIfStartLimited()) {
     return;
   }
-  NoteWaiting();
-  retry_timer_.expires_after(kStartRetry);
+  StartWaitClock();
+  retry_timer_.expires_after(kStartRetryDelay);
   retry_timer_.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& error) {
         const auto self = weak.lock();
         if (!error && self != nullptr && self->observer_ != nullptr) {
-          self->PlaceAlone();
+          self->PlaceWithLocalState();
         }
       });
   observer_->OnWaiting();
 }
 
-bool PlacementSearch::WaitsInVain() const {
+bool PlacementSearch::CannotMeetTarget() const {
   if (WasSent()) {
     return false;
   }
   const FractionalMillis work =
-      PrefillTime(*sought_.request.service->engine, sought_.request.prompt);
-  const auto least = services_->queue->LeastLateWork();
-  return least.has_value() && *least <= work;
+      PrefillTime(*params_.request.service->engine, params_.request.prompt);
+  const auto least_late_work = services_->queue->LeastLateWork();
+  return least_late_work.has_value() && *least_late_work <= work;
 }
 
-Millis PlacementSearch::PauseForReturn() const {
+Millis PlacementSearch::RetryAfterRejection() const {
   const PlacementPolicy& policy = *services_->policy;
-  const double share = IsShortPrompt(sought_.request, policy)
+  const double share = IsShortPrompt(params_.request, policy)
                            ? policy.short_retry_after_share
                            : policy.retry_after_share;
-  const FractionalMillis pause =
-      share * FractionalMillis(sought_.request.target_latency);
-  return std::chrono::duration_cast<Millis>(pause);
+  const FractionalMillis retry_after =
+      share * FractionalMillis(params_.request.target_latency);
+  return std::chrono::duration_cast<Millis>(retry_after);
 }
 
 bool PlacementSearch::TryPlace() {
   SetTimes();
   SetWithheld();
-  const PlacementResult result = services_->placer->Choose(sought_.request);
+  const PlacementResult result = services_->placer->Choose(params_.request);
   if (std::holds_alternative<EnginesBusy>(result)) {
     return false;
   }
@@ -316,22 +321,23 @@
 }
 
 void PlacementSearch::Wait() {
-  NoteWaiting();
-  waiter_ = services_->queue->Add(AsWaiter(), [weak = weak_from_this()] {
-    const auto self = weak.lock();
-    if (self == nullptr || self->observer_ == nullptr) {
-      return true;
-    }
-    if (!self->RejectIfAllBackingOff() && !self->TryPlace()) {
-      return false;
-    }
-    self->waiter_.reset();
-    return true;
-  });
+  StartWaitClock();
+  queue_id_ =
+      services_->queue->Add(MakeWaitingRequest(), [weak = weak_from_this()] {
+        const auto self = weak.lock();
+        if (self == nullptr || self->observer_ == nullptr) {
+          return true;
+        }
+        if (!self->RejectIfAllBackingOff() && !self->TryPlace()) {
+          return false;
+        }
+        self->queue_id_.reset();
+        return true;
+      });
   observer_->OnWaiting();
 }
 
-void PlacementSearch::NoteWaiting() {
+void PlacementSearch::StartWaitClock() {
   if (waits_since_ == TimePoint{}) {
     waits_since_ = services_->clock();
   }
@@ -344,19 +350,19 @@
   return std::chrono::duration_cast<Millis>(services_->clock() - waits_since_);
 }
 
-WaitingRequest PlacementSearch::AsWaiter() const {
+WaitingRequest PlacementSearch::MakeWaitingRequest() const {
   const FractionalMillis work =
-      PrefillTime(*sought_.request.service->engine, sought_.request.prompt);
-  WaitingRequest waiter;
-  waiter.first_event_due = sought_.late_at;
-  waiter.prefill_time = work / static_cast<double>(kMaxHelpers + 1);
-  waiter.work = work;
-  waiter.claim = Claim().value_or(ShareClaim{});
-  return waiter;
+      PrefillTime(*params_.request.service->engine, params_.request.prompt);
+  WaitingRequest request;
+  request.first_event_due = params_.late_at;
+  request.prefill_time = work / static_cast<double>(kMaxHelpers + 1);
+  request.work = work;
+  request.claim = Claim().value_or(ShareClaim{});
+  return request;
 }
 
 std::optional<TimePoint> PlacementSearch::WaitEnd(bool may_have_run) const {
-  const PlacementRequest& request = sought_.request;
+  const PlacementRequest& request = params_.request;
   const Tokens needed = request.prompt + request.answer;
   if (!IsWaiting() || may_have_run || !IsOversize(*request.service, needed)) {
     return std::nullopt;
@@ -366,23 +372,23 @@
     // own sends the largest prompts away while they still have time.
     return std::nullopt;
   }
-  return OversizeWaitEnd(request, *services_->policy, sought_.late_at,
-                         sought_.deadline);
+  return OversizeWaitEnd(request, *services_->policy, params_.late_at,
+                         params_.deadline);
 }
 
 void PlacementSearch::LeaveQueue() {
   if (waits_at_planner_) {
-    EndAsk();
+    EndQuery();
   }
-  if (waiter_.has_value()) {
-    services_->queue->Remove(*waiter_);
-    waiter_.reset();
+  if (queue_id_.has_value()) {
+    services_->queue->Remove(*queue_id_);
+    queue_id_.reset();
   }
 }
 
 void PlacementSearch::Prepare(const Placement& placement) {
   ++placements_;
-  BeginWork(placement);
+  StartWork(placement);
   std::vector<MemoryNeed> needs;
   for (const PrefillHelper& helper : placement.helpers) {
     if (Tokens{0} < helper.held) {
@@ -391,46 +397,46 @@
     }
   }
   if (needs.empty()) {
-    GivePlace(placement);
+    Commit(placement);
     return;
   }
-  hold_ = std::make_shared<MemoryReservation>(
+  reservation_ = std::make_shared<MemoryReservation>(
       services_->io, services_->orders, std::move(needs),
-      [answers = services_->response_handler, asked_at = services_->clock()](
-          const EndpointRecord& endpoint, const EndpointResponse& answer) {
-        answers->OnAnswer(endpoint, answer, asked_at);
+      [handler = services_->response_handler, sent_at = services_->clock()](
+          const EndpointRecord& endpoint, const EndpointResponse& response) {
+        handler->OnAnswer(endpoint, response, sent_at);
       });
-  hold_->Acquire([weak = weak_from_this(), placement](bool held) {
+  reservation_->Acquire([weak = weak_from_this(), placement](bool held) {
     const auto self = weak.lock();
     if (self != nullptr && self->observer_ != nullptr) {
-      self->OnMemory(placement, held);
+      self->OnMemoryReserved(placement, held);
     }
   });
   observer_->OnWaiting();
 }
 
-void PlacementSearch::GivePlace(const Placement& placement) {
-  services_->start_limiter->OnStart(placement, *sought_.request.service);
+void PlacementSearch::Commit(const Placement& placement) {
+  services_->start_limiter->OnStart(placement, *params_.request.service);
   observer_->OnPlaced(placement);
 }
 
-void PlacementSearch::OnMemory(const Placement& placement, bool held) {
+void PlacementSearch::OnMemoryReserved(const Placement& placement, bool held) {
   nlohmann::json fields = log_fields_();
   // Memory is waited for up to 300 ms. With the wait for a connection an
   // endpoint that was heard to leave meanwhile would be sent to 0.6 s later.
   const bool usable = IsStillUsable(placement) && MayStart(placement);
   fields["held"] = held;
   fields["usable"] = usable;
-  fields["prompt"] = sought_.request.prompt.value;
+  fields["prompt"] = params_.request.prompt.value;
   services_->log->Write("memory", std::move(fields));
   if (held && usable) {
-    GivePlace(placement);
+    Commit(placement);
     return;
   }
   End();
-  NoteWaiting();
+  StartWaitClock();
   // The memory that was there a moment ago is another's now.
-  retry_timer_.expires_after(kMemoryRetry);
+  retry_timer_.expires_after(kMemoryRetryDelay);
   retry_timer_.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& error) {
         const auto self = weak.lock();
@@ -442,28 +448,28 @@
 
 MemoryTicket PlacementSearch::TicketFor(const EndpointId& holder) const {
   // One for each placement: memory of an earlier one may still be ending.
-  return MemoryTicket{sought_.request_id + "-" + std::to_string(placements_) +
+  return MemoryTicket{params_.request_id + "-" + std::to_string(placements_) +
                       "-" + holder.value};
 }
 
-void PlacementSearch::BeginWork(const Placement& placement) {
+void PlacementSearch::StartWork(const Placement& placement) {
   failed_ = false;
-  std::vector<WorkPart> parts = PartsOf(placement, sought_.request);
+  std::vector<WorkPart> parts = PartsOf(placement, params_.request);
   for (const WorkPart& part : parts) {
     work_.push_back(services_->loads->Begin(part));
   }
-  if (!sought_.request.service->engine.has_value()) {
+  if (!params_.request.service->engine.has_value()) {
     return;
   }
-  if (!ask_.has_value()) {
-    ask_ = services_->places->NewId();
+  if (!query_id_.has_value()) {
+    query_id_ = services_->places->NewId();
   }
-  services_->places->OnStarted(*ask_, std::move(parts));
+  services_->places->OnStarted(*query_id_, std::move(parts));
 }
 
-void PlacementSearch::OnPrefillDone(double pace) {
-  if (ask_.has_value()) {
-    services_->places->OnPrefillDone(*ask_, pace);
+void PlacementSearch::OnPrefillDone(double slowdown) {
+  if (query_id_.has_value()) {
+    services_->places->OnPrefillDone(*query_id_, slowdown);
   }
   for (const WorkId id : work_) {
     services_->loads->OnPrefillDone(id);
@@ -476,17 +482,17 @@
     services_->loads->End(id);
   }
   work_.clear();
-  EndAsk();
-  if (hold_ != nullptr) {
-    hold_->Release();
-    hold_.reset();
+  EndQuery();
+  if (reservation_ != nullptr) {
+    reservation_->Release();
+    reservation_.reset();
   }
 }
 
-void PlacementSearch::EndAsk() {
-  if (ask_.has_value()) {
-    services_->places->OnEnd(*ask_, failed_);
-    ask_.reset();
+void PlacementSearch::EndQuery() {
+  if (query_id_.has_value()) {
+    services_->places->OnEnd(*query_id_, failed_);
+    query_id_.reset();
   }
   waits_at_planner_ = false;
 }
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -47,7 +47,7 @@
   // The request may go there now; the memory that it needs on helpers is held.
   virtual void OnPlaced(const Placement& placement) = 0;
   // Its caller may come again after `pause`.
-  virtual void OnRejected(RejectionReason reason, Millis pause) = 0;
+  virtual void OnRejected(RejectionReason reason, Millis retry_after) = 0;
   // No endpoint of the service may be used.
   virtual void OnNoEndpoint() = 0;
   // It waits, or waits for something else now.
@@ -70,7 +70,7 @@
   // `services` must outlive this. `observer` must stay until Close has been
   // called; it may be called from within Search. `log_fields` returns what
   // names the request in log lines.
-  PlacementSearch(const GatewayServices* services, PlacementSearchParams sought,
+  PlacementSearch(const GatewayServices* services, PlacementSearchParams params,
                   PlacementObserver* observer,
                   std::function<nlohmann::json()> log_fields);
 
@@ -89,13 +89,13 @@
   std::optional<Millis> RetryAfterBackoffs() const;
 
   // Whether it stands in a queue, of the planner or of this host.
-  bool IsWaiting() const { return waiter_.has_value() || waits_at_planner_; }
+  bool IsWaiting() const { return queue_id_.has_value() || waits_at_planner_; }
   void LeaveQueue();
 
   // The endpoint of the place has been sent to, and is not chosen again.
-  void MarkTried(const EndpointId& id) { sought_.request.tried.insert(id); }
+  void MarkTried(const EndpointId& id) { params_.request.tried.insert(id); }
   // The first event came, `pace` times as late as predicted.
-  void OnPrefillDone(double pace);
+  void OnPrefillDone(double slowdown);
   // The endpoint of the place failed.
   void OnFailure() { failed_ = true; }
   // The request leaves its place, or wants this one no more.
@@ -110,7 +110,7 @@
   std::optional<TimePoint> WaitEnd(bool may_have_run) const;
   // Returns for how long it has waited, if it ever has.
   std::optional<Millis> Waited() const;
-  Tokens Prompt() const { return sought_.request.prompt; }
+  Tokens Prompt() const { return params_.request.prompt; }
 
  private:
   // Asks the planner; the answer comes to OnResult.
@@ -131,9 +131,9 @@
   // Returns whether new work may still go to all that `placement` names.
   bool IsStillUsable(const Placement& placement) const;
   // Tells that no planner gave a place.
-  void NotePlacedAlone();
+  void LogPlacedLocally();
   // Places by what this host knows itself, or waits here.
-  void PlaceAlone();
+  void PlaceWithLocalState();
   // Returns false if all engines that could take it are busy.
   bool TryPlace();
   void SetTimes();
@@ -144,36 +144,36 @@
   // the request is late.
   void WaitForStart();
   // Ends the search if CannotStartInTime. Returns whether it did.
-  bool EndByBounds();
+  bool EndIfStartLimited();
   // Returns when this host may begin a request at an endpoint that is not among
   // `tried`; nothing if no bound stands against one of them.
-  std::optional<StartAvailability> Outlook(
+  std::optional<StartAvailability> AvailabilityExcluding(
       const std::set<EndpointId>& tried) const;
   // Returns until when waiting for an endpoint is of use.
-  TimePoint WaitsOfUseUntil(SendingHistory history) const;
-  void TurnAwayByBounds(const StartAvailability& outlook);
+  TimePoint WaitDeadline(SendingHistory history) const;
+  void RejectStartLimited(const StartAvailability& availability);
   // Whether it was sent before.
   bool WasSent() const { return history_ != SendingHistory::kNew; }
-  void NoteWaiting();
+  void StartWaitClock();
   // Whether another prompt that takes no longer to read waits and can no longer
   // be in time.
-  bool WaitsInVain() const;
+  bool CannotMeetTarget() const;
   // What it takes of its account's share; nothing from plain services.
   std::optional<ShareClaim> Claim() const;
   // Returns after which time a caller who is turned away may come again.
-  Millis PauseForReturn() const;
-  WaitingRequest AsWaiter() const;
+  Millis RetryAfterRejection() const;
+  WaitingRequest MakeWaitingRequest() const;
   // Sets memory aside first if the placement needs that.
   void Prepare(const Placement& placement);
-  void OnMemory(const Placement& placement, bool held);
+  void OnMemoryReserved(const Placement& placement, bool held);
   // The request is sent now.
-  void GivePlace(const Placement& placement);
-  void BeginWork(const Placement& placement);
+  void Commit(const Placement& placement);
+  void StartWork(const Placement& placement);
   // Ends the place that was asked for, given or not.
-  void EndAsk();
+  void EndQuery();
 
   const GatewayServices* services_;
-  PlacementSearchParams sought_;
+  PlacementSearchParams params_;
   // Null once this is closed.
   PlacementObserver* observer_;
   std::function<nlohmann::json()> log_fields_;
@@ -182,15 +182,15 @@
   Timer retry_timer_;
   SendingHistory history_ = SendingHistory::kNew;
   // The place that was asked for, while it is waited for or used.
-  std::optional<QueryId> ask_;
+  std::optional<QueryId> query_id_;
   bool waits_at_planner_ = false;
-  std::optional<WaitingRequestId> waiter_;
+  std::optional<WaitingRequestId> queue_id_;
   TimePoint waits_since_{};
   int placements_ = 0;
-  int unusable_places_ = 0;
+  int unusable_placements_ = 0;
   // Of the endpoint first, then of the helpers.
   std::vector<WorkId> work_;
-  std::shared_ptr<MemoryReservation> hold_;
+  std::shared_ptr<MemoryReservation> reservation_;
   bool failed_ = false;
 };
 
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -13,7 +13,7 @@
 // For how long after its first event an endpoint counts as beginning a request:
 // ten times what an engine takes to end by a request, for engines that are
 // slow.
-constexpr Millis kBeginning{1000};
+constexpr Millis kStartPeriod{1000};
 
 }  // namespace
 
@@ -29,7 +29,7 @@
   }
   predicted_ = placement.first_event;
   was_sent_ = false;
-  began_at_.reset();
+  attempt_first_event_at_.reset();
   sent_at_ = services_->clock();
   last_bytes_at_ = sent_at_;
   attempt_ = std::make_shared<Attempt>(services_->io, services_->connections,
@@ -42,9 +42,9 @@
   // On a kept connection a request can cross the endpoint's close, and nobody
   // could tell whether it ran.
   if (route_->MayRepeat()) {
-    auto kept = services_->connections->TakeIdle(endpoint_.id);
-    if (kept != nullptr) {
-      return kept;
+    auto idle = services_->connections->TakeIdle(endpoint_.id);
+    if (idle != nullptr) {
+      return idle;
     }
   }
   services_->metrics->GetCounter("harecrank_gateway_connections_total")->Add();
@@ -60,12 +60,12 @@
 
 void RequestSender::OnSent() {
   was_sent_ = true;
-  ++sendings_;
+  ++send_count_;
 }
 
-void RequestSender::OnAnswer(const EndpointResponse& answer) {
+void RequestSender::OnAnswer(const EndpointResponse& response) {
   last_bytes_at_ = services_->clock();
-  services_->response_handler->OnAnswer(endpoint_, answer, sent_at_);
+  services_->response_handler->OnAnswer(endpoint_, response, sent_at_);
 }
 
 void RequestSender::OnBytes() {
@@ -74,19 +74,19 @@
 }
 
 std::optional<double> RequestSender::OnFirstEvent() {
-  if (began_at_.has_value()) {
+  if (attempt_first_event_at_.has_value()) {
     return std::nullopt;
   }
   const TimePoint now = services_->clock();
-  began_at_ = now;
+  attempt_first_event_at_ = now;
   first_event_at_ = first_event_at_.value_or(now);
   const FractionalMillis taken = now - sent_at_;
   // A single slow answer says little of short waits; what counts is how the
   // longer ones compare.
   constexpr FractionalMillis kNegligible{200};
-  const double pace = (taken + kNegligible) / (predicted_ + kNegligible);
-  services_->health->OnSuccess(endpoint_.id, pace);
-  return pace;
+  const double slowdown = (taken + kNegligible) / (predicted_ + kNegligible);
+  services_->health->OnSuccess(endpoint_.id, slowdown);
+  return slowdown;
 }
 
 void RequestSender::OnErrorAnswer() {
@@ -103,20 +103,20 @@
   services_->on_endpoint_fault();
 }
 
-void RequestSender::OnRefusal(const EndpointResponse& answer,
+void RequestSender::OnRefusal(const EndpointResponse& response,
                               nlohmann::json fields) {
-  const std::string& named = answer.at_fault;
-  if (named.empty()) {
+  const std::string& at_fault = response.at_fault;
+  if (at_fault.empty()) {
     return;
   }
   fields["endpoint"] = endpoint_.id.value;
-  fields["at_fault"] = named;
+  fields["at_fault"] = at_fault;
   services_->log->Write("endpoint_blamed", std::move(fields),
                         LogRateLimit::kExempt);
   for (const EndpointId& helper : helpers_) {
     const EndpointRecord* record = services_->directory->Find(helper);
-    const bool is_address = record != nullptr && record->address == named;
-    if (helper.value == named || is_address) {
+    const bool is_address = record != nullptr && record->address == at_fault;
+    if (helper.value == at_fault || is_address) {
       services_->health->OnReportedAtFault(helper);
       services_->on_endpoint_fault();
     }
@@ -124,7 +124,8 @@
 }
 
 bool RequestSender::IsStarting() const {
-  return !began_at_.has_value() || services_->clock() - *began_at_ < kBeginning;
+  return !attempt_first_event_at_.has_value() ||
+         services_->clock() - *attempt_first_event_at_ < kStartPeriod;
 }
 
 TimePoint RequestSender::OverdueAt() const {
@@ -133,17 +134,18 @@
   progress.last_bytes_at = last_bytes_at_;
   progress.predicted = predicted_;
   progress.has_helpers = !helpers_.empty();
-  progress.first_event_seen = began_at_.has_value();
+  progress.first_event_seen = attempt_first_event_at_.has_value();
   progress.endpoint_is_alive =
       services_->health->ReceivedBytesAfter(endpoint_.id, last_bytes_at_);
   return harecrank::OverdueAt(*route_, progress);
 }
 
 std::optional<Millis> RequestSender::SinceFirstEvent() const {
-  if (!began_at_.has_value()) {
+  if (!attempt_first_event_at_.has_value()) {
     return std::nullopt;
   }
-  return std::chrono::duration_cast<Millis>(services_->clock() - *began_at_);
+  return std::chrono::duration_cast<Millis>(services_->clock() -
+                                            *attempt_first_event_at_);
 }
 
 }  // namespace harecrank
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -31,7 +31,7 @@
 
   // What the observer hears.
   void OnSent();
-  void OnAnswer(const EndpointResponse& answer);
+  void OnAnswer(const EndpointResponse& response);
   void OnBytes();
   // Returns how many times as late as predicted the first event of this attempt
   // came, or nothing if it came before.
@@ -41,18 +41,18 @@
   void OnOverdue();
   // Marks the helper that a refusal names, if it names one. `fields` name the
   // request in the log.
-  void OnRefusal(const EndpointResponse& answer, nlohmann::json fields);
+  void OnRefusal(const EndpointResponse& response, nlohmann::json fields);
 
   bool IsUnderWay() const { return attempt_ != nullptr; }
   // Whether the endpoint may have the request of the last attempt.
   bool WasSent() const { return was_sent_; }
-  bool HasFirstEvent() const { return began_at_.has_value(); }
+  bool HasFirstEvent() const { return attempt_first_event_at_.has_value(); }
   // Whether the endpoint has begun to run it only now, if it has at all.
   bool IsStarting() const;
   // Returns when its answer is overdue.
   TimePoint OverdueAt() const;
 
-  int SendCount() const { return sendings_; }
+  int SendCount() const { return send_count_; }
   // Where it was sent last.
   const EndpointRecord& Endpoint() const { return endpoint_; }
   FractionalMillis Predicted() const { return predicted_; }
@@ -78,9 +78,9 @@
   TimePoint last_bytes_at_{};
   bool was_sent_ = false;
   // The first event of the last attempt; unset before it.
-  std::optional<TimePoint> began_at_;
+  std::optional<TimePoint> attempt_first_event_at_;
   std::optional<TimePoint> first_event_at_;
-  int sendings_ = 0;
+  int send_count_ = 0;
 };
 
 }  // namespace harecrank
--- a/src/gateway/response_decoder.cc
+++ b/src/gateway/response_decoder.cc
@@ -19,36 +19,38 @@
 
 constexpr double kMillisPerSecond = 1000;
 
-std::optional<Poco::Timestamp> ReadDate(std::string_view text) {
+std::optional<Poco::Timestamp> ParseHttpDate(std::string_view text) {
   const std::string& format = Poco::DateTimeFormat::HTTP_FORMAT;
-  const std::string given(text);
+  const std::string date_text(text);
   Poco::DateTime date;
   int zone = 0;
-  const bool is_read =
-      Poco::DateTimeParser::tryParse(format, given, date, zone);
+  const bool is_parsed =
+      Poco::DateTimeParser::tryParse(format, date_text, date, zone);
   // The parser makes a date of nearly any text.
-  if (!is_read || Poco::DateTimeFormatter::format(date, format) != given) {
+  if (!is_parsed ||
+      Poco::DateTimeFormatter::format(date, format) != date_text) {
     return std::nullopt;
   }
   return date.timestamp();
 }
 
 // Whether an endpoint says with `status` when a host may come again.
-bool MayAskForRest(unsigned status) {
+bool MayCarryBackoffHint(unsigned status) {
   return status == http_status::kUnavailable ||
          status == http_status::kTooManyRequests;
 }
 
 }  // namespace
 
-BackoffHint ParseRetryAfter(std::string_view text, std::string_view answered) {
+BackoffHint ParseRetryAfter(std::string_view text,
+                            std::string_view response_date) {
   const auto longest = static_cast<double>(kMaxBackoff.count());
   if (const auto seconds = ParseDecimal(text)) {
     const double backoff = std::min(longest, *seconds * kMillisPerSecond);
     return Millis(static_cast<std::int64_t>(std::ceil(backoff)));
   }
-  const auto until = ReadDate(text);
-  const auto since = ReadDate(answered);
+  const auto until = ParseHttpDate(text);
+  const auto since = ParseHttpDate(response_date);
   if (!until.has_value() || !since.has_value()) {
     return UnreadableBackoff{};
   }
@@ -67,25 +69,25 @@
 
 EndpointResponse DecodeResponse(const ResponseHead& head,
                                 const ProtocolNames& names) {
-  EndpointResponse answer;
-  answer.status = head.result_int();
-  answer.is_signed = head.count(names.answer_signature) != 0;
-  answer.not_run = head.count(names.not_run) != 0;
-  answer.at_fault = std::string(head[names.endpoint_at_fault]);
+  EndpointResponse response;
+  response.status = head.result_int();
+  response.is_signed = head.count(names.answer_signature) != 0;
+  response.not_run = head.count(names.not_run) != 0;
+  response.at_fault = std::string(head[names.endpoint_at_fault]);
   const auto limit = head.find(names.request_limit);
   if (limit != head.end()) {
-    answer.limit = ParseRateLimit(View(limit->value()));
+    response.limit = ParseRateLimit(View(limit->value()));
   }
   const auto backoff = head.find(http::field::retry_after);
-  if (backoff != head.end() && MayAskForRest(answer.status)) {
-    answer.backoff =
+  if (backoff != head.end() && MayCarryBackoffHint(response.status)) {
+    response.backoff =
         ParseRetryAfter(View(backoff->value()), View(head[http::field::date]));
   }
   const auto leaving = head.find(names.leaving);
   if (leaving != head.end()) {
-    answer.leaving = ParseLeavingHint(View(leaving->value()));
+    response.leaving = ParseLeavingHint(View(leaving->value()));
   }
-  return answer;
+  return response;
 }
 
 }  // namespace harecrank
--- a/src/gateway/response_decoder.h
+++ b/src/gateway/response_decoder.h
@@ -19,7 +19,8 @@
 // Reads the time for which an endpoint wants nothing, as HTTP has it: seconds,
 // with a fraction if it likes, or a date. A date counts from `answered`, the
 // date of the answer itself: hosts' own time of day may jump.
-BackoffHint ParseRetryAfter(std::string_view text, std::string_view answered);
+BackoffHint ParseRetryAfter(std::string_view text,
+                            std::string_view response_date);
 
 // Reads whether an endpoint says that it is about to end.
 LeavingHint ParseLeavingHint(std::string_view text);
--- a/src/gateway/response_relay.cc
+++ b/src/gateway/response_relay.cc
@@ -7,13 +7,13 @@
 namespace {
 
 // An answer that is not a stream is kept whole before it goes on.
-constexpr std::size_t kMostAnswerBytes = 16U << 20U;
+constexpr std::size_t kMaxResponseBytes = 16U << 20U;
 
 }  // namespace
 
-ResponseRelay::ResponseRelay(std::shared_ptr<ResponseSink> answer,
+ResponseRelay::ResponseRelay(std::shared_ptr<ResponseSink> sink,
                              MonotonicClock clock)
-    : answer_(std::move(answer)), clock_(std::move(clock)) {}
+    : sink_(std::move(sink)), clock_(std::move(clock)) {}
 
 void ResponseRelay::BeginAttempt() {
   is_stream_ = false;
@@ -25,42 +25,42 @@
   is_stream_ = true;
   if (!stream_begun_) {
     stream_begun_ = true;
-    answer_->BeginStream(head);
+    sink_->BeginStream(head);
   }
 }
 
 void ResponseRelay::BufferWhole(ResponseHead head) { head_ = std::move(head); }
 
-ResponseRelay::Accepted ResponseRelay::Accept(std::string_view bytes) {
+ResponseRelay::AcceptResult ResponseRelay::Accept(std::string_view bytes) {
   if (!is_stream_) {
     body_.append(bytes);
-    return body_.size() > kMostAnswerBytes ? Accepted::kTooLarge
-                                           : Accepted::kBuffered;
+    return body_.size() > kMaxResponseBytes ? AcceptResult::kTooLarge
+                                            : AcceptResult::kBuffered;
   }
   std::string events = scanner_.Accept(bytes);
   if (events.empty()) {
-    return Accepted::kBuffered;
+    return AcceptResult::kBuffered;
   }
-  NotePause();
-  answer_->SendEvents(std::move(events));
-  return Accepted::kEvents;
+  RecordGap();
+  sink_->SendEvents(std::move(events));
+  return AcceptResult::kEvents;
 }
 
-void ResponseRelay::NotePause() {
+void ResponseRelay::RecordGap() {
   const TimePoint now = clock_();
   if (last_event_at_ != TimePoint{}) {
-    longest_pause_ = std::max(longest_pause_, now - last_event_at_);
+    longest_gap_ = std::max(longest_gap_, now - last_event_at_);
   }
   last_event_at_ = now;
 }
 
-void ResponseRelay::EndStream() { answer_->EndStream(); }
+void ResponseRelay::EndStream() { sink_->EndStream(); }
 
-void ResponseRelay::AbortStream() { answer_->AbortStream(); }
+void ResponseRelay::AbortStream() { sink_->AbortStream(); }
 
 unsigned ResponseRelay::SendBuffered() {
   const unsigned status = BufferedStatus();
-  answer_->SendWhole(*std::move(head_), std::move(body_));
+  sink_->SendWhole(*std::move(head_), std::move(body_));
   return status;
 }
 
--- a/src/gateway/response_relay.h
+++ b/src/gateway/response_relay.h
@@ -18,7 +18,7 @@
 // they are whole. Not thread-safe.
 class ResponseRelay {
  public:
-  ResponseRelay(std::shared_ptr<ResponseSink> answer, MonotonicClock clock);
+  ResponseRelay(std::shared_ptr<ResponseSink> sink, MonotonicClock clock);
 
   // A new attempt begins. A stream that has begun goes on where it stands.
   void BeginAttempt();
@@ -30,14 +30,14 @@
   void BufferWhole(ResponseHead head);
 
   // What became of bytes of the body.
-  enum class Accepted {
+  enum class AcceptResult {
     kBuffered,
     // At least one whole event went on.
     kEvents,
     // The answer is larger than may be kept.
     kTooLarge
   };
-  Accepted Accept(std::string_view bytes);
+  AcceptResult Accept(std::string_view bytes);
 
   // Drops the beginning of an event that its endpoint never finished.
   void DropPartial() { scanner_.DropPartial(); }
@@ -58,12 +58,12 @@
   const std::string& LastEventId() const { return scanner_.LastId(); }
   std::size_t EventCount() const { return scanner_.Count(); }
   // Returns the longest time between two events, also across a resumption.
-  TimePoint::duration LongestPause() const { return longest_pause_; }
+  TimePoint::duration LongestGap() const { return longest_gap_; }
 
  private:
-  void NotePause();
+  void RecordGap();
 
-  std::shared_ptr<ResponseSink> answer_;
+  std::shared_ptr<ResponseSink> sink_;
   MonotonicClock clock_;
   EventScanner scanner_;
   std::optional<ResponseHead> head_;
@@ -71,7 +71,7 @@
   bool is_stream_ = false;
   bool stream_begun_ = false;
   TimePoint last_event_at_{};
-  TimePoint::duration longest_pause_{0};
+  TimePoint::duration longest_gap_{0};
 };
 
 }  // namespace harecrank
--- a/src/gateway/start_limiter.cc
+++ b/src/gateway/start_limiter.cc
@@ -15,18 +15,18 @@
       metrics_(metrics),
       clock_(clock),
       cold_endpoints_(clock),
-      limits_(clock),
-      rests_(clock),
-      shares_(cold_limit, &cold_endpoints_, &limits_,
-              HostBackoffs{self_, &rests_}, std::move(hosts), clock),
-      starts_(std::move(clock)) {}
+      rate_limits_(clock),
+      backoffs_(clock),
+      quotas_(cold_limit, &cold_endpoints_, &rate_limits_,
+              HostBackoffs{self_, &backoffs_}, std::move(hosts), clock),
+      history_(std::move(clock)) {}
 
 void StartLimiter::OnListing(const std::vector<EndpointRecord>& records) {
   for (const EndpointRecord& record : records) {
     if (has_listing_) {
       OnEndpoint(record);
     } else {
-      TakeCold(record, Millis(0));
+      UpdateColdState(record, Millis(0));
     }
   }
   has_listing_ = true;
@@ -36,10 +36,12 @@
   const auto table = routing_();
   const ServiceProfile* service =
       table == nullptr ? nullptr : table->FindService(record.service);
-  TakeCold(record, service == nullptr ? Millis(0) : service->cold_period);
+  UpdateColdState(record,
+                  service == nullptr ? Millis(0) : service->cold_period);
 }
 
-void StartLimiter::TakeCold(const EndpointRecord& record, Millis after_start) {
+void StartLimiter::UpdateColdState(const EndpointRecord& record,
+                                   Millis after_start) {
   const ColdChange change = cold_endpoints_.OnRecord(record, after_start);
   if (change == ColdChange::kTurnedCold) {
     log_->Write("endpoint_cold",
@@ -53,24 +55,24 @@
 }
 
 bool StartLimiter::OnAnswer(const EndpointId& endpoint,
-                            const RateLimitHint& word, TimePoint sent_at) {
-  if (std::holds_alternative<UnreadableRateLimit>(word)) {
+                            const RateLimitHint& hint, TimePoint sent_at) {
+  if (std::holds_alternative<UnreadableRateLimit>(hint)) {
     metrics_->GetCounter("harecrank_gateway_limits_unreadable_total")->Add();
     log_->Write("limit_unreadable", {{"endpoint", endpoint.value}});
   }
-  const RateLimitChange change = limits_.OnAnswer(endpoint, word, sent_at);
-  NoteLimit(endpoint, change, "answer");
+  const RateLimitChange change = rate_limits_.OnAnswer(endpoint, hint, sent_at);
+  LogRateLimitChange(endpoint, change, "answer");
   return change == RateLimitChange::kAdvertised ||
          change == RateLimitChange::kEnded;
 }
 
 void StartLimiter::OnBackoffHint(const EndpointRecord& endpoint,
-                                 const BackoffHint& word) {
-  const bool is_unreadable = std::holds_alternative<UnreadableBackoff>(word);
+                                 const BackoffHint& hint) {
+  const bool is_unreadable = std::holds_alternative<UnreadableBackoff>(hint);
   if (is_unreadable) {
     metrics_->GetCounter("harecrank_gateway_rests_unreadable_total")->Add();
   }
-  if (!rests_.OnAnswer(endpoint.id, endpoint.incarnation, word)) {
+  if (!backoffs_.OnAnswer(endpoint.id, endpoint.incarnation, hint)) {
     return;
   }
   metrics_->GetCounter("harecrank_gateway_rests_asked_total")->Add();
@@ -78,27 +80,29 @@
       "rest_asked",
       {{"endpoint", endpoint.id.value},
        {"rest_ms",
-        rests_.RemainingBackoff(endpoint.id).value_or(Millis(0)).count()},
+        backoffs_.RemainingBackoff(endpoint.id).value_or(Millis(0)).count()},
        {"readable", !is_unreadable}});
 }
 
 void StartLimiter::MergeFromPeer(const std::vector<RateLimitReport>& reports) {
   for (const RateLimitReport& report : reports) {
-    NoteLimit(report.endpoint, limits_.MergeFromPeer(report), "host");
+    LogRateLimitChange(report.endpoint, rate_limits_.MergeFromPeer(report),
+                       "host");
   }
 }
 
-void StartLimiter::NoteLimit(const EndpointId& endpoint, RateLimitChange change,
-                             const char* told_by) {
+void StartLimiter::LogRateLimitChange(const EndpointId& endpoint,
+                                      RateLimitChange change,
+                                      const char* source) {
   if (change == RateLimitChange::kNone) {
     return;
   }
-  nlohmann::json fields = {{"endpoint", endpoint.value}, {"by", told_by}};
+  nlohmann::json fields = {{"endpoint", endpoint.value}, {"by", source}};
   if (change == RateLimitChange::kEnded) {
     log_->Write("limit_ended", std::move(fields));
     return;
   }
-  const auto rate = limits_.AdvertisedRate(endpoint);
+  const auto rate = rate_limits_.AdvertisedRate(endpoint);
   fields["per_second"] = rate.value_or(RequestRate{}).value;
   log_->Write("limit_named", std::move(fields));
 }
@@ -107,16 +111,16 @@
   for (const EndpointId& id : cold_endpoints_.TakeWarmed()) {
     log_->Write("endpoint_warm", {{"endpoint", id.value}, {"by", "time"}});
   }
-  for (const EndpointId& id : limits_.TakeExpired()) {
+  for (const EndpointId& id : rate_limits_.TakeExpired()) {
     log_->Write("limit_lifted", {{"endpoint", id.value}});
   }
-  for (const EndpointId& id : rests_.TakeEnded()) {
+  for (const EndpointId& id : backoffs_.TakeEnded()) {
     log_->Write("rest_over", {{"endpoint", id.value}});
   }
 }
 
 std::set<EndpointId> StartLimiter::Withheld(const ServiceProfile& service) {
-  std::set<EndpointId> withheld = shares_.Withheld(starts_, self_, service);
+  std::set<EndpointId> withheld = quotas_.Withheld(history_, self_, service);
   if (!withheld.empty()) {
     CountWithheld();
   }
@@ -125,11 +129,11 @@
 
 bool StartLimiter::MayStart(const Placement& placement,
                             const ServiceProfile& service) {
-  const bool may = shares_.MayStart(starts_, self_, placement, service);
-  if (!may) {
+  const bool may_start = quotas_.MayStart(history_, self_, placement, service);
+  if (!may_start) {
     CountWithheld();
   }
-  return may;
+  return may_start;
 }
 
 void StartLimiter::CountWithheld() {
@@ -138,22 +142,23 @@
 
 void StartLimiter::OnStart(const Placement& placement,
                            const ServiceProfile& service) {
-  shares_.Add(placement, service, self_, &starts_);
+  quotas_.Add(placement, service, self_, &history_);
 }
 
 Millis StartLimiter::NextRetryAfter(const ServiceName& service,
-                                    const StartAvailability& outlook) {
+                                    const StartAvailability& availability) {
   metrics_->GetCounter("harecrank_gateway_turned_away_by_bounds_total")->Add();
   constexpr double kMillisPerSecond = 1000;
   const TimePoint now = clock_();
-  TimePoint& last = returns_[service];
-  TimePoint next = std::max(outlook.next, now);
-  if (outlook.per_second > 0) {
-    const FractionalMillis pause(kMillisPerSecond / outlook.per_second);
+  TimePoint& last = retry_times_[service];
+  TimePoint next = std::max(availability.next, now);
+  if (availability.per_second > 0) {
+    const FractionalMillis interval(kMillisPerSecond / availability.per_second);
     next = std::max(
-        next, last + std::chrono::duration_cast<TimePoint::duration>(pause));
+        next, last + std::chrono::duration_cast<TimePoint::duration>(interval));
   }
-  last = std::min(next, std::max(now + kMaxRetryAfter, outlook.backoff_until));
+  last = std::min(next,
+                  std::max(now + kMaxRetryAfter, availability.backoff_until));
   return std::chrono::ceil<Millis>(last - now);
 }
 
@@ -165,40 +170,44 @@
                     {"raise", cold_endpoints_.RampUpFactor(id).value_or(1)}});
   }
   nlohmann::json limited = nlohmann::json::array();
-  for (const EndpointId& id : limits_.LimitedEndpoints()) {
-    limited.push_back(DescribeLimit(id));
+  for (const EndpointId& id : rate_limits_.LimitedEndpoints()) {
+    limited.push_back(DescribeRateLimit(id));
   }
-  nlohmann::json resting = nlohmann::json::array();
-  for (const EndpointId& id : rests_.LimitedEndpoints()) {
-    resting.push_back(DescribeRest(id));
+  nlohmann::json backing_off = nlohmann::json::array();
+  for (const EndpointId& id : backoffs_.LimitedEndpoints()) {
+    backing_off.push_back(DescribeBackoff(id));
   }
   return {{"cold", std::move(cold)},
           {"limited", std::move(limited)},
-          {"resting", std::move(resting)}};
+          {"resting", std::move(backing_off)}};
 }
 
-nlohmann::json StartLimiter::DescribeRest(const EndpointId& id) const {
-  const StartLimit bound = rests_.StartLimitOf(id).value_or(StartLimit{});
-  return {{"endpoint", id.value},
-          {"rest_ms", rests_.RemainingBackoff(id).value_or(Millis(0)).count()},
-          {"raise", bound.multiplier}};
+nlohmann::json StartLimiter::DescribeBackoff(const EndpointId& id) const {
+  const StartLimit limit = backoffs_.StartLimitOf(id).value_or(StartLimit{});
+  return {
+      {"endpoint", id.value},
+      {"rest_ms", backoffs_.RemainingBackoff(id).value_or(Millis(0)).count()},
+      {"raise", limit.multiplier}};
 }
 
-nlohmann::json StartLimiter::DescribeLimit(const EndpointId& id) const {
+nlohmann::json StartLimiter::DescribeRateLimit(const EndpointId& id) const {
   // A service that bounds nothing by itself: what is left is the limit.
-  const ServiceProfile unbounded;
-  const StartLimit bound = limits_.StartLimitOf(id).value_or(StartLimit{});
-  const auto named = limits_.AdvertisedRate(id);
-  const TimePoint next = shares_.NextStart(starts_, self_, id, unbounded);
+  const ServiceProfile service_without_limits;
+  const StartLimit limit = rate_limits_.StartLimitOf(id).value_or(StartLimit{});
+  const auto advertised = rate_limits_.AdvertisedRate(id);
+  const TimePoint next =
+      quotas_.NextStart(history_, self_, id, service_without_limits);
   const auto wait = std::chrono::ceil<Millis>(next - clock_());
   return {{"endpoint", id.value},
-          {"named_per_second",
-           named.has_value() ? nlohmann::json(named->value) : nlohmann::json()},
-          {"per_second", bound.per_second.value_or(0) * bound.multiplier},
-          {"raise", bound.multiplier},
-          {"own_share", shares_.QuotaOf(self_, id, unbounded).value_or(0)},
-          {"window_ms", bound.window.count()},
-          {"begun", starts_.CountWithin(self_, id, bound.window)},
+          {"named_per_second", advertised.has_value()
+                                   ? nlohmann::json(advertised->value)
+                                   : nlohmann::json()},
+          {"per_second", limit.per_second.value_or(0) * limit.multiplier},
+          {"raise", limit.multiplier},
+          {"own_share",
+           quotas_.QuotaOf(self_, id, service_without_limits).value_or(0)},
+          {"window_ms", limit.window.count()},
+          {"begun", history_.CountWithin(self_, id, limit.window)},
           {"next_start_ms", std::max(Millis(0), wait).count()}};
 }
 
--- a/src/gateway/start_limiter.h
+++ b/src/gateway/start_limiter.h
@@ -38,23 +38,25 @@
 
   // Takes what the answer to a request that was sent at `sent_at` says of its
   // endpoint's limit. Returns whether other hosts should hear of it soon.
-  bool OnAnswer(const EndpointId& endpoint, const RateLimitHint& word,
+  bool OnAnswer(const EndpointId& endpoint, const RateLimitHint& hint,
                 TimePoint sent_at);
 
   // Takes what an answer says of when this host may come again.
-  void OnBackoffHint(const EndpointRecord& endpoint, const BackoffHint& word);
+  void OnBackoffHint(const EndpointRecord& endpoint, const BackoffHint& hint);
 
   // The endpoint runs in `incarnation`: it owes nothing of an earlier one.
   void OnIncarnation(const EndpointId& id,
                      const std::optional<EndpointIncarnation>& incarnation) {
-    rests_.OnIncarnation(id, incarnation);
+    backoffs_.OnIncarnation(id, incarnation);
   }
 
   // Takes what another host tells of limits.
   void MergeFromPeer(const std::vector<RateLimitReport>& reports);
 
   // Returns what other hosts should hear of limits.
-  std::vector<RateLimitReport> Reports() const { return limits_.Reports(); }
+  std::vector<RateLimitReport> Reports() const {
+    return rate_limits_.Reports();
+  }
 
   // Looks which bounds are over. To be called several times a second.
   void Tick();
@@ -76,7 +78,7 @@
   std::optional<StartAvailability> StartAvailabilityOf(
       const std::vector<const EndpointRecord*>& endpoints,
       const std::set<EndpointId>& tried, const ServiceProfile& service) const {
-    return shares_.StartAvailabilityOf(starts_, self_, endpoints, tried,
+    return quotas_.StartAvailabilityOf(history_, self_, endpoints, tried,
                                        service);
   }
 
@@ -85,17 +87,17 @@
   // for longer. Each is told a later time than the one before, as far apart as
   // requests may be begun.
   Millis NextRetryAfter(const ServiceName& service,
-                        const StartAvailability& outlook);
+                        const StartAvailability& availability);
 
   // The parts of all hosts, for the planner.
-  const StartQuotas* Quotas() const { return &shares_; }
+  const StartQuotas* Quotas() const { return &quotas_; }
 
   std::size_t ColdCount() const { return cold_endpoints_.Count(); }
-  std::size_t LimitedCount() const { return limits_.Count(); }
+  std::size_t LimitedCount() const { return rate_limits_.Count(); }
   bool IsBackingOff(const EndpointId& id) const {
-    return rests_.RemainingBackoff(id).has_value();
+    return backoffs_.RemainingBackoff(id).has_value();
   }
-  std::size_t BackoffCount() const { return rests_.Count(); }
+  std::size_t BackoffCount() const { return backoffs_.Count(); }
 
   // Returns all bounds, and what this host has begun under them, for operators.
   nlohmann::json Describe() const;
@@ -105,12 +107,12 @@
   static constexpr Millis kMaxRetryAfter{10000};
 
  private:
-  nlohmann::json DescribeLimit(const EndpointId& id) const;
-  nlohmann::json DescribeRest(const EndpointId& id) const;
+  nlohmann::json DescribeRateLimit(const EndpointId& id) const;
+  nlohmann::json DescribeBackoff(const EndpointId& id) const;
   void CountWithheld();
-  void TakeCold(const EndpointRecord& record, Millis after_start);
-  void NoteLimit(const EndpointId& endpoint, RateLimitChange change,
-                 const char* told_by);
+  void UpdateColdState(const EndpointRecord& record, Millis after_start);
+  void LogRateLimitChange(const EndpointId& endpoint, RateLimitChange change,
+                          const char* source);
 
   HostAddress self_;
   RoutingTableProvider routing_;
@@ -118,12 +120,12 @@
   Metrics* metrics_;
   MonotonicClock clock_;
   ColdEndpoints cold_endpoints_;
-  EndpointRateLimits limits_;
-  EndpointBackoffs rests_;
-  StartQuotas shares_;
-  StartHistory starts_;
+  EndpointRateLimits rate_limits_;
+  EndpointBackoffs backoffs_;
+  StartQuotas quotas_;
+  StartHistory history_;
   // When the last caller whom a service's bounds left out may come again.
-  std::map<ServiceName, TimePoint> returns_;
+  std::map<ServiceName, TimePoint> retry_times_;
   // Endpoints that were there when this host came are no new lives.
   bool has_listing_ = false;
 };
