--- a/src/gateway/admission.cc
+++ b/src/gateway/admission.cc
@@ -10,7 +10,7 @@
 
 namespace http = boost::beast::http;
 
-// Each step returns a refusal, or nothing if the request goes on.
+// Each step returns a rejection, or nothing if the request goes on.
 using StepResult = std::optional<Rejection>;
 
 // Judges one request, step by step.
@@ -142,8 +142,8 @@
   for (const Step step :
        {&AdmissionCheck::FindRoute, &AdmissionCheck::Authenticate,
         &AdmissionCheck::FitBeforeStop, &AdmissionCheck::ChooseService}) {
-    admitted.refusal = (check.*step)();
-    if (admitted.refusal.has_value()) {
+    admitted.rejection = (check.*step)();
+    if (admitted.rejection.has_value()) {
       break;
     }
   }
--- a/src/gateway/admission.h
+++ b/src/gateway/admission.h
@@ -1,4 +1,5 @@
-// Whether a caller's request may be served, and by which service.
+// Admission of callers' requests: routing, authentication and choice of the
+// service.
 
 #ifndef HARECRANK_SRC_GATEWAY_ADMISSION_H_
 #define HARECRANK_SRC_GATEWAY_ADMISSION_H_
@@ -14,36 +15,39 @@
 
 namespace harecrank {
 
-// A caller's request that is answered without an endpoint.
+// A response to a request that is sent to no endpoint.
 struct Rejection {
   unsigned status = 0;
   std::string code;
-  // Set where the request has not run and may be sent again after this.
+  // Time after which the caller may send the request again; set only if the
+  // request has not run.
   std::optional<Millis> retry_after;
 };
 
-// What is known of a request before it is placed. Of a refused one, as much as
-// was found out.
+// The properties of a request that are determined before its placement. If the
+// request is rejected, only those that were determined until then are set.
 struct AdmittedRequest {
-  // Keeps what the pointers point to.
+  // Owns the objects that `route`, `account` and `service` point to.
   std::shared_ptr<const RoutingTable> table;
   const RouteRule* route = nullptr;
   const AccountEntry* account = nullptr;
   const ServiceProfile* service = nullptr;
-  // The caller's key is not for the endpoint.
+  // The caller's key must not be forwarded to the endpoint.
   bool strip_key = false;
   TimePoint deadline{};
   PlacementRequest placement;
-  std::optional<Rejection> refusal;
+  std::optional<Rejection> rejection;
 };
 
-// A caller that was refused comes back after about as long as short requests
-// take; it waits at most a third of what it has left.
+// Retry-After of a rejected request: about the time that short requests take.
+// Callers wait at most a third of their remaining time.
 inline constexpr Millis kRetryAfterRejection{500};
-// A caller of a host that stops goes to another one, at once.
+// Retry-After of a request that is rejected because this host is shutting down.
+// The caller reaches another host, so it can retry almost at once.
 inline constexpr Millis kRetryElsewhere{50};
 
-// Judges `request` by the routing table in force.
+// Checks `request` against the routing table in force. `arrived` is the time at
+// which the request's header was complete.
 AdmittedRequest Admit(const GatewayServices& services,
                       const CallerRequest& request, TimePoint arrived);
 
--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -1,4 +1,4 @@
-// One sending of a request to one endpoint, and what comes back.
+// One attempt to run a request on one endpoint.
 
 #ifndef HARECRANK_SRC_GATEWAY_ATTEMPT_H_
 #define HARECRANK_SRC_GATEWAY_ATTEMPT_H_
@@ -21,35 +21,36 @@
 
 namespace harecrank {
 
-// How an attempt came to nothing.
+// The attempt failed before any byte of the request left this host.
 struct AttemptNotSent {
-  // No byte of the request left this host for the endpoint.
   std::string reason;
 };
+// The attempt failed after the request was sent, so the request may have run.
 struct AttemptBroken {
-  // The request may have run. `answer_began` tells whether a head had come;
-  // `kept` whether the connection had been used before, and may have been
-  // closed by the endpoint while the request was on its way.
   std::string reason;
+  // The head of a response had arrived.
   bool response_began = false;
+  // The connection had carried a request before, so the endpoint may have
+  // closed it as idle while this request was on its way.
   bool reused = false;
-  // The endpoint closed or reset the connection. Otherwise what came was no
-  // answer, or nothing came and the connection timed out.
+  // The endpoint closed or reset the connection. Otherwise the data received
+  // was not a valid response, or the connection timed out.
   bool closed_by_endpoint = false;
 };
 using AttemptFailure = std::variant<AttemptNotSent, AttemptBroken>;
 
-// What is to be sent. `body` is shared, since a request may be sent again.
+// The request as it is sent to an endpoint. `body` is shared, since the request
+// may be sent several times.
 struct OutgoingRequest {
   std::string request_id;
   std::string head;
   std::shared_ptr<const std::string> body;
-  // The answer to a HEAD request has no body.
+  // Set for HEAD requests.
   bool response_has_no_body = false;
 };
 
-// Told of what an attempt brings. After OnAnswerEnd or OnFailure nothing more
-// is told.
+// Receives the events of one attempt. Nothing is called after OnResponseEnd or
+// OnFailure.
 class AttemptObserver {
  public:
   AttemptObserver() = default;
@@ -60,27 +61,29 @@
   virtual void OnSent() = 0;
   virtual void OnResponseHead(const ResponseHead& head) = 0;
   virtual void OnResponseBytes(std::string_view bytes) = 0;
-  // The answer is whole.
+  // The response is complete.
   virtual void OnResponseEnd() = 0;
   virtual void OnFailure(const AttemptFailure& failure) = 0;
 };
 
-// Not thread-safe; runs on its io_context.
+// Sends a request over one connection and reads the response. Not thread-safe;
+// runs on its io_context.
 class Attempt : public std::enable_shared_from_this<Attempt> {
  public:
-  // `observer` must stay until the attempt has ended or was cancelled.
-  // `connections` gets the connection back if it can be used again.
+  // `observer` must live until the attempt has ended or was cancelled. A
+  // connection that can be reused is returned to `connections`.
   Attempt(boost::asio::io_context* io, EndpointConnectionPool* connections,
           const ProtocolNames* names, AttemptObserver* observer);
 
-  // Sends over `connection`, which is opened to `address` first if it is new.
-  // Fails with AttemptNotSent if that takes longer than `connect_timeout`.
+  // Sends `request` over `connection`, which is first opened to `address` if it
+  // is new. Fails with AttemptNotSent if that takes longer than
+  // `connect_timeout`.
   void Start(std::unique_ptr<EndpointConnection> connection,
              const std::string& address, OutgoingRequest request,
              Millis connect_timeout);
 
-  // Closes the connection, which tells the endpoint to stop. The observer
-  // hears nothing more.
+  // Closes the connection, which tells the endpoint to stop. The observer is
+  // not called any more.
   void Cancel();
 
  private:
@@ -112,11 +115,12 @@
   OutgoingRequest request_;
   std::unique_ptr<Parser> parser_;
   std::array<char, kReadBytes> bytes_{};
-  // No byte of the request has been handed to the connection yet.
+  // No byte of the request has been written to the connection yet.
   bool connecting_ = false;
   bool request_written_ = false;
   bool response_began_ = false;
-  // The message being read belongs to an earlier request on the connection.
+  // The message being read is the response to an earlier request on the
+  // connection.
   bool is_stale_ = false;
   int stale_messages_ = 0;
   bool ended_ = false;
--- a/src/gateway/caller_listener.h
+++ b/src/gateway/caller_listener.h
@@ -1,4 +1,4 @@
-// Accepts callers' connections and keeps track of them.
+// Accepts the connections of callers and keeps track of their sessions.
 
 #ifndef HARECRANK_SRC_GATEWAY_CALLER_LISTENER_H_
 #define HARECRANK_SRC_GATEWAY_CALLER_LISTENER_H_
@@ -17,20 +17,21 @@
 // Not thread-safe; runs on its io_context.
 class CallerListener {
  public:
-  // Throws boost::system::system_error if `address` cannot be had. At most
-  // `most_sessions` connections are open at once; more wait to be accepted.
+  // Throws boost::system::system_error if `address` cannot be bound. At most
+  // `max_sessions` connections are open at once; further ones stay in the
+  // kernel's accept queue.
   CallerListener(boost::asio::io_context* io, const std::string& address,
                  std::size_t max_sessions, SessionContext context);
 
   void Start();
 
-  // Closes the connections on which nothing is under way.
+  // Closes the connections that have no request in progress.
   void CloseIdle();
 
-  // Stops accepting.
+  // Stops accepting connections. Open sessions continue.
   void Stop();
 
-  // Returns how many connections have a request under way.
+  // Returns the number of connections with a request in progress.
   std::size_t BusyCount();
 
   std::size_t Count() const { return sessions_.size(); }
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -1,4 +1,4 @@
-// One connection of a caller: requests in, answers out, one at a time.
+// One caller connection, which carries one request at a time.
 
 #ifndef HARECRANK_SRC_GATEWAY_CALLER_SESSION_H_
 #define HARECRANK_SRC_GATEWAY_CALLER_SESSION_H_
@@ -23,7 +23,7 @@
 using CallerRequest =
     boost::beast::http::request<boost::beast::http::string_body>;
 
-// A request that is under way, as its caller's session sees it.
+// A request in progress, as its caller's session sees it.
 class RequestHandle {
  public:
   RequestHandle() = default;
@@ -31,27 +31,29 @@
   RequestHandle& operator=(const RequestHandle&) = delete;
   virtual ~RequestHandle() = default;
 
-  // The caller has closed its connection: nobody waits for the answer.
+  // The caller has closed its connection, so the response is no longer needed.
   virtual void OnCallerDisconnected() = 0;
 };
 
-// Starts the handling of one request that arrived at `arrived`. The answer goes
-// to `answer`. Returns nothing if it was given at once.
+// Starts the handling of one request. `arrived` is the time at which its header
+// was complete. The response is written to `sink`. Returns null if the response
+// was written before the call returned.
 using RequestStarter = std::function<std::shared_ptr<RequestHandle>(
     CallerRequest request, TimePoint arrived,
     std::shared_ptr<ResponseSink> sink)>;
 
-// What sessions ask of their owner.
+// What sessions need from their owner.
 struct SessionContext {
   RequestStarter start_request;
   // Returns the limits in force.
   std::function<CallerLimits()> limits;
-  // Returns whether connections should end after the answer under way.
+  // Returns whether connections should be closed after the current response.
   std::function<bool()> is_draining;
   MonotonicClock clock;
 };
 
-// Not thread-safe; runs on its socket's io_context.
+// Reads the requests of one connection and writes the responses. Not
+// thread-safe; runs on its socket's io_context.
 class CallerSession : public ResponseSink,
                       public std::enable_shared_from_this<CallerSession> {
  public:
@@ -62,11 +64,12 @@
   // Reads requests until the connection ends.
   void Start();
 
-  // Closes the connection if no request is under way on it and no byte of one
-  // has come.
+  // Closes the connection if no request is in progress and no byte of one has
+  // arrived.
   void CloseIfIdle();
 
-  // Returns whether a request is under way or being read.
+  // Returns whether a request is in progress or being read. Also true after the
+  // connection has been closed.
   bool IsBusy() const { return state_ != State::kIdle; }
   bool IsClosed() const { return state_ == State::kClosed; }
 
@@ -104,8 +107,9 @@
   boost::asio::ip::tcp::socket socket_;
   const SessionContext* context_;
   Timer timer_;
-  // Set while a wait on the timer counts; an earlier wait that fires late does
-  // not match.
+  // Identifies the current wait on the timer. A handler of an earlier wait may
+  // still run after the wait was cancelled; it is ignored since its number
+  // differs.
   std::uint64_t timer_generation_ = 0;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
@@ -113,7 +117,7 @@
   State state_ = State::kIdle;
   bool watching_ = false;
   std::shared_ptr<RequestHandle> request_;
-  // Of the request under way.
+  // The following three describe the current request.
   bool keep_alive_ = false;
   bool response_has_no_body_ = false;
   bool chunked_ = false;
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -1,8 +1,9 @@
-// Long prompts that wait in this host until engines are open for them, while no
-// other host plans for it.
+// Queue of requests that wait on this host for free engines while no planner
+// places them.
 //
-// An engine that is given more than it can read between two events of its
-// streams makes all of them pause. So what cannot start yet waits here.
+// An engine that is given more prompt tokens than it can process between two
+// events of its streams makes all of these streams pause. Requests that cannot
+// start yet are therefore held back on the host.
 
 #ifndef HARECRANK_SRC_GATEWAY_DISPATCH_QUEUE_H_
 #define HARECRANK_SRC_GATEWAY_DISPATCH_QUEUE_H_
@@ -20,28 +21,32 @@
 // Not thread-safe; runs on its io_context.
 class DispatchQueue {
  public:
-  // Tries to start the request. Returns false if it has to wait on.
+  // Tries to start the request. Returns false if it has to wait longer.
   using Start = std::function<bool()>;
 
-  // Of those that wait, `tried` are tried at a time: the first may want more
-  // engines than are open, and the next fewer.
+  // Up to `max_tried` requests are tried at a time, since the first one may
+  // need more engines than are free and a later one fewer. `shares_by_account`
+  // is as in WaitQueue.
   DispatchQueue(boost::asio::io_context* io, MonotonicClock clock,
                 std::size_t max_tried, bool shares_by_account);
 
-  // `start` may be called until the waiter has been removed, also from within
-  // Pump. A waiter whose `start` returns true is removed.
+  // `start` may be called until the request has been removed, also from within
+  // Pump. A request whose `start` returns true is removed.
   WaitingRequestId Add(const WaitingRequest& request, Start start);
   void Remove(WaitingRequestId id);
 
-  // Tries those that wait, soon. Called when an engine may have opened.
+  // Tries the waiting requests in a later turn of the event loop. Called when
+  // an engine may have become free.
   void PumpSoon();
 
-  // Returns the least work that waits here and can no longer be in time.
+  // Returns the least work among the waiting requests that can no longer meet
+  // their latency targets, or nothing if there are none.
   std::optional<FractionalMillis> LeastLateWork() const {
     return queue_.LeastLateWork();
   }
 
-  // Shares of what this host itself gives; it knows of no other's.
+  // Fair shares cover only the engine time that this host itself has granted;
+  // it does not know what other hosts grant.
   void OnGranted(const ShareClaim& claim) { queue_.OnGranted(claim); }
   ShareRank ShareRankOf(const ShareClaim& claim) const {
     return queue_.ShareRankOf(claim);
@@ -49,7 +54,8 @@
 
   std::size_t Count() const { return queue_.Count(); }
 
-  // How often those that wait are tried while nothing is heard.
+  // Interval in which the waiting requests are tried when PumpSoon is not
+  // called.
   static constexpr Millis kRetryInterval{40};
 
  private:
@@ -60,7 +66,7 @@
   std::size_t max_tried_;
   std::map<WaitingRequestId, Start> starts_;
   Timer timer_;
-  // When the next try is due; the clock's end while none is.
+  // Time of the next scheduled Pump; TimePoint::max() if none is scheduled.
   TimePoint next_pump_ = TimePoint::max();
   MonotonicClock clock_;
 };
--- a/src/gateway/endpoint_connection_pool.h
+++ b/src/gateway/endpoint_connection_pool.h
@@ -1,4 +1,4 @@
-// Kept connections to endpoints.
+// Pool of connections to endpoints.
 
 #ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTION_POOL_H_
 #define HARECRANK_SRC_GATEWAY_ENDPOINT_CONNECTION_POOL_H_
@@ -23,10 +23,11 @@
   EndpointId endpoint;
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
-  // It has carried a request before.
+  // The connection has carried a request before.
   bool reused = false;
   TimePoint idle_since{};
-  // How long the endpoint said that it keeps an idle connection.
+  // How long the endpoint keeps an idle connection, less kIdleMargin. Zero if
+  // the endpoint has not said.
   Millis idle_limit{0};
 };
 
@@ -35,37 +36,40 @@
  public:
   EndpointConnectionPool(boost::asio::io_context* io, MonotonicClock clock);
 
-  // Returns the idle connection to `endpoint` that was used last, or null. One
-  // that its endpoint has closed, or on which bytes have come that nobody asked
-  // for, is not returned.
+  // Returns the idle connection to `endpoint` that was used last, or null.
+  // Connections that the endpoint has closed, or on which unexpected bytes have
+  // arrived, are closed and not returned.
   std::unique_ptr<EndpointConnection> TakeIdle(const EndpointId& endpoint);
 
   // Returns a connection that is not open yet.
   std::unique_ptr<EndpointConnection> MakeNew(const EndpointId& endpoint);
 
-  // Keeps a connection whose last answer has been read whole.
+  // Takes back a connection whose last response has been read completely.
+  // Closes it if the pool is full or the endpoint was forgotten after it was
+  // opened.
   void PutIdle(std::unique_ptr<EndpointConnection> connection);
 
-  // Closes those that are spoiled or have been idle for too long. Called about
-  // once a second.
+  // Closes the idle connections that are unusable or have been idle for too
+  // long. Called about once a second.
   void Sweep();
 
   std::size_t IdleCount() const;
 
   // Closes the idle connections to an endpoint that has left, or to an earlier
-  // incarnation of it. Those in use are not kept when they come back.
+  // incarnation of it. Connections in use are closed when they are returned.
   void Forget(const EndpointId& endpoint);
 
-  // Idle connections kept for one endpoint: as many as answers that end within
-  // one another's round trips, with room for a burst.
+  // Maximum number of idle connections for each endpoint: as many as there are
+  // responses that end within one round trip of each other, with room for a
+  // burst.
   static constexpr std::size_t kMaxIdlePerEndpoint = 8;
-  // How long a connection is kept whose endpoint said nothing of it.
+  // Idle limit of a connection whose endpoint has not named one.
   static constexpr Millis kDefaultIdleLimit{2500};
-  // How long before the endpoint's own limit a connection is given up, so that
-  // the two do not cross on the way.
+  // A connection is closed this long before the endpoint's own limit, so that a
+  // request does not cross the endpoint's close.
   static constexpr Millis kIdleMargin{800};
 
-  // Longer than any request may take.
+  // How long the time of Forget is retained. Longer than any request may take.
   static constexpr Millis kForgottenRetention{600000};
 
  private:
@@ -76,8 +80,8 @@
   std::unordered_map<EndpointId,
                      std::vector<std::unique_ptr<EndpointConnection>>>
       idle_;
-  // When endpoints were forgotten; for as long as a connection of before may
-  // be in use.
+  // When Forget was last called for an endpoint. Retained while a connection
+  // opened before may still be in use.
   std::unordered_map<EndpointId, TimePoint> forgotten_;
 };
 
--- a/src/gateway/endpoint_request.h
+++ b/src/gateway/endpoint_request.h
@@ -1,4 +1,5 @@
-// What a caller's request becomes on its way to an endpoint.
+// Builds the head of the request that is sent to an endpoint, and parses
+// headers of callers' requests.
 
 #ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_REQUEST_H_
 #define HARECRANK_SRC_GATEWAY_ENDPOINT_REQUEST_H_
@@ -13,40 +14,44 @@
 
 namespace harecrank {
 
-// What the gateway adds to a caller's head, and what it takes out.
+// The headers that the gateway sets or removes.
 struct HeadChanges {
   Millis time_left{0};
   EndpointId endpoint;
-  // Absent: no account is named.
+  // Absent if no account is to be named.
   std::optional<AccountId> account;
-  // The caller's key is not shown to the endpoint.
+  // The caller's key is not forwarded to the endpoint.
   bool strip_key = false;
-  // 0 to 9; absent: the endpoint's own default.
+  // 0 to 9. Absent if the endpoint's own default applies.
   std::optional<int> urgency;
-  // Others that read parts of the prompt; empty if there are none.
+  // Addresses of the endpoints that process parts of the prompt, separated by
+  // commas, each followed by a slash and its memory ticket if memory is
+  // reserved there. Empty if there are none.
   std::string helpers;
-  // A stream goes on after this event; empty: as the caller asked.
+  // Id of the event after which the stream is to resume. If empty, the caller's
+  // own header is forwarded.
   std::string resume_after;
   std::size_t body_bytes = 0;
 };
 
-// Returns the head for the endpoint, with the empty line that ends it. All that
-// concerns the caller's connection only, or that only the gateway may say, is
-// left out of the caller's headers.
+// Returns the head for the endpoint, including the empty line that ends it.
+// Headers that concern only the caller's connection and headers that only the
+// gateway may set are dropped from the caller's request.
 std::string EndpointHead(const CallerRequest& request,
                          const ProtocolNames& names,
                          const HeadChanges& changes);
 
-// Reads a whole number at the start of `text`, after spaces.
+// Parses the integer at the start of `text`, after spaces. Text after the
+// integer is ignored. Returns nothing if there is no integer.
 std::optional<std::int64_t> ParseInteger(std::string_view text);
 
-// Returns the key of an "Authorization: Bearer KEY", or empty.
+// Returns KEY of "Authorization: Bearer KEY", or an empty string.
 std::string BearerKey(std::string_view authorization);
 
 // Returns a request's target without its query.
 std::string_view PathOf(std::string_view target);
 
-// Returns the same text as the standard library's view.
+// Converts a Beast string view to one of the standard library.
 inline std::string_view View(boost::beast::string_view text) {
   return {text.data(), text.size()};
 }
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -1,5 +1,5 @@
-// Takes what endpoints say of themselves in their answers into what this host
-// knows of them.
+// Applies what endpoints report about themselves in their responses to this
+// host's state.
 
 #ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_RESPONSE_HANDLER_H_
 #define HARECRANK_SRC_GATEWAY_ENDPOINT_RESPONSE_HANDLER_H_
@@ -15,12 +15,12 @@
 
 namespace harecrank {
 
-// The one place where such words are acted on, whoever got the answer. Not
-// thread-safe.
+// The only place where these hints are acted on, no matter which part of the
+// gateway received the response. Not thread-safe.
 class EndpointResponseHandler {
  public:
-  // All pointers must outlive this. `on_endpoint_fault` is called when other
-  // hosts should hear of it soon.
+  // All pointers must outlive this. `on_change` is called when other hosts
+  // should be informed soon.
   EndpointResponseHandler(const EndpointDirectory* directory,
                           EndpointHealth* health,
                           EndpointUpdater* endpoint_updater,
@@ -28,8 +28,9 @@
                           BackoffNotifier* backoff_notifier,
                           std::function<void()> on_change);
 
-  // Takes the answer to what was sent to `endpoint` at `sent_at`. One that
-  // comes from an earlier incarnation of it says nothing of the present one.
+  // Applies the response to a request that was sent to `endpoint` at `sent_at`.
+  // A response of another incarnation than the current one is ignored, and so
+  // is a misdirected one.
   void OnAnswer(const EndpointRecord& endpoint,
                 const EndpointResponse& response, TimePoint sent_at);
 
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -20,11 +20,11 @@
 }  // namespace
 
 Exchange::Exchange(const GatewayServices* services, CallerRequest request,
-                   TimePoint arrived, std::shared_ptr<ResponseSink> response)
+                   TimePoint arrived, std::shared_ptr<ResponseSink> sink)
     : services_(services),
       request_(std::move(request)),
       arrived_(arrived),
-      sink_(std::move(response)),
+      sink_(std::move(sink)),
       timer_(*services->io),
       id_(request_[services->names->request_id]),
       log_(services, id_, arrived),
@@ -295,7 +295,7 @@
   ExchangeResult end{outcome, status, reason, 0, prompt_, {}, {}};
   if (search_ != nullptr) {
     search_->Close();
-    end.sendings = sender_->SendCount();
+    end.send_count = sender_->SendCount();
     end.endpoint = sender_->Endpoint().id;
     end.first_event = sender_->FirstEventAt();
   }
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -1,4 +1,4 @@
-// One caller's request, from its arrival to its final answer.
+// One caller's request, from its arrival to its final response.
 
 #ifndef HARECRANK_SRC_GATEWAY_EXCHANGE_H_
 #define HARECRANK_SRC_GATEWAY_EXCHANGE_H_
@@ -21,8 +21,10 @@
 
 namespace harecrank {
 
-// Decides what follows each attempt. Places are the seeker's matter, bytes the
-// relay's. Not thread-safe; runs on its io_context.
+// Admits one request, sends it to endpoints and decides after each attempt
+// whether to retry. PlacementSearch chooses the endpoints, RequestSender runs
+// the attempts, and ResponseRelay forwards the responses. Not thread-safe; runs
+// on its io_context.
 class Exchange : public RequestHandle,
                  public AttemptObserver,
                  public PlacementObserver,
@@ -31,9 +33,9 @@
  public:
   // `services` must outlive this.
   Exchange(const GatewayServices* services, CallerRequest request,
-           TimePoint arrived, std::shared_ptr<ResponseSink> response);
+           TimePoint arrived, std::shared_ptr<ResponseSink> sink);
 
-  // Admits the request and sends it, or answers it at once.
+  // Admits the request and starts to place it, or rejects it at once.
   void Start();
 
   void OnCallerDisconnected() override;
@@ -46,7 +48,7 @@
   void OnResponseBytes(std::string_view bytes) override;
   void OnResponseEnd() override;
   void OnFailure(const AttemptFailure& failure) override;
-  // Taken when it is first wanted, and kept.
+  // Computed at the first call and cached.
   const RequestFingerprint& Fingerprint() override;
   void OnQuarantined() override;
 
@@ -54,44 +56,51 @@
   void TryNext();
   std::string HeadFor(const Placement& placement) const;
   SendingHistory History() const;
-  // Returns the account's priority, or else the route's. Zero goes first.
+  // Returns the account's priority, or the route's if the account has none.
+  // Zero is the most urgent.
   int Priority() const;
   void OnErrorAnswer();
   void OnFirstEvent();
 
-  // What is made of an answer's head: the first that applies is done.
+  // Handles the head of a response: rejections that did not run the request,
+  // unsigned responses, errors that are retried, event streams, and all others.
   void HandleResponseHead(const EndpointResponse& response,
                           const ResponseHead& head);
   void OnNotRunResponse(const EndpointResponse& response);
-  // Returns whether another endpoint is asked instead.
+  // Retries the request on another endpoint after an error response. Returns
+  // false if that is not possible, and then the caller gets the response.
   bool RetryElsewhere(unsigned status);
   void OnNotSent(const AttemptNotSent& failure);
-  // Finds out whether the endpoint has ended, and goes on from there.
+  // Has the crash guard find out whether the endpoint has crashed, and then
+  // retries or gives up.
   void HandleBroken(const AttemptBroken& broken);
   nlohmann::json BrokenFields(const AttemptBroken& broken);
-  // It ends endpoints, and is sent to no other.
+  // Ends a request that is quarantined because it crashes endpoints.
   void RejectQuarantined();
-  // The answer has ended. It ended whole only if its head said where it ends:
-  // an endpoint that crashes ends its connection, too.
+  // Reports a complete response to the crash guard. A response whose head does
+  // not state where it ends may have been cut off by a crash, since that closes
+  // the connection, too; it is not reported.
   void ReportCompletion();
 
-  // What follows an attempt.
+  // Decide what follows a failed attempt.
   void OnNotRun(const std::string& reason);
   void OnMayHaveRun(const std::string& reason);
   bool MayRetry();
   void AbandonAttempt();
 
-  // Time.
+  // Timer and deadlines.
   void ArmTimer();
   void OnTimer();
-  // Returns whether the request waited and cannot any longer.
+  // Ends the wait for a placement if this host is about to stop, if all
+  // endpoints have asked for a back-off, or if the wait limit of the request
+  // has been reached. Returns whether it did.
   bool EndWaitIfDue(TimePoint now);
-  // Sends an overdue request elsewhere. Returns whether it did.
+  // Retries an overdue request on another endpoint. Returns whether it did.
   bool RetryOverdue();
   std::optional<TimePoint> AttemptOverdueAt() const;
   Millis TimeLeft() const;
 
-  // Answers.
+  // Final responses.
   void Reject(unsigned status, const std::string& code,
               std::optional<Millis> retry_after);
   void Respond(const GatewayResponse& response);
@@ -121,12 +130,12 @@
   std::optional<RequestSender> sender_;
   int connect_failures_ = 0;
   bool may_have_run_ = false;
-  // It was held, and is let through this once.
+  // The request was quarantined and is sent once as a trial.
   bool is_trial_ = false;
   bool budget_exhausted_ = false;
   bool has_framed_end_ = false;
   bool finished_ = false;
-  // While it has waited for a place.
+  // Set once the request has waited for a placement.
   std::optional<BackoffNotifier::Id> backoff_watch_;
 };
 
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -95,7 +95,7 @@
   fields["status"] = end.status;
   fields["reason"] = end.reason;
   fields["events"] = relay.EventCount();
-  fields["sendings"] = end.sendings;
+  fields["sendings"] = end.send_count;
   fields["prompt"] = end.prompt.value;
   fields["endpoint"] = end.endpoint.value;
   const bool failed = std::string_view(end.outcome) != "completed";
--- a/src/gateway/exchange_log.h
+++ b/src/gateway/exchange_log.h
@@ -1,4 +1,4 @@
-// What one request tells the log and the metrics.
+// Log lines and metrics of one request.
 
 #ifndef HARECRANK_SRC_GATEWAY_EXCHANGE_LOG_H_
 #define HARECRANK_SRC_GATEWAY_EXCHANGE_LOG_H_
@@ -17,34 +17,35 @@
 struct ExchangeResult {
   // "completed", "refused", "failed", "broken_off" or "caller_left".
   const char* outcome = "";
-  // Zero where no answer was given.
+  // Zero if no response was sent.
   unsigned status = 0;
   std::string reason;
-  int sendings = 0;
+  int send_count = 0;
   Tokens prompt;
-  // Where it was sent last.
+  // The endpoint of the last attempt.
   EndpointId endpoint;
   std::optional<TimePoint> first_event;
 };
 
-// Not thread-safe.
+// Writes the log lines and metrics of one request. Not thread-safe.
 class ExchangeLog {
  public:
   // `services` must outlive this.
   ExchangeLog(const GatewayServices* services, std::string request_id,
               TimePoint arrived);
 
-  // Known once the request has been admitted.
+  // Called once the request has been admitted or rejected.
   void SetRoute(std::string route, RoutingVersion configuration);
 
-  // Returns the fields that name the request in every line.
+  // Returns the fields that identify the request in every log line.
   nlohmann::json Fields() const;
 
-  // It is sent to the endpoint of `placement`. `waited` is unset where it did
-  // not wait.
+  // Logs that the request is sent to the endpoint of `placement`. `waited` is
+  // unset if the request did not wait.
   void LogPlaced(const Placement& placement, Tokens prompt,
                  std::optional<Millis> waited) const;
-  // It is sent once more, since `reason`. `more` has further fields.
+  // Logs that the request is retried after an attempt at `endpoint`. `extra`
+  // contains further fields.
   void LogRetry(const EndpointId& endpoint, const std::string& reason,
                 const nlohmann::json& extra) const;
   void LogEnd(const ExchangeResult& end, const ResponseRelay& relay) const;
--- a/src/gateway/gateway_response.h
+++ b/src/gateway/gateway_response.h
@@ -1,4 +1,4 @@
-// Answers that the gateway gives itself.
+// Responses that the gateway itself generates.
 
 #ifndef HARECRANK_SRC_GATEWAY_GATEWAY_RESPONSE_H_
 #define HARECRANK_SRC_GATEWAY_GATEWAY_RESPONSE_H_
@@ -14,21 +14,21 @@
 
 struct GatewayResponse {
   unsigned status = 0;
-  // Names the cause for callers and logs.
+  // Error code for callers and logs.
   std::string code;
-  // When the caller may come again; unset where that would bring nothing.
+  // Time after which the caller may retry; unset if a retry would not succeed.
   std::optional<Millis> retry_after;
-  // Whether the request has not run and never will. Otherwise nothing is
-  // promised.
+  // True if the request has not run and will not run. If false, it may have
+  // run.
   bool not_run = false;
 };
 
-// Returns the head of `answer` to the request called `request_id`.
-ResponseHead HeadOf(const GatewayResponse& answer, const ProtocolNames& names,
+// Returns the head of `response` to the request with id `request_id`.
+ResponseHead HeadOf(const GatewayResponse& response, const ProtocolNames& names,
                     const std::string& request_id);
 
-// Returns its body, a JSON object.
-std::string BodyOf(const GatewayResponse& answer);
+// Returns the body of `response`, a JSON object.
+std::string BodyOf(const GatewayResponse& response);
 
 }  // namespace harecrank
 
--- a/src/gateway/http_client.h
+++ b/src/gateway/http_client.h
@@ -1,4 +1,5 @@
-// Calls to one address, one at a time over one kept connection.
+// HTTP client for one address. Requests are sent one at a time over a
+// persistent connection.
 
 #ifndef HARECRANK_SRC_GATEWAY_HTTP_CLIENT_H_
 #define HARECRANK_SRC_GATEWAY_HTTP_CLIENT_H_
@@ -20,11 +21,11 @@
 
 namespace harecrank {
 
-// Reads "IP:PORT". Returns nothing if `text` is no such address.
+// Parses "IP:PORT". Returns nothing if `text` is not such an address.
 std::optional<boost::asio::ip::tcp::endpoint> ParseTcpEndpoint(
     const std::string& text);
 
-// Why a call brought no answer.
+// Why a call got no response.
 struct CallFailure {
   std::string reason;
 };
@@ -34,19 +35,19 @@
 using HttpReply = boost::beast::http::response<boost::beast::http::string_body>;
 using CallResult = std::variant<CallFailure, HttpReply>;
 
-// Not thread-safe; runs on its io_context. A call that is under way when the
-// client is dropped ends without its handler.
+// Not thread-safe; runs on its io_context. If the client is destroyed during a
+// call, the handler is not called.
 class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
   using Handler = std::function<void(CallResult)>;
 
   HttpClient(boost::asio::io_context* io, std::string address);
 
-  // Sends a GET of `target` and hands over what comes of it within `timeout`,
-  // which covers connecting too. No other call may be under way.
+  // Sends a GET of `target` and passes the result to `handler`. `timeout`
+  // includes the time to connect. No other call may be in progress.
   void Get(const std::string& target, Millis timeout, Handler handler);
 
-  // Sends a POST with a JSON body, as Get.
+  // Sends a POST with a JSON body. Otherwise like Get.
   void Post(const std::string& target, std::string json, Millis timeout,
             Handler handler);
 
@@ -70,7 +71,8 @@
   HttpRequest request_;
   std::optional<Parser> parser_;
   Handler handler_;
-  // The connection has served a call before: a failure may be its age's.
+  // The connection has served a call before, so a failure may mean that the
+  // server has closed it as idle.
   bool reused_ = false;
 };
 
--- a/src/gateway/memory_reservation.h
+++ b/src/gateway/memory_reservation.h
@@ -1,4 +1,4 @@
-// Memory of several engines that one request needs: all of it or none.
+// Reserves memory of several engines for one request: all of it or none.
 
 #ifndef HARECRANK_SRC_GATEWAY_MEMORY_RESERVATION_H_
 #define HARECRANK_SRC_GATEWAY_MEMORY_RESERVATION_H_
@@ -15,19 +15,20 @@
 
 namespace harecrank {
 
-// What is needed at one engine.
+// The memory that is needed on one engine.
 struct MemoryNeed {
   EndpointRecord endpoint;
   MemoryTicket ticket;
   Tokens amount;
 };
 
-// Never waits for memory, so that holds of several hosts cannot lock each other
-// out: what is not free now is given up with the rest. Not thread-safe.
+// Never waits for memory to become free, so that reservations of several hosts
+// cannot deadlock: if one engine lacks memory, the memory on the others is
+// released. Renews the reservation until Release. Not thread-safe.
 class MemoryReservation
     : public std::enable_shared_from_this<MemoryReservation> {
  public:
-  // Told of each answer, also of those that come when this has ended.
+  // Called with each response of an engine, also after Release.
   using OnEndpointAnswer = std::function<void(const EndpointRecord& endpoint,
                                               const EndpointResponse& answer)>;
 
@@ -35,24 +36,24 @@
   MemoryReservation(boost::asio::io_context* io, MemoryOrders* orders,
                     std::vector<MemoryNeed> needs, OnEndpointAnswer on_answer);
 
-  // Calls `done` once with whether all of it is held. Holds are renewed until
-  // Release.
+  // Calls `done` once with whether all memory was reserved. The reservation is
+  // renewed until Release.
   void Acquire(std::function<void(bool reserved)> done);
 
-  // Gives all of it back. `done` is not called any more.
+  // Releases all memory. `done` is not called any more.
   void Release();
 
-  // How long the memory stays set aside without a word from here: shorter than
-  // the time for which engines may keep memory that no request uses, so that a
-  // host that died leaves nothing behind for longer.
+  // How long an engine keeps the memory without a renewal. Shorter than the
+  // time for which engines may keep memory that no request uses, so that a host
+  // that has crashed leaves nothing reserved for longer than that.
   static constexpr Millis kLeaseDuration{3000};
-  // Several renewals fit in one hold, so that one may be lost.
+  // Several renewals fit in one lease, so that one of them may be lost.
   static constexpr Millis kRenewalInterval{900};
 
  private:
   void OnReserved(bool reserved);
-  // Returns what tells of the answer of `endpoint`, and then calls `then` with
-  // whether the order was carried out.
+  // Returns a callback that passes the response of `endpoint` to `on_answer_`
+  // and then calls `then` with whether the order was carried out.
   MemoryOrders::OnResult ForwardResponse(
       const EndpointRecord& endpoint,
       std::function<void(bool done)> then) const;
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -1,4 +1,5 @@
-// Finds a place for one request, and counts what it has under way there.
+// Finds a placement for one request, and accounts for the work that the request
+// has in progress there.
 
 #ifndef HARECRANK_SRC_GATEWAY_PLACEMENT_SEARCH_H_
 #define HARECRANK_SRC_GATEWAY_PLACEMENT_SEARCH_H_
@@ -17,26 +18,28 @@
 
 namespace harecrank {
 
-// Why a request is turned away that was sent to no endpoint.
+// Why a request that may be retried later is rejected.
 enum class RejectionReason {
-  // Engines are busy for longer than waiting is of use.
+  // The engines are busy for so long that the request cannot meet its latency
+  // target.
   kCannotMeetTarget,
-  // This host's part of what the endpoints take from all hosts is used up for
-  // as long.
+  // The start quotas of this host allow no start before waiting is of no more
+  // use.
   kStartQuotaExhausted
 };
 
-// What has become of a request so far.
+// What has happened to a request so far.
 enum class SendingHistory {
-  // It was sent nowhere.
+  // It has not been sent.
   kNew,
-  // It was sent, and no endpoint has run it.
+  // It has been sent, and no endpoint has run it.
   kNotRun,
-  // An endpoint may have run it: it is not turned away.
+  // An endpoint may have run it, so it must not be rejected as not run.
   kMayHaveRun
 };
 
-// Told what a seeker found. Each call but the last one ends the search.
+// Receives the results of a search. Each call other than OnWaiting ends the
+// search.
 class PlacementObserver {
  public:
   PlacementObserver() = default;
@@ -44,151 +47,163 @@
   PlacementObserver& operator=(const PlacementObserver&) = delete;
   virtual ~PlacementObserver() = default;
 
-  // The request may go there now; the memory that it needs on helpers is held.
+  // The request may be sent now. The memory that it needs on helpers is
+  // reserved.
   virtual void OnPlaced(const Placement& placement) = 0;
-  // Its caller may come again after `pause`.
+  // The request is rejected; its caller may retry after `retry_after`.
   virtual void OnRejected(RejectionReason reason, Millis retry_after) = 0;
-  // No endpoint of the service may be used.
+  // No endpoint of the service is usable.
   virtual void OnNoEndpoint() = 0;
-  // It waits, or waits for something else now.
+  // The request waits, or the reason for its wait has changed.
   virtual void OnWaiting() = 0;
 };
 
-// What a seeker seeks a place for.
+// The parameters of a search.
 struct PlacementSearchParams {
-  // Its times are set anew at each try.
+  // `until_late` and `until_deadline` are updated at each try.
   PlacementRequest request;
   TimePoint late_at{};
   TimePoint deadline{};
   std::string request_id;
 };
 
-// Asks the planner, and places by itself where none answers. Not thread-safe;
-// runs on its io_context.
+// Queries the planner for a placement. If no planner answers, places the
+// request from this host's own state. Requests of services without engines are
+// always placed that way. Not thread-safe; runs on its io_context.
 class PlacementSearch : public std::enable_shared_from_this<PlacementSearch> {
  public:
-  // `services` must outlive this. `observer` must stay until Close has been
-  // called; it may be called from within Search. `log_fields` returns what
-  // names the request in log lines.
+  // `services` must outlive this. `observer` must live until Close has been
+  // called; it may be called from within Search. `log_fields` returns the
+  // fields that identify the request in log lines.
   PlacementSearch(const GatewayServices* services, PlacementSearchParams params,
                   PlacementObserver* observer,
                   std::function<nlohmann::json()> log_fields);
 
-  // Looks for a place.
+  // Starts a search.
   void Search(SendingHistory history);
 
-  // Whether this host may begin the request nowhere before waiting for that is
-  // of no more use.
+  // Returns whether the limits and back-offs of the endpoints allow no start on
+  // this host before waiting is of no more use.
   bool CannotStartInTime(SendingHistory history) const;
 
-  // Turns away a request that waits if all endpoints have come to rest for
-  // longer than waiting is of use. Returns whether it did.
+  // Rejects a waiting request if all endpoints have asked for a back-off that
+  // lasts longer than waiting is of use. Returns whether it did.
   bool RejectIfAllBackingOff();
 
-  // Returns after which time a caller may come again, if all endpoints rest.
+  // Returns the Retry-After time if all endpoints have asked for a back-off,
+  // otherwise nothing.
   std::optional<Millis> RetryAfterBackoffs() const;
 
-  // Whether it stands in a queue, of the planner or of this host.
+  // Returns whether the request is in a queue, of the planner or of this host.
   bool IsWaiting() const { return queue_id_.has_value() || waits_at_planner_; }
   void LeaveQueue();
 
-  // The endpoint of the place has been sent to, and is not chosen again.
+  // Excludes an endpoint from further searches, since the request has been sent
+  // there.
   void MarkTried(const EndpointId& id) { params_.request.tried.insert(id); }
-  // The first event came, `pace` times as late as predicted.
+  // The first event has arrived. `slowdown` is the ratio of its actual to its
+  // predicted latency.
   void OnPrefillDone(double slowdown);
-  // The endpoint of the place failed.
+  // The endpoint of the current placement failed.
   void OnFailure() { failed_ = true; }
-  // The request leaves its place, or wants this one no more.
+  // Gives up the current placement, and a query that has not been answered.
   void End();
-  // The request has ended: the observer hears nothing more.
+  // The request has ended. The observer is not called any more.
   void Close();
 
-  // Returns the ticket for the memory that the placement holds at `holder`.
+  // Returns the ticket for the memory that the current placement reserves on
+  // `holder`.
   MemoryTicket TicketFor(const EndpointId& holder) const;
-  // Returns until when a request of its kind waits for engines, if that is
-  // limited.
+  // Returns the end of the wait for engines if it is limited for this kind of
+  // request.
   std::optional<TimePoint> WaitEnd(bool may_have_run) const;
-  // Returns for how long it has waited, if it ever has.
+  // Returns the time since the request began to wait, or nothing if it never
+  // has.
   std::optional<Millis> Waited() const;
   Tokens Prompt() const { return params_.request.prompt; }
 
  private:
-  // Asks the planner; the answer comes to OnResult.
+  // Queries the planner. The reply comes to OnResult.
   void SendQuery();
   void OnResult(const QueryResult& result);
-  // Takes the place that the planner gave, unless this host knows better of its
-  // endpoints: then it asks again.
+  // Uses the planner's placement. If this host knows that an endpoint in it is
+  // not usable, or may not start the request there, queries the planner again.
   void UsePlanned(const PlannedPlacement& planned);
-  // Keeps the next ask away from endpoints that only the planner takes for
-  // usable: of a closed data centre it may name a dozen at once.
+  // Excludes the unusable endpoints of `planned` from the next query. Without
+  // this the planner may name a dozen endpoints of a drained data centre, one
+  // after the other.
   void ExcludeUnusable(const PlannedPlacement& planned);
   std::optional<Placement> PlacementOf(const PlannedPlacement& planned) const;
-  // Returns the record of `id` if new work may go there now, otherwise null.
+  // Returns the record of `id` if it accepts new work, otherwise null.
   const EndpointRecord* Usable(const EndpointId& id) const;
-  // Returns whether this host's part of what the endpoints of `placement` take
-  // from all hosts allows a further request.
+  // Returns whether this host's quotas allow it to start `placement`.
   bool MayStart(const Placement& placement) const;
-  // Returns whether new work may still go to all that `placement` names.
+  // Returns whether all endpoints of `placement` still accept new work.
   bool IsStillUsable(const Placement& placement) const;
-  // Tells that no planner gave a place.
+  // Logs that no planner made the placement.
   void LogPlacedLocally();
-  // Places by what this host knows itself, or waits here.
+  // Places the request from this host's own state, or lets it wait here.
   void PlaceWithLocalState();
-  // Returns false if all engines that could take it are busy.
+  // Returns false if all engines that could take the request are busy.
   bool TryPlace();
   void SetTimes();
-  // Notes where this host may begin nothing just now.
+  // Updates the endpoints at which this host may not start a request now.
   void SetWithheld();
   void Wait();
-  // Waits while all endpoints of a plain service are withheld, at most until
-  // the request is late.
+  // Waits while all endpoints of a service without engines are withheld, at
+  // most until the request is past its latency target.
   void WaitForStart();
-  // Ends the search if CannotStartInTime. Returns whether it did.
+  // Ends the search if the condition of CannotStartInTime holds. Returns
+  // whether it did.
   bool EndIfStartLimited();
-  // Returns when this host may begin a request at an endpoint that is not among
-  // `tried`; nothing if no bound stands against one of them.
+  // Returns when and how fast this host may start requests at the endpoints
+  // that are not in `tried`. Returns nothing if one of them has no limit.
   std::optional<StartAvailability> AvailabilityExcluding(
       const std::set<EndpointId>& tried) const;
   // Returns until when waiting for an endpoint is of use.
   TimePoint WaitDeadline(SendingHistory history) const;
   void RejectStartLimited(const StartAvailability& availability);
-  // Whether it was sent before.
+  // Returns whether the request has been sent before.
   bool WasSent() const { return history_ != SendingHistory::kNew; }
   void StartWaitClock();
-  // Whether another prompt that takes no longer to read waits and can no longer
-  // be in time.
+  // Returns whether a waiting prompt with no more work than this one can no
+  // longer meet its latency target.
   bool CannotMeetTarget() const;
-  // What it takes of its account's share; nothing from plain services.
+  // Returns what the request takes of its account's fair share, or nothing for
+  // services without engines.
   std::optional<ShareClaim> Claim() const;
-  // Returns after which time a caller who is turned away may come again.
+  // Returns the Retry-After time for a request that is rejected because the
+  // engines are busy.
   Millis RetryAfterRejection() const;
   WaitingRequest MakeWaitingRequest() const;
-  // Sets memory aside first if the placement needs that.
+  // Reserves memory on the helpers if `placement` needs it, then commits
+  // `placement`.
   void Prepare(const Placement& placement);
   void OnMemoryReserved(const Placement& placement, bool held);
-  // The request is sent now.
+  // Records the start and passes `placement` to the observer.
   void Commit(const Placement& placement);
   void StartWork(const Placement& placement);
-  // Ends the place that was asked for, given or not.
+  // Ends the query, or the placement that resulted from it, at the planner.
   void EndQuery();
 
   const GatewayServices* services_;
   PlacementSearchParams params_;
-  // Null once this is closed.
+  // Null after Close.
   PlacementObserver* observer_;
   std::function<nlohmann::json()> log_fields_;
-  // Until it seeks again, after memory was not to be had or while endpoints are
-  // withheld.
+  // Delay before the next try, after a failed memory reservation or while all
+  // endpoints are withheld.
   Timer retry_timer_;
   SendingHistory history_ = SendingHistory::kNew;
-  // The place that was asked for, while it is waited for or used.
+  // Id of the query or of the placement that resulted from it; unset if there
+  // is none.
   std::optional<QueryId> query_id_;
   bool waits_at_planner_ = false;
   std::optional<WaitingRequestId> queue_id_;
   TimePoint waits_since_{};
   int placements_ = 0;
   int unusable_placements_ = 0;
-  // Of the endpoint first, then of the helpers.
+  // The work of the endpoint first, then of the helpers.
   std::vector<WorkId> work_;
   std::shared_ptr<MemoryReservation> reservation_;
   bool failed_ = false;
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -1,5 +1,5 @@
-// Sends one request to endpoints, one after the other, and notes how the
-// endpoint fares that has it now.
+// Sends one request to endpoints, one attempt at a time, and updates the health
+// of the endpoint that processes it.
 
 #ifndef HARECRANK_SRC_GATEWAY_REQUEST_SENDER_H_
 #define HARECRANK_SRC_GATEWAY_REQUEST_SENDER_H_
@@ -19,52 +19,58 @@
 // Not thread-safe; runs on its io_context.
 class RequestSender {
  public:
-  // All must outlive this. `observer` hears of each attempt.
+  // All pointers must outlive this. `observer` receives the events of each
+  // attempt.
   RequestSender(const GatewayServices* services, const RouteRule* route,
                 AttemptObserver* observer);
 
   void Send(const Placement& placement, OutgoingRequest request);
-  // Gives the attempt up, which tells the endpoint to stop.
+  // Cancels the attempt, which tells the endpoint to stop.
   void Cancel();
-  // The attempt has ended by itself.
+  // The attempt has ended without Cancel.
   void OnEnded() { attempt_.reset(); }
 
-  // What the observer hears.
+  // The observer forwards the events of the attempt here.
   void OnSent();
   void OnAnswer(const EndpointResponse& response);
   void OnBytes();
-  // Returns how many times as late as predicted the first event of this attempt
-  // came, or nothing if it came before.
+  // Notes that the first event has arrived. Returns the ratio of its actual to
+  // its predicted latency, or nothing if an event had arrived before in this
+  // attempt.
   std::optional<double> OnFirstEvent();
   void OnErrorAnswer();
   void OnUnreachable();
   void OnOverdue();
-  // Marks the helper that a refusal names, if it names one. `fields` name the
-  // request in the log.
+  // Marks the helper as at fault that a rejection names, if it names one.
+  // `fields` identify the request in the log line.
   void OnRefusal(const EndpointResponse& response, nlohmann::json fields);
 
   bool IsUnderWay() const { return attempt_ != nullptr; }
-  // Whether the endpoint may have the request of the last attempt.
+  // Whether the last attempt has written to the connection, so that the
+  // endpoint may have the request.
   bool WasSent() const { return was_sent_; }
   bool HasFirstEvent() const { return attempt_first_event_at_.has_value(); }
-  // Whether the endpoint has begun to run it only now, if it has at all.
+  // Whether the endpoint has not sent the first event of the attempt yet, or
+  // has sent it only a short time ago.
   bool IsStarting() const;
-  // Returns when its answer is overdue.
+  // Returns the time from which the response of the current attempt is overdue.
   TimePoint OverdueAt() const;
 
   int SendCount() const { return send_count_; }
-  // Where it was sent last.
+  // The endpoint of the last attempt.
   const EndpointRecord& Endpoint() const { return endpoint_; }
   FractionalMillis Predicted() const { return predicted_; }
-  // Returns how long ago the first event of this attempt came.
+  // Returns the time since the first event of this attempt, or nothing before
+  // it.
   std::optional<Millis> SinceFirstEvent() const;
-  // Of all attempts.
+  // Time of the first event over all attempts.
   const std::optional<TimePoint>& FirstEventAt() const {
     return first_event_at_;
   }
 
  private:
-  // On a kept connection if the request may be repeated.
+  // Returns an idle connection if the request may be repeated, otherwise a new
+  // one.
   std::unique_ptr<EndpointConnection> Connection();
 
   const GatewayServices* services_;
@@ -77,7 +83,7 @@
   TimePoint sent_at_{};
   TimePoint last_bytes_at_{};
   bool was_sent_ = false;
-  // The first event of the last attempt; unset before it.
+  // First event of the last attempt; unset before it.
   std::optional<TimePoint> attempt_first_event_at_;
   std::optional<TimePoint> first_event_at_;
   int send_count_ = 0;
--- a/src/gateway/response_decoder.h
+++ b/src/gateway/response_decoder.h
@@ -1,4 +1,4 @@
-// Reads the heads of endpoints' answers.
+// Decodes the heads of endpoints' responses.
 
 #ifndef HARECRANK_SRC_GATEWAY_RESPONSE_DECODER_H_
 #define HARECRANK_SRC_GATEWAY_RESPONSE_DECODER_H_
@@ -11,21 +11,22 @@
 
 namespace harecrank {
 
-// Returns what `head` says. All that endpoints may say of themselves there is
-// read here and nowhere else; docs/design/endpoint-answers.md lists it.
+// Decodes `head`. This is the only function that reads the headers in which
+// endpoints report their own state; docs/design/endpoint-answers.md lists them.
 EndpointResponse DecodeResponse(const ResponseHead& head,
                                 const ProtocolNames& names);
 
-// Reads the time for which an endpoint wants nothing, as HTTP has it: seconds,
-// with a fraction if it likes, or a date. A date counts from `answered`, the
-// date of the answer itself: hosts' own time of day may jump.
+// Parses the value of a Retry-After header: seconds, with or without a
+// fraction, or an HTTP date. A date is taken relative to `response_date`, the
+// Date header of the same response, since the wall clocks of hosts may jump.
 BackoffHint ParseRetryAfter(std::string_view text,
                             std::string_view response_date);
 
-// Reads whether an endpoint says that it is about to end.
+// Parses the header in which an endpoint announces that it is about to shut
+// down.
 LeavingHint ParseLeavingHint(std::string_view text);
 
-// A longer rest counts as this long.
+// Longer back-offs are reduced to this.
 constexpr Millis kMaxBackoff = std::chrono::hours(24);
 
 }  // namespace harecrank
--- a/src/gateway/response_relay.h
+++ b/src/gateway/response_relay.h
@@ -1,4 +1,4 @@
-// Passes an endpoint's answer on to its caller, across several attempts.
+// Forwards the responses of endpoints to the caller, across several attempts.
 
 #ifndef HARECRANK_SRC_GATEWAY_RESPONSE_RELAY_H_
 #define HARECRANK_SRC_GATEWAY_RESPONSE_RELAY_H_
@@ -14,50 +14,53 @@
 
 namespace harecrank {
 
-// Events go on as they come, and only whole ones; other answers are kept until
-// they are whole. Not thread-safe.
+// Forwards an event stream event by event and buffers any other response until
+// it is complete. Only complete events are forwarded, so that another endpoint
+// can resume the stream after the last of them. Not thread-safe.
 class ResponseRelay {
  public:
   ResponseRelay(std::shared_ptr<ResponseSink> sink, MonotonicClock clock);
 
-  // A new attempt begins. A stream that has begun goes on where it stands.
+  // Starts a new attempt. A stream that has begun at the caller continues after
+  // the last event that was forwarded.
   void BeginAttempt();
 
-  // The answer under way is a series of events. The caller gets the head of the
-  // first such answer only.
+  // Treats the current response as an event stream. The caller gets the head of
+  // the first such response only.
   void RelayEvents(const ResponseHead& head);
-  // The answer under way is kept whole.
+  // Buffers the current response until it is complete.
   void BufferWhole(ResponseHead head);
 
-  // What became of bytes of the body.
+  // What Accept has done with the bytes.
   enum class AcceptResult {
     kBuffered,
-    // At least one whole event went on.
+    // At least one complete event was forwarded.
     kEvents,
-    // The answer is larger than may be kept.
+    // The response exceeds the size limit.
     kTooLarge
   };
   AcceptResult Accept(std::string_view bytes);
 
-  // Drops the beginning of an event that its endpoint never finished.
+  // Discards an incomplete event.
   void DropPartial() { scanner_.DropPartial(); }
   bool HasPartial() const { return scanner_.HasPartial(); }
 
-  // Ends the stream at its caller.
+  // Ends the stream to the caller.
   void EndStream();
   // Closes the caller's connection, so that the stream does not look complete.
   void AbortStream();
-  // Sends the answer that was kept, and returns its status.
+  // Sends the buffered response and returns its status.
   unsigned SendBuffered();
-  // Returns the status of the answer that is kept.
+  // Returns the status of the buffered response. Requires BufferWhole.
   unsigned BufferedStatus() const { return head_->result_int(); }
 
   bool IsStream() const { return is_stream_; }
-  // Whether the caller has been sent the head of a stream.
+  // Whether the head of a stream has been sent to the caller.
   bool StreamBegun() const { return stream_begun_; }
   const std::string& LastEventId() const { return scanner_.LastId(); }
   std::size_t EventCount() const { return scanner_.Count(); }
-  // Returns the longest time between two events, also across a resumption.
+  // Returns the longest time between two forwarded chunks of events, including
+  // the gaps between attempts.
   TimePoint::duration LongestGap() const { return longest_gap_; }
 
  private:
--- a/src/gateway/response_sink.h
+++ b/src/gateway/response_sink.h
@@ -1,4 +1,4 @@
-// Where the answer to one request goes.
+// Interface to which the response to one request is written.
 
 #ifndef HARECRANK_SRC_GATEWAY_RESPONSE_SINK_H_
 #define HARECRANK_SRC_GATEWAY_RESPONSE_SINK_H_
@@ -10,13 +10,13 @@
 
 namespace harecrank {
 
-// Status, reason and headers of an answer, without framing headers.
+// Status, reason and headers of a response, without the headers that frame its
+// body.
 using ResponseHead =
     boost::beast::http::response_header<boost::beast::http::fields>;
 
-// One request's way back to its caller. Exactly one of these sequences is
-// called: SendWhole; or BeginStream, SendEvents any number of times, and
-// EndStream or AbortStream.
+// Exactly one of these sequences is called: SendWhole; or BeginStream,
+// SendEvents any number of times, and EndStream or AbortStream.
 class ResponseSink {
  public:
   ResponseSink() = default;
@@ -24,14 +24,14 @@
   ResponseSink& operator=(const ResponseSink&) = delete;
   virtual ~ResponseSink() = default;
 
-  // Sends a whole answer.
+  // Sends a complete response.
   virtual void SendWhole(ResponseHead head, std::string body) = 0;
 
-  // Sends the head of an answer whose length is not known yet.
+  // Sends the head of a response whose length is not known yet.
   virtual void BeginStream(ResponseHead head) = 0;
   virtual void SendEvents(std::string bytes) = 0;
   virtual void EndStream() = 0;
-  // Closes the connection so that the answer does not look complete.
+  // Closes the connection so that the response does not look complete.
   virtual void AbortStream() = 0;
 };
 
--- a/src/gateway/start_limiter.h
+++ b/src/gateway/start_limiter.h
@@ -1,5 +1,5 @@
-// Keeps this host to its part of what endpoints take from all hosts together,
-// and to the rests that they ask it for.
+// Keeps this host's request starts within its quotas of the endpoints' limits
+// and within the back-offs that endpoints have asked it for.
 
 #ifndef HARECRANK_SRC_GATEWAY_START_LIMITER_H_
 #define HARECRANK_SRC_GATEWAY_START_LIMITER_H_
@@ -18,63 +18,65 @@
 
 namespace harecrank {
 
-// Follows which endpoints are cold, as the platform tells, which have named a
-// limit, as their answers and other hosts tell, and which have asked this host
-// for rest; counts what this host begins there. Each change of an endpoint's
-// state leaves a line in the log. Not thread-safe.
+// Tracks which endpoints are cold according to the store, which have advertised
+// a rate limit in a response to this or another host, and which have asked this
+// host to back off. Counts the requests that this host starts there. Logs each
+// change of an endpoint's state. Not thread-safe.
 class StartLimiter {
  public:
-  // All pointers must outlive this. `hosts` returns how many hosts the fleet
-  // may have, or nothing while that is not known.
+  // All pointers must outlive this. `hosts` returns the largest number of hosts
+  // that the fleet may have, or nothing while that is unknown.
   StartLimiter(HostAddress self, ColdLimit cold_limit,
                std::function<std::optional<int>()> hosts,
                RoutingTableProvider routing, EventLog* log, Metrics* metrics,
                MonotonicClock clock);
 
-  // Takes what was published.
+  // Update the state with published endpoint records: the whole list, or a
+  // single record.
   void OnListing(const std::vector<EndpointRecord>& records);
   void OnEndpoint(const EndpointRecord& record);
   void OnGone(const EndpointId& id) { cold_endpoints_.OnGone(id); }
 
-  // Takes what the answer to a request that was sent at `sent_at` says of its
-  // endpoint's limit. Returns whether other hosts should hear of it soon.
+  // Applies the rate limit hint in the response to a request that was sent at
+  // `sent_at`. Returns whether other hosts should be informed soon.
   bool OnAnswer(const EndpointId& endpoint, const RateLimitHint& hint,
                 TimePoint sent_at);
 
-  // Takes what an answer says of when this host may come again.
+  // Applies the back-off hint in a response.
   void OnBackoffHint(const EndpointRecord& endpoint, const BackoffHint& hint);
 
-  // The endpoint runs in `incarnation`: it owes nothing of an earlier one.
+  // Notes that the endpoint runs as `incarnation`. A back-off of another
+  // incarnation is removed.
   void OnIncarnation(const EndpointId& id,
                      const std::optional<EndpointIncarnation>& incarnation) {
     backoffs_.OnIncarnation(id, incarnation);
   }
 
-  // Takes what another host tells of limits.
+  // Merges the rate limits that another host has reported.
   void MergeFromPeer(const std::vector<RateLimitReport>& reports);
 
-  // Returns what other hosts should hear of limits.
+  // Returns the rate limits to report to other hosts.
   std::vector<RateLimitReport> Reports() const {
     return rate_limits_.Reports();
   }
 
-  // Looks which bounds are over. To be called several times a second.
+  // Removes limits that have expired. To be called several times a second.
   void Tick();
 
-  // Returns where this host may begin nothing now, and counts that a choice is
-  // made without those.
+  // Returns the endpoints at which this host may not start a request now.
+  // Increments the counter of withheld starts if there are any.
   std::set<EndpointId> Withheld(const ServiceProfile& service);
 
-  // Returns whether this host may begin all that `placement` begins now, and
-  // counts it if not.
+  // Returns whether this host may start all parts of `placement` now.
+  // Increments the counter of withheld starts if not.
   bool MayStart(const Placement& placement, const ServiceProfile& service);
 
-  // Notes that it begins that.
+  // Adds the parts of `placement` to the start history.
   void OnStart(const Placement& placement, const ServiceProfile& service);
 
-  // Returns when this host may begin a request at one of `endpoints` that is
-  // not among `tried`; nothing if no bound stands against one of them, or if
-  // none is left.
+  // Returns when and how fast this host may start requests at those of
+  // `endpoints` that are not in `tried`. Returns nothing if one of them has no
+  // limit, or if all have been tried.
   std::optional<StartAvailability> StartAvailabilityOf(
       const std::vector<const EndpointRecord*>& endpoints,
       const std::set<EndpointId>& tried, const ServiceProfile& service) const {
@@ -82,14 +84,15 @@
                                        service);
   }
 
-  // Returns after which time a caller may come again whom the bounds of all
-  // endpoints of `service` leave out, at most kMaxRetryAfter unless all rest
-  // for longer. Each is told a later time than the one before, as far apart as
-  // requests may be begun.
+  // Returns the Retry-After time for a caller that is rejected because of the
+  // limits of all endpoints of `service`: at most kMaxRetryAfter, or until the
+  // end of the back-offs if all endpoints have asked for a longer one. Each
+  // caller gets a later time than the previous one, spaced by the rate at which
+  // requests may be started.
   Millis NextRetryAfter(const ServiceName& service,
                         const StartAvailability& availability);
 
-  // The parts of all hosts, for the planner.
+  // The quotas of all hosts, for the planner.
   const StartQuotas* Quotas() const { return &quotas_; }
 
   std::size_t ColdCount() const { return cold_endpoints_.Count(); }
@@ -99,11 +102,12 @@
   }
   std::size_t BackoffCount() const { return backoffs_.Count(); }
 
-  // Returns all bounds, and what this host has begun under them, for operators.
+  // Returns all limits and the starts of this host under them as JSON, for
+  // operators.
   nlohmann::json Describe() const;
 
-  // Callers honour a pause up to a third of the time that they have left; after
-  // this long most bounds are others.
+  // Callers honour a Retry-After of up to a third of their remaining time.
+  // After this time most limits have changed.
   static constexpr Millis kMaxRetryAfter{10000};
 
  private:
@@ -124,9 +128,10 @@
   EndpointBackoffs backoffs_;
   StartQuotas quotas_;
   StartHistory history_;
-  // When the last caller whom a service's bounds left out may come again.
+  // Time at which the last rejected caller of a service may retry.
   std::map<ServiceName, TimePoint> retry_times_;
-  // Endpoints that were there when this host came are no new lives.
+  // The first list has been received. Endpoints in that list are not treated as
+  // newly started.
   bool has_listing_ = false;
 };
 
