--- a/src/gateway/admission.cc
+++ b/src/gateway/admission.cc
@@ -10,10 +10,10 @@
 
 namespace http = boost::beast::http;
 
-// Each step returns a rejection, or nothing if the request goes on.
+// Result of one admission step: a rejection, or nothing if the request passes.
 using StepResult = std::optional<Rejection>;
 
-// Judges one request, step by step.
+// Admits one request, step by step.
 class AdmissionCheck {
  public:
   AdmissionCheck(const GatewayServices& services, const CallerRequest& request,
@@ -67,7 +67,7 @@
       return std::nullopt;
     }
     if (admitted_->route->kind == RequestKind::kStreaming) {
-      // Nobody knows how long a stream takes, and the stop would cut it.
+      // The duration of a stream is unknown, and the stop would interrupt it.
       return Rejection{http_status::kUnavailable, "stopping", kRetryElsewhere};
     }
     admitted_->deadline = std::min(admitted_->deadline, *stop);
--- a/src/gateway/attempt.cc
+++ b/src/gateway/attempt.cc
@@ -14,10 +14,11 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-// Heads of endpoints' answers are small; a larger one is no answer.
+// Heads of responses are small. A larger one is treated as malformed.
 constexpr std::uint32_t kMaxHeaderBytes = 64U << 10U;
-// Answers to earlier requests that are read over before a connection counts as
-// spoiled. An endpoint sends one too many, not a series.
+// Maximum number of responses to earlier requests that are skipped before the
+// connection is given up. An endpoint may send one stale response, but not a
+// series.
 constexpr int kMaxStaleMessages = 2;
 
 }  // namespace
@@ -54,7 +55,7 @@
 void Attempt::Connect(const std::string& address, Millis timeout) {
   const auto endpoint = ParseTcpEndpoint(address);
   if (!endpoint.has_value()) {
-    // The observer may not be ready to hear of it before Start returns.
+    // Posted, since the observer must not be called before Start returns.
     asio::post(*io_, [self = shared_from_this()] {
       self->Fail(AttemptNotSent{"the endpoint's address cannot be read"});
     });
@@ -63,9 +64,9 @@
   connecting_ = true;
   connect_timer_.expires_after(timeout);
   connect_timer_.async_wait([self = shared_from_this()](const Error& error) {
-    // A host that was held up finds the connection and the timer ready in one
-    // turn of its loop. Then the request is on its way, and a cancelled timer
-    // reports success all the same.
+    // If the process was stalled, the connection and the timer become ready in
+    // the same turn of the event loop. The request is then already being sent,
+    // and the cancelled timer still reports success.
     if (!error && self->connecting_) {
       self->Fail(AttemptNotSent{"no connection in time"});
     }
@@ -106,8 +107,8 @@
   if (ended_) {
     return;
   }
-  // A failed write is not the end: the endpoint may have answered before it
-  // read all. The read tells.
+  // A failed write does not end the attempt: the endpoint may have responded
+  // before it read the whole request. The read determines the result.
   request_written_ = !error;
 }
 
@@ -208,8 +209,9 @@
     return;
   }
   ended_ = true;
-  // Bytes behind the answer belong to no request: such a connection is spoiled,
-  // and so is one on which the endpoint answered before it had read all.
+  // Bytes after the response belong to no request, so the connection cannot be
+  // reused. Neither can one on which the endpoint responded before the whole
+  // request was written.
   const bool reusable = request_written_ && parser_->keep_alive() &&
                         connection_->buffer.size() == 0;
   if (reusable) {
--- a/src/gateway/caller_listener.cc
+++ b/src/gateway/caller_listener.cc
@@ -10,10 +10,10 @@
 
 namespace asio = boost::asio;
 
-// How long to wait for descriptors when none are left.
+// Delay before the next accept when file descriptors or sessions are exhausted.
 constexpr Millis kAcceptRetryDelay{50};
-// Ended sessions are swept out of the list when it has grown to twice what was
-// left by the sweep before, and to this at least.
+// Ended sessions are removed from the list when it has grown to twice the size
+// that the previous removal left, but not below this size.
 constexpr std::size_t kMinSweepThreshold = 64;
 
 }  // namespace
@@ -36,7 +36,7 @@
 }
 
 void CallerListener::CloseIdle() {
-  // Closing changes the list's owners, not the list.
+  // Closing a session does not modify the list.
   for (const auto& weak : sessions_) {
     if (const auto session = weak.lock()) {
       session->CloseIfIdle();
--- a/src/gateway/caller_session.cc
+++ b/src/gateway/caller_session.cc
@@ -16,10 +16,12 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-// An answer that its caller does not take for this long is given up.
+// Time in which the caller must take what is being written. After it the
+// connection is closed.
 constexpr Millis kFlushTimeout{10000};
-// What is buffered for a caller that reads slowly before it is dropped. The
-// longest streams of a million-token prompt stay far below.
+// Maximum number of bytes that are buffered for a slow caller. Beyond it the
+// connection is closed. The longest streams of a million-token prompt are much
+// smaller.
 constexpr std::size_t kMaxQueuedBytes = 4U << 20U;
 constexpr int kVersion11 = 11;
 
@@ -84,7 +86,8 @@
   const ssize_t received =
       ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (received > 0) {
-    // The next request is there already. It waits; its caller is there.
+    // The next request has already arrived, so the caller is still connected.
+    // It is read after the current response.
     return;
   }
   if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
@@ -280,7 +283,8 @@
 void CallerSession::AbortStream() {
   request_.reset();
   close_after_flush_ = true;
-  // What is whole still goes out; the missing end shows that it is not all.
+  // Data that is already queued is still sent. The missing end shows the caller
+  // that the response is incomplete.
   if (in_flight_.empty() && queued_.empty()) {
     Close();
   }
@@ -346,7 +350,7 @@
   state_ = State::kClosed;
   ++timer_generation_;
   timer_.cancel();
-  // The handle may drop the last reference to this.
+  // The request handle may hold the last reference to this.
   const auto self = shared_from_this();
   if (const auto request = std::move(request_)) {
     request->OnCallerDisconnected();
--- a/src/gateway/dispatch_queue.cc
+++ b/src/gateway/dispatch_queue.cc
@@ -36,7 +36,7 @@
     if (found == starts_.end()) {
       continue;
     }
-    // A copy, since what it starts may remove it.
+    // Copied, since the call may remove the entry.
     const Start start = found->second;
     if (start()) {
       Remove(id);
--- a/src/gateway/endpoint_connection_pool.cc
+++ b/src/gateway/endpoint_connection_pool.cc
@@ -41,8 +41,9 @@
 
 void EndpointConnectionPool::PutIdle(
     std::unique_ptr<EndpointConnection> connection) {
-  // Kept, a connection that was in use while its endpoint began a new
-  // incarnation elsewhere took every further request to the incarnation before.
+  // A connection opened before the endpoint restarted elsewhere leads to the
+  // earlier incarnation. If it were kept, all further requests would be sent
+  // there.
   const auto forgotten = forgotten_.find(connection->endpoint);
   if (forgotten != forgotten_.end() &&
       connection->opened <= forgotten->second) {
@@ -95,7 +96,8 @@
   char byte = 0;
   const ssize_t received = ::recv(connection->socket.native_handle(), &byte, 1,
                                   MSG_PEEK | MSG_DONTWAIT);
-  // An idle connection has nothing to say: neither bytes nor its end.
+  // On a usable idle connection there is nothing to read: neither data nor end
+  // of file.
   return received >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
--- a/src/gateway/endpoint_request.cc
+++ b/src/gateway/endpoint_request.cc
@@ -12,7 +12,8 @@
 
 constexpr char kResumeAfter[] = "Last-Event-ID";
 
-// Whether a caller's header of this name gives way to the gateway's own.
+// Returns whether the caller's header `name` is dropped or replaced by the
+// gateway.
 bool IsSetByGateway(std::string_view name, const ProtocolNames& names,
                     const HeadChanges& changes) {
   const boost::beast::string_view header_name(name.data(), name.size());
--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -39,7 +39,8 @@
       !endpoint_updater_->OnLeaveAnnounced(endpoint, is_readable)) {
     return;
   }
-  // Hosts that have not been told themselves leave it alone for a while, too.
+  // Reported to the other hosts, which then avoid the endpoint for a while,
+  // too.
   health_->OnReportedAtFault(endpoint.id);
   on_change_();
 }
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -13,8 +13,8 @@
 namespace http = boost::beast::http;
 
 constexpr int kLeastUrgent = 9;
-// How often a request that waits looks whether this host is about to stop, or
-// all endpoints have come to rest.
+// Interval in which a waiting request checks whether this host is about to
+// stop, and whether all endpoints have asked for a back-off.
 constexpr Millis kWaitCheckInterval{100};
 
 }  // namespace
@@ -102,7 +102,8 @@
 
 void Exchange::OnPlaced(const Placement& placement) {
   const auto self = shared_from_this();
-  // Others may have ended endpoints while this one waited for its place.
+  // Other requests with the same fingerprint may have crashed endpoints while
+  // this one waited.
   if (!services_->crashes->TryAdmit(this, &is_trial_)) {
     RejectQuarantined();
     return;
@@ -215,7 +216,7 @@
 }
 
 bool Exchange::RetryOverdue() {
-  // A second sending only pays while it can still bring something.
+  // Retry only if another attempt can still produce a response in time.
   if (!MayRetry()) {
     return false;
   }
@@ -264,7 +265,7 @@
 
 void Exchange::Reject(unsigned status, const std::string& code,
                       std::optional<Millis> retry_after) {
-  // Whoever is told when to come again is told that it has not run, too.
+  // A Retry-After header always implies that the request has not run.
   Respond(GatewayResponse{status, code, retry_after, retry_after.has_value()});
 }
 
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -1,5 +1,5 @@
-// What an exchange makes of its attempts: answers, failures and requests that
-// end endpoints. The rest of the class is in exchange.cc.
+// How an exchange handles responses, failed attempts and quarantined requests.
+// The rest of the class is in exchange.cc.
 
 #include <utility>
 
@@ -13,11 +13,11 @@
 
 namespace http = boost::beast::http;
 
-// How often one request is put to endpoints that cannot be reached.
+// Maximum number of failed connections to endpoints for one request.
 constexpr int kMaxConnectFailures = 5;
-// With less left than this a further attempt cannot bring anything.
+// With less time left than this, a further attempt cannot produce a response.
 constexpr Millis kMinTimeForAttempt{60};
-// The reason of the final answer to a request that ends endpoints.
+// Error code of the final response to a request that crashes endpoints.
 constexpr char kQuarantinedReason[] = "ends_endpoints";
 
 bool IsEventStream(const ResponseHead& head) {
@@ -163,7 +163,8 @@
     OnNotSent(*not_sent);
     return;
   }
-  // One broken answer is not a dead endpoint; the next connection tells.
+  // One broken response does not mean that the endpoint is dead. The next
+  // connection attempt shows that.
   OnErrorAnswer();
   search_->End();
   relay_.DropPartial();
@@ -197,7 +198,8 @@
 }
 
 void Exchange::HandleBroken(const AttemptBroken& broken) {
-  // What is sent on is judged first: it may have ended its third endpoint.
+  // The crash guard judges the attempt before the request is retried, since the
+  // request may just have crashed its third endpoint.
   may_have_run_ = true;
   const bool may_continue = route_->MayRepeat();
   services_->crashes->OnResponseAborted(
@@ -234,8 +236,8 @@
 
 void Exchange::OnQuarantined() {
   const auto self = shared_from_this();
-  // One that an endpoint runs already shows by itself what it does, and one
-  // that may run once is not broken off.
+  // A request that an endpoint has already started shows by itself whether it
+  // causes a crash. A request that may run only once is not interrupted.
   const bool sent = sender_->IsUnderWay() && sender_->WasSent();
   const bool runs = sent && (sender_->HasFirstEvent() || !route_->MayRepeat());
   if (finished_ || runs) {
@@ -251,8 +253,9 @@
     GiveUp(kQuarantinedReason);
     return;
   }
-  // Without a time to come back: it will be refused then too. An own 4xx would
-  // say more plainly whose fault it is, but platforms bound those.
+  // No Retry-After, since the request would be rejected again. A 4xx status
+  // would state the cause more clearly, but platforms limit the 4xx responses
+  // of a gateway.
   Respond(GatewayResponse{http_status::kUnavailable, kQuarantinedReason,
                           std::nullopt, true});
 }
--- a/src/gateway/http_client.cc
+++ b/src/gateway/http_client.cc
@@ -13,7 +13,8 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-// The platform's values hold a megabyte at most, and pages of them a few.
+// Values in the platform's store are at most a megabyte, and a page of them is
+// a few megabytes.
 constexpr std::uint64_t kMaxReplyBytes = 16U << 20U;
 constexpr unsigned kHttp11 = 11;
 
@@ -130,7 +131,7 @@
 }
 
 void HttpClient::Finish(CallResult result) {
-  // The handler may start the next call.
+  // Clear the state first, since the handler may start the next call.
   Handler handler = std::move(handler_);
   handler_ = nullptr;
   parser_.reset();
--- a/src/gateway/memory_reservation.cc
+++ b/src/gateway/memory_reservation.cc
@@ -80,8 +80,8 @@
 
 void MemoryReservation::Renew() {
   for (const MemoryNeed& need : needs_) {
-    // A renewal that fails needs no answer here: the engine cuts the request,
-    // and that is told on the request's own connection.
+    // A failed renewal needs no handling here: the engine aborts the request,
+    // which is reported on the request's own connection.
     Reserve(need, [](bool /*done*/) {});
   }
   RenewLater();
--- a/src/gateway/placement_search.cc
+++ b/src/gateway/placement_search.cc
@@ -8,13 +8,14 @@
 namespace harecrank {
 namespace {
 
-// How often one request is given a place that this host cannot use before it
-// places by itself.
+// Number of placements with unusable endpoints that the planner may return for
+// one request before the host places the request itself.
 constexpr int kMaxUnusablePlacements = 5;
-// How long a request waits before it asks for another place after memory that
-// was free has been taken by another.
+// Delay before a new search after memory that was free has been reserved by
+// another request.
 constexpr Millis kMemoryRetryDelay{40};
-// How long a plain request waits before it looks again whether it may begin.
+// Interval in which a waiting request of a service without engines checks
+// whether it may start.
 constexpr Millis kStartRetryDelay{40};
 
 }  // namespace
@@ -34,8 +35,8 @@
   if (EndIfStartLimited()) {
     return;
   }
-  // Plain services have few endpoints and short work: this host's own knowledge
-  // serves them as well, without the way to the planner.
+  // Services without engines have few endpoints and short requests, so local
+  // state is good enough and saves the round trip to the planner.
   if (params_.request.service->engine.has_value()) {
     SendQuery();
   } else {
@@ -105,8 +106,8 @@
     Prepare(*placement);
     return;
   }
-  // The listing of the planner and this host's differ, or another planner has
-  // given what this host may begin there.
+  // The endpoint lists of the planner and of this host differ, or another
+  // planner has already used up this host's quota there.
   EndQuery();
   ExcludeUnusable(planned);
   ++unusable_placements_;
@@ -183,7 +184,8 @@
   const ShareRank rank = claim.has_value()
                              ? services_->queue->ShareRankOf(*claim)
                              : ShareRank::kEqual;
-  // It does not take what others wait for that have had less.
+  // A request over its account's fair share does not take an engine while
+  // requests of accounts that have had less wait.
   const bool is_over_share = rank == ShareRank::kAfter && !WasSent();
   if (!is_over_share && TryPlace()) {
     return;
@@ -209,8 +211,8 @@
 }
 
 TimePoint PlacementSearch::WaitDeadline(SendingHistory history) const {
-  // One that has waited for an endpoint already and is late all the same is
-  // still served late.
+  // A request that has already waited for an endpoint and is past its latency
+  // target is still served late.
   const bool is_late = params_.late_at <= services_->clock();
   const bool serves_late = history == SendingHistory::kMayHaveRun ||
                            (history == SendingHistory::kNotRun && is_late);
@@ -368,8 +370,8 @@
     return std::nullopt;
   }
   if (waits_at_planner_ && services_->policy->foresees_room) {
-    // The planner knows when waiting is of no more use. A limit of this host's
-    // own sends the largest prompts away while they still have time.
+    // The planner decides when waiting is of no more use. A limit on this host
+    // would end the wait of the largest prompts while they still have time.
     return std::nullopt;
   }
   return OversizeWaitEnd(request, *services_->policy, params_.late_at,
@@ -422,8 +424,9 @@
 
 void PlacementSearch::OnMemoryReserved(const Placement& placement, bool held) {
   nlohmann::json fields = log_fields_();
-  // Memory is waited for up to 300 ms. With the wait for a connection an
-  // endpoint that was heard to leave meanwhile would be sent to 0.6 s later.
+  // The reservation takes up to 300 ms. If an endpoint announces during that
+  // time that it is shutting down, the request must not be sent there: together
+  // with the time-out of the connection that would cost 0.6 s.
   const bool usable = IsStillUsable(placement) && MayStart(placement);
   fields["held"] = held;
   fields["usable"] = usable;
@@ -435,7 +438,7 @@
   }
   End();
   StartWaitClock();
-  // The memory that was there a moment ago is another's now.
+  // Another request has reserved the memory in the meantime.
   retry_timer_.expires_after(kMemoryRetryDelay);
   retry_timer_.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& error) {
@@ -447,7 +450,8 @@
 }
 
 MemoryTicket PlacementSearch::TicketFor(const EndpointId& holder) const {
-  // One for each placement: memory of an earlier one may still be ending.
+  // The ticket is different for each placement, since the memory of an earlier
+  // one may not have been released yet.
   return MemoryTicket{params_.request_id + "-" + std::to_string(placements_) +
                       "-" + holder.value};
 }
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -7,12 +7,12 @@
 namespace harecrank {
 namespace {
 
-// A connection inside a region comes up within milliseconds. One packet lost
-// on the way costs a second; another endpoint is sooner.
+// A connection within a region is established within milliseconds. A lost
+// packet costs a second, so another endpoint is faster.
 constexpr Millis kConnectTimeout{250};
-// For how long after its first event an endpoint counts as beginning a request:
-// ten times what an engine takes to end by a request, for engines that are
-// slow.
+// How long after its first event a request still counts as starting, so that a
+// crash of the endpoint is attributed to it. Ten times the time in which an
+// engine crashes on a request, to cover slow engines.
 constexpr Millis kStartPeriod{1000};
 
 }  // namespace
@@ -39,8 +39,8 @@
 }
 
 std::unique_ptr<EndpointConnection> RequestSender::Connection() {
-  // On a kept connection a request can cross the endpoint's close, and nobody
-  // could tell whether it ran.
+  // On a reused connection the request can cross the endpoint's close, and then
+  // it is unknown whether the request has run.
   if (route_->MayRepeat()) {
     auto idle = services_->connections->TakeIdle(endpoint_.id);
     if (idle != nullptr) {
@@ -81,8 +81,8 @@
   attempt_first_event_at_ = now;
   first_event_at_ = first_event_at_.value_or(now);
   const FractionalMillis taken = now - sent_at_;
-  // A single slow answer says little of short waits; what counts is how the
-  // longer ones compare.
+  // Added to both times, since for short latencies the ratio would be mostly
+  // noise. Only long latencies are compared in full.
   constexpr FractionalMillis kNegligible{200};
   const double slowdown = (taken + kNegligible) / (predicted_ + kNegligible);
   services_->health->OnSuccess(endpoint_.id, slowdown);
--- a/src/gateway/response_decoder.cc
+++ b/src/gateway/response_decoder.cc
@@ -26,7 +26,8 @@
   int zone = 0;
   const bool is_parsed =
       Poco::DateTimeParser::tryParse(format, date_text, date, zone);
-  // The parser makes a date of nearly any text.
+  // The parser accepts nearly any text as a date, so compare with the formatted
+  // result.
   if (!is_parsed ||
       Poco::DateTimeFormatter::format(date, format) != date_text) {
     return std::nullopt;
@@ -34,7 +35,7 @@
   return date.timestamp();
 }
 
-// Whether an endpoint says with `status` when a host may come again.
+// Returns whether Retry-After has a meaning in a response with `status`.
 bool MayCarryBackoffHint(unsigned status) {
   return status == http_status::kUnavailable ||
          status == http_status::kTooManyRequests;
--- a/src/gateway/response_relay.cc
+++ b/src/gateway/response_relay.cc
@@ -6,7 +6,8 @@
 namespace harecrank {
 namespace {
 
-// An answer that is not a stream is kept whole before it goes on.
+// Maximum size of a response that is not a stream. Such a response is buffered
+// until it is complete.
 constexpr std::size_t kMaxResponseBytes = 16U << 20U;
 
 }  // namespace
--- a/src/gateway/start_limiter.cc
+++ b/src/gateway/start_limiter.cc
@@ -191,7 +191,8 @@
 }
 
 nlohmann::json StartLimiter::DescribeRateLimit(const EndpointId& id) const {
-  // A service that bounds nothing by itself: what is left is the limit.
+  // With a service profile that sets no limits, only the advertised limit is
+  // left.
   const ServiceProfile service_without_limits;
   const StartLimit limit = rate_limits_.StartLimitOf(id).value_or(StartLimit{});
   const auto advertised = rate_limits_.AdvertisedRate(id);
