--- a/src/gateway/attempt_test.cc
+++ b/src/gateway/attempt_test.cc
@@ -36,7 +36,7 @@
   std::vector<AttemptFailure> failures_;
 };
 
-// An attempt at a listening socket that accepts and never answers.
+// A listening socket whose connections are never answered.
 class SilentEndpoint {
  public:
   explicit SilentEndpoint(asio::io_context* io)
@@ -50,7 +50,7 @@
   asio::ip::tcp::acceptor acceptor_;
 };
 
-// One attempt and what it tells.
+// One attempt and the events that its observer has received.
 class AttemptFixture {
  protected:
   void Start(const std::string& address, Millis connect_timeout) {
@@ -69,14 +69,16 @@
       std::make_shared<Attempt>(&io_, &connections_, &names_, &observer_);
 };
 
-TEST_CASE_METHOD(AttemptFixture,
-                 "A connection that comes up with its timer counts as sent",
-                 "[gateway][attempt]") {
+TEST_CASE_METHOD(
+    AttemptFixture,
+    "A connection established together with its time-out counts as sent",
+    "[gateway][attempt]") {
   const SilentEndpoint endpoint(&io_);
   constexpr Millis kConnectTimeout{1};
   Start(endpoint.Address(), kConnectTimeout);
 
-  // The process is held up: both are due when its loop turns next.
+  // The process is stalled: the connection and the time-out are both due in
+  // the next turn of the event loop.
   std::this_thread::sleep_for(20 * kConnectTimeout);
   io_.run_for(20 * kConnectTimeout);
 
@@ -86,7 +88,7 @@
 }
 
 TEST_CASE_METHOD(AttemptFixture,
-                 "An endpoint that cannot be reached has been sent nothing",
+                 "An attempt at an invalid address fails as not sent",
                  "[gateway][attempt]") {
   Start("no address", Millis(1000));
   io_.run_for(Millis(20));
@@ -96,7 +98,7 @@
   REQUIRE(std::holds_alternative<AttemptNotSent>(observer_.Failures().front()));
 }
 
-TEST_CASE("An endpoint's host is asked whether it is there",
+TEST_CASE("Endpoint sockets detect a silent host by TCP keep-alive",
           "[gateway][attempt]") {
   asio::io_context io;
   const SilentEndpoint endpoint(&io);
@@ -104,22 +106,22 @@
   socket.connect(*ParseTcpEndpoint(endpoint.Address()));
   SetEndpointOptions(&socket);
 
-  asio::socket_base::keep_alive asked;
-  socket.get_option(asked);
-  CHECK(asked.value());
+  asio::socket_base::keep_alive keep_alive;
+  socket.get_option(keep_alive);
+  CHECK(keep_alive.value());
   asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE> idle;
   socket.get_option(idle);
   asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL> interval;
   socket.get_option(interval);
   asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT> count;
   socket.get_option(count);
-  const Millis given_up(1000 *
-                        (idle.value() + interval.value() * count.value()));
-  CHECK(given_up == kKeepaliveTimeout);
+  const Millis detection_time(
+      1000 * (idle.value() + interval.value() * count.value()));
+  CHECK(detection_time == kKeepaliveTimeout);
   asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT> limit;
   socket.get_option(limit);
   CHECK(Millis(limit.value()) == kKeepaliveTimeout);
-  // Engines must have back what nobody uses after four seconds.
+  // Engines must free memory that no request uses within four seconds.
   CHECK(kKeepaliveTimeout < Millis(4000));
 }
 
--- a/src/gateway/endpoint_connection_pool_test.cc
+++ b/src/gateway/endpoint_connection_pool_test.cc
@@ -26,20 +26,17 @@
   EndpointConnectionPool pool_{&io_, [this] { return now_; }};
 };
 
-TEST_CASE_METHOD(PoolFixture, "A connection that comes back is used again") {
+TEST_CASE_METHOD(PoolFixture, "A returned connection is reused") {
   pool_.PutIdle(Open());
   CHECK(pool_.TakeIdle(kId) != nullptr);
   CHECK(pool_.TakeIdle(kId) == nullptr);
 }
 
-// A server began its next incarnation elsewhere while a request was under way
-// at the one before. Its connection came back after the idle ones had been
-// closed, and every further request was placed by the new entry and sent over
-// it: placed on s0, entry_revision 13, for five seconds, all at the address of
-// revision 11.
+// An endpoint may restart elsewhere while a request to its earlier incarnation
+// is in progress. If the connection of that request were pooled afterwards, all
+// further requests would be sent over it to the earlier incarnation.
 TEST_CASE_METHOD(PoolFixture,
-                 "A connection that was in use when its endpoint was forgotten "
-                 "is not kept") {
+                 "A connection in use during Forget is not pooled") {
   pool_.PutIdle(Open());
   auto in_use = Open();
   now_ += Millis(5);
--- a/src/gateway/endpoint_request_test.cc
+++ b/src/gateway/endpoint_request_test.cc
@@ -35,8 +35,8 @@
 }
 
 TEST_CASE(
-    "A head keeps what is the caller's and nothing that only the "
-    "gateway may say") {
+    "The head keeps the caller's headers except those that only the gateway "
+    "may set") {
   HeadChanges changes;
   changes.time_left = Millis(70);
   changes.endpoint = EndpointId{"e"};
@@ -56,7 +56,7 @@
   CHECK(head.find("Bearer") == std::string::npos);
 }
 
-TEST_CASE("A resumed stream asks for what follows its last whole event") {
+TEST_CASE("A resumed stream asks for the events after the last complete one") {
   HeadChanges changes;
   changes.resume_after = "17";
   const std::string head = EndpointHead(Request(), Names(), changes);
@@ -64,7 +64,7 @@
   CHECK(head.find("Last-Event-ID: 3") == std::string::npos);
 }
 
-TEST_CASE("Numbers and keys are read strictly") {
+TEST_CASE("Integers, bearer keys and paths are parsed strictly") {
   CHECK(ParseInteger(" 12,7") == 12);
   CHECK_FALSE(ParseInteger("x1").has_value());
   CHECK_FALSE(ParseInteger("").has_value());
--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -50,7 +50,9 @@
                                              TimePoint sent_at) {
   const bool has_no_limit = std::holds_alternative<NoRateLimit>(response.limit);
   if (has_no_limit && !(response.IsSuccess() && response.is_signed)) {
-    return;  // Refusals and failures may be given without a look at the need.
+    // An endpoint may reject or fail a request before it checks its own load,
+    // so a missing limit says nothing there.
+    return;
   }
   if (start_limiter_->OnAnswer(endpoint, response.limit, sent_at)) {
     on_change_();
--- a/src/gateway/endpoint_response_handler_test.cc
+++ b/src/gateway/endpoint_response_handler_test.cc
@@ -22,7 +22,7 @@
     return record;
   }
 
-  // Refuses, rests, names a limit and leaves, all in one.
+  // A rejection with a back-off, a rate limit and a leaving announcement.
   static EndpointResponse ResponseWithAllHints() {
     EndpointResponse response;
     response.status = 503;
@@ -69,8 +69,9 @@
       &limiter_,   &backoff_notifier_, [this] { ++changes_; }};
 };
 
-TEST_CASE_METHOD(ResponseHandlerFixture,
-                 "Requests that wait look when an endpoint asks for rest") {
+TEST_CASE_METHOD(
+    ResponseHandlerFixture,
+    "Waiting requests are notified when an endpoint asks for a back-off") {
   backoff_notifier_.Add([] {});
   Respond(Record(1000, 2), EndpointResponse{});
   CHECK(backoff_checks_ == 0);
@@ -78,22 +79,20 @@
   CHECK(backoff_checks_ == 1);
 }
 
-TEST_CASE_METHOD(ResponseHandlerFixture,
-                 "Each word of an answer reaches its keeper") {
+TEST_CASE_METHOD(ResponseHandlerFixture, "Each hint in a response is applied") {
   news_.OnEndpoint(Record(1000, 2));
   Respond(Record(1000, 2), ResponseWithAllHints());
   CHECK(limiter_.LimitedCount() == 1);
   CHECK(limiter_.IsBackingOff(kEndpoint));
   CHECK(directory_.UsableOf(kService).empty());
   CHECK(health_.IsSuspect(kEndpoint));
-  // Of the limit, and of its leaving.
+  // One for the limit and one for the leaving announcement.
   CHECK(changes_ == 2);
   Respond(Record(1000, 2), ResponseWithAllHints());
   CHECK(changes_ == 2);
 }
 
-TEST_CASE_METHOD(ResponseHandlerFixture,
-                 "The answer of another endpoint says nothing of this one") {
+TEST_CASE_METHOD(ResponseHandlerFixture, "A misdirected response is ignored") {
   news_.OnEndpoint(Record(1000, 2));
   EndpointResponse response = ResponseWithAllHints();
   response.status = 421;
@@ -102,7 +101,7 @@
 }
 
 TEST_CASE_METHOD(ResponseHandlerFixture,
-                 "A late answer of an earlier life binds no later one") {
+                 "A response of an earlier incarnation is ignored") {
   news_.OnEndpoint(Record(1000, 2));
   news_.OnEndpoint(Record(2000, 3));
   Respond(Record(1000, 2), ResponseWithAllHints());
@@ -110,7 +109,7 @@
 }
 
 TEST_CASE_METHOD(ResponseHandlerFixture,
-                 "An endpoint whose entry is gone is heard") {
+                 "A response of an endpoint without a record is applied") {
   Respond(Record(1000, 2), ResponseWithAllHints());
   CHECK(limiter_.IsBackingOff(kEndpoint));
   news_.OnEndpoint(Record(1000, 3));
--- a/src/gateway/memory_reservation_test.cc
+++ b/src/gateway/memory_reservation_test.cc
@@ -7,7 +7,7 @@
 namespace harecrank {
 namespace {
 
-// Engines that answer when the test says so.
+// Engines whose responses the test triggers.
 class ScriptedOrders : public MemoryOrders {
  public:
   void Reserve(const std::string& address, const MemoryTicket&, Tokens, Millis,
@@ -62,12 +62,12 @@
   boost::asio::io_context io_;
   ScriptedOrders orders_;
   std::vector<bool> outcomes_;
-  // Whose answers were told.
+  // Endpoints whose responses were passed on, in order.
   std::vector<std::string> responded_;
 };
 
 TEST_CASE_METHOD(ReservationFixture,
-                 "Every answer of an engine to an order is told") {
+                 "Every response of an engine is passed on") {
   const auto reservation = Acquire();
   orders_.Respond(0, true);
   orders_.Respond(1, true);
@@ -77,8 +77,9 @@
         std::vector<std::string>{"engine-a", "engine-b", "engine-b"});
 }
 
-TEST_CASE_METHOD(ReservationFixture,
-                 "Memory is held when every engine has given it") {
+TEST_CASE_METHOD(
+    ReservationFixture,
+    "The reservation succeeds when every engine has reserved its memory") {
   const auto reservation = Acquire();
   orders_.Respond(0, true);
   CHECK(outcomes_.empty());
@@ -90,9 +91,9 @@
   CHECK(orders_.released_ == std::map<std::string, int>{{"a", 1}, {"b", 1}});
 }
 
-TEST_CASE_METHOD(ReservationFixture,
-                 "When one engine gives nothing, all is given back at once, "
-                 "also where no answer came") {
+TEST_CASE_METHOD(
+    ReservationFixture,
+    "If one engine reserves nothing, the memory of all is released at once") {
   const auto reservation = Acquire();
   orders_.Respond(0, true);
   orders_.Respond(1, false);
@@ -101,8 +102,8 @@
 }
 
 TEST_CASE_METHOD(ReservationFixture,
-                 "A request that ends before the engines answer leaves nothing "
-                 "held and hears nothing") {
+                 "A release before the engines respond releases all memory and "
+                 "suppresses the callback") {
   const auto reservation = Acquire();
   reservation->Release();
   orders_.Respond(0, true);
@@ -112,11 +113,11 @@
 }
 
 TEST_CASE_METHOD(ReservationFixture,
-                 "What is held is renewed until it is released") {
+                 "A reservation is renewed until it is released") {
   const auto reservation = Acquire();
   orders_.Respond(0, true);
   orders_.Respond(1, true);
-  // Runs the one timer that waits.
+  // Runs the handler of the renewal timer.
   io_.run_one();
   CHECK(orders_.reserve_calls_ ==
         std::map<std::string, int>{{"a", 2}, {"b", 2}});
--- a/src/gateway/start_limiter_test.cc
+++ b/src/gateway/start_limiter_test.cc
@@ -8,7 +8,7 @@
 const EndpointId kEndpoint{"e0"};
 const ServiceName kService{"svc"};
 
-// One host that knows itself to be the only one.
+// A fleet that consists of one host.
 class StartLimiterFixture {
  protected:
   void Advance(Millis time) { now_ += time; }
@@ -52,7 +52,7 @@
 };
 
 TEST_CASE_METHOD(StartLimiterFixture,
-                 "An endpoint without a bound takes what comes") {
+                 "Starts at an endpoint without a limit are not limited") {
   CHECK_FALSE(Availability().has_value());
   for (int i = 0; i < 1000; ++i) {
     CHECK(CanStart());
@@ -61,7 +61,7 @@
 }
 
 TEST_CASE_METHOD(StartLimiterFixture,
-                 "A limit that an answer names bounds the next") {
+                 "An advertised rate limit applies to the next start") {
   CHECK(limiter_.OnAnswer(kEndpoint, RequestRate{1}, now_));
   CHECK_FALSE(limiter_.OnAnswer(kEndpoint, RequestRate{1}, now_));
   Advance(Millis(1000));
@@ -77,7 +77,7 @@
 }
 
 TEST_CASE_METHOD(StartLimiterFixture,
-                 "Callers who are turned away are told to come one by one") {
+                 "Rejected callers get Retry-After times spaced by the rate") {
   limiter_.OnAnswer(kEndpoint, RequestRate{1}, now_);
   Advance(Millis(1000));
   Start();
@@ -93,7 +93,7 @@
 }
 
 TEST_CASE_METHOD(StartLimiterFixture,
-                 "Callers are told when to come where nothing may begin") {
+                 "Callers get a Retry-After time if the limit is zero") {
   limiter_.OnAnswer(kEndpoint, RequestRate{0}, now_);
   REQUIRE(Availability().has_value());
   const Millis retry_after = limiter_.NextRetryAfter(kService, *Availability());
@@ -102,7 +102,7 @@
 }
 
 TEST_CASE_METHOD(StartLimiterFixture,
-                 "A limit that cannot be read is counted") {
+                 "An unreadable rate limit is counted and ignored") {
   CHECK_FALSE(limiter_.OnAnswer(kEndpoint, UnreadableRateLimit{}, now_));
   CHECK_FALSE(Availability().has_value());
   CHECK(metrics_.Text().find("harecrank_gateway_limits_unreadable_total 1") !=
@@ -110,7 +110,7 @@
 }
 
 TEST_CASE_METHOD(StartLimiterFixture,
-                 "What hosts tell of limits is told on, aged") {
+                 "Rate limits reported by peers are passed on with their age") {
   limiter_.MergeFromPeer(
       {RateLimitReport{kEndpoint, RequestRate{2}, Millis(50)}});
   Advance(Millis(200));
@@ -121,7 +121,7 @@
 }
 
 TEST_CASE_METHOD(StartLimiterFixture,
-                 "The dump tells each limit and the own part") {
+                 "The dump contains each limit and this host's quota") {
   limiter_.OnAnswer(kEndpoint, RequestRate{2}, now_);
   Advance(Millis(1000));
   Start();
@@ -138,7 +138,7 @@
 }
 
 TEST_CASE_METHOD(StartLimiterFixture,
-                 "A rest lets nothing through until its end") {
+                 "A back-off prevents starts until its end") {
   limiter_.OnBackoffHint(record_, Millis(3000));
   CHECK_FALSE(CanStart());
   CHECK(limiter_.BackoffCount() == 1);
@@ -152,7 +152,8 @@
   CHECK_FALSE(Availability().has_value());
 }
 
-TEST_CASE_METHOD(StartLimiterFixture, "A rest and a limit bind together") {
+TEST_CASE_METHOD(StartLimiterFixture,
+                 "A back-off and a rate limit apply together") {
   limiter_.OnAnswer(kEndpoint, RequestRate{2}, now_);
   limiter_.OnBackoffHint(record_, Millis(1500));
   Advance(Millis(1000));
@@ -164,8 +165,8 @@
 }
 
 TEST_CASE_METHOD(StartLimiterFixture,
-                 "Callers are told to come after a rest that is longer than "
-                 "the longest pause, one by one") {
+                 "Retry-After exceeds kMaxRetryAfter if all endpoints back off "
+                 "for longer") {
   limiter_.OnBackoffHint(record_, Millis(60000));
   const Millis first = limiter_.NextRetryAfter(kService, *Availability());
   CHECK(first >= Millis(60000));
@@ -173,16 +174,16 @@
 }
 
 TEST_CASE_METHOD(StartLimiterFixture,
-                 "Rests are counted, and told in the dump") {
+                 "Back-offs are counted and contained in the dump") {
   limiter_.OnBackoffHint(record_, UnreadableBackoff{});
   const nlohmann::json dump = limiter_.Describe();
   REQUIRE(dump["resting"].size() == 1);
   CHECK(dump["resting"].front()["endpoint"] == kEndpoint.value);
   CHECK(dump["resting"].front()["rest_ms"] == 1000);
-  const std::string figures = metrics_.Text();
-  CHECK(figures.find("harecrank_gateway_rests_asked_total 1") !=
+  const std::string text = metrics_.Text();
+  CHECK(text.find("harecrank_gateway_rests_asked_total 1") !=
         std::string::npos);
-  CHECK(figures.find("harecrank_gateway_rests_unreadable_total 1") !=
+  CHECK(text.find("harecrank_gateway_rests_unreadable_total 1") !=
         std::string::npos);
 }
 
