--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -135,7 +135,7 @@
   bool budget_exhausted_ = false;
   bool has_framed_end_ = false;
   bool finished_ = false;
-  // Set once the request has waited for a placement.
+  // Registered once the request has waited for a placement.
   std::optional<BackoffNotifier::Id> backoff_watch_;
 };
 
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -88,7 +88,7 @@
   if (response.IsMisdirected()) {
     sender_->OnUnreachable();
   }
-  sender_->OnRefusal(response, log_.Fields());
+  sender_->OnRejection(response, log_.Fields());
   AbandonAttempt();
   OnNotRun("endpoint_answered_" + std::to_string(response.status));
 }
--- a/src/gateway/memory_reservation.cc
+++ b/src/gateway/memory_reservation.cc
@@ -7,18 +7,18 @@
 MemoryReservation::MemoryReservation(boost::asio::io_context* io,
                                      MemoryOrders* orders,
                                      std::vector<MemoryNeed> needs,
-                                     OnEndpointAnswer on_answer)
+                                     OnEndpointResponse on_response)
     : orders_(orders),
       needs_(std::move(needs)),
-      on_answer_(std::move(on_answer)),
+      on_response_(std::move(on_response)),
       timer_(*io) {}
 
 MemoryOrders::OnResult MemoryReservation::ForwardResponse(
     const EndpointRecord& endpoint, std::function<void(bool done)> then) const {
-  return [endpoint, on_answer = on_answer_,
+  return [endpoint, on_response = on_response_,
           then = std::move(then)](const OrderResult& result) {
     if (result.answer.has_value()) {
-      on_answer(endpoint, *result.answer);
+      on_response(endpoint, *result.answer);
     }
     then(result.done);
   };
@@ -33,7 +33,7 @@
 
 void MemoryReservation::Acquire(std::function<void(bool reserved)> done) {
   done_ = std::move(done);
-  unanswered_ = needs_.size();
+  pending_responses_ = needs_.size();
   for (const MemoryNeed& need : needs_) {
     Reserve(need, [self = shared_from_this()](bool reserved) {
       self->OnReserved(reserved);
@@ -43,8 +43,8 @@
 
 void MemoryReservation::OnReserved(bool reserved) {
   failed_ = failed_ || !reserved;
-  --unanswered_;
-  if (unanswered_ > 0 || released_) {
+  --pending_responses_;
+  if (pending_responses_ > 0 || released_) {
     return;
   }
   const auto done = std::move(done_);
--- a/src/gateway/memory_reservation.h
+++ b/src/gateway/memory_reservation.h
@@ -29,12 +29,13 @@
     : public std::enable_shared_from_this<MemoryReservation> {
  public:
   // Called with each response of an engine, also after Release.
-  using OnEndpointAnswer = std::function<void(const EndpointRecord& endpoint,
-                                              const EndpointResponse& answer)>;
+  using OnEndpointResponse = std::function<void(
+      const EndpointRecord& endpoint, const EndpointResponse& response)>;
 
   // `orders` must outlive this.
   MemoryReservation(boost::asio::io_context* io, MemoryOrders* orders,
-                    std::vector<MemoryNeed> needs, OnEndpointAnswer on_answer);
+                    std::vector<MemoryNeed> needs,
+                    OnEndpointResponse on_response);
 
   // Calls `done` once with whether all memory was reserved. The reservation is
   // renewed until Release.
@@ -52,7 +53,7 @@
 
  private:
   void OnReserved(bool reserved);
-  // Returns a callback that passes the response of `endpoint` to `on_answer_`
+  // Returns a callback that passes the response of `endpoint` to `on_response_`
   // and then calls `then` with whether the order was carried out.
   MemoryOrders::OnResult ForwardResponse(
       const EndpointRecord& endpoint,
@@ -63,10 +64,10 @@
 
   MemoryOrders* orders_;
   std::vector<MemoryNeed> needs_;
-  OnEndpointAnswer on_answer_;
+  OnEndpointResponse on_response_;
   Timer timer_;
   std::function<void(bool)> done_;
-  std::size_t unanswered_ = 0;
+  std::size_t pending_responses_ = 0;
   bool failed_ = false;
   bool released_ = false;
 };
--- a/src/gateway/placement_search.cc
+++ b/src/gateway/placement_search.cc
@@ -186,8 +186,8 @@
                              : ShareRank::kEqual;
   // A request over its account's fair share does not take an engine while
   // requests of accounts that have had less wait.
-  const bool is_over_share = rank == ShareRank::kAfter && !WasSent();
-  if (!is_over_share && TryPlace()) {
+  const bool must_yield = rank == ShareRank::kAfter && !WasSent();
+  if (!must_yield && TryPlace()) {
     return;
   }
   if (!params_.request.service->engine.has_value()) {
@@ -340,16 +340,17 @@
 }
 
 void PlacementSearch::StartWaitClock() {
-  if (waits_since_ == TimePoint{}) {
-    waits_since_ = services_->clock();
+  if (waiting_since_ == TimePoint{}) {
+    waiting_since_ = services_->clock();
   }
 }
 
 std::optional<Millis> PlacementSearch::Waited() const {
-  if (waits_since_ == TimePoint{}) {
+  if (waiting_since_ == TimePoint{}) {
     return std::nullopt;
   }
-  return std::chrono::duration_cast<Millis>(services_->clock() - waits_since_);
+  return std::chrono::duration_cast<Millis>(services_->clock() -
+                                            waiting_since_);
 }
 
 WaitingRequest PlacementSearch::MakeWaitingRequest() const {
@@ -408,10 +409,10 @@
           const EndpointRecord& endpoint, const EndpointResponse& response) {
         handler->OnAnswer(endpoint, response, sent_at);
       });
-  reservation_->Acquire([weak = weak_from_this(), placement](bool held) {
+  reservation_->Acquire([weak = weak_from_this(), placement](bool reserved) {
     const auto self = weak.lock();
     if (self != nullptr && self->observer_ != nullptr) {
-      self->OnMemoryReserved(placement, held);
+      self->OnMemoryReserved(placement, reserved);
     }
   });
   observer_->OnWaiting();
@@ -422,17 +423,18 @@
   observer_->OnPlaced(placement);
 }
 
-void PlacementSearch::OnMemoryReserved(const Placement& placement, bool held) {
+void PlacementSearch::OnMemoryReserved(const Placement& placement,
+                                       bool reserved) {
   nlohmann::json fields = log_fields_();
   // The reservation takes up to 300 ms. If an endpoint announces during that
   // time that it is shutting down, the request must not be sent there: together
   // with the time-out of the connection that would cost 0.6 s.
   const bool usable = IsStillUsable(placement) && MayStart(placement);
-  fields["held"] = held;
+  fields["held"] = reserved;
   fields["usable"] = usable;
   fields["prompt"] = params_.request.prompt.value;
   services_->log->Write("memory", std::move(fields));
-  if (held && usable) {
+  if (reserved && usable) {
     Commit(placement);
     return;
   }
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -23,8 +23,8 @@
   // The engines are busy for so long that the request cannot meet its latency
   // target.
   kCannotMeetTarget,
-  // The start quotas of this host allow no start before waiting is of no more
-  // use.
+  // The start quotas of this host and the back-offs that endpoints have asked
+  // it for allow no start before waiting is of no more use.
   kStartQuotaExhausted
 };
 
@@ -179,7 +179,7 @@
   // Reserves memory on the helpers if `placement` needs it, then commits
   // `placement`.
   void Prepare(const Placement& placement);
-  void OnMemoryReserved(const Placement& placement, bool held);
+  void OnMemoryReserved(const Placement& placement, bool reserved);
   // Records the start and passes `placement` to the observer.
   void Commit(const Placement& placement);
   void StartWork(const Placement& placement);
@@ -200,7 +200,7 @@
   std::optional<QueryId> query_id_;
   bool waits_at_planner_ = false;
   std::optional<WaitingRequestId> queue_id_;
-  TimePoint waits_since_{};
+  TimePoint waiting_since_{};
   int placements_ = 0;
   int unusable_placements_ = 0;
   // The work of the endpoint first, then of the helpers.
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -103,8 +103,8 @@
   services_->on_endpoint_fault();
 }
 
-void RequestSender::OnRefusal(const EndpointResponse& response,
-                              nlohmann::json fields) {
+void RequestSender::OnRejection(const EndpointResponse& response,
+                                nlohmann::json fields) {
   const std::string& at_fault = response.at_fault;
   if (at_fault.empty()) {
     return;
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -43,7 +43,7 @@
   void OnOverdue();
   // Marks the helper as at fault that a rejection names, if it names one.
   // `fields` identify the request in the log line.
-  void OnRefusal(const EndpointResponse& response, nlohmann::json fields);
+  void OnRejection(const EndpointResponse& response, nlohmann::json fields);
 
   bool IsUnderWay() const { return attempt_ != nullptr; }
   // Whether the last attempt has written to the connection, so that the
@@ -51,7 +51,7 @@
   bool WasSent() const { return was_sent_; }
   bool HasFirstEvent() const { return attempt_first_event_at_.has_value(); }
   // Whether the endpoint has not sent the first event of the attempt yet, or
-  // has sent it only a short time ago.
+  // has sent it less than kStartPeriod ago.
   bool IsStarting() const;
   // Returns the time from which the response of the current attempt is overdue.
   TimePoint OverdueAt() const;
