--- a/src/gateway/attempt_test.cc
+++ b/src/gateway/attempt_test.cc
@@ -106,9 +106,9 @@
   socket.connect(*ParseTcpEndpoint(endpoint.Address()));
   SetEndpointOptions(&socket);
 
-  asio::socket_base::keep_alive keep_alive;
-  socket.get_option(keep_alive);
-  CHECK(keep_alive.value());
+  asio::socket_base::keep_alive keep_alive_option;
+  socket.get_option(keep_alive_option);
+  CHECK(keep_alive_option.value());
   asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE> idle;
   socket.get_option(idle);
   asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL> interval;
