--- a/src/gateway/attempt.cc
+++ b/src/gateway/attempt.cc
@@ -14,11 +14,12 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-// Heads of endpoints' answers are small; a larger one is no answer.
-constexpr std::uint32_t kMostHeadBytes = 64U << 10U;
-// Answers to earlier requests that are read over before a connection counts as
-// spoiled. An endpoint sends one too many, not a series.
-constexpr int kMostForeignMessages = 2;
+// Heads of responses are small. A larger one is treated as malformed.
+constexpr std::uint32_t kMaxHeaderBytes = 64U << 10U;
+// Maximum number of responses to earlier requests that are skipped before the
+// connection is given up. An endpoint may send one stale response, but not a
+// series.
+constexpr int kMaxStaleMessages = 2;
 
 }  // namespace
 
@@ -35,7 +36,7 @@
                     Millis connect_timeout) {
   connection_ = std::move(connection);
   request_ = std::move(request);
-  if (connection_->kept) {
+  if (connection_->reused) {
     Send();
   } else {
     Connect(address, connect_timeout);
@@ -54,7 +55,7 @@
 void Attempt::Connect(const std::string& address, Millis timeout) {
   const auto endpoint = ParseTcpEndpoint(address);
   if (!endpoint.has_value()) {
-    // The observer may not be ready to hear of it before Start returns.
+    // Posted, since the observer must not be called before Start returns.
     asio::post(*io_, [self = shared_from_this()] {
       self->Fail(AttemptNotSent{"the endpoint's address cannot be read"});
     });
@@ -63,9 +64,9 @@
   connecting_ = true;
   connect_timer_.expires_after(timeout);
   connect_timer_.async_wait([self = shared_from_this()](const Error& error) {
-    // A host that was held up finds the connection and the timer ready in one
-    // turn of its loop. Then the request is on its way, and a cancelled timer
-    // reports success all the same.
+    // If the process was stalled, the connection and the timer become ready in
+    // the same turn of the event loop. The request is then already being sent,
+    // and the cancelled timer still reports success.
     if (!error && self->connecting_) {
       self->Fail(AttemptNotSent{"no connection in time"});
     }
@@ -106,16 +107,16 @@
   if (ended_) {
     return;
   }
-  // A failed write is not the end: the endpoint may have answered before it
-  // read all. The read tells.
-  written_ = !error;
+  // A failed write does not end the attempt: the endpoint may have responded
+  // before it read the whole request. The read determines the result.
+  request_written_ = !error;
 }
 
 void Attempt::ReadHead() {
   parser_ = std::make_unique<Parser>();
-  parser_->header_limit(kMostHeadBytes);
+  parser_->header_limit(kMaxHeaderBytes);
   parser_->body_limit(boost::none);
-  if (request_.answer_has_no_body) {
+  if (request_.response_has_no_body) {
     parser_->skip(true);
   }
   http::async_read_header(
@@ -130,7 +131,7 @@
     return;
   }
   if (error) {
-    Break("answer", error);
+    FailBroken("answer", error);
     return;
   }
   const ResponseHead& head = parser_->get();
@@ -138,16 +139,16 @@
     ReadHead();
     return;
   }
-  foreign_ = !IsForThisRequest();
-  if (foreign_ && ++foreign_messages_ > kMostForeignMessages) {
-    Fail(AttemptBroken{"answers of other requests", false, connection_->kept,
+  is_stale_ = !IsResponseToThisRequest();
+  if (is_stale_ && ++stale_messages_ > kMaxStaleMessages) {
+    Fail(AttemptBroken{"answers of other requests", false, connection_->reused,
                        false});
     return;
   }
-  if (!foreign_) {
-    answer_began_ = true;
+  if (!is_stale_) {
+    response_began_ = true;
     NoteKeepAlive(head);
-    observer_->OnAnswerHead(head);
+    observer_->OnResponseHead(head);
     if (ended_) {
       return;
     }
@@ -159,7 +160,7 @@
   }
 }
 
-bool Attempt::IsForThisRequest() const {
+bool Attempt::IsResponseToThisRequest() const {
   const auto& head = parser_->get();
   const auto id = head.find(names_->request_id);
   return id != head.end() && id->value() == request_.request_id;
@@ -180,15 +181,15 @@
   if (ended_) {
     return;
   }
-  const std::size_t got = bytes_.size() - parser_->get().body().size;
-  if (!foreign_ && got > 0) {
-    observer_->OnAnswerBytes(std::string_view(bytes_.data(), got));
+  const std::size_t received = bytes_.size() - parser_->get().body().size;
+  if (!is_stale_ && received > 0) {
+    observer_->OnResponseBytes(std::string_view(bytes_.data(), received));
     if (ended_) {
       return;
     }
   }
   if (error && error != http::error::need_buffer) {
-    Break("answer's body", error);
+    FailBroken("answer's body", error);
     return;
   }
   if (parser_->is_done()) {
@@ -199,26 +200,27 @@
 }
 
 void Attempt::OnMessageEnd() {
-  if (foreign_) {
+  if (is_stale_) {
     if (parser_->keep_alive()) {
       ReadHead();
     } else {
-      Break("another request's answer", asio::error::eof);
+      FailBroken("another request's answer", asio::error::eof);
     }
     return;
   }
   ended_ = true;
-  // Bytes behind the answer belong to no request: such a connection is spoiled,
-  // and so is one on which the endpoint answered before it had read all.
-  const bool reusable =
-      written_ && parser_->keep_alive() && connection_->buffer.size() == 0;
+  // Bytes after the response belong to no request, so the connection cannot be
+  // reused. Neither can one on which the endpoint responded before the whole
+  // request was written.
+  const bool reusable = request_written_ && parser_->keep_alive() &&
+                        connection_->buffer.size() == 0;
   if (reusable) {
     connections_->PutIdle(std::move(connection_));
   } else {
     Error ignored;
     connection_->socket.close(ignored);
   }
-  observer_->OnAnswerEnd();
+  observer_->OnResponseEnd();
 }
 
 void Attempt::NoteKeepAlive(const ResponseHead& head) {
@@ -248,14 +250,14 @@
   observer_->OnFailure(failure);
 }
 
-void Attempt::Break(const std::string& step, const Error& error) {
-  const bool by_endpoint = error == asio::error::eof ||
-                           error == asio::error::connection_reset ||
-                           error == asio::error::broken_pipe ||
-                           error == http::error::end_of_stream ||
-                           error == http::error::partial_message;
-  Fail(AttemptBroken{step + ": " + error.message(), answer_began_,
-                     connection_->kept, by_endpoint});
+void Attempt::FailBroken(const std::string& step, const Error& error) {
+  const bool closed_by_endpoint = error == asio::error::eof ||
+                                  error == asio::error::connection_reset ||
+                                  error == asio::error::broken_pipe ||
+                                  error == http::error::end_of_stream ||
+                                  error == http::error::partial_message;
+  Fail(AttemptBroken{step + ": " + error.message(), response_began_,
+                     connection_->reused, closed_by_endpoint});
 }
 
 }  // namespace harecrank
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -1,4 +1,4 @@
-// One caller's request, from its arrival to its final answer.
+// One caller's request, from its arrival to its final response.
 
 #ifndef HARECRANK_SRC_GATEWAY_EXCHANGE_H_
 #define HARECRANK_SRC_GATEWAY_EXCHANGE_H_
@@ -21,8 +21,10 @@
 
 namespace harecrank {
 
-// Decides what follows each attempt. Places are the seeker's matter, bytes the
-// relay's. Not thread-safe; runs on its io_context.
+// Admits one request, sends it to endpoints and decides after each attempt
+// whether to retry. PlacementSearch chooses the endpoints, RequestSender runs
+// the attempts, and ResponseRelay forwards the responses. Not thread-safe; runs
+// on its io_context.
 class Exchange : public RequestHandle,
                  public AttemptObserver,
                  public PlacementObserver,
@@ -31,22 +33,22 @@
  public:
   // `services` must outlive this.
   Exchange(const GatewayServices* services, CallerRequest request,
-           TimePoint arrived, std::shared_ptr<ResponseSink> answer);
+           TimePoint arrived, std::shared_ptr<ResponseSink> sink);
 
-  // Admits the request and sends it, or answers it at once.
+  // Admits the request and starts to place it, or rejects it at once.
   void Start();
 
   void OnCallerDisconnected() override;
   void OnPlaced(const Placement& placement) override;
-  void OnRejected(RejectionReason reason, Millis pause) override;
+  void OnRejected(RejectionReason reason, Millis retry_after) override;
   void OnNoEndpoint() override;
   void OnWaiting() override;
   void OnSent() override;
-  void OnAnswerHead(const ResponseHead& head) override;
-  void OnAnswerBytes(std::string_view bytes) override;
-  void OnAnswerEnd() override;
+  void OnResponseHead(const ResponseHead& head) override;
+  void OnResponseBytes(std::string_view bytes) override;
+  void OnResponseEnd() override;
   void OnFailure(const AttemptFailure& failure) override;
-  // Taken when it is first wanted, and kept.
+  // Computed at the first call and cached.
   const RequestFingerprint& Fingerprint() override;
   void OnQuarantined() override;
 
@@ -54,59 +56,67 @@
   void TryNext();
   std::string HeadFor(const Placement& placement) const;
   SendingHistory History() const;
-  // Returns the account's priority, or else the route's. Zero goes first.
+  // Returns the account's priority, or the route's if the account has none.
+  // Zero is the most urgent.
   int Priority() const;
   void OnErrorAnswer();
   void OnFirstEvent();
 
-  // What is made of an answer's head: the first that applies is done.
-  void JudgeHead(const EndpointResponse& answer, const ResponseHead& head);
-  void OnNotRunAnswer(const EndpointResponse& answer);
-  // Returns whether another endpoint is asked instead.
-  bool TakeUpElsewhere(unsigned status);
+  // Handles the head of a response: rejections that did not run the request,
+  // unsigned responses, errors that are retried, event streams, and all others.
+  void HandleResponseHead(const EndpointResponse& response,
+                          const ResponseHead& head);
+  void OnNotRunResponse(const EndpointResponse& response);
+  // Retries the request on another endpoint after an error response. Returns
+  // false if that is not possible, and then the caller gets the response.
+  bool RetryElsewhere(unsigned status);
   void OnNotSent(const AttemptNotSent& failure);
-  // Finds out whether the endpoint has ended, and goes on from there.
-  void JudgeBroken(const AttemptBroken& broken);
+  // Has the crash guard find out whether the endpoint has crashed, and then
+  // retries or gives up.
+  void HandleBroken(const AttemptBroken& broken);
   nlohmann::json BrokenFields(const AttemptBroken& broken);
-  // It ends endpoints, and is sent to no other.
-  void RefuseHeld();
-  // The answer has ended. It ended whole only if its head said where it ends:
-  // an endpoint that crashes ends its connection, too.
-  void NoteEnd();
+  // Ends a request that is quarantined because it crashes endpoints.
+  void RejectQuarantined();
+  // Reports a complete response to the crash guard. A response whose head does
+  // not state where it ends may have been cut off by a crash, since that closes
+  // the connection, too; it is not reported.
+  void ReportCompletion();
 
-  // What follows an attempt.
+  // Decide what follows a failed attempt.
   void OnNotRun(const std::string& reason);
   void OnMayHaveRun(const std::string& reason);
-  bool MaySendAgain();
+  bool MayRetry();
   void AbandonAttempt();
 
-  // Time.
+  // Timer and deadlines.
   void ArmTimer();
   void OnTimer();
-  // Returns whether the request waited and cannot any longer.
-  bool EndWaitAt(TimePoint now);
-  // Sends an overdue request elsewhere. Returns whether it did.
-  bool LeaveOverdue();
-  std::optional<TimePoint> PatienceEnd() const;
+  // Ends the wait for a placement if this host is about to stop, if all
+  // endpoints have asked for a back-off, or if the wait limit of the request
+  // has been reached. Returns whether it did.
+  bool EndWaitIfDue(TimePoint now);
+  // Retries an overdue request on another endpoint. Returns whether it did.
+  bool RetryOverdue();
+  std::optional<TimePoint> AttemptOverdueAt() const;
   Millis TimeLeft() const;
 
-  // Answers.
-  void Refuse(unsigned status, const std::string& code,
+  // Final responses.
+  void Reject(unsigned status, const std::string& code,
               std::optional<Millis> retry_after);
-  void Answer(const GatewayResponse& answer);
+  void Respond(const GatewayResponse& response);
   void GiveUp(const std::string& reason);
   void Finish(const char* outcome, unsigned status, const std::string& reason);
 
   const GatewayServices* services_;
   CallerRequest request_;
   TimePoint arrived_;
-  std::shared_ptr<ResponseSink> answer_;
+  std::shared_ptr<ResponseSink> sink_;
   Timer timer_;
   std::string id_;
   ExchangeLog log_;
   ResponseRelay relay_;
   std::optional<RequestFingerprint> fingerprint_;
-  std::unique_ptr<CrashGuard::Registration> watching_;
+  std::unique_ptr<CrashGuard::Registration> crash_guard_registration_;
   std::shared_ptr<const std::string> body_;
   std::shared_ptr<const RoutingTable> table_;
   const RouteRule* route_ = nullptr;
@@ -116,17 +126,17 @@
   TimePoint deadline_{};
   Tokens prompt_;
   // Both are set once the request has been admitted.
-  std::shared_ptr<PlacementSearch> place_;
+  std::shared_ptr<PlacementSearch> search_;
   std::optional<RequestSender> sender_;
   int connect_failures_ = 0;
   bool may_have_run_ = false;
-  // It was held, and is let through this once.
+  // The request was quarantined and is sent once as a trial.
   bool is_trial_ = false;
-  bool budget_refused_ = false;
+  bool budget_exhausted_ = false;
   bool has_framed_end_ = false;
   bool finished_ = false;
-  // While it has waited for a place.
-  std::optional<BackoffNotifier::Id> rest_look_;
+  // Registered once the request has waited for a placement.
+  std::optional<BackoffNotifier::Id> backoff_watch_;
 };
 
 }  // namespace harecrank
--- a/src/gateway/memory_reservation.cc
+++ b/src/gateway/memory_reservation.cc
@@ -7,18 +7,18 @@
 MemoryReservation::MemoryReservation(boost::asio::io_context* io,
                                      MemoryOrders* orders,
                                      std::vector<MemoryNeed> needs,
-                                     OnEndpointAnswer on_answer)
+                                     OnEndpointResponse on_response)
     : orders_(orders),
       needs_(std::move(needs)),
-      on_answer_(std::move(on_answer)),
+      on_response_(std::move(on_response)),
       timer_(*io) {}
 
-MemoryOrders::OnResult MemoryReservation::Telling(
+MemoryOrders::OnResult MemoryReservation::ForwardResponse(
     const EndpointRecord& endpoint, std::function<void(bool done)> then) const {
-  return [endpoint, on_answer = on_answer_,
+  return [endpoint, on_response = on_response_,
           then = std::move(then)](const OrderResult& result) {
     if (result.answer.has_value()) {
-      on_answer(endpoint, *result.answer);
+      on_response(endpoint, *result.answer);
     }
     then(result.done);
   };
@@ -27,22 +27,24 @@
 void MemoryReservation::Reserve(const MemoryNeed& need,
                                 std::function<void(bool done)> then) {
   orders_->Reserve(need.endpoint.address, need.ticket, need.amount,
-                   kLeaseDuration, Telling(need.endpoint, std::move(then)));
+                   kLeaseDuration,
+                   ForwardResponse(need.endpoint, std::move(then)));
 }
 
-void MemoryReservation::Acquire(std::function<void(bool held)> done) {
+void MemoryReservation::Acquire(std::function<void(bool reserved)> done) {
   done_ = std::move(done);
-  unanswered_ = needs_.size();
+  pending_responses_ = needs_.size();
   for (const MemoryNeed& need : needs_) {
-    Reserve(need,
-            [self = shared_from_this()](bool held) { self->OnReserved(held); });
+    Reserve(need, [self = shared_from_this()](bool reserved) {
+      self->OnReserved(reserved);
+    });
   }
 }
 
-void MemoryReservation::OnReserved(bool held) {
-  failed_ = failed_ || !held;
-  --unanswered_;
-  if (unanswered_ > 0 || released_) {
+void MemoryReservation::OnReserved(bool reserved) {
+  failed_ = failed_ || !reserved;
+  --pending_responses_;
+  if (pending_responses_ > 0 || released_) {
     return;
   }
   const auto done = std::move(done_);
@@ -62,7 +64,7 @@
   timer_.cancel();
   for (const MemoryNeed& need : needs_) {
     orders_->Release(need.endpoint.address, need.ticket,
-                     Telling(need.endpoint, [](bool /*done*/) {}));
+                     ForwardResponse(need.endpoint, [](bool /*done*/) {}));
   }
 }
 
@@ -78,8 +80,8 @@
 
 void MemoryReservation::Renew() {
   for (const MemoryNeed& need : needs_) {
-    // A renewal that fails needs no answer here: the engine cuts the request,
-    // and that is told on the request's own connection.
+    // A failed renewal needs no handling here: the engine aborts the request,
+    // which is reported on the request's own connection.
     Reserve(need, [](bool /*done*/) {});
   }
   RenewLater();
