--- a/src/entry/answer_writer.cc
+++ b/src/entry/answer_writer.cc
@@ -44,33 +44,34 @@
   SendResponse(response, refusal.http_status, RefusalJson(refusal));
 }
 
-AnswerWriter::AnswerWriter(AnswerWriterPorts ports, const CallerRequest& asked)
+AnswerWriter::AnswerWriter(AnswerWriterPorts ports,
+                           const CallerRequest& request)
     : ports_(std::move(ports)),
-      asked_(asked),
-      began_(ports_.clock()),
-      last_written_(began_) {}
+      request_(request),
+      started_at_(ports_.clock()),
+      last_write_at_(started_at_) {}
 
 bool AnswerWriter::OnPart(const std::string& part) {
   const TimePoint now = ports_.clock();
-  if (last_part_) {
-    ports_.gap->Record(now - *last_part_);
+  if (last_part_at_) {
+    ports_.between_parts->Record(now - *last_part_at_);
   } else {
-    ports_.first_part->Record(now - began_);
+    ports_.first_part->Record(now - started_at_);
   }
-  last_part_ = now;
-  ++parts_;
-  if (!asked_.stream) {
-    whole_ += part;
+  last_part_at_ = now;
+  ++part_count_;
+  if (!request_.stream) {
+    full_text_ += part;
     return true;
   }
-  return WriteEvent(PartJson(part));
+  return WriteEvent(EventJson(part));
 }
 
 bool AnswerWriter::OnIdle() {
   if (!IsCallerConnected(*ports_.request)) {
     return false;
   }
-  if (!asked_.stream || ports_.clock() - last_written_ < kPingAfter) {
+  if (!request_.stream || ports_.clock() - last_write_at_ < kPingAfter) {
     return true;
   }
   BeginStream();
@@ -79,20 +80,20 @@
 }
 
 void AnswerWriter::Finish(const DispatchResult& result) {
-  if (stream_ != nullptr || (asked_.stream && parts_ > 0)) {
-    FinishStream(result);
+  if (stream_ != nullptr || (request_.stream && part_count_ > 0)) {
+    EndStream(result);
     return;
   }
   if (const auto* refusal = std::get_if<Refusal>(&result)) {
     WriteRefusal(*ports_.response, *refusal);
     return;
   }
-  if (asked_.stream) {
+  if (request_.stream) {
     BeginStream();
-    FinishStream(result);
+    EndStream(result);
     return;
   }
-  FinishWhole(std::get<Answered>(result));
+  WriteResponse(std::get<Answered>(result));
 }
 
 void AnswerWriter::BeginStream() {
@@ -115,32 +116,32 @@
 
 bool AnswerWriter::Flush() {
   stream_->flush();
-  last_written_ = ports_.clock();
+  last_write_at_ = ports_.clock();
   return stream_->good();
 }
 
-std::string AnswerWriter::PartJson(const std::string& part) const {
+std::string AnswerWriter::EventJson(const std::string& part) const {
   json choice{{"index", 0}};
-  if (asked_.form == AnswerForm::kChat) {
+  if (request_.form == AnswerForm::kChat) {
     choice["delta"] = {{"content", part}};
   } else {
     choice["text"] = part;
   }
-  return Dump(
-      json{{"model", asked_.model.value}, {"choices", json::array({choice})}});
+  return Dump(json{{"model", request_.model.value},
+                   {"choices", json::array({choice})}});
 }
 
-std::string AnswerWriter::WholeJson(const Answered& answered) const {
+std::string AnswerWriter::ResponseJson(const Answered& answered) const {
   json choice{{"index", 0}, {"finish_reason", answered.finished.reason}};
-  if (asked_.form == AnswerForm::kChat) {
-    choice["message"] = {{"role", "assistant"}, {"content", whole_}};
+  if (request_.form == AnswerForm::kChat) {
+    choice["message"] = {{"role", "assistant"}, {"content", full_text_}};
   } else {
-    choice["text"] = whole_;
+    choice["text"] = full_text_;
   }
-  return Dump(json{{"model", asked_.model.value},
+  return Dump(json{{"model", request_.model.value},
                    {"choices", json::array({choice})},
                    {"usage",
-                    {{"prompt_tokens", asked_.prompt_tokens.value},
+                    {{"prompt_tokens", request_.prompt_tokens.value},
                      {"completion_tokens", answered.finished.length}}},
                    {"harecrank",
                     {{"endpoint", answered.endpoint.value},
@@ -148,7 +149,7 @@
                      {"members", answered.members}}}});
 }
 
-void AnswerWriter::FinishStream(const DispatchResult& result) {
+void AnswerWriter::EndStream(const DispatchResult& result) {
   // After the first byte the status cannot change, so an error goes in the
   // stream, as an event of its own name.
   if (const auto* refusal = std::get_if<Refusal>(&result)) {
@@ -165,15 +166,15 @@
   Flush();
 }
 
-void AnswerWriter::FinishWhole(const Answered& answered) {
-  if (asked_.form == AnswerForm::kService) {
+void AnswerWriter::WriteResponse(const Answered& answered) {
+  if (request_.form == AnswerForm::kService) {
     ports_.response->set("Harecrank-Endpoint", answered.endpoint.value);
     const std::string& type = answered.finished.content_type;
-    SendResponse(*ports_.response, answered.finished.status, whole_,
+    SendResponse(*ports_.response, answered.finished.status, full_text_,
                  type.empty() ? "application/octet-stream" : type);
     return;
   }
-  SendResponse(*ports_.response, http_status::kOk, WholeJson(answered));
+  SendResponse(*ports_.response, http_status::kOk, ResponseJson(answered));
 }
 
 }  // namespace harecrank
--- a/src/entry/answer_writer.h
+++ b/src/entry/answer_writer.h
@@ -24,7 +24,7 @@
   MonotonicClock clock;
   // Where the time to the first part, and between parts, is recorded.
   DurationHistogram* first_part = nullptr;
-  DurationHistogram* gap = nullptr;
+  DurationHistogram* between_parts = nullptr;
 };
 
 // Returns the JSON that tells a caller of a refusal.
@@ -41,7 +41,7 @@
 // that a caller can tell an end from a cut.
 class AnswerWriter : public AnswerSink {
  public:
-  AnswerWriter(AnswerWriterPorts ports, const CallerRequest& asked);
+  AnswerWriter(AnswerWriterPorts ports, const CallerRequest& request);
 
   bool OnPart(const std::string& part) override;
   bool OnIdle() override;
@@ -53,18 +53,18 @@
   void BeginStream();
   bool WriteEvent(const std::string& data);
   bool Flush();
-  std::string PartJson(const std::string& part) const;
-  std::string WholeJson(const Answered& answered) const;
-  void FinishStream(const DispatchResult& result);
-  void FinishWhole(const Answered& answered);
+  std::string EventJson(const std::string& part) const;
+  std::string ResponseJson(const Answered& answered) const;
+  void EndStream(const DispatchResult& result);
+  void WriteResponse(const Answered& answered);
 
   AnswerWriterPorts ports_;
-  const CallerRequest& asked_;
-  TimePoint began_;
-  TimePoint last_written_;
-  std::optional<TimePoint> last_part_;
-  std::string whole_;
-  std::int64_t parts_ = 0;
+  const CallerRequest& request_;
+  TimePoint started_at_;
+  TimePoint last_write_at_;
+  std::optional<TimePoint> last_part_at_;
+  std::string full_text_;
+  std::int64_t part_count_ = 0;
   std::ostream* stream_ = nullptr;
 };
 
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -7,14 +7,14 @@
 namespace {
 
 // How often a waiting request looks whether its caller is still there.
-constexpr Millis kLook{100};
+constexpr Millis kCallerCheckInterval{100};
 // How long before the deadline a request that has not started is withdrawn, so
 // that the sidecar's word can still come in time.
-constexpr Millis kWithdrawBefore{150};
-constexpr Millis kWordWait{300};
+constexpr Millis kWithdrawMargin{150};
+constexpr Millis kWithdrawTimeout{300};
 // A stream that has begun and brings nothing for so long is stuck: far beyond
 // the time between two tokens. One-way loss can hold back its credit.
-constexpr Millis kMostStall{3000};
+constexpr Millis kMaxStall{3000};
 
 AttemptEnd ToEnd(const wire::Refused& refused) {
   AttemptRejected end{refused.code, refused.message, std::nullopt};
@@ -35,7 +35,7 @@
       stream_(ports_.links->OpenStream(link_, inbox_)) {}
 
 Attempt::~Attempt() {
-  if (!done_) {
+  if (!ended_) {
     ports_.links->Send(link_, wire::Cancel{stream_});
   }
   ports_.links->CloseStream(link_, stream_);
@@ -54,39 +54,40 @@
   submit.body_bytes = body.size();
   link_->AddUnreported(submit.prompt + submit.answer);
   evidence->OnSubmitted();
-  if (!SendWhole(std::move(submit), body)) {
+  if (!SendRequest(std::move(submit), body)) {
     return AttemptEnd{AttemptLost{"the link broke while sending"}};
   }
-  acknowledge_by_ = times_.acknowledge_timeout.count() == 0
-                        ? times_.deadline
-                        : ports_.clock() + times_.acknowledge_timeout;
-  return Follow(evidence);
+  acknowledge_deadline_ = times_.acknowledge_timeout.count() == 0
+                              ? times_.deadline
+                              : ports_.clock() + times_.acknowledge_timeout;
+  return WaitForResult(evidence);
 }
 
-bool Attempt::SendWhole(wire::Submit submit, const std::string& body) {
+bool Attempt::SendRequest(wire::Submit submit, const std::string& body) {
   if (!ports_.links->Send(link_, std::move(submit))) {
     return false;
   }
   for (std::size_t at = 0; at < body.size(); at += wire::kChunkBytes) {
-    wire::BodyChunk piece{stream_, body.substr(at, wire::kChunkBytes)};
-    if (!ports_.links->Send(link_, std::move(piece))) {
+    wire::BodyChunk chunk{stream_, body.substr(at, wire::kChunkBytes)};
+    if (!ports_.links->Send(link_, std::move(chunk))) {
       return false;
     }
   }
   return true;
 }
 
-AttemptResult Attempt::Follow(AttemptEvidence* evidence) {
+AttemptResult Attempt::WaitForResult(AttemptEvidence* evidence) {
   while (true) {
     const TimePoint now = ports_.clock();
-    const auto timed = CheckTime(now, evidence);
-    if (timed) {
-      return *timed;
+    const auto timeout_result = CheckTimeouts(now, evidence);
+    if (timeout_result) {
+      return *timeout_result;
     }
-    const auto event = inbox_->Take(std::min(now + kLook, times_.deadline));
+    const auto event =
+        inbox_->Take(std::min(now + kCallerCheckInterval, times_.deadline));
     if (!event) {
-      caller_left_ = !ports_.sink->OnIdle();
-      if (caller_left_) {
+      caller_disconnected_ = !ports_.sink->OnIdle();
+      if (caller_disconnected_) {
         return AttemptEnd{CallerDisconnected{}};
       }
       continue;
@@ -102,7 +103,7 @@
                                              AttemptEvidence* evidence) {
   const auto* message = std::get_if<wire::Message>(&event);
   if (message == nullptr) {
-    done_ = true;
+    ended_ = true;
     return AttemptEnd{AttemptLost{"the link to the endpoint broke"}};
   }
   if (std::holds_alternative<wire::Accepted>(*message)) {
@@ -115,18 +116,18 @@
     evidence->OnStarted();
     return OnOutput(*output);
   } else if (const auto* refused = std::get_if<wire::Refused>(message)) {
-    done_ = true;
+    ended_ = true;
     evidence->OnNotStarted();
     return ToEnd(*refused);
   } else if (const auto* failed = std::get_if<wire::Failed>(message)) {
-    done_ = true;
+    ended_ = true;
     evidence->OnStarted();
     if (failed->ended) {
       evidence->OnRunFailed();
     }
     return AttemptEnd{AttemptFailed{failed->code, failed->message}};
   } else if (const auto* finished = std::get_if<wire::Finished>(message)) {
-    done_ = true;
+    ended_ = true;
     // An end that comes before its parts is no whole answer.
     if (finished->length > ports_.assembler->NextPosition()) {
       return AttemptEnd{AttemptFailed{"answer_cut", "parts are missing"}};
@@ -137,7 +138,7 @@
 }
 
 std::optional<AttemptResult> Attempt::OnOutput(const wire::Output& output) {
-  last_output_ = ports_.clock();
+  last_output_at_ = ports_.clock();
   std::int64_t position = output.position;
   for (const std::string& text : output.tokens) {
     for (const AnswerToken& token :
@@ -146,28 +147,28 @@
     }
     ++position;
   }
-  if (caller_left_) {
+  if (caller_disconnected_) {
     return AttemptEnd{CallerDisconnected{}};
   }
   // Credit follows what the caller has taken, so a slow caller holds back its
   // own stream and no other.
-  uncredited_ += static_cast<std::int64_t>(output.tokens.size());
-  if (uncredited_ >= kWindow / 2) {
-    ports_.links->Send(link_, wire::Credit{stream_, uncredited_});
-    uncredited_ = 0;
+  credit_owed_ += static_cast<std::int64_t>(output.tokens.size());
+  if (credit_owed_ >= kWindow / 2) {
+    ports_.links->Send(link_, wire::Credit{stream_, credit_owed_});
+    credit_owed_ = 0;
   }
   return std::nullopt;
 }
 
-std::optional<AttemptResult> Attempt::CheckTime(TimePoint now,
-                                                AttemptEvidence* evidence) {
+std::optional<AttemptResult> Attempt::CheckTimeouts(TimePoint now,
+                                                    AttemptEvidence* evidence) {
   if (now >= times_.deadline) {
     return AttemptEnd{AttemptTimedOut{}};
   }
-  if (!started_ && now >= times_.deadline - kWithdrawBefore) {
+  if (!started_ && now >= times_.deadline - kWithdrawMargin) {
     return Withdraw(evidence, AttemptEnd{AttemptTimedOut{}});
   }
-  if (!acknowledged_ && now >= acknowledge_by_) {
+  if (!acknowledged_ && now >= acknowledge_deadline_) {
     return Withdraw(evidence,
                     AttemptEnd{AttemptLost{"the sidecar gave no word"}});
   }
@@ -177,8 +178,8 @@
                     AttemptEnd{AttemptLost{"the link to the endpoint is "
                                            "silent"}});
   }
-  if (times_.acknowledge_timeout.count() > 0 && last_output_ &&
-      now - *last_output_ > kMostStall) {
+  if (times_.acknowledge_timeout.count() > 0 && last_output_at_ &&
+      now - *last_output_at_ > kMaxStall) {
     return AttemptEnd{AttemptLost{"the stream is stuck"}};
   }
   return std::nullopt;
@@ -187,7 +188,8 @@
 AttemptResult Attempt::Withdraw(AttemptEvidence* evidence,
                                 const AttemptEnd& end) {
   ports_.links->Send(link_, wire::Revoke{stream_});
-  const TimePoint until = std::min(ports_.clock() + kWordWait, times_.deadline);
+  const TimePoint until =
+      std::min(ports_.clock() + kWithdrawTimeout, times_.deadline);
   while (auto event = inbox_->Take(until)) {
     const auto result = Handle(*event, evidence);
     if (!result) {
@@ -203,8 +205,8 @@
 }
 
 void Attempt::Forward(const AnswerToken& token) {
-  if (!caller_left_ && !ports_.sink->OnPart(token.text)) {
-    caller_left_ = true;
+  if (!caller_disconnected_ && !ports_.sink->OnPart(token.text)) {
+    caller_disconnected_ = true;
   }
 }
 
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -49,13 +49,13 @@
   static constexpr std::int64_t kWindow = 64;
 
  private:
-  bool SendWhole(wire::Submit submit, const std::string& body);
-  AttemptResult Follow(AttemptEvidence* evidence);
+  bool SendRequest(wire::Submit submit, const std::string& body);
+  AttemptResult WaitForResult(AttemptEvidence* evidence);
   std::optional<AttemptResult> Handle(const StreamEvent& event,
                                       AttemptEvidence* evidence);
   std::optional<AttemptResult> OnOutput(const wire::Output& output);
-  std::optional<AttemptResult> CheckTime(TimePoint now,
-                                         AttemptEvidence* evidence);
+  std::optional<AttemptResult> CheckTimeouts(TimePoint now,
+                                             AttemptEvidence* evidence);
   AttemptResult Withdraw(AttemptEvidence* evidence, const AttemptEnd& end);
   void Forward(const AnswerToken& token);
 
@@ -64,14 +64,14 @@
   AttemptTimes times_;
   std::shared_ptr<StreamInbox> inbox_;
   StreamId stream_;
-  bool done_ = false;
+  bool ended_ = false;
   bool acknowledged_ = false;
   bool started_ = false;
-  bool caller_left_ = false;
-  TimePoint acknowledge_by_;
+  bool caller_disconnected_ = false;
+  TimePoint acknowledge_deadline_;
   // When the latest part came; none before the first.
-  std::optional<TimePoint> last_output_;
-  std::int64_t uncredited_ = 0;
+  std::optional<TimePoint> last_output_at_;
+  std::int64_t credit_owed_ = 0;
 };
 
 }  // namespace harecrank
--- a/src/entry/caller_request.cc
+++ b/src/entry/caller_request.cc
@@ -17,7 +17,7 @@
 constexpr char kServicePrefix[] = "/v1/services/";
 constexpr std::int64_t kDefaultAnswerTokens = 16;
 
-auto Refuse(int status, const std::string& code, const std::string& message) {
+auto Reject(int status, const std::string& code, const std::string& message) {
   return leaf::new_error(
       Refusal{status, code, message, Outcome::kNotRun, std::nullopt});
 }
@@ -25,7 +25,7 @@
 leaf::result<json> ParseBody(const std::string& body) {
   json parsed = json::parse(body, nullptr, false);
   if (parsed.is_discarded() || !parsed.is_object()) {
-    return Refuse(http_status::kBadRequest, "bad_json",
+    return Reject(http_status::kBadRequest, "bad_json",
                   "the body holds no JSON object");
   }
   return parsed;
@@ -41,7 +41,7 @@
   try {
     return found->get<T>();
   } catch (const json::exception&) {
-    return Refuse(http_status::kBadRequest, "bad_request",
+    return Reject(http_status::kBadRequest, "bad_request",
                   std::string("the field '") + name + "' has the wrong type");
   }
 }
@@ -49,7 +49,7 @@
 leaf::result<std::string> ChatPrompt(const json& body) {
   const auto messages = body.find("messages");
   if (messages == body.end() || !messages->is_array() || messages->empty()) {
-    return Refuse(
+    return Reject(
         http_status::kBadRequest, "bad_request",
         "the field 'messages' must be a list with one entry at least");
   }
@@ -57,7 +57,7 @@
   for (const json& message : *messages) {
     if (!message.is_object() || !message.contains("content") ||
         !message["content"].is_string()) {
-      return Refuse(http_status::kBadRequest, "bad_request",
+      return Reject(http_status::kBadRequest, "bad_request",
                     "each message needs a string 'content'");
     }
     prompt += message.value("role", std::string("user")) + ": " +
@@ -71,18 +71,18 @@
   const auto& models = configuration.GetDocument().models();
   const auto model = models.find(request.model.value);
   if (model == models.end()) {
-    return Refuse(http_status::kNotFound, "unknown_model",
+    return Reject(http_status::kNotFound, "unknown_model",
                   "there is no model called '" + request.model.value + "'");
   }
   if (!request.adapter.value.empty() &&
       model->second.adapters().count(request.adapter.value) == 0) {
-    return Refuse(
+    return Reject(
         http_status::kNotFound, "unknown_adapter",
         "the model has no adapter called '" + request.adapter.value + "'");
   }
   const Tokens total = request.prompt_tokens + request.answer_tokens;
   if (Tokens{model->second.context_tokens()} < total) {
-    return Refuse(http_status::kBadRequest, "context_too_long",
+    return Reject(http_status::kBadRequest, "context_too_long",
                   "prompt and answer need " + std::to_string(total.value) +
                       " tokens; the model takes " +
                       std::to_string(model->second.context_tokens()));
@@ -101,7 +101,7 @@
   BOOST_LEAF_ASSIGN(request->answer_tokens.value,
                     Field(body, "max_tokens", kDefaultAnswerTokens));
   if (request->answer_tokens.value < 1) {
-    return Refuse(http_status::kBadRequest, "bad_request",
+    return Reject(http_status::kBadRequest, "bad_request",
                   "the field 'max_tokens' must be 1 or more");
   }
   if (request->form == AnswerForm::kChat) {
@@ -110,7 +110,7 @@
     BOOST_LEAF_ASSIGN(request->prompt, Field(body, "prompt", std::string()));
   }
   if (request->prompt.empty()) {
-    return Refuse(http_status::kBadRequest, "bad_request",
+    return Reject(http_status::kBadRequest, "bad_request",
                   "the prompt is empty");
   }
   request->prompt_tokens = EstimateTokens(request->prompt.size());
@@ -120,17 +120,17 @@
 leaf::result<void> ReadServiceRequest(const Configuration& configuration,
                                       const CallerHeaders& headers,
                                       CallerRequest* request) {
-  const std::string rest = headers.path.substr(sizeof(kServicePrefix) - 1);
-  const auto slash = rest.find('/');
-  request->service = ServiceName{rest.substr(0, slash)};
-  request->path = slash == std::string::npos ? "/" : rest.substr(slash);
+  const std::string remainder = headers.path.substr(sizeof(kServicePrefix) - 1);
+  const auto slash = remainder.find('/');
+  request->service = ServiceName{remainder.substr(0, slash)};
+  request->path = slash == std::string::npos ? "/" : remainder.substr(slash);
   if (!headers.query.empty()) {
     request->path += "?" + headers.query;
   }
   request->method = headers.method;
   request->content_type = headers.content_type;
   if (configuration.EndpointsOf(request->service).empty()) {
-    return Refuse(
+    return Reject(
         http_status::kNotFound, "unknown_service",
         "there is no service called '" + request->service.value + "'");
   }
@@ -150,20 +150,20 @@
   const char* end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, millis);
   if (parsed.ptr != end || millis < 1 || millis > policy.max_time_limit_ms()) {
-    return Refuse(http_status::kBadRequest, "bad_time_limit",
+    return Reject(http_status::kBadRequest, "bad_time_limit",
                   "Harecrank-Time-Limit-Ms must be a whole number from 1 to " +
                       std::to_string(policy.max_time_limit_ms()));
   }
   return Millis(millis);
 }
 
-leaf::result<void> ReadRepeat(const CallerHeaders& headers,
-                              CallerRequest* request) {
+leaf::result<void> ReadRetryMode(const CallerHeaders& headers,
+                                 CallerRequest* request) {
   if (headers.not_repeatable.empty() && headers.ticket.empty()) {
     return {};
   }
   if (headers.ticket.empty()) {
-    return Refuse(http_status::kPreconditionRequired, "ticket_required",
+    return Reject(http_status::kPreconditionRequired, "ticket_required",
                   "a request that may not be repeated needs a ticket: POST "
                   "/v1/tickets, keep the ticket with your id, and send it in "
                   "Harecrank-Ticket");
@@ -199,7 +199,7 @@
                        : AnswerForm::kCompletion;
     BOOST_LEAF_CHECK(ReadModelRequest(configuration, body, &request));
   }
-  BOOST_LEAF_CHECK(ReadRepeat(headers, &request));
+  BOOST_LEAF_CHECK(ReadRetryMode(headers, &request));
   return request;
 }
 
@@ -207,13 +207,13 @@
                                      const std::string& authorization) {
   const std::size_t prefix = sizeof(kBearer) - 1;
   if (authorization.compare(0, prefix, kBearer) != 0) {
-    return Refuse(http_status::kUnauthorised, "no_key",
+    return Reject(http_status::kUnauthorised, "no_key",
                   "the Authorization header must be 'Bearer KEY'");
   }
   const AccountId* account =
       configuration.FindAccountByKey(Sha256Hex(authorization.substr(prefix)));
   if (account == nullptr) {
-    return Refuse(http_status::kUnauthorised, "wrong_key",
+    return Reject(http_status::kUnauthorised, "wrong_key",
                   "no client account has this key");
   }
   return *account;
--- a/src/entry/caller_server.cc
+++ b/src/entry/caller_server.cc
@@ -20,9 +20,9 @@
 // place is taken.
 constexpr int kSpareThreads = 32;
 // How much of a body that is too large is read so that its caller hears why.
-constexpr std::size_t kMostDiscarded = 256U << 20U;
-constexpr Millis kRetryAfterFull{1000};
-constexpr Millis kRetryAfterDrain{1000};
+constexpr std::size_t kMaxDiscardedBytes = 256U << 20U;
+constexpr Millis kFullRetryDelay{1000};
+constexpr Millis kDrainRetryDelay{1000};
 constexpr char kTickets[] = "/v1/tickets";
 constexpr char kServices[] = "/v1/services/";
 constexpr char kModels[] = "/v1/models";
@@ -38,7 +38,7 @@
 
 // Returns whether the request's body ends at one place for everyone who reads
 // it. Where it does not, a second request can be hidden inside the first.
-bool HasOneLength(const HTTPServerRequest& request) {
+bool HasUnambiguousLength(const HTTPServerRequest& request) {
   const auto count = [&request](const std::string& name) {
     auto it = request.find(name);
     int found = 0;
@@ -98,14 +98,15 @@
   Metrics* metrics = node->GetMetrics();
   requests_ = metrics->GetCounter("harecrank_entry_requests_total");
   answered_ = metrics->GetCounter("harecrank_entry_answered_total");
-  refused_ = metrics->GetCounter("harecrank_entry_refused_total");
+  rejected_ = metrics->GetCounter("harecrank_entry_refused_total");
   first_part_short_ = metrics->GetHistogram(
       "harecrank_time_to_first_token_seconds", "length=\"short\"");
   first_part_long_ = metrics->GetHistogram(
       "harecrank_time_to_first_token_seconds", "length=\"long\"");
-  gap_ = metrics->GetHistogram("harecrank_time_between_tokens_seconds");
+  between_parts_ =
+      metrics->GetHistogram("harecrank_time_between_tokens_seconds");
   metrics->AddGauge("harecrank_entry_requests_in_hand",
-                    [this] { return static_cast<double>(in_hand_.load()); });
+                    [this] { return static_cast<double>(in_flight_.load()); });
 }
 
 void CallerServer::Start() {
@@ -141,30 +142,30 @@
     return;
   }
   requests_->Add();
-  if (!HasOneLength(request)) {
+  if (!HasUnambiguousLength(request)) {
     response.setKeepAlive(false);
-    Refuse(response, NotRun(http_status::kBadRequest, "two_lengths",
+    Reject(response, NotRun(http_status::kBadRequest, "two_lengths",
                             "send either one Content-Length or one "
                             "Transfer-Encoding"));
     return;
   }
   if (draining_ || !node_->IsReady()) {
     response.setKeepAlive(false);
-    Refuse(
+    Reject(
         response,
         NotRun(http_status::kUnavailable, draining_ ? "draining" : "not_ready",
-               "this entry host takes no requests now", kRetryAfterDrain));
+               "this entry host takes no requests now", kDrainRetryDelay));
     return;
   }
-  if (!TakePlace()) {
-    Refuse(response, NotRun(http_status::kTooManyRequests, "entry_full",
+  if (!TryAcquireSlot()) {
+    Reject(response, NotRun(http_status::kTooManyRequests, "entry_full",
                             "this entry host has all the requests it can hold",
-                            kRetryAfterFull));
+                            kFullRetryDelay));
     return;
   }
   // Given back whatever the handler does.
-  const std::shared_ptr<void> place(nullptr,
-                                    [this](void*) { in_hand_.fetch_sub(1); });
+  const std::shared_ptr<void> slot(nullptr,
+                                   [this](void*) { in_flight_.fetch_sub(1); });
   if (StartsWith(path, kTickets)) {
     HandleTicket(request, response);
   } else if (path == kModels) {
@@ -172,12 +173,12 @@
   } else if (IsCompletions(path) &&
              request.getMethod() != HTTPServerRequest::HTTP_POST) {
     response.set("Allow", HTTPServerRequest::HTTP_POST);
-    Refuse(response, NotRun(http_status::kMethodNotAllowed,
+    Reject(response, NotRun(http_status::kMethodNotAllowed,
                             "method_not_allowed", path + " takes POST only"));
   } else if (IsCompletions(path) || StartsWith(path, kServices)) {
     HandleRequest(request, response);
   } else {
-    Refuse(response, NotRun(http_status::kNotFound, "not_found",
+    Reject(response, NotRun(http_status::kNotFound, "not_found",
                             "there is nothing at " + path));
   }
 }
@@ -198,9 +199,9 @@
                      json{{"object", "list"}, {"data", models}}.dump());
         return {};
       },
-      [&](const Refusal& refusal) { Refuse(response, refusal); },
+      [&](const Refusal& refusal) { Reject(response, refusal); },
       [&] {
-        Refuse(response, NotRun(http_status::kBadRequest, "bad_request",
+        Reject(response, NotRun(http_status::kBadRequest, "bad_request",
                                 "not understood"));
       });
 }
@@ -242,9 +243,9 @@
                          .dump());
         return {};
       },
-      [&](const Refusal& refusal) { Refuse(response, refusal); },
+      [&](const Refusal& refusal) { Reject(response, refusal); },
       [&] {
-        Refuse(response, NotRun(http_status::kBadRequest, "bad_request",
+        Reject(response, NotRun(http_status::kBadRequest, "bad_request",
                                 "not understood"));
       });
 }
@@ -253,9 +254,9 @@
                                  HTTPServerResponse& response) {
   std::string body;
   if (!ReadBody(request, settings_.max_body_bytes, &body)) {
-    DiscardBody(request, kMostDiscarded);
+    DiscardBody(request, kMaxDiscardedBytes);
     response.setKeepAlive(false);
-    Refuse(response,
+    Reject(response,
            NotRun(http_status::kTooLarge, "body_too_large",
                   "the body is larger than " +
                       std::to_string(settings_.max_body_bytes) + " bytes"));
@@ -264,34 +265,35 @@
   const auto configuration = node_->InForce();
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
-        BOOST_LEAF_AUTO(asked,
+        BOOST_LEAF_AUTO(caller_request,
                         ReadCallerRequest(*configuration, HeadersOf(request),
                                           std::move(body)));
-        Serve(asked, request, response);
+        RunRequest(caller_request, request, response);
         return {};
       },
-      [&](const Refusal& refusal) { Refuse(response, refusal); },
+      [&](const Refusal& refusal) { Reject(response, refusal); },
       [&] {
-        Refuse(response, NotRun(http_status::kBadRequest, "bad_request",
+        Reject(response, NotRun(http_status::kBadRequest, "bad_request",
                                 "not understood"));
       });
 }
 
-void CallerServer::Serve(const CallerRequest& asked, HTTPServerRequest& request,
-                         HTTPServerResponse& response) {
+void CallerServer::RunRequest(const CallerRequest& caller_request,
+                              HTTPServerRequest& request,
+                              HTTPServerResponse& response) {
   const v1::Policy& policy = node_->InForce()->GetDocument().policy();
   const bool is_short =
-      asked.prompt_tokens < Tokens{policy.long_prompt_tokens()};
+      caller_request.prompt_tokens < Tokens{policy.long_prompt_tokens()};
   AnswerWriterPorts ports;
   ports.request = &request;
   ports.response = &response;
   ports.clock = clock_;
   ports.first_part = is_short ? first_part_short_ : first_part_long_;
-  ports.gap = gap_;
-  AnswerWriter writer(std::move(ports), asked);
-  const DispatchResult result = dispatcher_->Run(asked, &writer);
+  ports.between_parts = between_parts_;
+  AnswerWriter writer(std::move(ports), caller_request);
+  const DispatchResult result = dispatcher_->Run(caller_request, &writer);
   const auto* refusal = std::get_if<Refusal>(&result);
-  (refusal == nullptr ? answered_ : refused_)->Add();
+  (refusal == nullptr ? answered_ : rejected_)->Add();
   if (refusal != nullptr &&
       refusal->http_status == http_status::kClientClosed) {
     response.setKeepAlive(false);
@@ -300,17 +302,17 @@
   writer.Finish(result);
 }
 
-void CallerServer::Refuse(HTTPServerResponse& response,
+void CallerServer::Reject(HTTPServerResponse& response,
                           const Refusal& refusal) {
-  refused_->Add();
+  rejected_->Add();
   WriteRefusal(response, refusal);
 }
 
-bool CallerServer::TakePlace() {
-  if (in_hand_.fetch_add(1) < settings_.max_requests) {
+bool CallerServer::TryAcquireSlot() {
+  if (in_flight_.fetch_add(1) < settings_.max_requests) {
     return true;
   }
-  in_hand_.fetch_sub(1);
+  in_flight_.fetch_sub(1);
   return false;
 }
 
--- a/src/entry/caller_server.h
+++ b/src/entry/caller_server.h
@@ -31,7 +31,7 @@
   void Drain() { draining_ = true; }
 
   // Returns how many requests are in hand.
-  int InFlight() const { return in_hand_.load(); }
+  int InFlight() const { return in_flight_.load(); }
 
   void Stop();
 
@@ -45,23 +45,24 @@
                     Poco::Net::HTTPServerResponse& response);
   void HandleRequest(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response);
-  void Serve(const CallerRequest& asked, Poco::Net::HTTPServerRequest& request,
-             Poco::Net::HTTPServerResponse& response);
-  void Refuse(Poco::Net::HTTPServerResponse& response, const Refusal& refusal);
-  bool TakePlace();
+  void RunRequest(const CallerRequest& caller_request,
+                  Poco::Net::HTTPServerRequest& request,
+                  Poco::Net::HTTPServerResponse& response);
+  void Reject(Poco::Net::HTTPServerResponse& response, const Refusal& refusal);
+  bool TryAcquireSlot();
 
   EntrySettings settings_;
   Node* node_;
   Dispatcher* dispatcher_;
   MonotonicClock clock_;
   std::atomic<bool> draining_{false};
-  std::atomic<int> in_hand_{0};
+  std::atomic<int> in_flight_{0};
   Counter* requests_;
   Counter* answered_;
-  Counter* refused_;
+  Counter* rejected_;
   DurationHistogram* first_part_short_;
   DurationHistogram* first_part_long_;
-  DurationHistogram* gap_;
+  DurationHistogram* between_parts_;
   std::unique_ptr<HttpServer> server_;
 };
 
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -14,13 +14,13 @@
 
 constexpr int kPercent = 100;
 constexpr int kDefaultRetryPercent = 10;
-constexpr Millis kLinkWait{1500};
-constexpr Millis kLinkPoll{10};
-constexpr Millis kTicketWait{1000};
+constexpr Millis kLinkTimeout{1500};
+constexpr Millis kLinkPollInterval{10};
+constexpr Millis kTicketTimeout{1000};
 constexpr Millis kRetryAfter{1000};
 // How much of a prompt's beginning stands for its prefix.
 constexpr std::size_t kPrefixBytes = 2048;
-constexpr int kTicketTries = 3;
+constexpr int kMaxTicketAttempts = 3;
 constexpr char kLengthAware[] = "length_aware";
 
 Refusal NoEndpoint() {
@@ -29,7 +29,7 @@
                  Outcome::kNotRun, kRetryAfter};
 }
 
-Refusal TicketUnusable(const std::string& why) {
+Refusal TicketRejected(const std::string& why) {
   return Refusal{http_status::kBadGateway, "ticket_unknown", why,
                  Outcome::kUnknown, std::nullopt};
 }
@@ -43,7 +43,7 @@
       limiter_(ports_.clock),
       table_(std::make_shared<const EndpointTable>()) {
   Metrics* metrics = ports_.node->GetMetrics();
-  limited_ = metrics->GetCounter("harecrank_entry_limited_total");
+  rate_limited_ = metrics->GetCounter("harecrank_entry_limited_total");
   retries_ = metrics->GetCounter("harecrank_entry_retries_total");
   resumed_ = metrics->GetCounter("harecrank_entry_resumed_total");
   groups_ = metrics->GetCounter("harecrank_entry_groups_total");
@@ -84,7 +84,7 @@
   if (auto refusal = CheckLimit(context)) {
     return std::move(*refusal);
   }
-  NotePrefix(&context);
+  RecordPrefix(&context);
   DispatchResult result = request.ticket.empty() ? RunAttempts(&context, sink)
                                                  : RunTicketed(&context, sink);
   const auto* refusal = std::get_if<Refusal>(&result);
@@ -106,22 +106,22 @@
   request.form =
       service.value.empty() ? AnswerForm::kCompletion : AnswerForm::kService;
   Context context{request, ports_.node->InForce(), table_.Load(),
-                  ports_.clock() + kLinkWait};
+                  ports_.clock() + kLinkTimeout};
   const Millis ttl{
       context.configuration->GetDocument().policy().ticket_ttl_ms()};
-  for (int i = 0; i < kTicketTries; ++i) {
+  for (int i = 0; i < kMaxTicketAttempts; ++i) {
     const auto link = WaitForLink(context, nullptr);
     if (link == nullptr) {
       break;
     }
     const auto inbox = std::make_shared<StreamInbox>();
     const StreamId call = ports_.links->OpenStream(link, inbox);
-    const auto answer = AskTicket(link, call, inbox.get(),
-                                  wire::TicketRequest{call, account, ttl});
+    const auto answer = CallTicketIssuer(
+        link, call, inbox.get(), wire::TicketRequest{call, account, ttl});
     if (answer && !answer->ticket.empty()) {
       return IssuedTicket{answer->ticket, ttl};
     }
-    context.tried.insert(link->Endpoint());
+    context.tried_endpoints.insert(link->Endpoint());
   }
   return NoEndpoint();
 }
@@ -136,14 +136,14 @@
     return Outcome::kUnknown;
   }
   const auto link = WaitUntilUsable(ticket->endpoint, endpoint->link_address(),
-                                    ports_.clock() + kLinkWait);
+                                    ports_.clock() + kLinkTimeout);
   if (link == nullptr) {
     return Outcome::kUnknown;
   }
   const auto inbox = std::make_shared<StreamInbox>();
   const StreamId call = ports_.links->OpenStream(link, inbox);
-  const auto answer = AskTicket(link, call, inbox.get(),
-                                wire::TicketRevoke{call, account, text});
+  const auto answer = CallTicketIssuer(link, call, inbox.get(),
+                                       wire::TicketRevoke{call, account, text});
   return answer ? OutcomeFromName(answer->outcome) : Outcome::kUnknown;
 }
 
@@ -157,7 +157,7 @@
   if (!wait) {
     return std::nullopt;
   }
-  limited_->Add();
+  rate_limited_->Add();
   return Refusal{http_status::kTooManyRequests, "account_limit",
                  "the account's limit of tokens a second is used up",
                  Outcome::kNotRun, *wait};
@@ -182,7 +182,7 @@
         return policy.LastRefusal().value_or(NoEndpoint());
       }
       answered.endpoint = link->Endpoint();
-      result = RunOnce(context, link, ports, &evidence);
+      result = RunSingleAttempt(context, link, ports, &evidence);
     }
     if (auto* finished = std::get_if<wire::Finished>(&result)) {
       answered.finished = std::move(*finished);
@@ -210,20 +210,20 @@
   const v1::Endpoint* endpoint =
       context->configuration->FindEndpoint(ticket->endpoint);
   if (endpoint == nullptr) {
-    return TicketUnusable("the ticket's endpoint is no longer published");
+    return TicketRejected("the ticket's endpoint is no longer published");
   }
-  const auto link =
-      WaitUntilUsable(ticket->endpoint, endpoint->link_address(),
-                      std::min(context->deadline, ports_.clock() + kLinkWait));
+  const auto link = WaitUntilUsable(
+      ticket->endpoint, endpoint->link_address(),
+      std::min(context->deadline, ports_.clock() + kLinkTimeout));
   if (link == nullptr) {
-    return TicketUnusable("the ticket's endpoint cannot be reached");
+    return TicketRejected("the ticket's endpoint cannot be reached");
   }
   AnswerAssembler assembler;
   AttemptPorts ports{ports_.links, ports_.clock, &assembler, sink};
   RetryPolicy policy(RetryMode::kNever, context->deadline, ports_.clock,
                      &budget_);
   AttemptEvidence evidence;
-  AttemptResult result = RunOnce(context, link, ports, &evidence);
+  AttemptResult result = RunSingleAttempt(context, link, ports, &evidence);
   if (auto* finished = std::get_if<wire::Finished>(&result)) {
     return Answered{std::move(*finished), link->Endpoint()};
   }
@@ -239,7 +239,7 @@
   GroupPorts group;
   group.attempt = std::move(ports);
   group.random = ports_.random;
-  group.is_available = [this](const EndpointId& id) { return MayUse(id); };
+  group.is_available = [this](const EndpointId& id) { return IsAvailable(id); };
   group.short_headroom_percent = static_cast<int>(
       context->configuration->GetDocument().policy().short_headroom_percent());
   group.segments_redone = segments_redone_;
@@ -254,11 +254,11 @@
   return result;
 }
 
-AttemptResult Dispatcher::RunOnce(Context* context,
-                                  const std::shared_ptr<Link>& link,
-                                  AttemptPorts ports,
-                                  AttemptEvidence* evidence) {
-  context->tried.insert(link->Endpoint());
+AttemptResult Dispatcher::RunSingleAttempt(Context* context,
+                                           const std::shared_ptr<Link>& link,
+                                           AttemptPorts ports,
+                                           AttemptEvidence* evidence) {
+  context->tried_endpoints.insert(link->Endpoint());
   AttemptTimes times{context->deadline};
   if (!context->request.ticket.empty()) {
     times.acknowledge_timeout = Millis(0);
@@ -306,11 +306,11 @@
   if (usable < needed) {
     return spread;
   }
-  const bool worth_it = context.length == LengthClass::kLong && spread > 1;
-  return worth_it ? spread : 0;
+  const bool spread_helps = context.length == LengthClass::kLong && spread > 1;
+  return spread_helps ? spread : 0;
 }
 
-void Dispatcher::NotePrefix(Context* context) {
+void Dispatcher::RecordPrefix(Context* context) {
   const CallerRequest& request = context->request;
   std::string prefix = request.model.value + " " + request.adapter.value + " " +
                        request.prompt.substr(0, kPrefixBytes);
@@ -342,8 +342,8 @@
       continue;
     }
     const auto link = ports_.links->Get(endpoint.id, endpoint.link_address);
-    if (context.tried.count(endpoint.id) > 0 || !link->IsUsable() ||
-        link->IsDraining() || !MayUse(endpoint.id)) {
+    if (context.tried_endpoints.count(endpoint.id) > 0 || !link->IsUsable() ||
+        link->IsDraining() || !IsAvailable(endpoint.id)) {
       continue;
     }
     views.push_back(link->View());
@@ -374,17 +374,17 @@
 std::shared_ptr<Link> Dispatcher::WaitForLink(const Context& context,
                                               AnswerSink* sink) {
   const TimePoint until =
-      std::min(context.deadline, ports_.clock() + kLinkWait);
+      std::min(context.deadline, ports_.clock() + kLinkTimeout);
   while (true) {
     if (auto link = Choose(context)) {
       return link;
     }
     // With one endpoint tried already there is nothing to wait for.
-    if (!context.tried.empty() || ports_.clock() >= until ||
+    if (!context.tried_endpoints.empty() || ports_.clock() >= until ||
         (sink != nullptr && !sink->OnIdle())) {
       return nullptr;
     }
-    std::this_thread::sleep_for(kLinkPoll);
+    std::this_thread::sleep_for(kLinkPollInterval);
   }
 }
 
@@ -396,21 +396,21 @@
     if (ports_.clock() >= until) {
       return nullptr;
     }
-    std::this_thread::sleep_for(kLinkPoll);
+    std::this_thread::sleep_for(kLinkPollInterval);
   }
   return link;
 }
 
-bool Dispatcher::MayUse(const EndpointId& endpoint) const {
+bool Dispatcher::IsAvailable(const EndpointId& endpoint) const {
   return !ports_.node->IsLeaving(NodeId{endpoint.value});
 }
 
-std::optional<wire::TicketAnswer> Dispatcher::AskTicket(
+std::optional<wire::TicketAnswer> Dispatcher::CallTicketIssuer(
     const std::shared_ptr<Link>& link, StreamId stream, StreamInbox* inbox,
-    const wire::Message& question) {
+    const wire::Message& call_message) {
   std::optional<wire::TicketAnswer> answer;
-  if (ports_.links->Send(link, question)) {
-    const auto event = inbox->Take(ports_.clock() + kTicketWait);
+  if (ports_.links->Send(link, call_message)) {
+    const auto event = inbox->Take(ports_.clock() + kTicketTimeout);
     const auto* message = event ? std::get_if<wire::Message>(&*event) : nullptr;
     const auto* typed =
         message != nullptr ? std::get_if<wire::TicketAnswer>(message) : nullptr;
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -89,7 +89,7 @@
     LengthClass length = LengthClass::kShort;
     // Names the prompt's beginning; empty if no cache can have it.
     std::string warm_prefix{};
-    std::set<EndpointId> tried{};
+    std::set<EndpointId> tried_endpoints{};
   };
 
   std::optional<Refusal> CheckLimit(const Context& context);
@@ -98,12 +98,13 @@
   AttemptResult RunGroup(Context* context, std::size_t min_members,
                          AttemptPorts ports, AttemptEvidence* evidence,
                          Answered* answered);
-  AttemptResult RunOnce(Context* context, const std::shared_ptr<Link>& link,
-                        AttemptPorts ports, AttemptEvidence* evidence);
+  AttemptResult RunSingleAttempt(Context* context,
+                                 const std::shared_ptr<Link>& link,
+                                 AttemptPorts ports, AttemptEvidence* evidence);
   wire::Submit MakeSubmit(const Context& context,
                           const AnswerAssembler& assembler) const;
   std::size_t GroupSize(const Context& context) const;
-  void NotePrefix(Context* context);
+  void RecordPrefix(Context* context);
   const std::vector<SubsetEndpoint>& Subset(const Context& context) const;
   std::shared_ptr<Link> Choose(const Context& context);
   std::shared_ptr<Link> ChooseAmong(const Context& context, bool far);
@@ -111,11 +112,10 @@
   std::shared_ptr<Link> WaitUntilUsable(const EndpointId& endpoint,
                                         const std::string& address,
                                         TimePoint until);
-  bool MayUse(const EndpointId& endpoint) const;
-  std::optional<wire::TicketAnswer> AskTicket(const std::shared_ptr<Link>& link,
-                                              StreamId stream,
-                                              StreamInbox* inbox,
-                                              const wire::Message& question);
+  bool IsAvailable(const EndpointId& endpoint) const;
+  std::optional<wire::TicketAnswer> CallTicketIssuer(
+      const std::shared_ptr<Link>& link, StreamId stream, StreamInbox* inbox,
+      const wire::Message& call_message);
 
   DispatcherPorts ports_;
   std::string policy_name_;
@@ -125,7 +125,7 @@
   AccountLimiter limiter_;
   std::mutex table_mutex_;
   RcuCell<EndpointTable> table_;
-  Counter* limited_;
+  Counter* rate_limited_;
   Counter* retries_;
   Counter* resumed_;
   Counter* groups_;
--- a/src/entry/endpoint_table.h
+++ b/src/entry/endpoint_table.h
@@ -49,22 +49,22 @@
 
   // Returns every endpoint of every subset, with its address.
   const std::map<EndpointId, std::string>& AllEndpoints() const {
-    return wanted_;
+    return all_endpoints_;
   }
 
   Revision GetRevision() const { return revision_; }
 
  private:
-  std::vector<SubsetEndpoint> Pick(const Configuration& configuration,
-                                   const std::string& key,
-                                   const std::vector<EndpointId>& endpoints);
+  std::vector<SubsetEndpoint> SelectSubset(
+      const Configuration& configuration, const std::string& key,
+      const std::vector<EndpointId>& endpoints);
 
   Revision revision_;
   NodeId self_;
   DataCentreId data_centre_;
   std::unordered_map<ModelId, std::vector<SubsetEndpoint>> models_;
   std::unordered_map<ServiceName, std::vector<SubsetEndpoint>> services_;
-  std::map<EndpointId, std::string> wanted_;
+  std::map<EndpointId, std::string> all_endpoints_;
 };
 
 }  // namespace harecrank
--- a/src/entry/entry_node.cc
+++ b/src/entry/entry_node.cc
@@ -9,8 +9,8 @@
 
 using nlohmann::json;
 
-constexpr Millis kMaintainEvery{200};
-constexpr Millis kDrainPoll{20};
+constexpr Millis kMaintenanceInterval{200};
+constexpr Millis kDrainPollInterval{20};
 
 }  // namespace
 
@@ -44,7 +44,7 @@
   const TimePoint limit = clock_() + settings_.drain_limit;
   callers_.Drain();
   while (callers_.InFlight() > 0 && clock_() < limit) {
-    std::this_thread::sleep_for(kDrainPoll);
+    std::this_thread::sleep_for(kDrainPollInterval);
   }
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -63,7 +63,7 @@
     lock.unlock();
     dispatcher_.Maintain();
     lock.lock();
-    wake_.wait_for(lock, kMaintainEvery);
+    wake_.wait_for(lock, kMaintenanceInterval);
   }
 }
 
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -8,15 +8,15 @@
 namespace {
 
 constexpr Millis kReservationTtl{6000};
-constexpr Millis kRenewEvery{2000};
-constexpr Millis kAnswerWait{1000};
-constexpr Millis kReplaceWait{3000};
-constexpr Millis kLook{100};
+constexpr Millis kRenewInterval{2000};
+constexpr Millis kReserveTimeout{1000};
+constexpr Millis kReplaceTimeout{3000};
+constexpr Millis kPollInterval{100};
 constexpr int kPercent = 100;
-constexpr int kMostGenerations = 4;
+constexpr int kMaxGenerations = 4;
 constexpr Millis kRetryAfter{2000};
 
-AttemptEnd NoRoom() {
+AttemptEnd NoCapacity() {
   return AttemptRejected{
       "overloaded", "no group of engines has room for the prompt", kRetryAfter};
 }
@@ -35,28 +35,28 @@
 GroupRunner::~GroupRunner() { ReleaseAll(); }
 
 AttemptResult GroupRunner::Run(AttemptEvidence* evidence) {
-  if (!CanEverFit()) {
+  if (!FitsWhenIdle()) {
     return AttemptEnd{AttemptRejected{
         "larger_than_engine",
         "no group of the engines that serve this model can hold the prompt",
         std::nullopt}};
   }
-  AttemptEnd why = NoRoom();
-  if (!ReserveAll(&why)) {
-    return why;
+  AttemptEnd end_reason = NoCapacity();
+  if (!ReserveAll(&end_reason)) {
+    return end_reason;
   }
   evidence->OnSubmitted();
-  AttemptResult result = why;
-  for (int i = 0; i < kMostGenerations; ++i) {
-    if (!PrefillAll(evidence, &why)) {
-      return why;
+  AttemptResult result = end_reason;
+  for (int i = 0; i < kMaxGenerations; ++i) {
+    if (!PrefillAll(evidence, &end_reason)) {
+      return end_reason;
     }
     result = Generate(evidence);
     const auto* end = std::get_if<AttemptEnd>(&result);
-    const bool worth_another =
-        end != nullptr && !std::holds_alternative<CallerDisconnected>(*end) &&
-        !std::holds_alternative<AttemptTimedOut>(*end);
-    if (!worth_another) {
+    const bool can_retry = end != nullptr &&
+                           !std::holds_alternative<CallerDisconnected>(*end) &&
+                           !std::holds_alternative<AttemptTimedOut>(*end);
+    if (!can_retry) {
       return result;
     }
     MarkLostMembers();
@@ -76,14 +76,15 @@
   return members_.empty() ? EndpointId{} : members_.back().segment.member;
 }
 
-bool GroupRunner::CanEverFit() const {
-  std::vector<SegmentCandidate> empty;
+bool GroupRunner::FitsWhenIdle() const {
+  std::vector<SegmentCandidate> idle_engines;
   for (const SubsetEndpoint& endpoint : candidates_) {
     const Tokens usable = WithoutHeadroom(endpoint.memory, endpoint.memory);
-    empty.push_back(SegmentCandidate{endpoint.id, usable, endpoint.memory});
+    idle_engines.push_back(
+        SegmentCandidate{endpoint.id, usable, endpoint.memory});
   }
   return PlanSegments(request_.prompt_tokens, request_.answer_tokens,
-                      std::move(empty))
+                      std::move(idle_engines))
       .has_value();
 }
 
@@ -92,50 +93,50 @@
   return free - Tokens{memory.value * ports_.short_headroom_percent / kPercent};
 }
 
-bool GroupRunner::ReserveAll(AttemptEnd* why) {
+bool GroupRunner::ReserveAll(AttemptEnd* end_reason) {
   GroupReservation reservation(deadline_, ports_.attempt.clock, ports_.random);
-  while (!IsOutOfTime(why)) {
+  while (!IsPastDeadline(end_reason)) {
     const auto plan =
         PlanSegments(request_.prompt_tokens, request_.answer_tokens,
                      Candidates(), ports_.min_members);
     if (!plan) {
       // Reports are late: what looks full now may be free at the next one.
       if (!ports_.attempt.sink->OnIdle()) {
-        *why = CallerDisconnected{};
+        *end_reason = CallerDisconnected{};
         return false;
       }
-      std::this_thread::sleep_for(kLook);
+      std::this_thread::sleep_for(kPollInterval);
       continue;
     }
-    const GroupStep step = AskAll(&reservation, *plan);
+    const GroupStep step = ReserveMembers(&reservation, *plan);
     if (std::holds_alternative<GroupReserved>(step)) {
       return true;
     }
     ReleaseAll();
-    const auto* back = std::get_if<ReleaseMembers>(&step);
-    if (back == nullptr) {
+    const auto* release_step = std::get_if<ReleaseMembers>(&step);
+    if (release_step == nullptr) {
       return false;
     }
-    std::this_thread::sleep_for(back->pause);
+    std::this_thread::sleep_for(release_step->pause);
     ports_.min_members = std::max<std::size_t>(ports_.min_members / 2, 1);
   }
   return false;
 }
 
-GroupStep GroupRunner::AskAll(GroupReservation* reservation,
-                              const std::vector<Segment>& segments) {
+GroupStep GroupRunner::ReserveMembers(GroupReservation* reservation,
+                                      const std::vector<Segment>& segments) {
   members_.clear();
   GroupStep step = reservation->Begin(segments);
   for (const Segment& segment : segments) {
     Member member;
     member.segment = segment;
-    member.link = LinkTo(segment.member);
+    member.link = GetLink(segment.member);
     members_.push_back(std::move(member));
   }
   for (Member& member : members_) {
-    step = Ask(reservation, &member);
+    step = SendReserve(reservation, &member);
   }
-  const TimePoint until = ports_.attempt.clock() + kAnswerWait;
+  const TimePoint until = ports_.attempt.clock() + kReserveTimeout;
   while (std::holds_alternative<WaitForMembers>(step)) {
     const auto event = inbox_->Take(until);
     if (!event) {
@@ -164,7 +165,8 @@
   return step;
 }
 
-GroupStep GroupRunner::Ask(GroupReservation* reservation, Member* member) {
+GroupStep GroupRunner::SendReserve(GroupReservation* reservation,
+                                   Member* member) {
   member->reservation = ports_.attempt.links->OpenStream(member->link, inbox_);
   const wire::Reserve reserve{member->reservation, request_.model,
                               member->segment.reserve, kReservationTtl};
@@ -174,9 +176,10 @@
   return WaitForMembers{};
 }
 
-bool GroupRunner::PrefillAll(AttemptEvidence* evidence, AttemptEnd* why) {
-  while (!IsOutOfTime(why)) {
-    if (!ReplaceLost(why)) {
+bool GroupRunner::PrefillAll(AttemptEvidence* evidence,
+                             AttemptEnd* end_reason) {
+  while (!IsPastDeadline(end_reason)) {
+    if (!ReplaceLost(end_reason)) {
       return false;
     }
     bool all = true;
@@ -190,11 +193,11 @@
       return true;
     }
     RenewAll();
-    const auto event = inbox_->Take(ports_.attempt.clock() + kLook);
+    const auto event = inbox_->Take(ports_.attempt.clock() + kPollInterval);
     if (event) {
       OnEvent(*event, evidence);
     } else if (!ports_.attempt.sink->OnIdle()) {
-      *why = CallerDisconnected{};
+      *end_reason = CallerDisconnected{};
       return false;
     }
   }
@@ -248,7 +251,7 @@
   }
   if (const auto* finished = std::get_if<wire::Finished>(message)) {
     member->ready = true;
-    member->ref = finished->segment;
+    member->segment_ref = finished->segment;
     evidence->OnStarted();
   } else if (std::holds_alternative<wire::Refused>(*message) ||
              std::holds_alternative<wire::Failed>(*message)) {
@@ -256,7 +259,7 @@
   }
 }
 
-bool GroupRunner::ReplaceLost(AttemptEnd* why) {
+bool GroupRunner::ReplaceLost(AttemptEnd* end_reason) {
   for (Member& member : members_) {
     if (!member.lost) {
       continue;
@@ -265,7 +268,7 @@
     failed_.insert(member.segment.member);
     Release(&member);
     if (!Replace(&member)) {
-      *why =
+      *end_reason =
           AttemptLost{"a member of the group was lost and no other has room"};
       return false;
     }
@@ -276,50 +279,50 @@
 bool GroupRunner::Replace(Member* member) {
   // Reports are late, so one look is not enough to say that nobody has room.
   const TimePoint until =
-      std::min(deadline_, ports_.attempt.clock() + kReplaceWait);
-  constexpr bool kMembersToo = true;
+      std::min(deadline_, ports_.attempt.clock() + kReplaceTimeout);
+  constexpr bool kReuseMembers = true;
   while (ports_.attempt.clock() < until) {
-    if (ReplaceAmong(member, !kMembersToo) ||
-        ReplaceAmong(member, kMembersToo)) {
+    if (TryReplace(member, !kReuseMembers) ||
+        TryReplace(member, kReuseMembers)) {
       return true;
     }
-    std::this_thread::sleep_for(kLook);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return false;
 }
 
-bool GroupRunner::ReplaceAmong(Member* member, bool members_too) {
+bool GroupRunner::TryReplace(Member* member, bool reuse_members) {
   std::set<EndpointId> taken = failed_;
   for (const Member& other : members_) {
-    if (!members_too) {
+    if (!reuse_members) {
       taken.insert(other.segment.member);
     }
   }
   for (const SegmentCandidate& candidate : Candidates()) {
     if (taken.count(candidate.id) == 0 &&
         !(candidate.free_memory < member->segment.reserve) &&
-        ReserveAt(candidate.id, member)) {
+        TryReserve(candidate.id, member)) {
       return true;
     }
   }
   return false;
 }
 
-bool GroupRunner::ReserveAt(const EndpointId& id, Member* member) {
-  Member fresh;
-  fresh.segment = member->segment;
-  fresh.segment.member = id;
-  fresh.link = LinkTo(id);
-  GroupReservation one(deadline_, ports_.attempt.clock, ports_.random);
-  one.Begin({fresh.segment});
-  Ask(&one, &fresh);
-  *member = std::move(fresh);
-  const TimePoint until = ports_.attempt.clock() + kAnswerWait;
+bool GroupRunner::TryReserve(const EndpointId& id, Member* member) {
+  Member replacement;
+  replacement.segment = member->segment;
+  replacement.segment.member = id;
+  replacement.link = GetLink(id);
+  GroupReservation reservation(deadline_, ports_.attempt.clock, ports_.random);
+  reservation.Begin({replacement.segment});
+  SendReserve(&reservation, &replacement);
+  *member = std::move(replacement);
+  const TimePoint until = ports_.attempt.clock() + kReserveTimeout;
   while (auto event = inbox_->Take(until)) {
     const auto* message = std::get_if<wire::Message>(&*event);
-    const bool about_this =
+    const bool is_reply =
         message != nullptr && StreamOf(*message) == member->reservation;
-    if (!about_this) {
+    if (!is_reply) {
       AttemptEvidence ignored;
       OnEvent(*event, &ignored);
       continue;
@@ -334,7 +337,7 @@
 }
 
 AttemptResult GroupRunner::Generate(AttemptEvidence* evidence) {
-  const Member& lead = members_.back();
+  const Member& decode_member = members_.back();
   wire::Submit submit;
   submit.work = wire::Work::kGenerate;
   submit.account = request_.account;
@@ -343,9 +346,9 @@
   submit.length = LengthClass::kLong;
   submit.answer = request_.answer_tokens;
   submit.resume_from = ports_.attempt.assembler->NextPosition();
-  submit.reservation = lead.reservation;
+  submit.reservation = decode_member.reservation;
   for (const Member& member : members_) {
-    submit.segments.push_back(member.ref);
+    submit.segments.push_back(member.segment_ref);
   }
   // While the lead generates, the reservations must be renewed from here.
   class RenewingSink : public AnswerSink {
@@ -368,7 +371,7 @@
   RenewingSink sink(this, ports_.attempt.sink);
   AttemptPorts ports = ports_.attempt;
   ports.sink = &sink;
-  Attempt attempt(ports, lead.link, AttemptTimes{deadline_});
+  Attempt attempt(ports, decode_member.link, AttemptTimes{deadline_});
   return attempt.Run(std::move(submit), "", evidence);
 }
 
@@ -377,9 +380,9 @@
   // renew, and one that cannot is lost.
   next_renewal_ = TimePoint{};
   RenewAll();
-  std::set<std::uint64_t> alive;
-  const TimePoint until = ports_.attempt.clock() + kAnswerWait;
-  while (alive.size() < members_.size()) {
+  std::set<std::uint64_t> renewed;
+  const TimePoint until = ports_.attempt.clock() + kReserveTimeout;
+  while (renewed.size() < members_.size()) {
     const auto event = inbox_->Take(until);
     if (!event) {
       break;
@@ -387,11 +390,11 @@
     const auto* message = std::get_if<wire::Message>(&*event);
     if (message != nullptr &&
         std::holds_alternative<wire::Reserved>(*message)) {
-      alive.insert(StreamOf(*message).value);
+      renewed.insert(StreamOf(*message).value);
     }
   }
   for (Member& member : members_) {
-    member.lost = alive.count(member.reservation.value) == 0;
+    member.lost = renewed.count(member.reservation.value) == 0;
   }
 }
 
@@ -400,7 +403,7 @@
   if (now < next_renewal_) {
     return;
   }
-  next_renewal_ = now + kRenewEvery;
+  next_renewal_ = now + kRenewInterval;
   for (const Member& member : members_) {
     ports_.attempt.links->Send(
         member.link, wire::Reserve{member.reservation, request_.model,
@@ -453,7 +456,7 @@
   return candidates;
 }
 
-std::shared_ptr<Link> GroupRunner::LinkTo(const EndpointId& id) {
+std::shared_ptr<Link> GroupRunner::GetLink(const EndpointId& id) {
   for (const SubsetEndpoint& endpoint : candidates_) {
     if (endpoint.id == id) {
       return ports_.attempt.links->Get(id, endpoint.link_address);
@@ -462,11 +465,11 @@
   return nullptr;
 }
 
-bool GroupRunner::IsOutOfTime(AttemptEnd* why) const {
+bool GroupRunner::IsPastDeadline(AttemptEnd* end_reason) const {
   if (ports_.attempt.clock() < deadline_) {
     return false;
   }
-  *why = AttemptTimedOut{};
+  *end_reason = AttemptTimedOut{};
   return true;
 }
 
--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -59,22 +59,22 @@
     StreamId prefill;
     bool lost = false;
     bool ready = false;
-    wire::SegmentRef ref;
+    wire::SegmentRef segment_ref;
   };
 
-  bool CanEverFit() const;
+  bool FitsWhenIdle() const;
   Tokens WithoutHeadroom(Tokens free, Tokens memory) const;
-  bool ReserveAll(AttemptEnd* why);
-  GroupStep AskAll(GroupReservation* reservation,
-                   const std::vector<Segment>& segments);
-  GroupStep Ask(GroupReservation* reservation, Member* member);
-  bool PrefillAll(AttemptEvidence* evidence, AttemptEnd* why);
+  bool ReserveAll(AttemptEnd* end_reason);
+  GroupStep ReserveMembers(GroupReservation* reservation,
+                           const std::vector<Segment>& segments);
+  GroupStep SendReserve(GroupReservation* reservation, Member* member);
+  bool PrefillAll(AttemptEvidence* evidence, AttemptEnd* end_reason);
   void SubmitSegment(Member* member);
   void OnEvent(const StreamEvent& event, AttemptEvidence* evidence);
-  bool ReplaceLost(AttemptEnd* why);
+  bool ReplaceLost(AttemptEnd* end_reason);
   bool Replace(Member* member);
-  bool ReplaceAmong(Member* member, bool members_too);
-  bool ReserveAt(const EndpointId& id, Member* member);
+  bool TryReplace(Member* member, bool reuse_members);
+  bool TryReserve(const EndpointId& id, Member* member);
   AttemptResult Generate(AttemptEvidence* evidence);
   void MarkLostMembers();
   void RenewAll();
@@ -82,8 +82,8 @@
   void ReleaseAll();
   Member* FindByStream(StreamId stream);
   std::vector<SegmentCandidate> Candidates() const;
-  std::shared_ptr<Link> LinkTo(const EndpointId& id);
-  bool IsOutOfTime(AttemptEnd* why) const;
+  std::shared_ptr<Link> GetLink(const EndpointId& id);
+  bool IsPastDeadline(AttemptEnd* end_reason) const;
 
   GroupPorts ports_;
   const CallerRequest& request_;
--- a/src/entry/link_pool.cc
+++ b/src/entry/link_pool.cc
@@ -5,8 +5,8 @@
 namespace harecrank {
 namespace {
 
-constexpr Millis kRedialPause{500};
-constexpr Millis kIdleClose{30000};
+constexpr Millis kRedialBackoff{500};
+constexpr Millis kIdleTimeout{30000};
 
 // Returns the stream that a message from a sidecar belongs to, or zero.
 struct StreamOfMessage {
@@ -69,19 +69,21 @@
     : endpoint_(std::move(endpoint)),
       address_(std::move(address)),
       clock_(std::move(clock)),
-      last_heard_(clock_()),
-      last_used_(last_heard_),
-      next_dial_(last_heard_) {}
+      last_received_at_(clock_()),
+      last_used_at_(last_received_at_),
+      next_dial_at_(last_received_at_) {}
 
 bool Link::IsUsable() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return open_ && remote_clock_.Convert(last_heard_).has_value() &&
-         clock_() - last_heard_ <= pulse_interval_ * kMissedBeforeSilent;
+  return open_ && remote_clock_.Convert(last_received_at_).has_value() &&
+         clock_() - last_received_at_ <=
+             heartbeat_interval_ * kMissedBeforeSilent;
 }
 
 bool Link::IsSilent() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return clock_() - last_heard_ > pulse_interval_ * kMissedBeforeSilent;
+  return clock_() - last_received_at_ >
+         heartbeat_interval_ * kMissedBeforeSilent;
 }
 
 bool Link::IsDraining() const {
@@ -115,7 +117,7 @@
       clock_(std::move(clock)),
       opened_(metrics->GetCounter("harecrank_links_opened_total")),
       lost_(metrics->GetCounter("harecrank_links_lost_total")),
-      pulses_(metrics->GetCounter("harecrank_pulses_received_total")) {
+      heartbeats_(metrics->GetCounter("harecrank_pulses_received_total")) {
   LinkClient::Handlers handlers;
   handlers.on_open = [this](DialId dial) { OnOpen(dial); };
   handlers.on_message = [this](DialId dial, wire::Message message) {
@@ -130,50 +132,51 @@
 std::shared_ptr<Link> LinkPool::Get(const EndpointId& endpoint,
                                     const std::string& address) {
   std::shared_ptr<Link> link;
-  bool fresh = false;
+  bool is_new = false;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    auto& held = links_[endpoint];
+    auto& current = links_[endpoint];
     // An endpoint that moved to another host gets a new link.
-    if (held == nullptr || held->Address() != address) {
-      held = std::make_shared<Link>(endpoint, address, clock_);
-      fresh = true;
+    if (current == nullptr || current->Address() != address) {
+      current = std::make_shared<Link>(endpoint, address, clock_);
+      is_new = true;
     }
-    link = held;
+    link = current;
   }
   {
     const std::lock_guard<std::mutex> lock(link->mutex_);
-    link->last_used_ = clock_();
+    link->last_used_at_ = clock_();
   }
-  if (fresh) {
+  if (is_new) {
     DialLink(link);
   }
   return link;
 }
 
-void LinkPool::Maintain(const std::map<EndpointId, std::string>& wanted) {
-  for (const auto& [endpoint, address] : wanted) {
+void LinkPool::Maintain(const std::map<EndpointId, std::string>& endpoints) {
+  for (const auto& [endpoint, address] : endpoints) {
     Get(endpoint, address);
   }
   const TimePoint now = clock_();
   for (const auto& link : All()) {
     bool redial = false;
-    bool cut = false;
+    bool timed_out = false;
     bool idle = false;
     DialId dial;
     {
       const std::lock_guard<std::mutex> lock(link->mutex_);
       dial = link->dial_;
-      redial = dial.value == 0 && now >= link->next_dial_;
-      cut = link->open_ && now - link->last_heard_ >
-                               link->pulse_interval_ * Link::kMissedBeforeClose;
-      idle = link->streams_.empty() && now - link->last_used_ > kIdleClose;
+      redial = dial.value == 0 && now >= link->next_dial_at_;
+      timed_out = link->open_ &&
+                  now - link->last_received_at_ >
+                      link->heartbeat_interval_ * Link::kMissedBeforeClose;
+      idle = link->streams_.empty() && now - link->last_used_at_ > kIdleTimeout;
     }
     if (idle) {
       const std::lock_guard<std::mutex> lock(mutex_);
       links_.erase(link->Endpoint());
     }
-    if (idle || cut) {
+    if (idle || timed_out) {
       client_->Close(dial);
       OnClose(dial);
     } else if (redial) {
@@ -187,7 +190,7 @@
   const StreamId stream{next_stream_.fetch_add(1)};
   const std::lock_guard<std::mutex> lock(link->mutex_);
   link->streams_.emplace(stream.value, std::move(inbox));
-  link->last_used_ = clock_();
+  link->last_used_at_ = clock_();
   return stream;
 }
 
@@ -228,7 +231,7 @@
   {
     const std::lock_guard<std::mutex> lock(link->mutex_);
     link->open_ = true;
-    link->last_heard_ = clock_();
+    link->last_received_at_ = clock_();
   }
   opened_->Add();
   client_->Send(dial, wire::Hello{wire::kProtocolVersion, self_, incarnation_});
@@ -244,16 +247,16 @@
   std::shared_ptr<StreamInbox> inbox;
   {
     const std::lock_guard<std::mutex> lock(link->mutex_);
-    link->last_heard_ = now;
-    if (const auto* pulse = std::get_if<wire::SidecarHeartbeat>(&message)) {
-      pulses_->Add();
-      link->remote_clock_.OnPulse(pulse->clock, now);
-      link->load_ = pulse->load;
-      link->draining_ = pulse->draining;
+    link->last_received_at_ = now;
+    if (const auto* heartbeat = std::get_if<wire::SidecarHeartbeat>(&message)) {
+      heartbeats_->Add();
+      link->remote_clock_.OnPulse(heartbeat->clock, now);
+      link->load_ = heartbeat->load;
+      link->draining_ = heartbeat->draining;
       link->unreported_ = Tokens{0};
     }
     if (const auto* welcome = std::get_if<wire::Welcome>(&message)) {
-      link->pulse_interval_ = welcome->pulse_interval;
+      link->heartbeat_interval_ = welcome->pulse_interval;
     }
     const auto found = link->streams_.find(stream);
     if (found != link->streams_.end()) {
@@ -277,7 +280,7 @@
     link = found->second;
     by_dial_.erase(found);
   }
-  std::unordered_map<std::uint64_t, std::shared_ptr<StreamInbox>> orphans;
+  std::unordered_map<std::uint64_t, std::shared_ptr<StreamInbox>> open_streams;
   {
     const std::lock_guard<std::mutex> lock(link->mutex_);
     if (link->open_) {
@@ -286,11 +289,11 @@
     link->open_ = false;
     link->dial_ = DialId{};
     link->remote_clock_ = RemoteClock();
-    link->next_dial_ = clock_() + kRedialPause;
-    orphans.swap(link->streams_);
+    link->next_dial_at_ = clock_() + kRedialBackoff;
+    open_streams.swap(link->streams_);
   }
-  for (const auto& orphan : orphans) {
-    orphan.second->Put(LinkLost{StreamId{orphan.first}});
+  for (const auto& open_stream : open_streams) {
+    open_stream.second->Put(LinkLost{StreamId{open_stream.first}});
   }
 }
 
--- a/src/entry/link_pool.h
+++ b/src/entry/link_pool.h
@@ -95,10 +95,10 @@
   RemoteClock remote_clock_;
   LoadReport load_;
   Tokens unreported_;
-  Millis pulse_interval_{1000};
-  TimePoint last_heard_;
-  TimePoint last_used_;
-  TimePoint next_dial_;
+  Millis heartbeat_interval_{1000};
+  TimePoint last_received_at_;
+  TimePoint last_used_at_;
+  TimePoint next_dial_at_;
   std::unordered_map<std::uint64_t, std::shared_ptr<StreamInbox>> streams_;
 };
 
@@ -117,7 +117,7 @@
 
   // Keeps links to `wanted` open, opens lost ones again, cuts silent ones, and
   // closes others that are idle. Called at intervals.
-  void Maintain(const std::map<EndpointId, std::string>& wanted);
+  void Maintain(const std::map<EndpointId, std::string>& endpoints);
 
   // Opens a stream on `link` whose events go to the inbox.
   StreamId OpenStream(const std::shared_ptr<Link>& link,
@@ -146,7 +146,7 @@
   std::atomic<std::uint64_t> next_stream_{1};
   Counter* opened_;
   Counter* lost_;
-  Counter* pulses_;
+  Counter* heartbeats_;
   std::unique_ptr<LinkClient> client_;
 };
 
