--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -98,7 +98,7 @@
 
   // Runs a request to its end. Returns the length of the whole answer.
   virtual boost::leaf::result<std::int64_t> Generate(
-      const EngineRequest& request, const OnAccepted& on_taken,
+      const EngineRequest& request, const OnAccepted& on_accepted,
       const OnToken& on_token) = 0;
 
   // Prefills one segment and holds it until it is cancelled.
--- a/src/sidecar/engine_reconciler.cc
+++ b/src/sidecar/engine_reconciler.cc
@@ -12,7 +12,7 @@
 namespace leaf = boost::leaf;
 
 // A decision older than this was overtaken by a pause.
-constexpr Millis kMostDecisionAge{500};
+constexpr Millis kMaxDecisionAge{500};
 
 struct OrderName {
   std::string operator()(const LoadModel& order) const {
@@ -54,10 +54,10 @@
                                    EngineReconcilerPorts ports)
     : settings_(settings),
       ports_(std::move(ports)),
-      guard_(kMostDecisionAge, ports_.clock) {
+      guard_(kMaxDecisionAge, ports_.clock) {
   Metrics* metrics = ports_.node->GetMetrics();
   released_ = metrics->GetCounter("harecrank_engine_orphans_released_total");
-  orders_ = metrics->GetCounter("harecrank_engine_orders_total");
+  orders_sent_ = metrics->GetCounter("harecrank_engine_orders_total");
   orders_withheld_ =
       metrics->GetCounter("harecrank_engine_orders_withheld_total");
   orders_failed_ = metrics->GetCounter("harecrank_engine_orders_failed_total");
@@ -84,7 +84,7 @@
 void EngineReconciler::Wake() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    woken_ = true;
+    wake_requested_ = true;
   }
   wake_.notify_all();
 }
@@ -96,15 +96,15 @@
 
 void EngineReconciler::Run() {
   while (!stopping_) {
-    Keep();
+    Reconcile();
     std::unique_lock<std::mutex> lock(mutex_);
     wake_.wait_for(lock, settings_.reconcile_interval,
-                   [this] { return woken_ || stopping_.load(); });
-    woken_ = false;
+                   [this] { return wake_requested_ || stopping_.load(); });
+    wake_requested_ = false;
   }
 }
 
-bool EngineReconciler::IsBesideEngine() const {
+bool EngineReconciler::HasEngine() const {
   const auto configuration = ports_.node->InForce();
   const v1::Endpoint* self =
       configuration == nullptr ? nullptr
@@ -113,25 +113,25 @@
   return self != nullptr && self->has_engine();
 }
 
-void EngineReconciler::Keep() {
+void EngineReconciler::Reconcile() {
   // A plain service must not get calls that are meant for an engine.
-  if (!IsBesideEngine()) {
+  if (!HasEngine()) {
     return;
   }
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         guard_.OnDecision();
-        BOOST_LEAF_AUTO(account, ports_.engine->GetStatus());
-        ports_.on_memory(account.memory);
+        BOOST_LEAF_AUTO(status, ports_.engine->GetStatus());
+        ports_.on_memory(status.memory);
         {
           const std::lock_guard<std::mutex> lock(mutex_);
           models_.clear();
-          for (const auto& model : account.models) {
+          for (const auto& model : status.models) {
             models_.insert(model.first);
           }
         }
-        Release(account);
-        GiveOrders(account);
+        ReleaseOrphans(status);
+        SendNextOrder(status);
         return {};
       },
       [] {
@@ -139,44 +139,44 @@
       });
 }
 
-void EngineReconciler::Release(const EngineStatus& account) {
+void EngineReconciler::ReleaseOrphans(const EngineStatus& status) {
   const std::set<std::string> live = ports_.live_allocations();
-  std::set<std::string> suspects;
-  bool clean = true;
-  for (const EngineAllocation& holding : account.allocations) {
-    const bool ours = holding.owner == ports_.incarnation;
-    if (ours && live.count(holding.id.value) > 0) {
+  std::set<std::string> unconfirmed_orphans;
+  bool all_released = true;
+  for (const EngineAllocation& allocation : status.allocations) {
+    const bool is_own = allocation.owner == ports_.incarnation;
+    if (is_own && live.count(allocation.id.value) > 0) {
       continue;
     }
-    if (ours && suspects_.count(holding.id.value) == 0) {
-      suspects.insert(holding.id.value);
+    if (is_own && unconfirmed_orphans_.count(allocation.id.value) == 0) {
+      unconfirmed_orphans.insert(allocation.id.value);
       continue;
     }
     released_->Add();
-    if (!ports_.engine->Cancel(holding.id)) {
-      clean = false;
+    if (!ports_.engine->Cancel(allocation.id)) {
+      all_released = false;
     }
   }
-  suspects_ = std::move(suspects);
-  if (clean && !reconciled_) {
+  unconfirmed_orphans_ = std::move(unconfirmed_orphans);
+  if (all_released && !reconciled_) {
     reconciled_ = true;
     LOG4CXX_INFO(log_, "the engine holds nothing that nobody owns");
   }
 }
 
-void EngineReconciler::GiveOrders(const EngineStatus& account) {
+void EngineReconciler::SendNextOrder(const EngineStatus& status) {
   const auto configuration = ports_.node->InForce();
   if (configuration == nullptr || !ports_.node->IsConfigured()) {
     return;
   }
   const EndpointId self{settings_.node.node_id.value};
   for (const EngineOrder& order :
-       PlanOrders(*configuration, self, account.models)) {
+       PlanOrders(*configuration, self, status.models)) {
     if (!IsDue(order, *configuration)) {
       continue;
     }
     // One order to one account: what it changes is seen in the next.
-    if (Give(order, configuration->GetRevision())) {
+    if (SendOrder(order, configuration->GetRevision())) {
       Wake();
     }
     return;
@@ -186,24 +186,25 @@
 bool EngineReconciler::IsDue(const EngineOrder& order,
                              const Configuration& configuration) {
   const std::string name = std::visit(OrderName{}, order);
-  const auto seen = wanted_since_.emplace(name, ports_.clock()).first->second;
+  const auto first_seen =
+      required_since_.emplace(name, ports_.clock()).first->second;
   const auto loaders = std::visit(LoadersOf{configuration}, order);
   const Millis delay = WeightLoadDelay(
       name, loaders, EndpointId{settings_.node.node_id.value},
       configuration.GetDocument().policy().weight_loads_at_once(),
       loaders.empty() ? Millis(0) : settings_.weight_load_time);
-  return ports_.clock() >= seen + delay;
+  return ports_.clock() >= first_seen + delay;
 }
 
-bool EngineReconciler::Give(const EngineOrder& order, Revision fence) {
+bool EngineReconciler::SendOrder(const EngineOrder& order, Revision fence) {
   const std::string name = std::visit(OrderName{}, order);
   if (!guard_.MayAct()) {
     orders_withheld_->Add();
     LOG4CXX_WARN(log_, "order withheld after a pause: " << name);
     return true;
   }
-  orders_->Add();
-  const bool given = leaf::try_handle_all(
+  orders_sent_->Add();
+  const bool accepted = leaf::try_handle_all(
       [&]() -> leaf::result<bool> {
         BOOST_LEAF_CHECK(ports_.engine->Order(order, fence));
         return true;
@@ -213,13 +214,13 @@
         return false;
       },
       [] { return false; });
-  if (given) {
-    wanted_since_.erase(name);
+  if (accepted) {
+    required_since_.erase(name);
     LOG4CXX_INFO(log_, "order given: " << name);
   } else {
     orders_failed_->Add();
   }
-  return given;
+  return accepted;
 }
 
 }  // namespace harecrank
--- a/src/sidecar/engine_reconciler.h
+++ b/src/sidecar/engine_reconciler.h
@@ -61,12 +61,12 @@
 
  private:
   void Run();
-  bool IsBesideEngine() const;
-  void Keep();
-  void Release(const EngineStatus& account);
-  void GiveOrders(const EngineStatus& account);
+  bool HasEngine() const;
+  void Reconcile();
+  void ReleaseOrphans(const EngineStatus& status);
+  void SendNextOrder(const EngineStatus& status);
   bool IsDue(const EngineOrder& order, const Configuration& configuration);
-  bool Give(const EngineOrder& order, Revision fence);
+  bool SendOrder(const EngineOrder& order, Revision fence);
 
   SidecarSettings settings_;
   EngineReconcilerPorts ports_;
@@ -75,16 +75,16 @@
   std::atomic<bool> stopping_{false};
   mutable std::mutex mutex_;
   std::condition_variable wake_;
-  bool woken_ = false;
+  bool wake_requested_ = false;
   std::set<std::string> models_;
   // Holdings of ours that nothing knew at the last account.
-  std::set<std::string> suspects_;
+  std::set<std::string> unconfirmed_orphans_;
   // When each wanted load was first seen, so that its wave is counted from
   // there.
-  std::map<std::string, TimePoint> wanted_since_;
+  std::map<std::string, TimePoint> required_since_;
   std::thread thread_;
   Counter* released_;
-  Counter* orders_;
+  Counter* orders_sent_;
   Counter* orders_withheld_;
   Counter* orders_failed_;
   log4cxx::LoggerPtr log_;
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -33,7 +33,7 @@
 };
 
 // Turns an HTTP error into this layer's.
-struct FromHttp {
+struct ToEngineError {
   EngineError operator()(const Unreachable& error) const {
     return EngineUnreachable{error.reason};
   }
@@ -46,29 +46,29 @@
 };
 
 template <typename Operation>
-leaf::result<void> TurnErrors(Operation operation) {
+leaf::result<void> ConvertErrors(Operation operation) {
   return leaf::try_handle_some(
       operation, [](const HttpError& error) -> leaf::result<void> {
-        return leaf::new_error(std::visit(FromHttp{}, error));
+        return leaf::new_error(std::visit(ToEngineError{}, error));
       });
 }
 
 leaf::result<HttpResponse> Call(const HttpCall& call) {
-  HttpResponse answer;
-  BOOST_LEAF_CHECK(TurnErrors([&]() -> leaf::result<void> {
-    BOOST_LEAF_ASSIGN(answer, SendHttpRequest(call));
+  HttpResponse response;
+  BOOST_LEAF_CHECK(ConvertErrors([&]() -> leaf::result<void> {
+    BOOST_LEAF_ASSIGN(response, SendHttpRequest(call));
     return {};
   }));
-  return answer;
+  return response;
 }
 
 leaf::result<HttpResponse> CallExpectingOk(const HttpCall& call) {
-  BOOST_LEAF_AUTO(answer, Call(call));
-  if (answer.status != http_status::kOk) {
+  BOOST_LEAF_AUTO(response, Call(call));
+  if (response.status != http_status::kOk) {
     return leaf::new_error(
-        EngineError{EngineRejected{answer.status, answer.body}});
+        EngineError{EngineRejected{response.status, response.body}});
   }
-  return answer;
+  return response;
 }
 
 HttpCall MakeCall(const std::string& address, const std::string& method,
@@ -139,23 +139,23 @@
   return std::nullopt;
 }
 
-EngineStatus ToAccount(const json& body) {
-  EngineStatus account;
-  body.at("memory").get_to(account.memory.value);
-  body.at("used").get_to(account.used.value);
-  for (const json& holding : body.at("holdings")) {
-    account.allocations.push_back(
-        EngineAllocation{AllocationId{holding.at("id").get<std::string>()},
-                         Incarnation{holding.at("owner").get<std::uint64_t>()},
-                         Tokens{holding.at("tokens").get<std::int64_t>()}});
+EngineStatus ToStatus(const json& body) {
+  EngineStatus engine_status;
+  body.at("memory").get_to(engine_status.memory.value);
+  body.at("used").get_to(engine_status.used.value);
+  for (const json& allocation : body.at("holdings")) {
+    engine_status.allocations.push_back(EngineAllocation{
+        AllocationId{allocation.at("id").get<std::string>()},
+        Incarnation{allocation.at("owner").get<std::uint64_t>()},
+        Tokens{allocation.at("tokens").get<std::int64_t>()}});
   }
   for (const auto& model : body.at("models").items()) {
     LoadedModel loaded;
     model.value().at("version").get_to(loaded.version);
     model.value().at("adapters").get_to(loaded.adapters);
-    account.models.emplace(model.key(), std::move(loaded));
+    engine_status.models.emplace(model.key(), std::move(loaded));
   }
-  return account;
+  return engine_status;
 }
 
 }  // namespace
@@ -167,23 +167,23 @@
 HttpEngine::HttpEngine(std::string address) : address_(std::move(address)) {}
 
 leaf::result<std::int64_t> HttpEngine::Generate(const EngineRequest& request,
-                                                const OnAccepted& on_taken,
+                                                const OnAccepted& on_accepted,
                                                 const OnToken& on_token) {
   HttpCall call = MakeCall(address_, "POST", "/v1/streams", request.timeout);
   call.body = ToJson(request);
   int status = 0;
   std::optional<std::int64_t> length;
   std::string reason;
-  const auto read = [&](int got, std::istream& body) {
-    status = got;
+  const auto read = [&](int response_status, std::istream& body) {
+    status = response_status;
     if (status != http_status::kOk) {
       std::getline(body, reason);
       return;
     }
-    on_taken();
+    on_accepted();
     length = ReadLines(body, on_token);
   };
-  auto sent = TurnErrors([&] { return StreamHttp(call, read); });
+  auto sent = ConvertErrors([&] { return StreamHttp(call, read); });
   if (status != 0 && status != http_status::kOk) {
     return leaf::new_error(EngineError{EngineRejected{status, reason}});
   }
@@ -211,10 +211,11 @@
 }
 
 leaf::result<EngineStatus> HttpEngine::GetStatus() {
-  BOOST_LEAF_AUTO(answer, CallExpectingOk(MakeCall(
-                              address_, "GET", "/v1/account", kShortTimeout)));
+  BOOST_LEAF_AUTO(
+      response,
+      CallExpectingOk(MakeCall(address_, "GET", "/v1/account", kShortTimeout)));
   try {
-    return ToAccount(json::parse(answer.body));
+    return ToStatus(json::parse(response.body));
   } catch (const json::exception& error) {
     return leaf::new_error(EngineError{EngineOutcomeUnknown{error.what()}});
   }
@@ -225,13 +226,13 @@
   json body = std::visit(OrderToJson{}, order);
   body["fence"] = fence.value;
   call.body = body.dump();
-  BOOST_LEAF_AUTO(answer, Call(call));
-  if (answer.status == http_status::kConflict) {
+  BOOST_LEAF_AUTO(response, Call(call));
+  if (response.status == http_status::kConflict) {
     return leaf::new_error(EngineError{EngineFenceOutdated{}});
   }
-  if (answer.status != http_status::kOk) {
+  if (response.status != http_status::kOk) {
     return leaf::new_error(
-        EngineError{EngineRejected{answer.status, answer.body}});
+        EngineError{EngineRejected{response.status, response.body}});
   }
   return {};
 }
--- a/src/sidecar/http_engine.h
+++ b/src/sidecar/http_engine.h
@@ -15,7 +15,7 @@
   explicit HttpEngine(std::string address);
 
   boost::leaf::result<std::int64_t> Generate(const EngineRequest& request,
-                                             const OnAccepted& on_taken,
+                                             const OnAccepted& on_accepted,
                                              const OnToken& on_token) override;
   boost::leaf::result<void> Prefill(const EngineRequest& request) override;
   boost::leaf::result<void> Cancel(const AllocationId& id) override;
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -18,20 +18,20 @@
 namespace leaf = boost::leaf;
 using nlohmann::json;
 
-constexpr std::size_t kMostTickets = 20000;
-constexpr std::size_t kMostLogs = 2000;
-constexpr Millis kTick{20};
+constexpr std::size_t kMaxTickets = 20000;
+constexpr std::size_t kMaxAnswerLogs = 2000;
+constexpr Millis kTimerInterval{20};
 // A request with a ticket has a second thread that brings its log to the
 // caller; segments and later replays run beside the scheduled requests.
 constexpr int kSpareThreads = 64;
 // How often a connection that carries requests hears of a changed load.
-constexpr int kPulsesWhileBusy = 5;
+constexpr int kLoadUpdatesPerHeartbeat = 5;
 // Memory of a plain service, counted in calls.
-constexpr std::int64_t kServiceCalls = 1 << 20;
-constexpr Millis kDrainPoll{20};
-constexpr Millis kMostReserve{30000};
+constexpr std::int64_t kServiceMemory = 1 << 20;
+constexpr Millis kDrainPollInterval{20};
+constexpr Millis kMaxReservationTtl{30000};
 
-std::string MessageOf(const SubmitError& error) {
+std::string SubmitErrorMessage(const SubmitError& error) {
   if (const auto* larger = std::get_if<LargerThanEngine>(&error)) {
     return "the request needs more than the " +
            std::to_string(larger->memory.value) + " tokens of this engine";
@@ -68,7 +68,7 @@
   PrefillPolicy policy_;
 };
 
-bool SidecarNode::StreamName::operator<(const StreamName& other) const {
+bool SidecarNode::StreamKey::operator<(const StreamKey& other) const {
   return std::tie(connection, stream) <
          std::tie(other.connection, other.stream);
 }
@@ -86,24 +86,25 @@
           [this](ConnectionId to, const wire::Message& message) {
             return links_->Send(to, message);
           }}),
-      keeper_(settings, EngineReconcilerPorts{
-                            engine_.get(), &node_, incarnation_, clock,
-                            [this] { return LiveHoldings(); },
-                            [this](Tokens memory) {
-                              const std::lock_guard<std::mutex> lock(mutex_);
-                              reported_memory_ = memory;
-                              const auto now = node_.InForce();
-                              if (now != nullptr) {
-                                scheduler_.Reconfigure(OptionsFrom(*now));
-                              }
-                            }}),
+      reconciler_(settings,
+                  EngineReconcilerPorts{
+                      engine_.get(), &node_, incarnation_, clock,
+                      [this] { return LiveAllocations(); },
+                      [this](Tokens memory) {
+                        const std::lock_guard<std::mutex> lock(mutex_);
+                        reported_memory_ = memory;
+                        const auto now = node_.InForce();
+                        if (now != nullptr) {
+                          scheduler_.Reconfigure(OptionsFrom(*now));
+                        }
+                      }}),
       pool_(2, settings.max_running * 2 + kSpareThreads),
       scheduler_(SchedulerOptions{}, clock),
       tickets_(EndpointId{settings.node.node_id.value}, incarnation_,
-               kMostTickets, clock, std::move(random)) {
+               kMaxTickets, clock, std::move(random)) {
   Metrics* metrics = node_.GetMetrics();
   accepted_ = metrics->GetCounter("harecrank_sidecar_accepted_total");
-  refused_ = metrics->GetCounter("harecrank_sidecar_refused_total");
+  rejected_ = metrics->GetCounter("harecrank_sidecar_refused_total");
   started_ = metrics->GetCounter("harecrank_sidecar_started_total");
   replayed_ = metrics->GetCounter("harecrank_sidecar_replayed_total");
   abandoned_ = metrics->GetCounter("harecrank_sidecar_abandoned_total");
@@ -118,7 +119,7 @@
     const auto configuration = node_.InForce();
     const auto* self =
         configuration->FindEndpoint(EndpointId{settings_.node.node_id.value});
-    return self == nullptr || self->has_service() || keeper_.IsReconciled();
+    return self == nullptr || self->has_service() || reconciler_.IsReconciled();
   };
   role.dump = [this](json* dump) { Dump(dump); };
   role.on_configuration = [this] { ApplyConfiguration(); };
@@ -133,7 +134,7 @@
   node_.Start(std::move(role));
   timer_ = std::thread([this] { RunTimer(); });
   canceller_ = std::thread([this] { RunCanceller(); });
-  keeper_.Start();
+  reconciler_.Start();
 }
 
 void SidecarNode::DrainAndStop() {
@@ -142,7 +143,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     scheduler_.Drain();
   }
-  SendPulses(true);
+  SendHeartbeats(true);
   while (clock_() < limit) {
     {
       const std::lock_guard<std::mutex> lock(mutex_);
@@ -150,7 +151,7 @@
         break;
       }
     }
-    std::this_thread::sleep_for(kDrainPoll);
+    std::this_thread::sleep_for(kDrainPollInterval);
   }
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -160,7 +161,7 @@
     }
   }
   wake_.notify_all();
-  keeper_.Stop();
+  reconciler_.Stop();
   timer_.join();
   pool_.joinAll();
   canceller_.join();
@@ -184,16 +185,17 @@
   for (const StreamPtr& stream : lost) {
     Detach(stream);
   }
-  for (auto held = reservations_.begin(); held != reservations_.end();) {
-    if (held->first.connection != connection) {
-      ++held;
+  for (auto reservation_entry = reservations_.begin();
+       reservation_entry != reservations_.end();) {
+    if (reservation_entry->first.connection != connection) {
+      ++reservation_entry;
       continue;
     }
-    scheduler_.Finish(held->second);
-    CancelLater(runner_.AllocationIdFor(held->second));
-    held = reservations_.erase(held);
+    scheduler_.Finish(reservation_entry->second);
+    QueueCancel(runner_.AllocationIdFor(reservation_entry->second));
+    reservation_entry = reservations_.erase(reservation_entry);
   }
-  StartWaiting();
+  StartQueued();
 }
 
 void SidecarNode::On(ConnectionId connection, const wire::Hello& hello) {
@@ -213,7 +215,7 @@
 
 void SidecarNode::On(ConnectionId connection, wire::Submit& submit) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const StreamName name{connection, submit.stream};
+  const StreamKey name{connection, submit.stream};
   if (streams_.count(name) > 0 || submit.body_bytes > wire::kMaxBodyBytes) {
     links_->Send(connection,
                  wire::Refused{submit.stream, "bad_request",
@@ -227,24 +229,24 @@
   streams_.emplace(name, stream);
   by_key_.emplace(stream->key, stream);
   if (stream->submit.body_bytes == 0) {
-    OnWhole(stream);
+    OnBodyComplete(stream);
   }
 }
 
-void SidecarNode::On(ConnectionId connection, wire::BodyChunk& piece) {
+void SidecarNode::On(ConnectionId connection, wire::BodyChunk& chunk) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const StreamPtr stream = Find(connection, piece.stream);
+  const StreamPtr stream = Find(connection, chunk.stream);
   if (stream == nullptr || stream->state != StreamState::kReceiving) {
     return;
   }
-  stream->body += piece.bytes;
+  stream->body += chunk.bytes;
   if (stream->body.size() > stream->submit.body_bytes) {
-    Refuse(stream, wire::Refused{piece.stream, "bad_request",
+    Reject(stream, wire::Refused{chunk.stream, "bad_request",
                                  "more bytes than were announced"});
     return;
   }
   if (stream->body.size() == stream->submit.body_bytes) {
-    OnWhole(stream);
+    OnBodyComplete(stream);
   }
 }
 
@@ -255,22 +257,23 @@
     return;
   }
   scheduler_.Revoke(stream->key);
-  Refuse(stream, wire::Refused{revoke.stream, "revoked", "withdrawn in time"});
+  Reject(stream, wire::Refused{revoke.stream, "revoked", "withdrawn in time"});
 }
 
 void SidecarNode::On(ConnectionId connection, const wire::Cancel& cancel) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const auto held = reservations_.find(StreamName{connection, cancel.stream});
-  if (held != reservations_.end()) {
-    scheduler_.Finish(held->second);
-    CancelLater(runner_.AllocationIdFor(held->second));
-    reservations_.erase(held);
+  const auto reservation_entry =
+      reservations_.find(StreamKey{connection, cancel.stream});
+  if (reservation_entry != reservations_.end()) {
+    scheduler_.Finish(reservation_entry->second);
+    QueueCancel(runner_.AllocationIdFor(reservation_entry->second));
+    reservations_.erase(reservation_entry);
   }
   const StreamPtr stream = Find(connection, cancel.stream);
   if (stream != nullptr) {
     Detach(stream);
   }
-  StartWaiting();
+  StartQueued();
 }
 
 void SidecarNode::On(ConnectionId connection, const wire::Credit& credit) {
@@ -315,13 +318,14 @@
 
 void SidecarNode::On(ConnectionId connection, const wire::Reserve& reserve) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const StreamName name{connection, reserve.stream};
-  const Millis ttl = std::min(reserve.ttl, kMostReserve);
-  const auto held = reservations_.find(name);
+  const StreamKey name{connection, reserve.stream};
+  const Millis ttl = std::min(reserve.ttl, kMaxReservationTtl);
+  const auto reservation_entry = reservations_.find(name);
   bool reserved = false;
-  if (held != reservations_.end()) {
-    reserved = static_cast<bool>(scheduler_.Renew(held->second, ttl));
-  } else if (keeper_.HasModel(reserve.model)) {
+  if (reservation_entry != reservations_.end()) {
+    reserved =
+        static_cast<bool>(scheduler_.Renew(reservation_entry->second, ttl));
+  } else if (reconciler_.HasModel(reserve.model)) {
     const std::uint64_t key = next_key_++;
     reserved = static_cast<bool>(scheduler_.Reserve(key, reserve.amount, ttl));
     if (reserved) {
@@ -336,7 +340,7 @@
   }
 }
 
-void SidecarNode::OnWhole(const StreamPtr& stream) {
+void SidecarNode::OnBodyComplete(const StreamPtr& stream) {
   if (stream->submit.reservation.value != 0) {
     RunUnderReservation(stream);
     return;
@@ -344,21 +348,21 @@
   if (!node_.IsReady()) {
     // Without a configuration, or with an engine that still holds what an
     // earlier process left, nothing can be promised.
-    Refuse(stream, wire::Refused{stream->submit.stream, "not_ready",
+    Reject(stream, wire::Refused{stream->submit.stream, "not_ready",
                                  "the sidecar has just begun", Millis(500)});
     return;
   }
   if (stream->submit.work == wire::Work::kGenerate &&
-      !keeper_.HasModel(stream->submit.model)) {
-    Refuse(stream, wire::Refused{stream->submit.stream, "model_not_loaded",
+      !reconciler_.HasModel(stream->submit.model)) {
+    Reject(stream, wire::Refused{stream->submit.stream, "model_not_loaded",
                                  "the engine does not hold this model yet",
                                  Millis(1000)});
     return;
   }
-  Queue(stream);
+  Enqueue(stream);
 }
 
-void SidecarNode::Queue(const StreamPtr& stream) {
+void SidecarNode::Enqueue(const StreamPtr& stream) {
   const wire::Submit& submit = stream->submit;
   QueuedRequest request;
   request.key = stream->key;
@@ -376,46 +380,47 @@
       },
       [&](const SubmitError& error) {
         const auto after = RetryAfterOf(error);
-        Refuse(stream,
-               wire::Refused{submit.stream, SubmitErrorCode(error),
-                             MessageOf(error), after ? *after : Millis(-1)});
+        Reject(stream, wire::Refused{submit.stream, SubmitErrorCode(error),
+                                     SubmitErrorMessage(error),
+                                     after ? *after : Millis(-1)});
         return false;
       },
       [&] { return false; });
-  if (!queued || !SpendTicket(stream)) {
+  if (!queued || !RedeemTicket(stream)) {
     return;
   }
   stream->state = StreamState::kQueued;
   accepted_->Add();
   load_changed_ = true;
   links_->Send(stream->connection, wire::Accepted{submit.stream});
-  StartWaiting();
+  StartQueued();
 }
 
 void SidecarNode::RunUnderReservation(const StreamPtr& stream) {
-  const auto held = reservations_.find(
-      StreamName{stream->connection, stream->submit.reservation});
-  if (held == reservations_.end()) {
-    Refuse(stream, wire::Refused{stream->submit.stream, "reservation_ended",
+  const auto reservation_entry = reservations_.find(
+      StreamKey{stream->connection, stream->submit.reservation});
+  if (reservation_entry == reservations_.end()) {
+    Reject(stream, wire::Refused{stream->submit.stream, "reservation_ended",
                                  "the memory for this part is gone"});
     return;
   }
   const auto left =
       std::chrono::duration_cast<Millis>(stream->deadline - clock_());
   if (left <= Millis(0) ||
-      !scheduler_.Renew(held->second, std::min(left, kMostReserve))) {
-    Refuse(stream, wire::Refused{stream->submit.stream, "deadline_exceeded",
+      !scheduler_.Renew(reservation_entry->second,
+                        std::min(left, kMaxReservationTtl))) {
+    Reject(stream, wire::Refused{stream->submit.stream, "deadline_exceeded",
                                  "the memory for this part is gone"});
     return;
   }
-  stream->reservation_key = held->second;
+  stream->reservation_key = reservation_entry->second;
   stream->state = StreamState::kRunning;
   accepted_->Add();
   links_->Send(stream->connection, wire::Accepted{stream->submit.stream});
   StartThread(stream, false);
 }
 
-bool SidecarNode::SpendTicket(const StreamPtr& stream) {
+bool SidecarNode::RedeemTicket(const StreamPtr& stream) {
   const wire::Submit& submit = stream->submit;
   if (submit.ticket.empty()) {
     return true;
@@ -428,7 +433,7 @@
     stream->log = std::make_shared<AnswerLog>();
     logs_.emplace(ticket->nonce, stream->log);
     log_order_.push_back(ticket->nonce);
-    if (log_order_.size() > kMostLogs) {
+    if (log_order_.size() > kMaxAnswerLogs) {
       logs_.erase(log_order_.front());
       log_order_.pop_front();
     }
@@ -439,14 +444,14 @@
   if (redemption == Redemption::kAlreadySpent) {
     AttachToLog(stream, *ticket);
   } else if (redemption == Redemption::kEndedUnspent) {
-    Refuse(stream, wire::Refused{submit.stream, "ticket_ended",
+    Reject(stream, wire::Refused{submit.stream, "ticket_ended",
                                  "the ticket ended before it was used"});
   } else {
     links_->Send(
         stream->connection,
         wire::Failed{submit.stream, "ticket_unknown",
                      "this endpoint has no memory of the ticket", false});
-    Forget(stream);
+    RemoveStream(stream);
   }
   return false;
 }
@@ -459,7 +464,7 @@
                               "the ticket was used and its answer is no "
                               "longer kept",
                               false});
-    Forget(stream);
+    RemoveStream(stream);
     return;
   }
   stream->log = found->second;
@@ -469,7 +474,7 @@
   StartThread(stream, true);
 }
 
-void SidecarNode::StartWaiting() {
+void SidecarNode::StartQueued() {
   for (const std::uint64_t key : scheduler_.TakeStarts()) {
     const auto found = by_key_.find(key);
     if (found == by_key_.end()) {
@@ -494,7 +499,7 @@
   } catch (const Poco::NoThreadAvailableException&) {
     delete task;
     scheduler_.Finish(stream->key);
-    Refuse(stream, wire::Refused{stream->submit.stream, "overloaded",
+    Reject(stream, wire::Refused{stream->submit.stream, "overloaded",
                                  "no thread is free", Millis(1000)});
   }
 }
@@ -504,35 +509,37 @@
     const auto found = by_key_.find(request.key);
     if (found != by_key_.end()) {
       const StreamPtr stream = found->second;
-      Refuse(stream, wire::Refused{stream->submit.stream, "deadline_exceeded",
+      Reject(stream, wire::Refused{stream->submit.stream, "deadline_exceeded",
                                    "it could not start in time"});
     }
   }
 }
 
-void SidecarNode::EndLeases() {
+void SidecarNode::CancelExpiredLeases() {
   for (const std::uint64_t key : scheduler_.DropExpiredLeases()) {
-    CancelLater(runner_.AllocationIdFor(key));
+    QueueCancel(runner_.AllocationIdFor(key));
     const auto stream = by_key_.find(key);
     if (stream != by_key_.end()) {
       stream->second->cancelled = true;
       stream->second->window.Close();
     }
-    EndMember(key);
+    CancelMember(key);
   }
 }
 
-void SidecarNode::EndMember(std::uint64_t reservation) {
+void SidecarNode::CancelMember(std::uint64_t reservation) {
   for (const auto& stream : by_key_) {
     if (stream.second->reservation_key == reservation) {
       stream.second->cancelled = true;
       stream.second->window.Close();
-      CancelLater(runner_.AllocationIdFor(stream.first));
+      QueueCancel(runner_.AllocationIdFor(stream.first));
     }
   }
-  for (auto held = reservations_.begin(); held != reservations_.end();) {
-    held = held->second == reservation ? reservations_.erase(held)
-                                       : std::next(held);
+  for (auto reservation_entry = reservations_.begin();
+       reservation_entry != reservations_.end();) {
+    reservation_entry = reservation_entry->second == reservation
+                            ? reservations_.erase(reservation_entry)
+                            : std::next(reservation_entry);
   }
 }
 
@@ -556,35 +563,35 @@
       stream->log->End(wire::Refused{stream->submit.stream, "cancelled",
                                      "withdrawn before its start"});
     }
-    Forget(stream);
+    RemoveStream(stream);
     return;
   }
-  CancelLater(runner_.AllocationIdFor(stream->key));
+  QueueCancel(runner_.AllocationIdFor(stream->key));
 }
 
-void SidecarNode::Refuse(const StreamPtr& stream,
+void SidecarNode::Reject(const StreamPtr& stream,
                          const wire::Refused& refused) {
-  refused_->Add();
+  rejected_->Add();
   if (stream->log != nullptr) {
     stream->log->End(refused);
   }
   links_->Send(stream->connection, refused);
-  Forget(stream);
+  RemoveStream(stream);
 }
 
-void SidecarNode::Forget(const StreamPtr& stream) {
-  streams_.erase(StreamName{stream->connection, stream->submit.stream});
+void SidecarNode::RemoveStream(const StreamPtr& stream) {
+  streams_.erase(StreamKey{stream->connection, stream->submit.stream});
   by_key_.erase(stream->key);
 }
 
-void SidecarNode::CancelLater(const AllocationId& holding) {
-  to_cancel_.push_back(holding);
+void SidecarNode::QueueCancel(const AllocationId& allocation) {
+  to_cancel_.push_back(allocation);
   wake_.notify_all();
 }
 
 SidecarNode::StreamPtr SidecarNode::Find(ConnectionId connection,
                                          StreamId stream) const {
-  const auto found = streams_.find(StreamName{connection, stream});
+  const auto found = streams_.find(StreamKey{connection, stream});
   return found == streams_.end() ? nullptr : found->second;
 }
 
@@ -594,16 +601,16 @@
     scheduler_.Finish(stream->key);
     // A request that brought no whole answer may still hold memory there.
     if (stream->cancelled || clock_() >= stream->deadline) {
-      CancelLater(runner_.AllocationIdFor(stream->key));
+      QueueCancel(runner_.AllocationIdFor(stream->key));
     }
   }
   // With a ticket the replay is what the entry host waits for.
   if (replay || stream->log == nullptr) {
-    Forget(stream);
+    RemoveStream(stream);
   } else {
     by_key_.erase(stream->key);
   }
-  StartWaiting();
+  StartQueued();
   wake_.notify_all();
 }
 
@@ -618,7 +625,7 @@
     prefill_.long_weight_percent = static_cast<int>(
         configuration->GetDocument().policy().long_weight_percent());
   }
-  keeper_.Wake();
+  reconciler_.Wake();
 }
 
 SchedulerOptions SidecarNode::OptionsFrom(const Configuration& configuration) {
@@ -632,7 +639,7 @@
   const v1::Endpoint* self =
       configuration.FindEndpoint(EndpointId{settings_.node.node_id.value});
   if (self != nullptr && self->has_service()) {
-    options.memory = Tokens{kServiceCalls};
+    options.memory = Tokens{kServiceMemory};
   } else if (reported_memory_.value > 0) {
     options.memory = reported_memory_;
   } else if (self != nullptr) {
@@ -642,25 +649,27 @@
 }
 
 void SidecarNode::RunTimer() {
-  TimePoint next_full = clock_();
-  TimePoint next_busy = clock_();
+  TimePoint next_heartbeat = clock_();
+  TimePoint next_load_update = clock_();
   std::unique_lock<std::mutex> lock(mutex_);
   while (!stopping_) {
-    wake_.wait_for(lock, kTick);
+    wake_.wait_for(lock, kTimerInterval);
     DropOverdue();
-    EndLeases();
-    StartWaiting();
+    CancelExpiredLeases();
+    StartQueued();
     const TimePoint now = clock_();
-    const bool full = now >= next_full;
-    const bool busy = load_changed_ && now >= next_busy;
-    if (!full && !busy) {
+    const bool heartbeat_due = now >= next_heartbeat;
+    const bool load_update_due = load_changed_ && now >= next_load_update;
+    if (!heartbeat_due && !load_update_due) {
       continue;
     }
     lock.unlock();
-    SendPulses(full);
+    SendHeartbeats(heartbeat_due);
     lock.lock();
-    next_busy = now + settings_.pulse_interval / kPulsesWhileBusy;
-    next_full = full ? now + settings_.pulse_interval : next_full;
+    next_load_update =
+        now + settings_.pulse_interval / kLoadUpdatesPerHeartbeat;
+    next_heartbeat =
+        heartbeat_due ? now + settings_.pulse_interval : next_heartbeat;
   }
 }
 
@@ -668,27 +677,27 @@
   std::unique_lock<std::mutex> lock(mutex_);
   while (!stopping_ || !to_cancel_.empty()) {
     if (to_cancel_.empty()) {
-      wake_.wait_for(lock, kTick);
+      wake_.wait_for(lock, kTimerInterval);
       continue;
     }
-    const AllocationId holding = to_cancel_.front();
+    const AllocationId allocation = to_cancel_.front();
     to_cancel_.pop_front();
     lock.unlock();
     // What fails here is found again by the keeper's next account.
-    const auto ignored = engine_->Cancel(holding);
+    const auto ignored = engine_->Cancel(allocation);
     static_cast<void>(ignored);
     lock.lock();
   }
 }
 
-void SidecarNode::SendPulses(bool all) {
+void SidecarNode::SendHeartbeats(bool all) {
   std::set<ConnectionId> to;
-  wire::SidecarHeartbeat pulse;
+  wire::SidecarHeartbeat heartbeat;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     load_changed_ = false;
-    pulse.load = scheduler_.Report();
-    pulse.draining = scheduler_.IsDraining();
+    heartbeat.load = scheduler_.Report();
+    heartbeat.draining = scheduler_.IsDraining();
     if (all) {
       to = connections_;
     } else {
@@ -697,21 +706,22 @@
       }
     }
   }
-  pulse.draining = pulse.draining || node_.IsLeaving(settings_.node.node_id);
+  heartbeat.draining =
+      heartbeat.draining || node_.IsLeaving(settings_.node.node_id);
   for (const ConnectionId connection : to) {
-    pulse.clock = RemoteMillis{ToMillis(clock_())};
-    links_->Send(connection, pulse);
+    heartbeat.clock = RemoteMillis{ToMillis(clock_())};
+    links_->Send(connection, heartbeat);
   }
 }
 
-std::set<std::string> SidecarNode::LiveHoldings() {
+std::set<std::string> SidecarNode::LiveAllocations() {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::set<std::string> live;
   for (const auto& stream : by_key_) {
     live.insert(runner_.AllocationIdFor(stream.first).value);
   }
-  for (const auto& held : reservations_) {
-    live.insert(runner_.AllocationIdFor(held.second).value);
+  for (const auto& reservation_entry : reservations_) {
+    live.insert(runner_.AllocationIdFor(reservation_entry.second).value);
   }
   return live;
 }
@@ -721,15 +731,15 @@
   const LoadReport load = scheduler_.Report();
   json streams = json::array();
   for (const auto& stream : by_key_) {
-    const SidecarStream& one = *stream.second;
+    const SidecarStream& entry = *stream.second;
     streams.push_back(
-        {{"key", one.key},
-         {"account", one.submit.account.value},
-         {"state", one.state == StreamState::kRunning  ? "running"
-                   : one.state == StreamState::kQueued ? "queued"
-                                                       : "receiving"},
-         {"length", LengthClassName(one.submit.length)},
-         {"left_ms", ToMillis(one.deadline) - ToMillis(clock_())}});
+        {{"key", entry.key},
+         {"account", entry.submit.account.value},
+         {"state", entry.state == StreamState::kRunning  ? "running"
+                   : entry.state == StreamState::kQueued ? "queued"
+                                                         : "receiving"},
+         {"length", LengthClassName(entry.submit.length)},
+         {"left_ms", ToMillis(entry.deadline) - ToMillis(clock_())}});
   }
   (*dump)["sidecar"] = {{"draining", scheduler_.IsDraining()},
                         {"links", connections_.size()},
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -48,10 +48,10 @@
   void DrainAndStop();
 
  private:
-  struct StreamName {
+  struct StreamKey {
     ConnectionId connection;
     StreamId stream;
-    bool operator<(const StreamName& other) const;
+    bool operator<(const StreamKey& other) const;
   };
   using StreamPtr = std::shared_ptr<SidecarStream>;
   class RunTask;
@@ -62,7 +62,7 @@
   // One overload for each message that an entry host may send.
   void On(ConnectionId connection, const wire::Hello& hello);
   void On(ConnectionId connection, wire::Submit& submit);
-  void On(ConnectionId connection, wire::BodyChunk& piece);
+  void On(ConnectionId connection, wire::BodyChunk& chunk);
   void On(ConnectionId connection, const wire::Revoke& revoke);
   void On(ConnectionId connection, const wire::Cancel& cancel);
   void On(ConnectionId connection, const wire::Credit& credit);
@@ -75,31 +75,31 @@
   }
 
   // These expect the mutex to be held.
-  void OnWhole(const StreamPtr& stream);
-  void Queue(const StreamPtr& stream);
+  void OnBodyComplete(const StreamPtr& stream);
+  void Enqueue(const StreamPtr& stream);
   void RunUnderReservation(const StreamPtr& stream);
-  bool SpendTicket(const StreamPtr& stream);
+  bool RedeemTicket(const StreamPtr& stream);
   void AttachToLog(const StreamPtr& stream, const Ticket& ticket);
-  void StartWaiting();
+  void StartQueued();
   void StartThread(const StreamPtr& stream, bool replay);
   void DropOverdue();
-  void EndLeases();
-  void EndMember(std::uint64_t reservation);
+  void CancelExpiredLeases();
+  void CancelMember(std::uint64_t reservation);
   void Detach(const StreamPtr& stream);
   void Abandon(const StreamPtr& stream);
-  void Refuse(const StreamPtr& stream, const wire::Refused& refused);
-  void Forget(const StreamPtr& stream);
-  void CancelLater(const AllocationId& holding);
+  void Reject(const StreamPtr& stream, const wire::Refused& refused);
+  void RemoveStream(const StreamPtr& stream);
+  void QueueCancel(const AllocationId& allocation);
   StreamPtr Find(ConnectionId connection, StreamId stream) const;
 
   void OnRunEnded(const StreamPtr& stream, bool replay);
   void ApplyConfiguration();
   void RunTimer();
   void RunCanceller();
-  void SendPulses(bool all);
+  void SendHeartbeats(bool all);
   void Dump(nlohmann::json* dump);
   SchedulerOptions OptionsFrom(const Configuration& configuration);
-  std::set<std::string> LiveHoldings();
+  std::set<std::string> LiveAllocations();
 
   SidecarSettings settings_;
   MonotonicClock clock_;
@@ -108,17 +108,17 @@
   Node node_;
   std::unique_ptr<EnginePort> engine_;
   WorkRunner runner_;
-  EngineReconciler keeper_;
+  EngineReconciler reconciler_;
   Poco::ThreadPool pool_;
 
   std::mutex mutex_;
   std::condition_variable wake_;
   EndpointScheduler scheduler_;
   TicketRegistry tickets_;
-  std::map<StreamName, StreamPtr> streams_;
+  std::map<StreamKey, StreamPtr> streams_;
   std::unordered_map<std::uint64_t, StreamPtr> by_key_;
   // Reservations of groups, by the stream that made them.
-  std::map<StreamName, std::uint64_t> reservations_;
+  std::map<StreamKey, std::uint64_t> reservations_;
   std::unordered_map<std::uint64_t, std::shared_ptr<AnswerLog>> logs_;
   // The order in which logs were made, so that the oldest goes first.
   std::deque<std::uint64_t> log_order_;
@@ -134,7 +134,7 @@
   std::thread timer_;
   std::thread canceller_;
   Counter* accepted_;
-  Counter* refused_;
+  Counter* rejected_;
   Counter* started_;
   Counter* replayed_;
   Counter* abandoned_;
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -13,12 +13,12 @@
 
 constexpr int kShortPriority = 10;
 constexpr int kLongPriority = 1;
-constexpr std::int64_t kLeastLongChunk = 512;
-constexpr std::int64_t kMostChunk = 4096;
+constexpr std::int64_t kMinLongChunk = 512;
+constexpr std::int64_t kMaxChunk = 4096;
 constexpr std::int64_t kPercent = 100;
 constexpr Millis kRetryAfter{500};
-constexpr std::size_t kServicePieceBytes = 64U << 10U;
-constexpr std::size_t kMostServiceAnswer = 16U << 20U;
+constexpr std::size_t kServiceChunkBytes = 64U << 10U;
+constexpr std::size_t kMaxServiceResponseBytes = 16U << 20U;
 
 // Turns an engine's error into what the entry host is told: "refused" only
 // where nothing can have run.
@@ -117,7 +117,7 @@
     return;
   }
   // The log's end carries the stream of the first caller; this one has its own.
-  wire::Message mine = *end;
+  wire::Message end_message = *end;
   std::visit(
       [&](auto& typed) {
         using Type = std::decay_t<decltype(typed)>;
@@ -127,8 +127,8 @@
           typed.stream = id;
         }
       },
-      mine);
-  ports_.send(stream->connection, mine);
+      end_message);
+  ports_.send(stream->connection, end_message);
 }
 
 AllocationId WorkRunner::AllocationIdFor(std::uint64_t key) const {
@@ -144,7 +144,7 @@
                                    const PrefillPolicy& policy) {
   const EngineRequest request = MakeRequest(*stream, policy);
   const StreamId id = stream->submit.stream;
-  const auto on_taken = [&] {
+  const auto on_accepted = [&] {
     if (stream->log == nullptr) {
       ports_.send(stream->connection, wire::Started{id});
     }
@@ -154,8 +154,8 @@
   };
   return leaf::try_handle_all(
       [&]() -> leaf::result<wire::Message> {
-        BOOST_LEAF_AUTO(length,
-                        ports_.engine->Generate(request, on_taken, on_token));
+        BOOST_LEAF_AUTO(
+            length, ports_.engine->Generate(request, on_accepted, on_token));
         wire::Finished finished;
         finished.stream = id;
         finished.length = length;
@@ -206,18 +206,20 @@
   }
   return leaf::try_handle_all(
       [&]() -> leaf::result<wire::Message> {
-        BOOST_LEAF_AUTO(answer, SendHttpRequest(call, kMostServiceAnswer));
-        std::int64_t pieces = 0;
-        for (std::size_t at = 0; at < answer.body.size();
-             at += kServicePieceBytes) {
-          Deliver(stream, pieces++, answer.body.substr(at, kServicePieceBytes));
+        BOOST_LEAF_AUTO(response,
+                        SendHttpRequest(call, kMaxServiceResponseBytes));
+        std::int64_t chunks = 0;
+        for (std::size_t at = 0; at < response.body.size();
+             at += kServiceChunkBytes) {
+          Deliver(stream, chunks++,
+                  response.body.substr(at, kServiceChunkBytes));
         }
         wire::Finished finished;
         finished.stream = submit.stream;
-        finished.length = pieces;
+        finished.length = chunks;
         finished.reason = "answered";
-        finished.status = answer.status;
-        finished.content_type = answer.content_type;
+        finished.status = response.status;
+        finished.content_type = response.content_type;
         return wire::Message(finished);
       },
       [&](const HttpError& error) {
@@ -259,10 +261,10 @@
   request.resume_from = submit.resume_from;
   const bool is_long = submit.length == LengthClass::kLong;
   request.priority = is_long ? kLongPriority : kShortPriority;
-  request.chunk = Tokens{is_long ? kLeastLongChunk +
-                                       (kMostChunk - kLeastLongChunk) *
+  request.chunk =
+      Tokens{is_long ? kMinLongChunk + (kMaxChunk - kMinLongChunk) *
                                            policy.long_weight_percent / kPercent
-                                 : kMostChunk};
+                     : kMaxChunk};
   for (const wire::SegmentRef& segment : submit.segments) {
     request.segments.push_back(
         RemoteSegment{segment.engine_address, AllocationId{segment.segment}});
