--- a/src/node/administration.cc
+++ b/src/node/administration.cc
@@ -46,8 +46,8 @@
   return json{{"error", {{"code", code}, {"message", message}}}}.dump();
 }
 
-v1::LocateResponse::Node AskNode(const NodeAddress& node,
-                                 const PeerState& mine) {
+v1::LocateResponse::Node QueryNode(const NodeAddress& node,
+                                   const PeerState& own_state) {
   v1::LocateResponse::Node found;
   found.set_id(node.id.value);
   HttpCall call;
@@ -56,10 +56,10 @@
   call.path = "/peer/compare";
   call.content_type = "application/cbor";
   // As one that has all there is: the answer is then small.
-  PeerState asking = mine;
-  asking.revision = UINT32_MAX;
-  asking.host_version = UINT64_MAX;
-  call.body = EncodePeerState(asking);
+  PeerState query = own_state;
+  query.revision = UINT32_MAX;
+  query.host_version = UINT64_MAX;
+  call.body = EncodePeerState(query);
   call.timeout = kLocateTimeout;
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
@@ -114,10 +114,10 @@
     controller->SetFailed(std::string(status.message()));
   }
   for (const ConfigProblem& problem : ValidateDocument(document)) {
-    v1::Problem* said = response->add_problems();
-    said->set_path(problem.path);
-    said->set_found(problem.found);
-    said->set_allowed(problem.allowed);
+    v1::Problem* problem_out = response->add_problems();
+    problem_out->set_path(problem.path);
+    problem_out->set_found(problem.found);
+    problem_out->set_allowed(problem.allowed);
   }
   done->Run();
 }
@@ -145,12 +145,12 @@
   const std::vector<NodeAddress> nodes = configuration == nullptr
                                              ? std::vector<NodeAddress>()
                                              : configuration->Nodes();
-  const PeerState mine = feed_->MyState();
+  const PeerState own_state = feed_->MyState();
   std::atomic<std::size_t> next{0};
   std::mutex mutex;
   const auto work = [&] {
     for (std::size_t i = next++; i < nodes.size(); i = next++) {
-      auto found = AskNode(nodes[i], mine);
+      auto found = QueryNode(nodes[i], own_state);
       const std::lock_guard<std::mutex> lock(mutex);
       *response->add_nodes() = std::move(found);
     }
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -22,19 +22,19 @@
 // A stop waits for the watch in hand, and a reader polls the host list between
 // two; the service's rate bears far more.
 constexpr Millis kWatchWait{2000};
-constexpr Millis kFirstBackoff{250};
-constexpr Millis kMostBackoff{8000};
+constexpr Millis kMinBackoff{250};
+constexpr Millis kMaxBackoff{8000};
 constexpr Millis kPeerTimeout{800};
 constexpr int kBootstrapRounds = 4;
 // After so many comparisons in a row without an answer a node looks at the
 // service itself: its data centre may have lost its readers.
-constexpr int kFailuresBeforeLook = 5;
+constexpr int kFailuresBeforePoll = 5;
 // Rare enough that all nodes of the target, cut off from each other at once,
 // stay within the service's rate.
-constexpr Millis kLonelyInterval{5000};
+constexpr Millis kIsolatedPollInterval{5000};
 constexpr std::size_t kBootstrapPeers = 3;
 constexpr Millis kBootstrapPause{250};
-constexpr Millis kLookPoll{250};
+constexpr Millis kPollCheckInterval{250};
 
 std::string ToJson(const v1::ChangeLog& log) {
   std::string text;
@@ -112,7 +112,7 @@
 }
 
 PeerState ConfigFeed::OnPush(const PeerUpdate& update) {
-  TakeUpdate(update);
+  ApplyUpdate(update);
   return MyState();
 }
 
@@ -131,12 +131,12 @@
     const auto plan = Plan();
     if (plan == nullptr) {
       ReadDocument();
-      Sleep(Jittered(std::max(service_backoff_, kFirstBackoff)));
+      Sleep(Jittered(std::max(service_backoff_, kMinBackoff)));
     } else if (plan->IsWatcher()) {
       WatchOnce();
       Sleep(Jittered(service_backoff_));
     } else {
-      LookOnce();
+      PollOnce();
     }
   }
 }
@@ -150,21 +150,21 @@
     const NodeAddress* peer = plan->PickPeer(ports_.random);
     if (peer != nullptr) {
       const bool answered = CompareWith(peer->operations);
-      failures_ = answered ? 0 : failures_ + 1;
+      compare_failures_ = answered ? 0 : compare_failures_ + 1;
     }
   }
 }
 
-bool ConfigFeed::WaitToLook(Millis interval) {
+bool ConfigFeed::WaitForPoll(Millis interval) {
   const TimePoint due = ports_.clock() + interval;
-  const TimePoint lonely_due =
-      ports_.clock() + std::min(interval, kLonelyInterval);
+  const TimePoint isolated_due =
+      ports_.clock() + std::min(interval, kIsolatedPollInterval);
   while (ports_.clock() < due) {
-    const bool lonely = failures_ >= kFailuresBeforeLook;
-    if (lonely && ports_.clock() >= lonely_due) {
+    const bool isolated = compare_failures_ >= kFailuresBeforePoll;
+    if (isolated && ports_.clock() >= isolated_due) {
       return true;
     }
-    if (!Sleep(kLookPoll)) {
+    if (!Sleep(kPollCheckInterval)) {
       return false;
     }
   }
@@ -202,8 +202,8 @@
       },
       [&] {
         service_errors_->Add();
-        service_backoff_ = std::min(
-            kMostBackoff, std::max(kFirstBackoff, service_backoff_ * 2));
+        service_backoff_ =
+            std::min(kMaxBackoff, std::max(kMinBackoff, service_backoff_ * 2));
       });
 }
 
@@ -216,34 +216,34 @@
         service_backoff_ = Millis(0);
         if (value) {
           watch_version_ = value->version;
-          TakeChanges(value->value, ConfigSource::kService);
+          ApplyChanges(value->value, ConfigSource::kService);
         }
         return {};
       },
       [&] {
         service_errors_->Add();
-        service_backoff_ = std::min(
-            kMostBackoff, std::max(kFirstBackoff, service_backoff_ * 2));
+        service_backoff_ =
+            std::min(kMaxBackoff, std::max(kMinBackoff, service_backoff_ * 2));
       });
 }
 
-void ConfigFeed::LookOnce() {
+void ConfigFeed::PollOnce() {
   const auto plan = Plan();
-  if (!WaitToLook(Jittered(plan->FallbackPollInterval()))) {
+  if (!WaitForPoll(Jittered(plan->FallbackPollInterval()))) {
     return;
   }
   service_calls_->Add();
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         BOOST_LEAF_AUTO(value, ports_.service->Read(kChangesKey));
-        TakeChanges(value.value, ConfigSource::kService);
+        ApplyChanges(value.value, ConfigSource::kService);
         return {};
       },
       [&] { service_errors_->Add(); });
 }
 
-void ConfigFeed::TakeChanges(const std::string& changes_json,
-                             ConfigSource source) {
+void ConfigFeed::ApplyChanges(const std::string& changes_json,
+                              ConfigSource source) {
   v1::ChangeLog log;
   if (!JsonStringToMessage(changes_json, &log).ok()) {
     LOG4CXX_WARN(log_, "a change log cannot be read");
@@ -257,7 +257,7 @@
       continue;
     }
     latest = ports_.active_config->OfferChange(change, source);
-    Settle(latest);
+    HandleOfferResult(latest);
   }
   if (latest == OfferResult::kMissingBase && source == ConfigSource::kService) {
     ReadDocument();
@@ -276,7 +276,7 @@
       [&]() -> leaf::result<void> {
         BOOST_LEAF_AUTO(list, ports_.host_list->Read());
         if (ports_.hosts->Offer(std::move(list))) {
-          Settle(OfferResult::kAdopted);
+          HandleOfferResult(OfferResult::kAdopted);
         }
         return {};
       },
@@ -292,11 +292,11 @@
     for (const std::string& peer : peers) {
       answered += CompareWith(peer) ? 1 : 0;
     }
-    const bool have = ports_.active_config->InForce() != nullptr;
-    if (have && (answered > 0 || peers.empty())) {
+    const bool has_configuration = ports_.active_config->InForce() != nullptr;
+    if (has_configuration && (answered > 0 || peers.empty())) {
       break;
     }
-    if (!have) {
+    if (!has_configuration) {
       ReadDocument();
       round = 0;
     }
@@ -321,16 +321,16 @@
 
 bool ConfigFeed::CompareWith(const std::string& address) {
   peer_calls_->Add();
-  const std::string mine = EncodePeerState(MyState());
-  bytes_sent_->Add(mine.size());
-  const auto answer = Post(address, "/peer/compare", mine);
+  const std::string own_state = EncodePeerState(MyState());
+  bytes_sent_->Add(own_state.size());
+  const auto answer = Post(address, "/peer/compare", own_state);
   const auto update = answer ? DecodePeerUpdate(*answer) : std::nullopt;
   if (!update) {
     peer_errors_->Add();
     return false;
   }
   bytes_received_->Add(answer->size());
-  TakeUpdate(*update);
+  ApplyUpdate(*update);
   const PeerState now = MyState();
   if (update->state.revision < now.revision ||
       update->state.host_version < now.host_version) {
@@ -339,9 +339,9 @@
   return true;
 }
 
-void ConfigFeed::TakeUpdate(const PeerUpdate& update) {
+void ConfigFeed::ApplyUpdate(const PeerUpdate& update) {
   if (!update.changes_json.empty()) {
-    TakeChanges(update.changes_json, ConfigSource::kPeer);
+    ApplyChanges(update.changes_json, ConfigSource::kPeer);
   }
   if (!update.document_json.empty()) {
     OfferDocument(update.document_json, ConfigSource::kPeer);
@@ -353,7 +353,7 @@
       hosts.leaving.insert(NodeId{id});
     }
     if (ports_.hosts->Offer(std::move(hosts))) {
-      Settle(OfferResult::kAdopted);
+      HandleOfferResult(OfferResult::kAdopted);
     }
   }
 }
@@ -361,14 +361,14 @@
 void ConfigFeed::PushTo(const std::string& address) {
   // What the other has is not known: the latest step is nearly always what it
   // lacks, and it says where it stands in any case.
-  const auto theirs = Give(address, LatestStep());
+  const auto theirs = SendUpdate(address, LatestChangeUpdate());
   if (theirs && theirs->revision < MyState().revision) {
-    Give(address, UpdateFor(*theirs));
+    SendUpdate(address, UpdateFor(*theirs));
   }
 }
 
-std::optional<PeerState> ConfigFeed::Give(const std::string& address,
-                                          const PeerUpdate& update) {
+std::optional<PeerState> ConfigFeed::SendUpdate(const std::string& address,
+                                                const PeerUpdate& update) {
   peer_calls_->Add();
   const std::string body = EncodePeerUpdate(update);
   bytes_sent_->Add(body.size());
@@ -382,11 +382,11 @@
   return theirs;
 }
 
-PeerUpdate ConfigFeed::LatestStep() const {
+PeerUpdate ConfigFeed::LatestChangeUpdate() const {
   // As for one that has this revision, but no host list.
-  PeerState level = MyState();
-  level.host_version = 0;
-  PeerUpdate update = UpdateFor(level);
+  PeerState same_revision = MyState();
+  same_revision.host_version = 0;
+  PeerUpdate update = UpdateFor(same_revision);
   const auto latest = ports_.active_config->LatestChange();
   if (latest) {
     v1::ChangeLog log;
@@ -421,10 +421,10 @@
 
 void ConfigFeed::OfferDocument(const std::string& document,
                                ConfigSource source) {
-  Settle(ports_.active_config->OfferDocument(document, source));
+  HandleOfferResult(ports_.active_config->OfferDocument(document, source));
 }
 
-void ConfigFeed::Settle(OfferResult offer) {
+void ConfigFeed::HandleOfferResult(OfferResult offer) {
   ports_.metrics
       ->GetCounter("harecrank_config_offers_total",
                    std::string("result=\"") + OfferResultName(offer) + "\"")
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -76,20 +76,20 @@
   void RunCompare();
   void RunPush();
   void ReadDocument();
-  void TakeChanges(const std::string& changes_json, ConfigSource source);
+  void ApplyChanges(const std::string& changes_json, ConfigSource source);
   void WatchOnce();
-  void LookOnce();
-  bool WaitToLook(Millis interval);
+  void PollOnce();
+  bool WaitForPoll(Millis interval);
   void ReadHosts();
   void Bootstrap();
   bool CompareWith(const std::string& address);
-  void TakeUpdate(const PeerUpdate& update);
+  void ApplyUpdate(const PeerUpdate& update);
   void PushTo(const std::string& address);
-  std::optional<PeerState> Give(const std::string& address,
-                                const PeerUpdate& update);
-  PeerUpdate LatestStep() const;
+  std::optional<PeerState> SendUpdate(const std::string& address,
+                                      const PeerUpdate& update);
+  PeerUpdate LatestChangeUpdate() const;
   void OfferDocument(const std::string& document, ConfigSource source);
-  void Settle(OfferResult offer);
+  void HandleOfferResult(OfferResult offer);
   std::shared_ptr<const DisseminationPlan> Plan();
   std::vector<std::string> BootstrapPeers();
   PeerUpdate UpdateFor(const PeerState& theirs) const;
@@ -104,7 +104,7 @@
   std::atomic<std::int64_t> in_force_since_{0};
   std::atomic<bool> stopping_{false};
   // Comparisons in a row that brought no answer.
-  std::atomic<int> failures_{0};
+  std::atomic<int> compare_failures_{0};
   std::mutex mutex_;
   std::condition_variable wake_;
   bool push_due_ = false;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -15,8 +15,8 @@
 using Poco::Net::HTTPServerResponse;
 
 constexpr int kOperationsThreads = 8;
-constexpr std::size_t kMostPeerBody = 4U << 20U;
-constexpr std::size_t kMostRpcBody = 4U << 20U;
+constexpr std::size_t kMaxPeerBodyBytes = 4U << 20U;
+constexpr std::size_t kMaxRpcBodyBytes = 4U << 20U;
 constexpr char kRpcPrefix[] = "/rpc/harecrank.v1.Administration/";
 constexpr char kPeerPrefix[] = "/peer/";
 constexpr char kBearer[] = "Bearer ";
@@ -99,7 +99,7 @@
 void Node::HandlePeer(const std::string& path, HTTPServerRequest& request,
                       HTTPServerResponse& response) {
   std::string body;
-  if (!ReadBody(request, kMostPeerBody, &body)) {
+  if (!ReadBody(request, kMaxPeerBodyBytes, &body)) {
     SendResponse(response, http_status::kBadRequest, "");
     return;
   }
@@ -143,7 +143,7 @@
     return;
   }
   std::string body;
-  if (!ReadBody(request, kMostRpcBody, &body)) {
+  if (!ReadBody(request, kMaxRpcBodyBytes, &body)) {
     SendResponse(response, http_status::kBadRequest,
                  "{\"error\":{\"code\":\"body_too_large\"}}");
     return;
