--- a/src/entry/answer_sink.h
+++ b/src/entry/answer_sink.h
@@ -1,4 +1,4 @@
-// Where an answer goes.
+// Interface that receives the parts of an answer as they arrive.
 
 #ifndef HARECRANK_SRC_ENTRY_ANSWER_SINK_H_
 #define HARECRANK_SRC_ENTRY_ANSWER_SINK_H_
@@ -7,16 +7,18 @@
 
 namespace harecrank {
 
-// Takes the parts of one answer, in order, on the request's own thread.
+// Receives the parts of one answer in order. All methods are called on the
+// request's own thread.
 class AnswerSink {
  public:
   virtual ~AnswerSink() = default;
 
-  // Takes the next part. Returns false if the caller has left.
+  // Handles the next part. Returns false if the caller has disconnected.
   virtual bool OnPart(const std::string& part) = 0;
 
-  // Called now and then while no part comes. Returns false if the caller has
-  // left.
+  // Called repeatedly while no part arrives, so that the sink can send
+  // keep-alives and check the connection. Returns false if the caller has
+  // disconnected.
   virtual bool OnIdle() = 0;
 };
 
--- a/src/entry/answer_writer.h
+++ b/src/entry/answer_writer.h
@@ -1,4 +1,5 @@
-// Writes one answer to a caller, whole or as a stream of events.
+// Writes one answer to a caller, either as a single response or as a stream of
+// server-sent events.
 
 #ifndef HARECRANK_SRC_ENTRY_ANSWER_WRITER_H_
 #define HARECRANK_SRC_ENTRY_ANSWER_WRITER_H_
@@ -17,28 +18,30 @@
 
 namespace harecrank {
 
-// What a writer works with. All must outlive it.
+// Dependencies of an AnswerWriter. All pointers must outlive it.
 struct AnswerWriterPorts {
   Poco::Net::HTTPServerRequest* request = nullptr;
   Poco::Net::HTTPServerResponse* response = nullptr;
   MonotonicClock clock;
-  // Where the time to the first part, and between parts, is recorded.
+  // Histogram for the time from the creation of the writer to the first part.
   DurationHistogram* first_part = nullptr;
   DurationHistogram* between_parts = nullptr;
 };
 
-// Returns the JSON that tells a caller of a refusal.
+// Returns the JSON error body for a refusal.
 std::string RefusalJson(const Refusal& refusal);
 
-// Writes a refusal with its status, and Retry-After where it has one.
+// Writes a refusal with its HTTP status, and with a Retry-After header if it
+// has a retry delay.
 void WriteRefusal(Poco::Net::HTTPServerResponse& response,
                   const Refusal& refusal);
 
-// Takes the parts of one answer and writes them in the form that was asked for.
+// Writes the parts of one answer in the form that the request selected.
 //
-// A stream is live: each part goes out as one event at once. It is alive: a
-// comment goes out while nothing else does. It ends with an explicit event, so
-// that a caller can tell an end from a cut.
+// In a stream, each part is flushed immediately as one event. While no part
+// arrives, comments are sent as keep-alives. The stream ends with an explicit
+// "done" or "error" event, so that a caller can distinguish a complete answer
+// from a broken connection.
 class AnswerWriter : public AnswerSink {
  public:
   AnswerWriter(AnswerWriterPorts ports, const CallerRequest& request);
@@ -46,7 +49,7 @@
   bool OnPart(const std::string& part) override;
   bool OnIdle() override;
 
-  // Writes what remains once the request has ended.
+  // Completes the response after the request has ended.
   void Finish(const DispatchResult& result);
 
  private:
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -1,4 +1,4 @@
-// One attempt of a request at one endpoint.
+// Runs one attempt of a request at one endpoint.
 
 #ifndef HARECRANK_SRC_ENTRY_ATTEMPT_H_
 #define HARECRANK_SRC_ENTRY_ATTEMPT_H_
@@ -14,7 +14,7 @@
 
 namespace harecrank {
 
-// What an attempt works with. All must outlive it.
+// Dependencies of an Attempt. All pointers must outlive it.
 struct AttemptPorts {
   LinkPool* links = nullptr;
   MonotonicClock clock;
@@ -22,17 +22,19 @@
   AnswerSink* sink = nullptr;
 };
 
-// How an attempt is timed.
+// Deadlines and time-outs of an attempt.
 struct AttemptTimes {
   TimePoint deadline;
-  // How long to wait for the sidecar's word that it has the request. Zero to
-  // wait to the deadline, for a request that has nowhere else to go.
+  // How long to wait for the sidecar to acknowledge the request. Zero waits
+  // until the deadline; it is used for a request that cannot be sent to another
+  // endpoint.
   Millis acknowledge_timeout{1500};
 };
 
 using AttemptResult = std::variant<wire::Finished, AttemptEnd>;
 
-// Runs one attempt on the caller's thread. Used once.
+// Runs one attempt on the calling thread. An object can be used for one attempt
+// only.
 class Attempt {
  public:
   Attempt(AttemptPorts ports, std::shared_ptr<Link> link, AttemptTimes times);
@@ -40,12 +42,15 @@
   Attempt(const Attempt&) = delete;
   Attempt& operator=(const Attempt&) = delete;
 
-  // Submits the request with `body`, gives the parts of the answer to the sink,
-  // and returns how it ended. `submit` needs no stream, deadline or window.
+  // Submits the request with `body`, forwards the parts of the answer to the
+  // sink, and returns the result. The fields `stream`, `deadline`, `window` and
+  // `body_bytes` of `submit` are set here. Updates `evidence` with what is
+  // known about the execution of the request.
   AttemptResult Run(wire::Submit submit, const std::string& body,
                     AttemptEvidence* evidence);
 
-  // How many tokens a sidecar may send before it hears of more credit.
+  // Flow-control window: the number of tokens that a sidecar may send before it
+  // needs more credit.
   static constexpr std::int64_t kWindow = 64;
 
  private:
@@ -69,7 +74,7 @@
   bool started_ = false;
   bool caller_disconnected_ = false;
   TimePoint acknowledge_deadline_;
-  // When the latest part came; none before the first.
+  // Time at which the latest output arrived; empty before the first.
   std::optional<TimePoint> last_output_at_;
   std::int64_t credit_owed_ = 0;
 };
--- a/src/entry/caller_request.h
+++ b/src/entry/caller_request.h
@@ -1,4 +1,4 @@
-// What a caller asks for, read from HTTP and checked.
+// Parses and validates the HTTP requests of callers.
 
 #ifndef HARECRANK_SRC_ENTRY_CALLER_REQUEST_H_
 #define HARECRANK_SRC_ENTRY_CALLER_REQUEST_H_
@@ -12,10 +12,10 @@
 
 namespace harecrank {
 
-// The form in which an answer is wanted.
+// API form of a request, which determines the form of its response.
 enum class AnswerForm { kCompletion, kChat, kService };
 
-// One request, whole and checked.
+// A validated request.
 struct CallerRequest {
   AnswerForm form = AnswerForm::kCompletion;
   AccountId account;
@@ -28,44 +28,45 @@
   Tokens answer_tokens;
   bool stream = false;
   Millis time_limit{0};
-  // Empty unless the request may run once only.
+  // Set only for a request that must run at most once; empty otherwise.
   std::string ticket;
   RetryMode retry_mode = RetryMode::kAllowed;
-  // For kService.
+  // The following fields are set only for kService.
   ServiceName service;
   std::string method;
   std::string path;
   std::string content_type;
 };
 
-// What the HTTP request says besides its body.
+// The parts of the HTTP request other than its body.
 struct CallerHeaders {
   std::string method;
   std::string path;
   std::string query;
   std::string authorization;
   std::string time_limit_ms;
-  // The caller's own id of a request that may not be repeated.
+  // The caller's own ID for a request that must not be repeated.
   std::string not_repeatable;
   std::string ticket;
   std::string content_type;
 };
 
-// Reads and checks a request. On an error it was not run. The API stands in
-// docs/API.md.
+// Parses and validates a request. Fails with a Refusal whose outcome is
+// kNotRun. The API is documented in docs/API.md.
 boost::leaf::result<CallerRequest> ReadCallerRequest(
     const Configuration& configuration, const CallerHeaders& headers,
     std::string body);
 
-// Finds the caller's account. Fails with a Refusal.
+// Returns the account that owns the bearer key in `authorization`. Fails with a
+// Refusal.
 boost::leaf::result<AccountId> Authenticate(const Configuration& configuration,
                                             const std::string& authorization);
 
-// Returns the number of tokens that `bytes` of text are taken to be, before
-// an engine has counted them.
+// Returns an estimate of the number of tokens in `bytes` of text, rounded up.
+// It is used until an engine has counted them.
 Tokens EstimateTokens(std::size_t bytes);
 
-// How many bytes one token is taken to have.
+// Number of bytes per token assumed by EstimateTokens.
 constexpr std::size_t kBytesPerToken = 4;
 
 }  // namespace harecrank
--- a/src/entry/caller_server.h
+++ b/src/entry/caller_server.h
@@ -1,4 +1,4 @@
-// The door for callers: HTTP in, HTTP out.
+// HTTP server for callers.
 
 #ifndef HARECRANK_SRC_ENTRY_CALLER_SERVER_H_
 #define HARECRANK_SRC_ENTRY_CALLER_SERVER_H_
@@ -16,21 +16,22 @@
 
 // Serves callers on one address.
 //
-// Each request in hand has a thread. Only so many are taken at once; threads
-// beyond them remain to refuse the rest without delay.
+// Each request in flight occupies a thread. The number of requests in flight is
+// limited; additional threads are reserved so that requests over the limit are
+// rejected without delay.
 class CallerServer {
  public:
-  // All must outlive the server.
+  // `node` and `dispatcher` must outlive the server.
   CallerServer(const EntrySettings& settings, Node* node,
                Dispatcher* dispatcher, MonotonicClock clock);
 
-  // Begins to listen.
+  // Starts to listen.
   void Start();
 
-  // From now on every request is refused as not run.
+  // Rejects every later request with outcome kNotRun.
   void Drain() { draining_ = true; }
 
-  // Returns how many requests are in hand.
+  // Returns the number of requests in flight.
   int InFlight() const { return in_flight_.load(); }
 
   void Stop();
@@ -38,7 +39,7 @@
  private:
   void Handle(Poco::Net::HTTPServerRequest& request,
               Poco::Net::HTTPServerResponse& response);
-  // Lists the models that the document names.
+  // Returns the list of the models in the configuration.
   void HandleModels(Poco::Net::HTTPServerRequest& request,
                     Poco::Net::HTTPServerResponse& response);
   void HandleTicket(Poco::Net::HTTPServerRequest& request,
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -1,4 +1,4 @@
-// Takes a checked request to its answer: limits, routing, attempts, retries.
+// Runs validated requests: rate limits, routing, attempts and retries.
 
 #ifndef HARECRANK_SRC_ENTRY_DISPATCHER_H_
 #define HARECRANK_SRC_ENTRY_DISPATCHER_H_
@@ -24,24 +24,25 @@
 
 namespace harecrank {
 
-// How a request ended well.
+// Result of a request that succeeded.
 struct Answered {
   wire::Finished finished;
-  // The endpoint that gave the answer, and how many attempts it took.
+  // The endpoint that produced the answer, and the number of attempts that were
+  // needed.
   EndpointId endpoint;
   int attempts = 1;
-  // How many engines held the prompt.
+  // Number of engines that held a part of the prompt.
   int members = 1;
 };
 using DispatchResult = std::variant<Answered, Refusal>;
 
-// A ticket for one request that may not be repeated.
+// A ticket that permits one execution of a request that must not be repeated.
 struct IssuedTicket {
   std::string ticket;
   Millis ttl;
 };
 
-// What a dispatcher is made from. All must outlive it.
+// Dependencies of a Dispatcher. All pointers must outlive it.
 struct DispatcherPorts {
   Node* node = nullptr;
   LinkPool* links = nullptr;
@@ -49,45 +50,48 @@
   RandomSource random;
 };
 
-// Runs each request on its caller's thread. Thread-safe.
+// Runs each request on the calling thread. Thread-safe.
 class Dispatcher {
  public:
-  // `policy_name` is one that RoutingPolicyFromName knows.
+  // `policy_name` must be a name that RoutingPolicyFromName accepts.
   Dispatcher(DispatcherPorts ports, std::string policy_name);
 
-  // Takes a new revision: the table that requests see is replaced whole.
+  // Adopts a new configuration revision. The endpoint table is replaced
+  // atomically.
   void OnConfiguration();
 
-  // Keeps the links that the table wants. Called at intervals.
+  // Maintains links to all endpoints in the table. Must be called periodically.
   void Maintain();
 
-  // Returns how many retries the budget allows now.
+  // Returns the number of retries that the retry budget permits at present.
   std::int64_t RetriesLeft() const { return budget_.Left(); }
 
-  // Returns how many accounts have called this host under a limit.
+  // Returns the number of rate-limited accounts that have sent requests to this
+  // host.
   std::size_t LimitedAccounts();
 
-  // Runs `request` to its end, within its time limit.
+  // Runs `request` to completion, within its time limit.
   DispatchResult Run(const CallerRequest& request, AnswerSink* sink);
 
-  // Gets a ticket for a model or, if `service` is not empty, a service.
+  // Obtains a ticket for a model or, if `service` is not empty, for a service.
   std::variant<IssuedTicket, Refusal> IssueTicket(const AccountId& account,
                                                   const ModelId& model,
                                                   const ServiceName& service);
 
-  // Ends an unspent ticket. Returns kNotRun only if it is certain that its
-  // request did not and will not run.
+  // Revokes an unused ticket. Returns kNotRun only if it is certain that its
+  // request has not run and will not run.
   Outcome RevokeTicket(const AccountId& account, const std::string& ticket);
 
  private:
-  // What a running request carries with it.
+  // State of a request that is being dispatched.
   struct Context {
     const CallerRequest& request;
     std::shared_ptr<const Configuration> configuration;
     std::shared_ptr<const EndpointTable> table;
     TimePoint deadline;
     LengthClass length = LengthClass::kShort;
-    // Names the prompt's beginning; empty if no cache can have it.
+    // Key of the prompt's prefix for cache-affine routing; empty if the prefix
+    // has not been seen recently, so that no cache can contain it.
     std::string warm_prefix{};
     std::set<EndpointId> tried_endpoints{};
   };
--- a/src/entry/endpoint_table.h
+++ b/src/entry/endpoint_table.h
@@ -1,4 +1,5 @@
-// Which endpoints this entry host may use, worked out once for each revision.
+// The subset of endpoints that an entry host uses, computed once per
+// configuration revision.
 
 #ifndef HARECRANK_SRC_ENTRY_ENDPOINT_TABLE_H_
 #define HARECRANK_SRC_ENTRY_ENDPOINT_TABLE_H_
@@ -13,41 +14,46 @@
 
 namespace harecrank {
 
-// One endpoint of a subset.
+// An endpoint in a subset.
 struct SubsetEndpoint {
   EndpointId id;
   std::string link_address;
-  // Its engine's memory, as published; zero for a plain service.
+  // Configured memory of the engine; zero for a plain service.
   Tokens memory;
-  // In another data centre: used only while no endpoint of this one can be.
+  // Whether the endpoint is in another data centre. Such endpoints are used
+  // only while no local endpoint is available.
   bool far = false;
 };
 
-// The subsets of one revision, for one entry host. Immutable.
+// The endpoint subsets of one entry host for one configuration revision.
+// Immutable.
 //
-// A host keeps links to a few endpoints of each model: those of its own data
-// centre that rank first for it, and two of others in reserve, or more where
-// its own has too few. So links grow with hosts times models, and not with
-// hosts times endpoints.
+// If every entry host kept links to every endpoint, the number of links would
+// grow with hosts times endpoints. Each host therefore keeps links to a small
+// subset per model: the endpoints of its own data centre that rank first for it
+// in a rendezvous hash, plus at least two of other data centres as a reserve,
+// and more of them if its own data centre has too few. The number of links then
+// grows with hosts times models.
 class EndpointTable {
  public:
-  // An empty table, in which nothing is found.
+  // Constructs an empty table.
   EndpointTable() = default;
   EndpointTable(const Configuration& configuration, const NodeId& self,
                 const DataCentreId& data_centre);
 
-  // Returns the endpoints to route among; empty for an unknown name. Those
-  // marked as leaving are not among them.
+  // Returns the endpoints to route among; empty for an unknown name. Endpoints
+  // that are marked as leaving are excluded.
   const std::vector<SubsetEndpoint>& ForModel(const ModelId& model) const;
   const std::vector<SubsetEndpoint>& ForService(
       const ServiceName& service) const;
 
-  // Returns the endpoints that may join in a prompt larger than one engine:
-  // the subset first, then others of the data centre.
+  // Returns the candidates for a group that serves a prompt larger than one
+  // engine: the subset of the model first, then other endpoints of this data
+  // centre.
   std::vector<SubsetEndpoint> ForGroup(const Configuration& configuration,
                                        const ModelId& model) const;
 
-  // Returns every endpoint of every subset, with its address.
+  // Returns every endpoint of every subset with its link address.
   const std::map<EndpointId, std::string>& AllEndpoints() const {
     return all_endpoints_;
   }
--- a/src/entry/entry_node.h
+++ b/src/entry/entry_node.h
@@ -1,4 +1,4 @@
-// The process on one entry host.
+// The entry process, which runs on each entry host.
 
 #ifndef HARECRANK_SRC_ENTRY_ENTRY_NODE_H_
 #define HARECRANK_SRC_ENTRY_ENTRY_NODE_H_
@@ -15,7 +15,7 @@
 
 namespace harecrank {
 
-// Takes callers' requests and brings them their answers.
+// Accepts callers' requests and returns their answers.
 class EntryNode {
  public:
   EntryNode(const EntrySettings& settings, const MonotonicClock& clock,
@@ -24,11 +24,11 @@
   EntryNode(const EntryNode&) = delete;
   EntryNode& operator=(const EntryNode&) = delete;
 
-  // Starts everything and returns.
+  // Starts all servers and threads, and returns.
   void Start();
 
-  // Refuses new requests, waits for those in hand up to the drain limit, and
-  // stops.
+  // Rejects new requests, waits up to the drain limit for requests in flight,
+  // and stops.
   void DrainAndStop();
 
  private:
--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -1,4 +1,4 @@
-// Runs a prompt that is larger than any one engine on a group of them.
+// Runs a request whose prompt is distributed over a group of engines.
 
 #ifndef HARECRANK_SRC_ENTRY_GROUP_RUNNER_H_
 #define HARECRANK_SRC_ENTRY_GROUP_RUNNER_H_
@@ -16,23 +16,24 @@
 
 namespace harecrank {
 
-// What a group works with. All must outlive it.
+// Dependencies and parameters of a GroupRunner. All pointers must outlive it.
 struct GroupPorts {
   AttemptPorts attempt;
   RandomSource random;
-  // Returns whether an endpoint may be given new work.
+  // Returns whether an endpoint accepts new work.
   std::function<bool(const EndpointId&)> is_available;
   int short_headroom_percent = 0;
-  // Among how many engines to spread a prompt that fewer could hold. Halved
-  // with each round that finds no room.
+  // Minimum number of engines to spread the prompt over, even if fewer could
+  // hold it. Halved after each round in which the reservation fails.
   std::size_t min_members = 1;
-  // Counts segments that had to be prefilled again.
+  // Counter of segments that were prefilled again.
   Counter* segments_redone = nullptr;
 };
 
-// Coordinates one group, on the caller's thread: reserves all members or none,
-// has each prefill its segment, and has the last one generate over all of
-// them. A member that is lost is replaced, and only its segment is done again.
+// Coordinates one group on the calling thread. It reserves memory on all
+// members or on none, has each member prefill its segment, and has the last
+// member generate the answer from all segments. If a member is lost, it is
+// replaced and only its segment is prefilled again.
 class GroupRunner {
  public:
   GroupRunner(GroupPorts ports, const CallerRequest& request,
@@ -41,20 +42,20 @@
   GroupRunner(const GroupRunner&) = delete;
   GroupRunner& operator=(const GroupRunner&) = delete;
 
-  // Runs the request to its end.
+  // Runs the request to completion.
   AttemptResult Run(AttemptEvidence* evidence);
 
-  // Returns the member that generates, and how many there are; none before
-  // Run has reserved them.
+  // Returns the member that runs decode, and the number of members. The result
+  // is an empty ID or 0 before Run has reserved the members.
   EndpointId DecodeEndpoint() const;
   int MemberCount() const { return static_cast<int>(members_.size()); }
 
  private:
-  // One engine of the group.
+  // An engine in the group.
   struct Member {
     Segment segment;
     std::shared_ptr<Link> link;
-    // The stream that holds the reservation, and the one that prefills.
+    // Stream IDs of the reservation and of the prefill; zero if not open.
     StreamId reservation;
     StreamId prefill;
     bool lost = false;
--- a/src/entry/link_pool.h
+++ b/src/entry/link_pool.h
@@ -1,4 +1,4 @@
-// The links from one entry host to the sidecars it uses.
+// Links from one entry host to the sidecars that it uses.
 
 #ifndef HARECRANK_SRC_ENTRY_LINK_POOL_H_
 #define HARECRANK_SRC_ENTRY_LINK_POOL_H_
@@ -23,23 +23,25 @@
 
 namespace harecrank {
 
-// The link that carried a stream is gone.
+// Event of a stream whose link was closed.
 struct LinkLost {
   StreamId stream;
 };
 using StreamEvent = std::variant<wire::Message, LinkLost>;
 
-// Returns the stream that a message from a sidecar belongs to, or zero.
+// Returns the stream that a message from a sidecar belongs to, or zero if it
+// belongs to none.
 StreamId StreamOf(const wire::Message& message);
 
-// The events of one stream, from the link's thread to the request's.
+// Queue that passes the events of one stream from the link's thread to the
+// request's thread. Thread-safe.
 class StreamInbox {
  public:
-  // Adds an event. Never waits: what may come is bounded by the stream's
-  // window.
+  // Adds an event. Never blocks: the flow-control window of the stream limits
+  // the number of queued events.
   void Put(StreamEvent event);
 
-  // Waits for an event until `until`. Returns nothing if none came.
+  // Waits for an event until `until`. Returns nullopt if none arrived.
   std::optional<StreamEvent> Take(TimePoint until);
 
  private:
@@ -48,7 +50,7 @@
   std::deque<StreamEvent> events_;
 };
 
-// One link, or the attempt to open one. Thread-safe.
+// A link to one sidecar, open or being opened. Thread-safe.
 class Link {
  public:
   Link(EndpointId endpoint, std::string address, MonotonicClock clock);
@@ -56,29 +58,32 @@
   const EndpointId& Endpoint() const { return endpoint_; }
   const std::string& Address() const { return address_; }
 
-  // Returns whether requests may be sent: it is open, its sidecar's clock is
-  // known, and it is not silent.
+  // Returns whether requests can be sent: the link is open, the offset of the
+  // sidecar's clock is known, and the link is not silent.
   bool IsUsable() const;
 
-  // Returns whether nothing has come for so long that a request that may go
-  // elsewhere should.
+  // Returns whether kMissedBeforeSilent heartbeat intervals have passed without
+  // a message. Requests that can run elsewhere should then be sent to another
+  // endpoint.
   bool IsSilent() const;
 
-  // Returns whether the sidecar has said that it takes nothing new.
+  // Returns whether the sidecar has announced that it accepts no new work.
   bool IsDraining() const;
 
-  // Returns what routing knows of the endpoint.
+  // Returns the endpoint's load as routing sees it.
   EndpointView View() const;
 
-  // Returns `deadline` on the sidecar's clock, or nothing while that is not
-  // known.
+  // Returns `deadline` on the sidecar's clock, or nullopt while the offset of
+  // that clock is unknown.
   std::optional<RemoteMillis> Convert(TimePoint deadline) const;
 
-  // Notes work that the next report will show.
+  // Adds submitted work that the sidecar's latest load report does not include.
+  // Reset by the next heartbeat.
   void AddUnreported(Tokens tokens);
 
-  // How many of its sidecar's pulses a link may miss before it counts as
-  // silent, and before it is cut and all that waits on it told so.
+  // Number of heartbeat intervals without a message after which a link counts
+  // as silent, and after which it is closed and all its streams receive
+  // LinkLost.
   static constexpr int kMissedBeforeSilent = 3;
   static constexpr int kMissedBeforeClose = 8;
 
@@ -111,15 +116,15 @@
   LinkPool(const LinkPool&) = delete;
   LinkPool& operator=(const LinkPool&) = delete;
 
-  // Returns the link to `endpoint`, and begins to open one if there is none.
+  // Returns the link to `endpoint`. Starts to open one if none exists.
   std::shared_ptr<Link> Get(const EndpointId& endpoint,
                             const std::string& address);
 
-  // Keeps links to `wanted` open, opens lost ones again, cuts silent ones, and
-  // closes others that are idle. Called at intervals.
+  // Opens links to all `wanted` endpoints, reopens lost links, and closes
+  // silent and idle ones. Must be called periodically.
   void Maintain(const std::map<EndpointId, std::string>& endpoints);
 
-  // Opens a stream on `link` whose events go to the inbox.
+  // Opens a stream on `link` whose events are put into `inbox`.
   StreamId OpenStream(const std::shared_ptr<Link>& link,
                       std::shared_ptr<StreamInbox> inbox);
   void CloseStream(const std::shared_ptr<Link>& link, StreamId stream);
