--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -1,8 +1,8 @@
-// What a sidecar asks of a model engine. Another engine's interface takes
-// another implementation.
+// Interface between a sidecar and a model engine. Each kind of engine needs its
+// own implementation.
 //
-// What an engine is assumed to do stands in docs/DESIGN.md, "What we assume of
-// an engine".
+// The assumptions about an engine are documented in docs/DESIGN.md, "What we
+// assume of an engine".
 
 #ifndef HARECRANK_SRC_SIDECAR_ENGINE_PORT_H_
 #define HARECRANK_SRC_SIDECAR_ENGINE_PORT_H_
@@ -20,65 +20,66 @@
 
 namespace harecrank {
 
-// Why an engine did not do what it was asked.
-// It said no: nothing ran.
+// Reasons why a call to an engine failed.
+//
+// The engine rejected the request; nothing ran.
 struct EngineRejected {
   int status = 0;
   std::string reason;
 };
-// No connection could be had: nothing was sent.
+// No connection could be opened; nothing was sent.
 struct EngineUnreachable {
   std::string reason;
 };
-// It was asked, and what became of that is not known.
+// The request was sent, but its outcome is unknown.
 struct EngineOutcomeUnknown {
   std::string reason;
 };
-// An order had an older fence than one before it.
+// The fencing token of the order is older than one that the engine has seen.
 struct EngineFenceOutdated {};
 using EngineError = std::variant<EngineRejected, EngineUnreachable,
                                  EngineOutcomeUnknown, EngineFenceOutdated>;
 
-// Returns one sentence for a person.
+// Returns a human-readable description.
 std::string Describe(const EngineError& error);
 
-// Names what an engine holds for this process.
+// Identifies memory that an engine has allocated for this process.
 using AllocationId = StrongString<struct AllocationTag>;
 
-// A part of a prompt that another engine holds.
+// A prompt segment whose KV cache is in another engine.
 struct RemoteSegment {
   std::string engine_address;
   AllocationId segment;
 };
 
-// Asks for an answer, or for the prefill of one segment.
+// A request to generate an answer or to prefill one segment.
 struct EngineRequest {
   AllocationId id;
-  // Who holds what it takes, so that a later process can tell what is left
-  // over.
+  // The process that owns the allocation. It allows a later process to
+  // recognise orphaned allocations.
   Incarnation owner;
   ModelId model;
   AdapterName adapter;
   std::string prompt;
   Tokens answer;
   std::int64_t resume_from = 0;
-  // Larger goes first.
+  // Requests with a larger value are scheduled first.
   int priority = 0;
-  // The most of this prompt that one step may prefill.
+  // Maximum number of tokens of this prompt that one forward pass may prefill.
   Tokens chunk;
   std::vector<RemoteSegment> segments;
-  // How long to wait for any one answer.
+  // Time-out of the engine call.
   Millis timeout{0};
 };
 
-// Something an engine holds memory for.
+// Memory that an engine has allocated.
 struct EngineAllocation {
   AllocationId id;
   Incarnation owner;
   Tokens amount;
 };
 
-// An engine's own account of itself.
+// State that an engine reports about itself.
 struct EngineStatus {
   Tokens memory;
   Tokens used;
@@ -86,30 +87,32 @@
   std::map<std::string, LoadedModel> models;
 };
 
-// Calls on one engine. Thread-safe.
+// Client of one engine. Thread-safe.
 class EnginePort {
  public:
-  // Called once the engine has taken the request.
+  // Called when the engine has accepted the request.
   using OnAccepted = std::function<void()>;
-  // Takes one token. Returns false to stop.
+  // Called with each token. Returns false to stop the generation.
   using OnToken = std::function<bool(std::int64_t position, std::string token)>;
 
   virtual ~EnginePort() = default;
 
-  // Runs a request to its end. Returns the length of the whole answer.
+  // Runs a request to completion. Returns the length of the whole answer in
+  // tokens.
   virtual boost::leaf::result<std::int64_t> Generate(
       const EngineRequest& request, const OnAccepted& on_accepted,
       const OnToken& on_token) = 0;
 
-  // Prefills one segment and holds it until it is cancelled.
+  // Prefills one segment and keeps it until it is cancelled.
   virtual boost::leaf::result<void> Prefill(const EngineRequest& request) = 0;
 
-  // Ends a request or drops a segment. Does nothing for an unknown id.
+  // Cancels a request or releases a segment. Does nothing for an unknown ID.
   virtual boost::leaf::result<void> Cancel(const AllocationId& id) = 0;
 
   virtual boost::leaf::result<EngineStatus> GetStatus() = 0;
 
-  // Gives an order under a fence.
+  // Sends an order with the fencing token `fence`. Fails if the engine has seen
+  // a newer token.
   virtual boost::leaf::result<void> Order(const EngineOrder& order,
                                           Revision fence) = 0;
 };
--- a/src/sidecar/engine_reconciler.h
+++ b/src/sidecar/engine_reconciler.h
@@ -1,4 +1,4 @@
-// Keeps one engine's memory and models in order.
+// Reconciles the state of one engine with the configuration.
 
 #ifndef HARECRANK_SRC_SIDECAR_ENGINE_RECONCILER_H_
 #define HARECRANK_SRC_SIDECAR_ENGINE_RECONCILER_H_
@@ -20,24 +20,25 @@
 
 namespace harecrank {
 
-// What a keeper is made from. All must outlive it.
+// Dependencies of an EngineReconciler. All pointers must outlive it.
 struct EngineReconcilerPorts {
   EnginePort* engine = nullptr;
   Node* node = nullptr;
   Incarnation incarnation;
   MonotonicClock clock;
-  // Returns the names of what this process knows the engine to hold for it.
+  // Returns the IDs of the allocations that this process still uses.
   std::function<std::set<std::string>()> live_allocations;
-  // Takes the engine's memory as the engine tells it.
+  // Called with the memory size that the engine reports.
   std::function<void(Tokens)> on_memory;
 };
 
-// Compares the engine's own account with what this process holds, releases
-// what nobody owns, and gives the orders that the configuration asks for.
+// Periodically reads the engine's status, releases orphaned allocations, and
+// sends the orders to load or unload models that the configuration requires.
 //
-// Releasing: a holding of another incarnation was left by a process that is
-// gone, and goes at once; one of this incarnation that nothing here knows goes
-// when two accounts in a row show it, since a run may just be ending.
+// An allocation owned by another incarnation was left by an earlier process and
+// is released immediately. An allocation owned by this incarnation that no
+// request uses is released only if two consecutive status reports show it,
+// because its request may just be ending.
 class EngineReconciler {
  public:
   EngineReconciler(const SidecarSettings& settings,
@@ -49,14 +50,13 @@
   void Start();
   void Stop();
 
-  // Looks at the configuration now and not at the next interval.
+  // Triggers a reconciliation immediately instead of at the next interval.
   void Wake();
 
-  // Returns whether the engine has been cleaned of what an earlier process
-  // left.
+  // Returns whether all allocations of earlier processes have been released.
   bool IsReconciled() const { return reconciled_.load(); }
 
-  // Returns whether the engine holds `model`, as of the latest account.
+  // Returns whether the engine had loaded `model` at the latest status report.
   bool HasModel(const ModelId& model) const;
 
  private:
@@ -77,10 +77,11 @@
   std::condition_variable wake_;
   bool wake_requested_ = false;
   std::set<std::string> models_;
-  // Holdings of ours that nothing knew at the last account.
+  // Allocations of this incarnation that no request used at the latest status
+  // report.
   std::set<std::string> unconfirmed_orphans_;
-  // When each wanted load was first seen, so that its wave is counted from
-  // there.
+  // Time at which each required order was first seen. The delay that staggers
+  // weight loads across endpoints is measured from this time.
   std::map<std::string, TimePoint> required_since_;
   std::thread thread_;
   Counter* released_;
--- a/src/sidecar/http_engine.h
+++ b/src/sidecar/http_engine.h
@@ -1,4 +1,4 @@
-// A model engine over HTTP, as the stand-in offers it.
+// Client of a model engine that is called over HTTP.
 
 #ifndef HARECRANK_SRC_SIDECAR_HTTP_ENGINE_H_
 #define HARECRANK_SRC_SIDECAR_HTTP_ENGINE_H_
@@ -9,7 +9,7 @@
 
 namespace harecrank {
 
-// Speaks to the engine at one address. Answers come as lines of JSON.
+// Calls the engine at one address. Generated tokens arrive as lines of JSON.
 class HttpEngine : public EnginePort {
  public:
   explicit HttpEngine(std::string address);
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -1,4 +1,4 @@
-// The process beside one endpoint.
+// The sidecar process, which runs next to one endpoint.
 
 #ifndef HARECRANK_SRC_SIDECAR_SIDECAR_NODE_H_
 #define HARECRANK_SRC_SIDECAR_SIDECAR_NODE_H_
@@ -27,11 +27,12 @@
 
 namespace harecrank {
 
-// Takes requests from entry hosts, runs them at its endpoint, and keeps the
-// endpoint's memory and models in order.
+// Accepts requests from entry hosts, runs them at its endpoint, and reconciles
+// the endpoint's memory and models with the configuration.
 //
-// Messages come in on the link server's thread and never wait; each running
-// request has a thread of a bounded pool; one thread keeps time.
+// Messages arrive on the link server's thread, and their handlers never block.
+// Each running request occupies a thread of a bounded pool. One thread handles
+// timers, and one sends cancellations to the engine.
 class SidecarNode {
  public:
   SidecarNode(const SidecarSettings& settings, const MonotonicClock& clock,
@@ -40,10 +41,10 @@
   SidecarNode(const SidecarNode&) = delete;
   SidecarNode& operator=(const SidecarNode&) = delete;
 
-  // Starts everything and returns.
+  // Starts all servers and threads, and returns.
   void Start();
 
-  // Refuses new work, waits for what is in hand up to the drain limit, and
+  // Rejects new work, waits up to the drain limit for requests in flight, and
   // stops.
   void DrainAndStop();
 
@@ -59,7 +60,8 @@
   void OnMessage(ConnectionId connection, wire::Message message);
   void OnClose(ConnectionId connection);
 
-  // One overload for each message that an entry host may send.
+  // One overload for each message that an entry host may send. The link is
+  // closed on any other message.
   void On(ConnectionId connection, const wire::Hello& hello);
   void On(ConnectionId connection, wire::Submit& submit);
   void On(ConnectionId connection, wire::BodyChunk& chunk);
@@ -74,7 +76,7 @@
     links_->Close(connection);
   }
 
-  // These expect the mutex to be held.
+  // The following methods require that mutex_ is held.
   void OnBodyComplete(const StreamPtr& stream);
   void Enqueue(const StreamPtr& stream);
   void RunUnderReservation(const StreamPtr& stream);
@@ -117,10 +119,11 @@
   TicketRegistry tickets_;
   std::map<StreamKey, StreamPtr> streams_;
   std::unordered_map<std::uint64_t, StreamPtr> by_key_;
-  // Reservations of groups, by the stream that made them.
+  // Keys of group reservations, by the stream that made them.
   std::map<StreamKey, std::uint64_t> reservations_;
   std::unordered_map<std::uint64_t, std::shared_ptr<AnswerLog>> logs_;
-  // The order in which logs were made, so that the oldest goes first.
+  // Ticket nonces in the order in which their logs were created, for evicting
+  // the oldest log first.
   std::deque<std::uint64_t> log_order_;
   std::set<ConnectionId> connections_;
   std::deque<AllocationId> to_cancel_;
--- a/src/sidecar/sidecar_stream.h
+++ b/src/sidecar/sidecar_stream.h
@@ -1,4 +1,4 @@
-// One request as a sidecar keeps it.
+// State of one request in a sidecar.
 
 #ifndef HARECRANK_SRC_SIDECAR_SIDECAR_STREAM_H_
 #define HARECRANK_SRC_SIDECAR_SIDECAR_STREAM_H_
@@ -17,19 +17,19 @@
 
 namespace harecrank {
 
-// Holds back one stream's sender until its reader wants more. Thread-safe.
+// Credit-based flow control of one stream: the sender waits until the receiver
+// grants credit. Thread-safe.
 class FlowWindow {
  public:
   explicit FlowWindow(std::int64_t credit) : credit_(credit) {}
 
-  // Waits for credit and takes one. Returns false once the window is closed or
-  // `until` has passed.
+  // Waits for credit and uses one unit of it. Returns false once the window is
+  // closed or `until` has passed.
   bool Take(TimePoint until);
 
-  // Adds credit.
   void Add(std::int64_t credit);
 
-  // Ends all waits.
+  // Closes the window and wakes all waiting threads.
   void Close();
 
  private:
@@ -39,21 +39,21 @@
   bool closed_ = false;
 };
 
-// The answer to a request that may run once only, kept so that a caller who
-// asks again gets it without a second run. Thread-safe.
+// The answer to a request that may run only once. It is kept so that a caller
+// who repeats the request receives the answer without a second execution.
+// Thread-safe.
 class AnswerLog {
  public:
-  // Appends the token at the next position.
   void Append(std::string token);
 
-  // Ends the log with the message that ended the run.
+  // Ends the log with the message that ended the execution.
   void End(wire::Message end);
 
-  // Waits for the token at `position`. Returns nothing once the log has ended
-  // before it, or `until` has passed.
+  // Waits for the token at `position`. Returns nullopt if the log ends before
+  // that position, or if `until` has passed.
   std::optional<std::string> WaitFor(std::size_t position, TimePoint until);
 
-  // Returns the message that ended the run, or nothing.
+  // Returns the message that ended the execution, or nullopt while it runs.
   std::optional<wire::Message> GetEnd() const;
 
  private:
@@ -63,10 +63,11 @@
   std::optional<wire::Message> end_;
 };
 
-// How far a request has come.
+// Processing state of a request.
 enum class StreamState { kReceiving, kQueued, kRunning };
 
-// One request. The node's mutex guards all but the atomics and the window.
+// One request. The node's mutex guards all members except the atomics and the
+// window.
 struct SidecarStream {
   SidecarStream(std::uint64_t stream_key, ConnectionId from,
                 wire::Submit submission)
@@ -83,9 +84,9 @@
   TimePoint deadline;
   std::atomic<bool> cancelled{false};
   FlowWindow window;
-  // Only for a request with a ticket.
+  // Set only for a request with a ticket.
   std::shared_ptr<AnswerLog> log;
-  // Only for a member of a group: the key of its reservation.
+  // Set only for a member of a group: the key of its reservation.
   std::uint64_t reservation_key = 0;
 };
 
--- a/src/sidecar/work_runner.h
+++ b/src/sidecar/work_runner.h
@@ -1,5 +1,4 @@
-// Runs the requests that a sidecar has decided to start, each on a thread of a
-// bounded pool.
+// Executes requests that a sidecar has started.
 
 #ifndef HARECRANK_SRC_SIDECAR_WORK_RUNNER_H_
 #define HARECRANK_SRC_SIDECAR_WORK_RUNNER_H_
@@ -13,37 +12,39 @@
 
 namespace harecrank {
 
-// What a runner is made from. All must outlive it.
+// Dependencies of a WorkRunner. All pointers must outlive it.
 struct WorkRunnerPorts {
   EnginePort* engine = nullptr;
-  // Where plain services are called.
+  // Address at which a plain service is called.
   std::string endpoint_address;
   Incarnation incarnation;
   MonotonicClock clock;
-  // Sends a message to the stream's entry host. Returns false if it is gone.
+  // Sends a message to the stream's entry host. Returns false if the connection
+  // is closed.
   std::function<bool(ConnectionId, const wire::Message&)> send;
 };
 
-// How the policy in force weighs prefill.
+// Prefill parameters from the configured policy.
 struct PrefillPolicy {
   int long_weight_percent = 50;
 };
 
-// Runs one request at a time on the caller's thread. Thread-safe.
+// Runs requests on the calling thread, one per call. Thread-safe.
 class WorkRunner {
  public:
   explicit WorkRunner(WorkRunnerPorts ports);
 
-  // Runs `stream` to its end and tells the entry host, or the stream's log,
-  // how it went.
+  // Runs `stream` to completion and reports the result to the entry host, or to
+  // the stream's log if it has one.
   void Run(const std::shared_ptr<SidecarStream>& stream,
            const PrefillPolicy& policy);
 
-  // Sends what the log of a request holds, and what is still to come, to
-  // `stream`.
+  // Sends the tokens of the stream's log to its entry host, including tokens
+  // that are appended later, and then the end of the log.
   void Replay(const std::shared_ptr<SidecarStream>& stream);
 
-  // Returns the name under which the engine holds what `key` takes.
+  // Returns the ID of the engine allocation for the request or reservation
+  // `key`.
   AllocationId AllocationIdFor(std::uint64_t key) const;
 
  private:
