--- a/src/node/administration.h
+++ b/src/node/administration.h
@@ -1,4 +1,4 @@
-// The administration calls, generated from the schema and carried by HTTP.
+// The administration service of the schema, called over HTTP.
 
 #ifndef HARECRANK_SRC_NODE_ADMINISTRATION_H_
 #define HARECRANK_SRC_NODE_ADMINISTRATION_H_
@@ -10,10 +10,10 @@
 
 namespace harecrank {
 
-// Serves the schema's Administration on one node.
+// Implements the schema's Administration service on one node.
 class AdministrationService : public v1::Administration {
  public:
-  // Both must outlive the service.
+  // Both pointers must outlive the service.
   AdministrationService(ActiveConfig* active_config, ConfigFeed* feed);
 
   void Plan(google::protobuf::RpcController* controller,
@@ -36,14 +36,15 @@
   ConfigFeed* feed_;
 };
 
-// An answer to a call over HTTP.
+// HTTP response to an RPC.
 struct RpcResponse {
   int status = 0;
   std::string body;
 };
 
-// Calls `method` of `service` with a JSON request, by the generated service's
-// own reflection, so that a method added to the schema needs no code here.
+// Calls `method` of `service` with a JSON request. The method is found by
+// reflection on the generated service, so a method that is added to the schema
+// needs no change here.
 RpcResponse CallRpc(google::protobuf::Service* service,
                     const std::string& method, const std::string& request_json);
 
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -1,4 +1,5 @@
-// Brings configuration and the host list to this node, and passes them on.
+// Distributes configuration and the host list between the platform and the
+// nodes.
 
 #ifndef HARECRANK_SRC_NODE_CONFIG_FEED_H_
 #define HARECRANK_SRC_NODE_CONFIG_FEED_H_
@@ -24,10 +25,10 @@
 
 namespace harecrank {
 
-// What a feed is made from. All must outlive it.
+// Dependencies of a ConfigFeed. All pointers must outlive it.
 struct ConfigFeedPorts {
   ConfigServicePort* service = nullptr;
-  // Null where the platform has no host list.
+  // Null if the platform has no host list.
   HostListPort* host_list = nullptr;
   ActiveConfig* active_config = nullptr;
   HostListCache* hosts = nullptr;
@@ -36,12 +37,13 @@
   RandomSource random;
 };
 
-// Keeps the active_config at the highest revision that any reachable peer or
-// the service has.
+// Keeps the active configuration at the highest revision that the configuration
+// service or any reachable peer has.
 //
-// One thread reads the service: a reader's waits on it, another's looks rarely.
-// One thread compares revisions with a random peer at intervals. One thread
-// pushes what is new to this node's children. Thread-safe.
+// One thread reads the service: a watcher waits for changes there, and any
+// other node polls it at long intervals. One thread compares revisions with a
+// random peer periodically. One thread pushes new revisions to this node's
+// children in the dissemination tree. Thread-safe.
 class ConfigFeed {
  public:
   ConfigFeed(const NodeSettings& settings, ConfigFeedPorts ports);
@@ -49,24 +51,24 @@
   ConfigFeed(const ConfigFeed&) = delete;
   ConfigFeed& operator=(const ConfigFeed&) = delete;
 
-  // Starts the threads.
   void Start();
   void Stop();
 
-  // Returns whether this node has a configuration and has asked its peers for
-  // a newer one. Until then it must not take work.
+  // Returns whether this node has a configuration and has compared it with its
+  // peers. The node must not accept work before that.
   bool IsReady() const { return ready_.load(); }
 
-  // Answers a peer's comparison.
+  // Handles a peer's comparison. Returns what the peer lacks.
   PeerUpdate OnCompare(const PeerState& theirs);
 
-  // Takes what a peer pushed, and returns what this node has afterwards.
+  // Applies an update that a peer pushed, and returns the state of this node
+  // afterwards.
   PeerState OnPush(const PeerUpdate& update);
 
   PeerState MyState() const;
 
   // Calls `listener` after each revision that comes into force, on the thread
-  // that brought it. Set before Start.
+  // that received it. Must be called before Start.
   void SetListener(std::function<void()> listener) {
     listener_ = std::move(listener);
   }
@@ -100,10 +102,10 @@
   ConfigFeedPorts ports_;
   std::function<void()> listener_;
   std::atomic<bool> ready_{false};
-  // On this process's monotonic clock.
+  // Milliseconds on this process's monotonic clock.
   std::atomic<std::int64_t> in_force_since_{0};
   std::atomic<bool> stopping_{false};
-  // Comparisons in a row that brought no answer.
+  // Number of consecutive comparisons without an answer.
   std::atomic<int> compare_failures_{0};
   std::mutex mutex_;
   std::condition_variable wake_;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
-// What every process of the system has, whatever its role: configuration, the
-// host list, metrics, and the operations server.
+// The parts that are common to all processes: configuration, the host list,
+// metrics, and the operations server.
 
 #ifndef HARECRANK_SRC_NODE_NODE_H_
 #define HARECRANK_SRC_NODE_NODE_H_
@@ -20,18 +20,19 @@
 
 namespace harecrank {
 
-// What the role of a process adds to its node.
+// Functions that a process's role adds to its node.
 struct NodeRole {
   std::string name;
-  // Whether the role itself is ready; asked only once configuration is.
+  // Returns whether the role is ready. Called only once the configuration is
+  // ready.
   std::function<bool()> is_ready;
-  // Appends the role's part of a dump.
+  // Adds the role's section to a dump.
   std::function<void(nlohmann::json*)> dump;
   // Called after each revision that comes into force.
   std::function<void()> on_configuration;
 };
 
-// Runs the common part of one process. Thread-safe.
+// Runs the common parts of one process. Thread-safe.
 class Node {
  public:
   Node(const NodeSettings& settings, Incarnation incarnation,
@@ -40,7 +41,8 @@
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  // Starts the operations server and the feed. `role` may use this node.
+  // Starts the operations server and the configuration feed. `role` may use
+  // this node.
   void Start(NodeRole role);
   void Stop();
 
@@ -48,7 +50,7 @@
     return active_config_.InForce();
   }
   bool IsReady() const;
-  // Returns whether the configuration in force was compared with peers.
+  // Returns whether the configuration in force has been compared with peers.
   bool IsConfigured() const { return feed_.IsReady(); }
   bool IsLeaving(const NodeId& node) const { return hosts_.IsLeaving(node); }
   Metrics* GetMetrics() { return &metrics_; }
--- a/src/node/peer_messages.h
+++ b/src/node/peer_messages.h
@@ -1,5 +1,5 @@
-// What nodes tell each other about configuration and the host list, as CBOR in
-// HTTP bodies.
+// Messages about configuration and the host list that nodes exchange, encoded
+// as CBOR in HTTP bodies.
 
 #ifndef HARECRANK_SRC_NODE_PEER_MESSAGES_H_
 #define HARECRANK_SRC_NODE_PEER_MESSAGES_H_
@@ -13,7 +13,7 @@
 
 namespace harecrank {
 
-// What one node has.
+// Versions of the configuration and the host list on one node.
 struct PeerState {
   std::string node;
   std::uint32_t revision = 0;
@@ -22,20 +22,21 @@
   bool ready = false;
 };
 
-// What one node gives to another that has less.
+// Update that a node sends to a peer with older versions.
 struct PeerUpdate {
   PeerState state;
-  // The changes the other lacks, as a JSON ChangeLog; or empty.
+  // Changes that the peer lacks, as a JSON ChangeLog; empty if none are sent.
   std::string changes_json;
-  // The whole document, where the changes are not remembered; or empty.
+  // The whole document, sent if the changes are no longer available; empty
+  // otherwise.
   std::string document_json;
-  // The host list, if the giver's is newer: whether it is, and who leaves.
+  // Whether the sender's host list is newer, and the hosts that are leaving in
+  // that list.
   bool has_hosts = false;
   std::vector<std::string> leaving;
 };
 
-// Convert to and from bytes. Reading returns nothing for bytes that are no such
-// message.
+// Encode and decode messages. Decoding returns nullopt for malformed bytes.
 std::string EncodePeerState(const PeerState& state);
 std::optional<PeerState> DecodePeerState(const std::string& bytes);
 std::string EncodePeerUpdate(const PeerUpdate& update);
--- a/src/node/platform.h
+++ b/src/node/platform.h
@@ -1,5 +1,4 @@
-// The platform's configuration service and host list, as this project reads
-// them.
+// Clients of the platform's configuration service and host list.
 
 #ifndef HARECRANK_SRC_NODE_PLATFORM_H_
 #define HARECRANK_SRC_NODE_PLATFORM_H_
@@ -15,7 +14,7 @@
 
 namespace harecrank {
 
-// Why the platform gave nothing.
+// Reasons why a call to the platform failed.
 struct PlatformUnreachable {
   std::string reason;
 };
@@ -28,31 +27,31 @@
 using PlatformError = std::variant<PlatformUnreachable, PlatformRejected,
                                    PlatformResponseMalformed>;
 
-// Returns one sentence for a person.
+// Returns a human-readable description.
 std::string Describe(const PlatformError& error);
 
-// A published value and the service's own version of it.
+// A published value and the version that the service assigned to it.
 struct PublishedValue {
   std::uint64_t version = 0;
   std::string value;
 };
 
-// Reads the configuration service. A port: another platform's service takes
-// another implementation.
+// Interface of the configuration service. Each platform needs its own
+// implementation.
 class ConfigServicePort {
  public:
   virtual ~ConfigServicePort() = default;
 
-  // Reads one value, of at most a megabyte.
+  // Reads one value. Values are at most 1 MB.
   virtual boost::leaf::result<PublishedValue> Read(const std::string& key) = 0;
 
-  // Waits up to `wait` for a version other than `known`, and returns the value
-  // then, or nothing if none came. Counts as one call.
+  // Waits up to `wait` for a version other than `known`. Returns the value, or
+  // nullopt if no other version appeared. Counts as one call to the service.
   virtual boost::leaf::result<std::optional<PublishedValue>> Watch(
       const std::string& key, std::uint64_t known, Millis wait) = 0;
 };
 
-// Reads the host list.
+// Interface of the host list.
 class HostListPort {
  public:
   virtual ~HostListPort() = default;
@@ -60,7 +59,7 @@
 };
 
 // The configuration service over HTTP: GET /v1/values/KEY, with after=VERSION
-// and wait_ms=N to watch; 304 where nothing came.
+// and wait_ms=N to watch. The status is 304 if no other version appeared.
 class HttpConfigService : public ConfigServicePort {
  public:
   explicit HttpConfigService(std::string address);
