--- a/src/entry/answer_writer.cc
+++ b/src/entry/answer_writer.cc
@@ -45,9 +45,9 @@
 }
 
 AnswerWriter::AnswerWriter(AnswerWriterPorts ports,
-                           const CallerRequest& request)
+                           const CallerRequest& caller_request)
     : ports_(std::move(ports)),
-      request_(request),
+      request_(caller_request),
       started_at_(ports_.clock()),
       last_write_at_(started_at_) {}
 
--- a/src/entry/answer_writer.h
+++ b/src/entry/answer_writer.h
@@ -23,7 +23,8 @@
   Poco::Net::HTTPServerRequest* request = nullptr;
   Poco::Net::HTTPServerResponse* response = nullptr;
   MonotonicClock clock;
-  // Histogram for the time from the creation of the writer to the first part.
+  // Histograms of the time from the creation of the writer to the first part,
+  // and of the time between parts.
   DurationHistogram* first_part = nullptr;
   DurationHistogram* between_parts = nullptr;
 };
@@ -44,7 +45,7 @@
 // from a broken connection.
 class AnswerWriter : public AnswerSink {
  public:
-  AnswerWriter(AnswerWriterPorts ports, const CallerRequest& request);
+  AnswerWriter(AnswerWriterPorts ports, const CallerRequest& caller_request);
 
   bool OnPart(const std::string& part) override;
   bool OnIdle() override;
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -313,9 +313,10 @@
   replacement.segment = member->segment;
   replacement.segment.member = id;
   replacement.link = GetLink(id);
-  GroupReservation reservation(deadline_, ports_.attempt.clock, ports_.random);
-  reservation.Begin({replacement.segment});
-  SendReserve(&reservation, &replacement);
+  GroupReservation single_reservation(deadline_, ports_.attempt.clock,
+                                      ports_.random);
+  single_reservation.Begin({replacement.segment});
+  SendReserve(&single_reservation, &replacement);
   *member = std::move(replacement);
   const TimePoint until = ports_.attempt.clock() + kReserveTimeout;
   while (auto event = inbox_->Take(until)) {
--- a/src/entry/link_pool.h
+++ b/src/entry/link_pool.h
@@ -116,12 +116,13 @@
   LinkPool(const LinkPool&) = delete;
   LinkPool& operator=(const LinkPool&) = delete;
 
-  // Returns the link to `endpoint`. Starts to open one if none exists.
+  // Returns the link to `endpoint`. Starts to open a new one if none exists or
+  // if the address has changed.
   std::shared_ptr<Link> Get(const EndpointId& endpoint,
                             const std::string& address);
 
-  // Opens links to all `wanted` endpoints, reopens lost links, and closes
-  // silent and idle ones. Must be called periodically.
+  // Opens links to all `endpoints`, reopens lost links, and closes silent and
+  // idle ones. Must be called periodically.
   void Maintain(const std::map<EndpointId, std::string>& endpoints);
 
   // Opens a stream on `link` whose events are put into `inbox`.
