--- a/src/entry/answer_writer.cc
+++ b/src/entry/answer_writer.cc
@@ -11,7 +11,8 @@
 
 using nlohmann::json;
 
-// Well under the shortest idle limit of common balancers and proxies.
+// Interval of keep-alive comments: well below the shortest idle time-outs of
+// common load balancers and proxies.
 constexpr Millis kPingAfter{5000};
 constexpr std::int64_t kMillisPerSecond = 1000;
 
@@ -34,7 +35,8 @@
 void WriteRefusal(Poco::Net::HTTPServerResponse& response,
                   const Refusal& refusal) {
   if (refusal.retry_after) {
-    // The header counts whole seconds; rounding up never invites too early.
+    // The header is in whole seconds. Rounding up ensures that a caller does
+    // not retry too early.
     const std::int64_t seconds =
         (refusal.retry_after->count() + kMillisPerSecond - 1) /
         kMillisPerSecond;
@@ -150,8 +152,8 @@
 }
 
 void AnswerWriter::EndStream(const DispatchResult& result) {
-  // After the first byte the status cannot change, so an error goes in the
-  // stream, as an event of its own name.
+  // The HTTP status cannot change after the first byte, so an error is sent as
+  // an event named "error".
   if (const auto* refusal = std::get_if<Refusal>(&result)) {
     *stream_ << "event: error\ndata: " << RefusalJson(*refusal) << "\n\n";
   } else {
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -6,14 +6,16 @@
 namespace harecrank {
 namespace {
 
-// How often a waiting request looks whether its caller is still there.
+// How often a waiting request checks whether its caller is still connected.
 constexpr Millis kCallerCheckInterval{100};
-// How long before the deadline a request that has not started is withdrawn, so
-// that the sidecar's word can still come in time.
+// How long before the deadline a request that has not started is withdrawn.
+// This leaves time for the sidecar's reply to arrive before the deadline.
 constexpr Millis kWithdrawMargin{150};
 constexpr Millis kWithdrawTimeout{300};
-// A stream that has begun and brings nothing for so long is stuck: far beyond
-// the time between two tokens. One-way loss can hold back its credit.
+// A stream that has started but delivers no output for this long is stuck. The
+// limit is far above the time between two tokens. A stream can get stuck if
+// packets are lost in one direction only, because its credit messages are then
+// lost.
 constexpr Millis kMaxStall{3000};
 
 AttemptEnd ToEnd(const wire::Refused& refused) {
@@ -128,7 +130,7 @@
     return AttemptEnd{AttemptFailed{failed->code, failed->message}};
   } else if (const auto* finished = std::get_if<wire::Finished>(message)) {
     ended_ = true;
-    // An end that comes before its parts is no whole answer.
+    // The answer is incomplete if its end arrives before all of its parts.
     if (finished->length > ports_.assembler->NextPosition()) {
       return AttemptEnd{AttemptFailed{"answer_cut", "parts are missing"}};
     }
@@ -150,8 +152,8 @@
   if (caller_disconnected_) {
     return AttemptEnd{CallerDisconnected{}};
   }
-  // Credit follows what the caller has taken, so a slow caller holds back its
-  // own stream and no other.
+  // Credit is granted for what the caller has consumed, so a slow caller delays
+  // only its own stream.
   credit_owed_ += static_cast<std::int64_t>(output.tokens.size());
   if (credit_owed_ >= kWindow / 2) {
     ports_.links->Send(link_, wire::Credit{stream_, credit_owed_});
@@ -172,7 +174,8 @@
     return Withdraw(evidence,
                     AttemptEnd{AttemptLost{"the sidecar gave no word"}});
   }
-  // What has nowhere else to go waits on: its answer may still come.
+  // A request that cannot run elsewhere keeps waiting, because its answer may
+  // still arrive.
   if (times_.acknowledge_timeout.count() > 0 && link_->IsSilent()) {
     return Withdraw(evidence,
                     AttemptEnd{AttemptLost{"the link to the endpoint is "
@@ -193,7 +196,8 @@
   while (auto event = inbox_->Take(until)) {
     const auto result = Handle(*event, evidence);
     if (!result) {
-      // It started after all: its time is up all the same.
+      // The request has started, but the attempt still ends because its time is
+      // up.
       continue;
     }
     if (std::holds_alternative<wire::Finished>(*result)) {
--- a/src/entry/caller_request.cc
+++ b/src/entry/caller_request.cc
@@ -31,7 +31,7 @@
   return parsed;
 }
 
-// Reads one field, or keeps `otherwise` if it is absent.
+// Returns the value of one field, or `otherwise` if it is absent or null.
 template <typename T>
 leaf::result<T> Field(const json& body, const char* name, T otherwise) {
   const auto found = body.find(name);
@@ -134,7 +134,8 @@
         http_status::kNotFound, "unknown_service",
         "there is no service called '" + request->service.value + "'");
   }
-  // A call that may change something is not sent twice, even unmarked.
+  // A call with any other method may have side effects, so it is not repeated
+  // once it may have run, even without a header that says so.
   if (headers.method != "GET" && headers.method != "HEAD") {
     request->retry_mode = RetryMode::kOnlyIfNotRun;
   }
--- a/src/entry/caller_server.cc
+++ b/src/entry/caller_server.cc
@@ -16,10 +16,11 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-// Threads that remain to refuse, and to answer tickets and probes, while every
-// place is taken.
+// Threads reserved for rejections, tickets and health probes while all request
+// slots are in use.
 constexpr int kSpareThreads = 32;
-// How much of a body that is too large is read so that its caller hears why.
+// Maximum number of bytes to read from a body that is too large. Reading it
+// allows the caller to receive the error response.
 constexpr std::size_t kMaxDiscardedBytes = 256U << 20U;
 constexpr Millis kFullRetryDelay{1000};
 constexpr Millis kDrainRetryDelay{1000};
@@ -36,8 +37,9 @@
   return Refusal{status, code, message, Outcome::kNotRun, retry_after};
 }
 
-// Returns whether the request's body ends at one place for everyone who reads
-// it. Where it does not, a second request can be hidden inside the first.
+// Returns whether the length of the request's body is unambiguous. Otherwise
+// two HTTP parsers can disagree on where the body ends, and a second request
+// can be smuggled inside the first.
 bool HasUnambiguousLength(const HTTPServerRequest& request) {
   const auto count = [&request](const std::string& name) {
     auto it = request.find(name);
@@ -54,7 +56,7 @@
   return path == "/v1/completions" || path == "/v1/chat/completions";
 }
 
-// Checks that what a ticket is asked for is published.
+// Checks that the model or service of a ticket is published.
 leaf::result<void> CheckTarget(const Configuration& configuration,
                                const ModelId& model,
                                const ServiceName& service) {
@@ -163,7 +165,7 @@
                             kFullRetryDelay));
     return;
   }
-  // Given back whatever the handler does.
+  // Releases the slot on every path out of this function.
   const std::shared_ptr<void> slot(nullptr,
                                    [this](void*) { in_flight_.fetch_sub(1); });
   if (StartsWith(path, kTickets)) {
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -18,7 +18,8 @@
 constexpr Millis kLinkPollInterval{10};
 constexpr Millis kTicketTimeout{1000};
 constexpr Millis kRetryAfter{1000};
-// How much of a prompt's beginning stands for its prefix.
+// Length of the prompt's beginning that is used as its prefix for cache
+// affinity.
 constexpr std::size_t kPrefixBytes = 2048;
 constexpr int kMaxTicketAttempts = 3;
 constexpr char kLengthAware[] = "length_aware";
@@ -168,7 +169,7 @@
   AttemptPorts ports{ports_.links, ports_.clock, &assembler, sink};
   RetryPolicy policy(context->request.retry_mode, context->deadline,
                      ports_.clock, &budget_);
-  // Zero for a request that one engine serves.
+  // Zero for a request that a single engine serves.
   const std::size_t members = GroupSize(*context);
   while (true) {
     AttemptEvidence evidence;
@@ -379,7 +380,8 @@
     if (auto link = Choose(context)) {
       return link;
     }
-    // With one endpoint tried already there is nothing to wait for.
+    // After an attempt on another endpoint there is no reason to wait for a
+    // link.
     if (!context.tried_endpoints.empty() || ports_.clock() >= until ||
         (sink != nullptr && !sink->OnIdle())) {
       return nullptr;
--- a/src/entry/endpoint_table.cc
+++ b/src/entry/endpoint_table.cc
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t kMaxGroupCandidates = 32;
-// Endpoints of other data centres that a subset holds in any case, so that a
-// model whose endpoints here are all lost is still served.
+// Minimum number of endpoints of other data centres in each subset, so that a
+// model remains available if all its local endpoints are lost.
 constexpr std::size_t kRemoteReserve = 2;
 
 const std::vector<SubsetEndpoint>& EmptySubset() {
@@ -19,8 +19,8 @@
   return kNone;
 }
 
-// Returns the endpoints that take new work, those of `data_centre` apart from
-// the others.
+// IDs of the endpoints that accept new work, divided into those of the local
+// data centre and all others.
 struct PartitionedIds {
   std::vector<std::string> near;
   std::vector<std::string> far;
--- a/src/entry/endpoint_table_test.cc
+++ b/src/entry/endpoint_table_test.cc
@@ -8,7 +8,8 @@
 
 using nlohmann::json;
 
-// A document with endpoints spread over data centres, `near` of them in "here".
+// A document with endpoints in two data centres, `near` of them in "here".
+// Endpoint e0 is marked as leaving.
 std::shared_ptr<const Configuration> MakeConfiguration(int near, int far,
                                                        int subset) {
   json document{{"revision", 1},
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -64,8 +64,9 @@
         std::any_of(members_.begin(), members_.end(),
                     [](const Member& member) { return member.lost; });
     if (!any_lost) {
-      // Some engine lost its segment while its sidecar lives on; which one is
-      // not known, so the group is formed anew and finds out in prefill.
+      // An engine has lost its segment although its sidecar still runs. It is
+      // not known which one, so the dispatcher retries with a new group;
+      // engines without their segment are then found during prefill.
       return result;
     }
   }
@@ -89,7 +90,8 @@
 }
 
 Tokens GroupRunner::WithoutHeadroom(Tokens free, Tokens memory) const {
-  // The sidecar refuses what would take the headroom of short requests.
+  // The sidecar rejects reservations that would use the headroom for short
+  // requests.
   return free - Tokens{memory.value * ports_.short_headroom_percent / kPercent};
 }
 
@@ -100,7 +102,8 @@
         PlanSegments(request_.prompt_tokens, request_.answer_tokens,
                      Candidates(), ports_.min_members);
     if (!plan) {
-      // Reports are late: what looks full now may be free at the next one.
+      // Load reports are delayed, so an engine that appears full may have free
+      // memory in its next report.
       if (!ports_.attempt.sink->OnIdle()) {
         *end_reason = CallerDisconnected{};
         return false;
@@ -155,8 +158,8 @@
     step = reserved ? reservation->OnReserved(member->segment.member)
                     : reservation->OnRefused(member->segment.member);
   }
-  // A member that gave no word in time counts as one that refused; what it may
-  // still reserve is cancelled with the others.
+  // A member that did not reply in time counts as having rejected. If it still
+  // makes the reservation, the reservation is cancelled with the others.
   for (const Member& member : members_) {
     if (std::holds_alternative<WaitForMembers>(step)) {
       step = reservation->OnRefused(member.segment.member);
@@ -277,7 +280,8 @@
 }
 
 bool GroupRunner::Replace(Member* member) {
-  // Reports are late, so one look is not enough to say that nobody has room.
+  // Load reports are delayed, so one check is not enough to conclude that no
+  // endpoint has free memory.
   const TimePoint until =
       std::min(deadline_, ports_.attempt.clock() + kReplaceTimeout);
   constexpr bool kReuseMembers = true;
@@ -351,7 +355,7 @@
   for (const Member& member : members_) {
     submit.segments.push_back(member.segment_ref);
   }
-  // While the lead generates, the reservations must be renewed from here.
+  // Renews the reservations of all members while the decode member generates.
   class RenewingSink : public AnswerSink {
    public:
     RenewingSink(GroupRunner* runner, AnswerSink* inner)
@@ -377,8 +381,9 @@
 }
 
 void GroupRunner::MarkLostMembers() {
-  // Which member broke the generation is not always said: each is asked to
-  // renew, and one that cannot is lost.
+  // A failed generation does not always identify the member that failed. Each
+  // member is asked to renew its reservation; a member that does not confirm is
+  // lost.
   next_renewal_ = TimePoint{};
   RenewAll();
   std::set<std::uint64_t> renewed;
--- a/src/entry/link_pool.cc
+++ b/src/entry/link_pool.cc
@@ -8,7 +8,8 @@
 constexpr Millis kRedialBackoff{500};
 constexpr Millis kIdleTimeout{30000};
 
-// Returns the stream that a message from a sidecar belongs to, or zero.
+// Returns the ID of the stream that a message from a sidecar belongs to, or
+// zero.
 struct StreamOfMessage {
   std::uint64_t operator()(const wire::Accepted& m) const {
     return m.stream.value;
@@ -136,7 +137,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     auto& current = links_[endpoint];
-    // An endpoint that moved to another host gets a new link.
+    // A link is replaced if its endpoint's address has changed.
     if (current == nullptr || current->Address() != address) {
       current = std::make_shared<Link>(endpoint, address, clock_);
       is_new = true;
@@ -263,7 +264,7 @@
       inbox = found->second;
     }
   }
-  // A message for a stream that was closed came late; nobody waits for it.
+  // A message for a closed stream is dropped.
   if (inbox != nullptr) {
     inbox->Put(std::move(message));
   }
@@ -298,8 +299,8 @@
 }
 
 void LinkPool::DialLink(const std::shared_ptr<Link>& link) {
-  // Held while dialling, so that no handler of this dial runs before the link
-  // can be found by it.
+  // The lock is held while dialling, so that no handler of this dial runs
+  // before the link is registered under its dial ID.
   const std::lock_guard<std::mutex> lock(mutex_);
   const DialId dial = client_->Dial(link->Address());
   by_dial_.emplace(dial.value, link);
