--- a/src/sidecar/engine_reconciler.cc
+++ b/src/sidecar/engine_reconciler.cc
@@ -11,7 +11,8 @@
 
 namespace leaf = boost::leaf;
 
-// A decision older than this was overtaken by a pause.
+// Maximum age of a decision that may still be acted on. An older decision was
+// delayed by a pause of the process and may be outdated.
 constexpr Millis kMaxDecisionAge{500};
 
 struct OrderName {
@@ -27,7 +28,7 @@
   }
 };
 
-// Returns the endpoints that will load the same weights.
+// Returns the names of the endpoints that load the same weights as an order.
 struct LoadersOf {
   const Configuration& configuration;
 
@@ -114,7 +115,7 @@
 }
 
 void EngineReconciler::Reconcile() {
-  // A plain service must not get calls that are meant for an engine.
+  // A plain service must not receive calls that are intended for an engine.
   if (!HasEngine()) {
     return;
   }
@@ -135,7 +136,8 @@
         return {};
       },
       [] {
-        // An engine that is down is seen by the requests that fail on it.
+        // No handling needed: requests to an engine that is down fail and
+        // report it.
       });
 }
 
@@ -175,7 +177,8 @@
     if (!IsDue(order, *configuration)) {
       continue;
     }
-    // One order to one account: what it changes is seen in the next.
+    // Only one order is sent per status report. The next report shows its
+    // effect.
     if (SendOrder(order, configuration->GetRevision())) {
       Wake();
     }
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -14,7 +14,7 @@
 using nlohmann::json;
 
 constexpr Millis kShortTimeout{2000};
-// An order to load weights is answered when they are loaded.
+// The engine responds to an order to load weights only when they are loaded.
 constexpr Millis kOrderTimeout{120000};
 
 struct Describer {
@@ -32,7 +32,7 @@
   }
 };
 
-// Turns an HTTP error into this layer's.
+// Converts an HTTP error to an EngineError.
 struct ToEngineError {
   EngineError operator()(const Unreachable& error) const {
     return EngineUnreachable{error.reason};
@@ -117,8 +117,9 @@
   }
 };
 
-// Reads the lines of an answer. Returns its length, or nothing if it was cut or
-// a line is not what an engine writes.
+// Reads the response lines and passes the tokens to `on_token`. Returns the
+// length of the answer, or nullopt if the response was truncated or malformed,
+// or if `on_token` returned false.
 std::optional<std::int64_t> ReadLines(std::istream& body,
                                       const EnginePort::OnToken& on_token) {
   std::string line;
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -21,12 +21,14 @@
 constexpr std::size_t kMaxTickets = 20000;
 constexpr std::size_t kMaxAnswerLogs = 2000;
 constexpr Millis kTimerInterval{20};
-// A request with a ticket has a second thread that brings its log to the
-// caller; segments and later replays run beside the scheduled requests.
+// Additional threads of the pool. A request with a ticket needs a second thread
+// to replay its log to the caller; segments and later replays also run beside
+// the scheduled requests.
 constexpr int kSpareThreads = 64;
-// How often a connection that carries requests hears of a changed load.
+// Number of load updates per heartbeat interval on connections that carry
+// requests, while the load changes.
 constexpr int kLoadUpdatesPerHeartbeat = 5;
-// Memory of a plain service, counted in calls.
+// Capacity of a plain service, counted in calls.
 constexpr std::int64_t kServiceMemory = 1 << 20;
 constexpr Millis kDrainPollInterval{20};
 constexpr Millis kMaxReservationTtl{30000};
@@ -41,7 +43,8 @@
 
 }  // namespace
 
-// Runs one stream on a thread of the pool, and deletes itself.
+// Runs one stream on a thread of the pool. Deletes itself at the end of the
+// run.
 class SidecarNode::RunTask : public Poco::Runnable {
  public:
   RunTask(SidecarNode* node, StreamPtr stream, bool replay,
@@ -346,8 +349,8 @@
     return;
   }
   if (!node_.IsReady()) {
-    // Without a configuration, or with an engine that still holds what an
-    // earlier process left, nothing can be promised.
+    // Work cannot be accepted without a configuration, or while the engine
+    // still holds allocations of an earlier process.
     Reject(stream, wire::Refused{stream->submit.stream, "not_ready",
                                  "the sidecar has just begun", Millis(500)});
     return;
@@ -439,7 +442,7 @@
     }
     return true;
   }
-  // The place in the queue is given back before anything can start from it.
+  // Removes the request from the queue before it can be started.
   scheduler_.Revoke(stream->key);
   if (redemption == Redemption::kAlreadySpent) {
     AttachToLog(stream, *ticket);
@@ -544,8 +547,8 @@
 }
 
 void SidecarNode::Detach(const StreamPtr& stream) {
-  // A request that may run once only goes on without its caller, who may ask
-  // again with the same ticket.
+  // A request with a ticket continues without its caller, who may request its
+  // answer again with the same ticket.
   if (stream->log == nullptr || stream->state != StreamState::kRunning) {
     Abandon(stream);
     return;
@@ -599,12 +602,13 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!replay) {
     scheduler_.Finish(stream->key);
-    // A request that brought no whole answer may still hold memory there.
+    // An incomplete request may still have memory allocated on the engine.
     if (stream->cancelled || clock_() >= stream->deadline) {
       QueueCancel(runner_.AllocationIdFor(stream->key));
     }
   }
-  // With a ticket the replay is what the entry host waits for.
+  // For a request with a ticket, the entry host waits for the end of the
+  // replay.
   if (replay || stream->log == nullptr) {
     RemoveStream(stream);
   } else {
@@ -683,7 +687,8 @@
     const AllocationId allocation = to_cancel_.front();
     to_cancel_.pop_front();
     lock.unlock();
-    // What fails here is found again by the keeper's next account.
+    // An allocation that could not be cancelled is released by the reconciler
+    // later.
     const auto ignored = engine_->Cancel(allocation);
     static_cast<void>(ignored);
     lock.lock();
--- a/src/sidecar/sidecar_stream_test.cc
+++ b/src/sidecar/sidecar_stream_test.cc
@@ -5,7 +5,7 @@
 namespace harecrank {
 namespace {
 
-// A time that has passed: waits end at once.
+// A time in the past, so that waits return immediately.
 const TimePoint kPast{};
 
 TEST_CASE("Without credit nothing more is sent") {
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -20,8 +20,8 @@
 constexpr std::size_t kServiceChunkBytes = 64U << 10U;
 constexpr std::size_t kMaxServiceResponseBytes = 16U << 20U;
 
-// Turns an engine's error into what the entry host is told: "refused" only
-// where nothing can have run.
+// Converts an engine error to a message to the entry host. The message is
+// Refused only if nothing can have run.
 struct EngineErrorToMessage {
   StreamId stream;
 
@@ -64,8 +64,8 @@
                      const PrefillPolicy& policy) {
   const StreamId id = stream->submit.stream;
   wire::Message end = wire::Refused{id, "cancelled", "withdrawn"};
-  // Asked again here: the thread may have waited, or the process been frozen,
-  // since the decision to start.
+  // The deadline is checked again here, because the thread may have waited, or
+  // the process may have been suspended, since the decision to start.
   if (ports_.clock() >= stream->deadline) {
     end = wire::Refused{id, "deadline_exceeded", "it could not start in time"};
   } else if (!stream->cancelled) {
@@ -116,7 +116,8 @@
                              "the time limit passed before the end", false});
     return;
   }
-  // The log's end carries the stream of the first caller; this one has its own.
+  // The end message in the log has the stream ID of the first caller and must
+  // get that of this stream.
   wire::Message end_message = *end;
   std::visit(
       [&](auto& typed) {
@@ -172,7 +173,8 @@
 wire::Message WorkRunner::PrefillSegment(SidecarStream* stream,
                                          const PrefillPolicy& policy) {
   EngineRequest request = MakeRequest(*stream, policy);
-  // The segment belongs to the reservation: it is held until that ends.
+  // The segment belongs to the reservation and is kept until the reservation
+  // ends.
   request.id = AllocationIdFor(stream->reservation_key);
   const StreamId id = stream->submit.stream;
   return leaf::try_handle_all(
