--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -19,18 +19,20 @@
 
 constexpr char kDocumentKey[] = "document";
 constexpr char kChangesKey[] = "changes";
-// A stop waits for the watch in hand, and a reader polls the host list between
-// two; the service's rate bears far more.
+// Maximum duration of one watch. Stop waits for the current watch to return,
+// and a watcher reads the host list between two watches. The resulting call
+// rate is far below the service's rate limit.
 constexpr Millis kWatchWait{2000};
 constexpr Millis kMinBackoff{250};
 constexpr Millis kMaxBackoff{8000};
 constexpr Millis kPeerTimeout{800};
 constexpr int kBootstrapRounds = 4;
-// After so many comparisons in a row without an answer a node looks at the
-// service itself: its data centre may have lost its readers.
+// Number of consecutive failed comparisons after which a node polls the service
+// itself, because its data centre may have lost all its watchers.
 constexpr int kFailuresBeforePoll = 5;
-// Rare enough that all nodes of the target, cut off from each other at once,
-// stay within the service's rate.
+// Poll interval of a node that is isolated from its peers. It is long enough
+// that all nodes of a fleet of the planned size stay within the service's rate
+// limit, even if all are isolated at once.
 constexpr Millis kIsolatedPollInterval{5000};
 constexpr std::size_t kBootstrapPeers = 3;
 constexpr Millis kBootstrapPause{250};
@@ -182,7 +184,8 @@
     if (plan == nullptr || stopping_) {
       continue;
     }
-    // Side by side: a child that is frozen must not hold back its siblings.
+    // Pushes run in parallel, so that a child that does not respond does not
+    // delay the others.
     std::vector<std::future<void>> pushes;
     for (const NodeAddress& child : plan->Children()) {
       pushes.push_back(std::async(std::launch::async,
@@ -251,7 +254,8 @@
   }
   OfferResult latest = OfferResult::kAlreadyInForce;
   for (const v1::Change& change : log.changes()) {
-    // Those already passed are no news.
+    // Skips changes that are already applied. The last one is offered in any
+    // case.
     if (change.revision() <= ports_.active_config->State().revision.value &&
         &change != &*log.changes().rbegin()) {
       continue;
@@ -284,8 +288,8 @@
 }
 
 void ConfigFeed::Bootstrap() {
-  // A service that is silently stale would give a newcomer an old document, so
-  // the peers are asked before this node calls itself ready.
+  // The service may return an outdated document without an error, so a new node
+  // compares with its peers before it reports ready.
   for (int round = 0; round < kBootstrapRounds && !stopping_; ++round) {
     int answered = 0;
     const std::vector<std::string> peers = BootstrapPeers();
@@ -359,8 +363,8 @@
 }
 
 void ConfigFeed::PushTo(const std::string& address) {
-  // What the other has is not known: the latest step is nearly always what it
-  // lacks, and it says where it stands in any case.
+  // The peer's revision is not known. The latest change is nearly always what
+  // it lacks, and its reply contains its revision in any case.
   const auto theirs = SendUpdate(address, LatestChangeUpdate());
   if (theirs && theirs->revision < MyState().revision) {
     SendUpdate(address, UpdateFor(*theirs));
@@ -383,7 +387,8 @@
 }
 
 PeerUpdate ConfigFeed::LatestChangeUpdate() const {
-  // As for one that has this revision, but no host list.
+  // Builds the update for a peer with the same revision but without a host
+  // list.
   PeerState same_revision = MyState();
   same_revision.host_version = 0;
   PeerUpdate update = UpdateFor(same_revision);
@@ -443,8 +448,9 @@
   if (listener_) {
     listener_();
   }
-  // Reading a document takes many times its size for a moment. Given back at
-  // once, that does not count against the node's memory for ever.
+  // Parsing a document temporarily takes many times its size in memory.
+  // malloc_trim returns that memory to the operating system, so that it does
+  // not permanently count towards the node's memory use.
   malloc_trim(0);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -474,7 +480,8 @@
 }
 
 Millis ConfigFeed::Jittered(Millis time) const {
-  // Between three and five quarters, so that nodes that started together part.
+  // Between 75% and 125% of `time`, so that nodes that started together do not
+  // stay synchronised.
   constexpr std::int64_t kQuarters = 4;
   const auto span = static_cast<std::uint64_t>(time.count() / 2 + 1);
   return time - time / kQuarters +
--- a/src/node/platform.cc
+++ b/src/node/platform.cc
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 constexpr Millis kReadTimeout{2000};
-// Past the wait itself, how long an answer may take.
+// Time-out of a watch beyond its own waiting time.
 constexpr Millis kWatchMargin{2000};
 
 struct Describer {
