--- a/src/entry/endpoint_table_test.cc
+++ b/src/entry/endpoint_table_test.cc
@@ -48,7 +48,7 @@
   return counts;
 }
 
-TEST_CASE("A subset holds near endpoints and a few far ones in reserve") {
+TEST_CASE("A subset has local endpoints and a reserve in other data centres") {
   const auto configuration = MakeConfiguration(21, 5, 4);
   for (int i = 0; i < 20; ++i) {
     const EndpointTable table(*configuration, NodeId{std::to_string(i)},
@@ -70,7 +70,7 @@
   CHECK(counts.far >= 5);
 }
 
-TEST_CASE("Hosts' subsets together use every endpoint") {
+TEST_CASE("The subsets of all hosts together cover every endpoint") {
   const auto configuration = MakeConfiguration(21, 0, 4);
   std::map<std::string, int> uses;
   constexpr int kHosts = 60;
@@ -84,7 +84,7 @@
   CHECK(uses.size() == 20);
 }
 
-TEST_CASE("A name that is not published has no endpoints") {
+TEST_CASE("An unknown model or service has no endpoints") {
   const EndpointTable table(*MakeConfiguration(3, 0, 2), NodeId{"n"},
                             DataCentreId{"here"});
   CHECK(table.ForModel(ModelId{"none"}).empty());
--- a/src/sidecar/sidecar_stream_test.cc
+++ b/src/sidecar/sidecar_stream_test.cc
@@ -8,7 +8,7 @@
 // A time in the past, so that waits return immediately.
 const TimePoint kPast{};
 
-TEST_CASE("Without credit nothing more is sent") {
+TEST_CASE("Take fails once the credit is used up") {
   FlowWindow window(2);
   CHECK(window.Take(kPast));
   CHECK(window.Take(kPast));
@@ -18,13 +18,13 @@
   CHECK_FALSE(window.Take(kPast));
 }
 
-TEST_CASE("A closed window lets nothing through whatever its credit") {
+TEST_CASE("Take fails on a closed window even if credit is left") {
   FlowWindow window(5);
   window.Close();
   CHECK_FALSE(window.Take(kPast));
 }
 
-TEST_CASE("A log gives its tokens to each that asks, and then its end") {
+TEST_CASE("A log returns its tokens to every reader, and then its end") {
   AnswerLog log;
   log.Append("a");
   log.Append("b");
