--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -14,8 +14,7 @@
 constexpr Millis kWithdrawTimeout{300};
 // A stream that has started but delivers no output for this long is stuck. The
 // limit is far above the time between two tokens. A stream can get stuck if
-// packets are lost in one direction only, because its credit messages are then
-// lost.
+// packet loss in one direction holds back its credit messages.
 constexpr Millis kMaxStall{3000};
 
 AttemptEnd ToEnd(const wire::Refused& refused) {
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -249,7 +249,7 @@
                               ConfigSource source) {
   v1::ChangeLog log;
   if (!JsonStringToMessage(changes_json, &log).ok()) {
-    LOG4CXX_WARN(log_, "a change log cannot be read");
+    LOG4CXX_WARN(log_, "ignored a malformed change log");
     return;
   }
   OfferResult latest = OfferResult::kAlreadyInForce;
@@ -435,7 +435,7 @@
                    std::string("result=\"") + OfferResultName(offer) + "\"")
       ->Add();
   if (offer == OfferResult::kConflict || offer == OfferResult::kInvalid) {
-    LOG4CXX_WARN(log_, "configuration refused: "
+    LOG4CXX_WARN(log_, "configuration rejected: "
                            << ports_.active_config->State().last_fault);
     return;
   }
--- a/src/sidecar/engine_reconciler.cc
+++ b/src/sidecar/engine_reconciler.cc
@@ -162,7 +162,7 @@
   unconfirmed_orphans_ = std::move(unconfirmed_orphans);
   if (all_released && !reconciled_) {
     reconciled_ = true;
-    LOG4CXX_INFO(log_, "the engine holds nothing that nobody owns");
+    LOG4CXX_INFO(log_, "released all orphaned allocations of the engine");
   }
 }
 
@@ -219,7 +219,7 @@
       [] { return false; });
   if (accepted) {
     required_since_.erase(name);
-    LOG4CXX_INFO(log_, "order given: " << name);
+    LOG4CXX_INFO(log_, "order accepted by the engine: " << name);
   } else {
     orders_failed_->Add();
   }
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -19,16 +19,16 @@
 
 struct Describer {
   std::string operator()(const EngineRejected& error) const {
-    return "the engine refused: " + error.reason;
+    return "the engine rejected the request: " + error.reason;
   }
   std::string operator()(const EngineUnreachable& error) const {
     return "the engine cannot be reached: " + error.reason;
   }
   std::string operator()(const EngineOutcomeUnknown& error) const {
-    return "the engine was lost: " + error.reason;
+    return "the outcome of the engine call is unknown: " + error.reason;
   }
   std::string operator()(const EngineFenceOutdated&) const {
-    return "the engine has seen a newer fence";
+    return "the engine has already seen a newer fencing token";
   }
 };
 
