--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -54,6 +54,8 @@
   static constexpr std::int64_t kWindow = 64;
 
  private:
+  // Sends the request and then its body in chunks. Returns false if the link
+  // is not open.
   bool SendRequest(wire::Submit submit, const std::string& body);
   AttemptResult WaitForResult(AttemptEvidence* evidence);
   std::optional<AttemptResult> Handle(const StreamEvent& event,
@@ -61,6 +63,8 @@
   std::optional<AttemptResult> OnOutput(const wire::Output& output);
   std::optional<AttemptResult> CheckTimeouts(TimePoint now,
                                              AttemptEvidence* evidence);
+  // Asks the sidecar to revoke the request, and waits briefly for its reply.
+  // Returns the answer if it completed in the meantime, and `end` otherwise.
   AttemptResult Withdraw(AttemptEvidence* evidence, const AttemptEnd& end);
   void Forward(const AnswerToken& token);
 
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -107,16 +107,31 @@
                                  AttemptPorts ports, AttemptEvidence* evidence);
   wire::Submit MakeSubmit(const Context& context,
                           const AnswerAssembler& assembler) const;
+  // Returns the minimum number of engines to spread the request over, or zero
+  // if one engine serves it.
   std::size_t GroupSize(const Context& context) const;
+  // Records the prefix of the prompt as seen. Sets `warm_prefix` if it was seen
+  // recently.
   void RecordPrefix(Context* context);
   const std::vector<SubsetEndpoint>& Subset(const Context& context) const;
+  // Returns the link to the endpoint that the routing policy selects, or null
+  // if no endpoint is available. Endpoints of other data centres are considered
+  // only if no local one is available.
   std::shared_ptr<Link> Choose(const Context& context);
   std::shared_ptr<Link> ChooseAmong(const Context& context, bool far);
+  // Waits until an endpoint is available, and returns the link to it. Returns
+  // null on a time-out, if an attempt was made already, or if the caller has
+  // disconnected.
   std::shared_ptr<Link> WaitForLink(const Context& context, AnswerSink* sink);
+  // Waits until the link to `endpoint` is usable, and returns it. Returns null
+  // once `until` has passed.
   std::shared_ptr<Link> WaitUntilUsable(const EndpointId& endpoint,
                                         const std::string& address,
                                         TimePoint until);
+  // Returns false if the host list marks the endpoint as leaving.
   bool IsAvailable(const EndpointId& endpoint) const;
+  // Sends a ticket call to a sidecar and closes `stream`. Returns the response,
+  // or nullopt if none arrived in time.
   std::optional<wire::TicketAnswer> CallTicketIssuer(
       const std::shared_ptr<Link>& link, StreamId stream, StreamInbox* inbox,
       const wire::Message& call_message);
--- a/src/entry/endpoint_table.h
+++ b/src/entry/endpoint_table.h
@@ -61,6 +61,8 @@
   Revision GetRevision() const { return revision_; }
 
  private:
+  // Selects the subset of `endpoints` for this host. `key` names the model or
+  // service.
   std::vector<SubsetEndpoint> SelectSubset(
       const Configuration& configuration, const std::string& key,
       const std::vector<EndpointId>& endpoints);
--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -63,7 +63,9 @@
     wire::SegmentRef segment_ref;
   };
 
+  // Returns whether the prompt would fit if all candidates were idle.
   bool FitsWhenIdle() const;
+  // Returns `free` minus the headroom that is reserved for short requests.
   Tokens WithoutHeadroom(Tokens free, Tokens memory) const;
   bool ReserveAll(AttemptEnd* end_reason);
   GroupStep ReserveMembers(GroupReservation* reservation,
@@ -74,9 +76,13 @@
   void OnEvent(const StreamEvent& event, AttemptEvidence* evidence);
   bool ReplaceLost(AttemptEnd* end_reason);
   bool Replace(Member* member);
+  // Tries to reserve the segment of a lost member on another candidate. If
+  // `reuse_members` is set, engines that are members already are candidates,
+  // too.
   bool TryReplace(Member* member, bool reuse_members);
   bool TryReserve(const EndpointId& id, Member* member);
   AttemptResult Generate(AttemptEvidence* evidence);
+  // Marks all members that do not confirm a renewal of their reservation.
   void MarkLostMembers();
   void RenewAll();
   void Release(Member* member);
--- a/src/entry/link_pool.cc
+++ b/src/entry/link_pool.cc
@@ -6,6 +6,7 @@
 namespace {
 
 constexpr Millis kRedialBackoff{500};
+// A link without streams is closed when it has not been used for this long.
 constexpr Millis kIdleTimeout{30000};
 
 // Returns the ID of the stream that a message from a sidecar belongs to, or
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -78,9 +78,14 @@
   void RunCompare();
   void RunPush();
   void ReadDocument();
+  // Applies a JSON ChangeLog. Reads the whole document if the service has
+  // changes whose base revision is missing here.
   void ApplyChanges(const std::string& changes_json, ConfigSource source);
   void WatchOnce();
+  // Waits for the poll interval, and reads the changes once.
   void PollOnce();
+  // Waits for `interval`, or less while the node is isolated from its peers.
+  // Returns false on Stop.
   bool WaitForPoll(Millis interval);
   void ReadHosts();
   void Bootstrap();
@@ -89,13 +94,17 @@
   void PushTo(const std::string& address);
   std::optional<PeerState> SendUpdate(const std::string& address,
                                       const PeerUpdate& update);
+  // Returns an update with the latest change and the host list only.
   PeerUpdate LatestChangeUpdate() const;
   void OfferDocument(const std::string& document, ConfigSource source);
+  // Counts the result of an offer. If a revision or host list was adopted,
+  // calls the listener and schedules a push.
   void HandleOfferResult(OfferResult offer);
   std::shared_ptr<const DisseminationPlan> Plan();
   std::vector<std::string> BootstrapPeers();
   PeerUpdate UpdateFor(const PeerState& theirs) const;
   bool Sleep(Millis time);
+  // Returns `time` with random jitter of up to 25% in either direction.
   Millis Jittered(Millis time) const;
 
   NodeSettings settings_;
--- a/src/sidecar/engine_reconciler.h
+++ b/src/sidecar/engine_reconciler.h
@@ -61,11 +61,16 @@
 
  private:
   void Run();
+  // Returns whether the configuration declares an engine for this endpoint.
   bool HasEngine() const;
   void Reconcile();
   void ReleaseOrphans(const EngineStatus& status);
+  // Sends the first due order, if there is one.
   void SendNextOrder(const EngineStatus& status);
+  // Returns whether the delay that staggers weight loads has passed.
   bool IsDue(const EngineOrder& order, const Configuration& configuration);
+  // Sends an order. Returns false if it failed, and true if it was accepted or
+  // withheld after a pause of the process.
   bool SendOrder(const EngineOrder& order, Revision fence);
 
   SidecarSettings settings_;
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -77,20 +77,31 @@
   }
 
   // The following methods require that mutex_ is held.
+  // Validates a request whose body is complete, and starts it under its
+  // reservation or enqueues it.
   void OnBodyComplete(const StreamPtr& stream);
   void Enqueue(const StreamPtr& stream);
   void RunUnderReservation(const StreamPtr& stream);
+  // Redeems the ticket of an enqueued request. Returns true if the request may
+  // run or has no ticket. Otherwise the stream is removed from the queue, and
+  // it either receives the stored answer or an error.
   bool RedeemTicket(const StreamPtr& stream);
   void AttachToLog(const StreamPtr& stream, const Ticket& ticket);
   void StartQueued();
+  // Runs the request, or the replay of its log, on a thread of the pool.
   void StartThread(const StreamPtr& stream, bool replay);
   void DropOverdue();
   void CancelExpiredLeases();
+  // Cancels the requests that use a group reservation, and removes it.
   void CancelMember(std::uint64_t reservation);
+  // Handles a caller that has disconnected. A running request with a ticket
+  // continues; any other request is abandoned.
   void Detach(const StreamPtr& stream);
+  // Cancels a request and, if it is running, its allocation on the engine.
   void Abandon(const StreamPtr& stream);
   void Reject(const StreamPtr& stream, const wire::Refused& refused);
   void RemoveStream(const StreamPtr& stream);
+  // Queues an allocation for release by the canceller thread.
   void QueueCancel(const AllocationId& allocation);
   StreamPtr Find(ConnectionId connection, StreamId stream) const;
 
@@ -98,6 +109,7 @@
   void ApplyConfiguration();
   void RunTimer();
   void RunCanceller();
+  // Sends heartbeats to all connections, or only to those with streams.
   void SendHeartbeats(bool all);
   void Dump(nlohmann::json* dump);
   SchedulerOptions OptionsFrom(const Configuration& configuration);
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -13,6 +13,8 @@
 
 constexpr int kShortPriority = 10;
 constexpr int kLongPriority = 1;
+// Prefill chunk sizes in tokens. The chunk of a long prompt grows from
+// kMinLongChunk to kMaxChunk with long_weight_percent.
 constexpr std::int64_t kMinLongChunk = 512;
 constexpr std::int64_t kMaxChunk = 4096;
 constexpr std::int64_t kPercent = 100;
