--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -76,21 +76,27 @@
     links_->Close(connection);
   }
 
-  // The following methods require that mutex_ is held.
+  // The following methods require that mutex_ is held, up to Find.
+
   // Validates a request whose body is complete, and starts it under its
   // reservation or enqueues it.
   void OnBodyComplete(const StreamPtr& stream);
   void Enqueue(const StreamPtr& stream);
+  // Starts a group member's request immediately in its reserved memory, and
+  // renews the reservation up to the deadline, within kMaxReservationTtl.
   void RunUnderReservation(const StreamPtr& stream);
   // Redeems the ticket of an enqueued request. Returns true if the request may
   // run or has no ticket. Otherwise the stream is removed from the queue, and
   // it either receives the stored answer or an error.
   bool RedeemTicket(const StreamPtr& stream);
   void AttachToLog(const StreamPtr& stream, const Ticket& ticket);
+  // Starts the requests that the scheduler admits.
   void StartQueued();
   // Runs the request, or the replay of its log, on a thread of the pool.
   void StartThread(const StreamPtr& stream, bool replay);
+  // Rejects queued requests whose deadline has passed.
   void DropOverdue();
+  // Cancels requests and reservations whose lease has expired.
   void CancelExpiredLeases();
   // Cancels the requests that use a group reservation, and removes it.
   void CancelMember(std::uint64_t reservation);
