--- a/src/entry/answer_writer.h
+++ b/src/entry/answer_writer.h
@@ -1,4 +1,5 @@
-// Writes one answer to a caller, whole or as a stream of events.
+// Writes one answer to a caller, either as a single response or as a stream of
+// server-sent events.
 
 #ifndef HARECRANK_SRC_ENTRY_ANSWER_WRITER_H_
 #define HARECRANK_SRC_ENTRY_ANSWER_WRITER_H_
@@ -17,54 +18,57 @@
 
 namespace harecrank {
 
-// What a writer works with. All must outlive it.
+// Dependencies of an AnswerWriter. All pointers must outlive it.
 struct AnswerWriterPorts {
   Poco::Net::HTTPServerRequest* request = nullptr;
   Poco::Net::HTTPServerResponse* response = nullptr;
   MonotonicClock clock;
-  // Where the time to the first part, and between parts, is recorded.
+  // Histograms of the time from the creation of the writer to the first part,
+  // and of the time between parts.
   DurationHistogram* first_part = nullptr;
-  DurationHistogram* gap = nullptr;
+  DurationHistogram* between_parts = nullptr;
 };
 
-// Returns the JSON that tells a caller of a refusal.
+// Returns the JSON error body for a refusal.
 std::string RefusalJson(const Refusal& refusal);
 
-// Writes a refusal with its status, and Retry-After where it has one.
+// Writes a refusal with its HTTP status, and with a Retry-After header if it
+// has a retry delay.
 void WriteRefusal(Poco::Net::HTTPServerResponse& response,
                   const Refusal& refusal);
 
-// Takes the parts of one answer and writes them in the form that was asked for.
+// Writes the parts of one answer in the form that the request selected.
 //
-// A stream is live: each part goes out as one event at once. It is alive: a
-// comment goes out while nothing else does. It ends with an explicit event, so
-// that a caller can tell an end from a cut.
+// In a stream, each part is flushed immediately as one event. While no part
+// arrives, comments are sent as keep-alives. The stream ends with an explicit
+// "done" or "error" event, so that a caller can distinguish a complete answer
+// from a broken connection.
 class AnswerWriter : public AnswerSink {
  public:
-  AnswerWriter(AnswerWriterPorts ports, const CallerRequest& asked);
+  AnswerWriter(AnswerWriterPorts ports, const CallerRequest& caller_request);
 
   bool OnPart(const std::string& part) override;
   bool OnIdle() override;
 
-  // Writes what remains once the request has ended.
+  // Completes the response after the request has ended.
   void Finish(const DispatchResult& result);
 
  private:
   void BeginStream();
   bool WriteEvent(const std::string& data);
   bool Flush();
-  std::string PartJson(const std::string& part) const;
-  std::string WholeJson(const Answered& answered) const;
-  void FinishStream(const DispatchResult& result);
-  void FinishWhole(const Answered& answered);
+  std::string EventJson(const std::string& part) const;
+  std::string ResponseJson(const Answered& answered) const;
+  void EndStream(const DispatchResult& result);
+  void WriteResponse(const Answered& answered);
 
   AnswerWriterPorts ports_;
-  const CallerRequest& asked_;
-  TimePoint began_;
-  TimePoint last_written_;
-  std::optional<TimePoint> last_part_;
-  std::string whole_;
-  std::int64_t parts_ = 0;
+  const CallerRequest& request_;
+  TimePoint started_at_;
+  TimePoint last_write_at_;
+  std::optional<TimePoint> last_part_at_;
+  std::string full_text_;
+  std::int64_t part_count_ = 0;
   std::ostream* stream_ = nullptr;
 };
 
--- a/src/entry/caller_server.h
+++ b/src/entry/caller_server.h
@@ -1,4 +1,4 @@
-// The door for callers: HTTP in, HTTP out.
+// HTTP server for callers.
 
 #ifndef HARECRANK_SRC_ENTRY_CALLER_SERVER_H_
 #define HARECRANK_SRC_ENTRY_CALLER_SERVER_H_
@@ -16,52 +16,54 @@
 
 // Serves callers on one address.
 //
-// Each request in hand has a thread. Only so many are taken at once; threads
-// beyond them remain to refuse the rest without delay.
+// Each request in flight occupies a thread. The number of requests in flight is
+// limited; additional threads are reserved so that requests over the limit are
+// rejected without delay.
 class CallerServer {
  public:
-  // All must outlive the server.
+  // `node` and `dispatcher` must outlive the server.
   CallerServer(const EntrySettings& settings, Node* node,
                Dispatcher* dispatcher, MonotonicClock clock);
 
-  // Begins to listen.
+  // Starts to listen.
   void Start();
 
-  // From now on every request is refused as not run.
+  // Rejects every later request with outcome kNotRun.
   void Drain() { draining_ = true; }
 
-  // Returns how many requests are in hand.
-  int InFlight() const { return in_hand_.load(); }
+  // Returns the number of requests in flight.
+  int InFlight() const { return in_flight_.load(); }
 
   void Stop();
 
  private:
   void Handle(Poco::Net::HTTPServerRequest& request,
               Poco::Net::HTTPServerResponse& response);
-  // Lists the models that the document names.
+  // Returns the list of the models in the configuration.
   void HandleModels(Poco::Net::HTTPServerRequest& request,
                     Poco::Net::HTTPServerResponse& response);
   void HandleTicket(Poco::Net::HTTPServerRequest& request,
                     Poco::Net::HTTPServerResponse& response);
   void HandleRequest(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response);
-  void Serve(const CallerRequest& asked, Poco::Net::HTTPServerRequest& request,
-             Poco::Net::HTTPServerResponse& response);
-  void Refuse(Poco::Net::HTTPServerResponse& response, const Refusal& refusal);
-  bool TakePlace();
+  void RunRequest(const CallerRequest& caller_request,
+                  Poco::Net::HTTPServerRequest& request,
+                  Poco::Net::HTTPServerResponse& response);
+  void Reject(Poco::Net::HTTPServerResponse& response, const Refusal& refusal);
+  bool TryAcquireSlot();
 
   EntrySettings settings_;
   Node* node_;
   Dispatcher* dispatcher_;
   MonotonicClock clock_;
   std::atomic<bool> draining_{false};
-  std::atomic<int> in_hand_{0};
+  std::atomic<int> in_flight_{0};
   Counter* requests_;
   Counter* answered_;
-  Counter* refused_;
+  Counter* rejected_;
   DurationHistogram* first_part_short_;
   DurationHistogram* first_part_long_;
-  DurationHistogram* gap_;
+  DurationHistogram* between_parts_;
   std::unique_ptr<HttpServer> server_;
 };
 
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -1,4 +1,4 @@
-// Takes a checked request to its answer: limits, routing, attempts, retries.
+// Runs validated requests: rate limits, routing, attempts and retries.
 
 #ifndef HARECRANK_SRC_ENTRY_DISPATCHER_H_
 #define HARECRANK_SRC_ENTRY_DISPATCHER_H_
@@ -24,24 +24,25 @@
 
 namespace harecrank {
 
-// How a request ended well.
+// Result of a request that succeeded.
 struct Answered {
   wire::Finished finished;
-  // The endpoint that gave the answer, and how many attempts it took.
+  // The endpoint that produced the answer, and the number of attempts that were
+  // needed.
   EndpointId endpoint;
   int attempts = 1;
-  // How many engines held the prompt.
+  // Number of engines that held a part of the prompt.
   int members = 1;
 };
 using DispatchResult = std::variant<Answered, Refusal>;
 
-// A ticket for one request that may not be repeated.
+// A ticket that permits one execution of a request that must not be repeated.
 struct IssuedTicket {
   std::string ticket;
   Millis ttl;
 };
 
-// What a dispatcher is made from. All must outlive it.
+// Dependencies of a Dispatcher. All pointers must outlive it.
 struct DispatcherPorts {
   Node* node = nullptr;
   LinkPool* links = nullptr;
@@ -49,47 +50,50 @@
   RandomSource random;
 };
 
-// Runs each request on its caller's thread. Thread-safe.
+// Runs each request on the calling thread. Thread-safe.
 class Dispatcher {
  public:
-  // `policy_name` is one that RoutingPolicyFromName knows.
+  // `policy_name` must be a name that RoutingPolicyFromName accepts.
   Dispatcher(DispatcherPorts ports, std::string policy_name);
 
-  // Takes a new revision: the table that requests see is replaced whole.
+  // Adopts a new configuration revision. The endpoint table is replaced
+  // atomically.
   void OnConfiguration();
 
-  // Keeps the links that the table wants. Called at intervals.
+  // Maintains links to all endpoints in the table. Must be called periodically.
   void Maintain();
 
-  // Returns how many retries the budget allows now.
+  // Returns the number of retries that the retry budget permits at present.
   std::int64_t RetriesLeft() const { return budget_.Left(); }
 
-  // Returns how many accounts have called this host under a limit.
+  // Returns the number of rate-limited accounts that have sent requests to this
+  // host.
   std::size_t LimitedAccounts();
 
-  // Runs `request` to its end, within its time limit.
+  // Runs `request` to completion, within its time limit.
   DispatchResult Run(const CallerRequest& request, AnswerSink* sink);
 
-  // Gets a ticket for a model or, if `service` is not empty, a service.
+  // Obtains a ticket for a model or, if `service` is not empty, for a service.
   std::variant<IssuedTicket, Refusal> IssueTicket(const AccountId& account,
                                                   const ModelId& model,
                                                   const ServiceName& service);
 
-  // Ends an unspent ticket. Returns kNotRun only if it is certain that its
-  // request did not and will not run.
+  // Revokes an unused ticket. Returns kNotRun only if it is certain that its
+  // request has not run and will not run.
   Outcome RevokeTicket(const AccountId& account, const std::string& ticket);
 
  private:
-  // What a running request carries with it.
+  // State of a request that is being dispatched.
   struct Context {
     const CallerRequest& request;
     std::shared_ptr<const Configuration> configuration;
     std::shared_ptr<const EndpointTable> table;
     TimePoint deadline;
     LengthClass length = LengthClass::kShort;
-    // Names the prompt's beginning; empty if no cache can have it.
+    // Key of the prompt's prefix for cache-affine routing; empty if the prefix
+    // has not been seen recently, so that no cache can contain it.
     std::string warm_prefix{};
-    std::set<EndpointId> tried{};
+    std::set<EndpointId> tried_endpoints{};
   };
 
   std::optional<Refusal> CheckLimit(const Context& context);
@@ -98,24 +102,39 @@
   AttemptResult RunGroup(Context* context, std::size_t min_members,
                          AttemptPorts ports, AttemptEvidence* evidence,
                          Answered* answered);
-  AttemptResult RunOnce(Context* context, const std::shared_ptr<Link>& link,
-                        AttemptPorts ports, AttemptEvidence* evidence);
+  AttemptResult RunSingleAttempt(Context* context,
+                                 const std::shared_ptr<Link>& link,
+                                 AttemptPorts ports, AttemptEvidence* evidence);
   wire::Submit MakeSubmit(const Context& context,
                           const AnswerAssembler& assembler) const;
+  // Returns the minimum number of engines to spread the request over, or zero
+  // if one engine serves it.
   std::size_t GroupSize(const Context& context) const;
-  void NotePrefix(Context* context);
+  // Records the prefix of the prompt as seen. Sets `warm_prefix` if it was seen
+  // recently.
+  void RecordPrefix(Context* context);
   const std::vector<SubsetEndpoint>& Subset(const Context& context) const;
+  // Returns the link to the endpoint that the routing policy selects, or null
+  // if no endpoint is available. Endpoints of other data centres are considered
+  // only if no local one is available.
   std::shared_ptr<Link> Choose(const Context& context);
   std::shared_ptr<Link> ChooseAmong(const Context& context, bool far);
+  // Waits until an endpoint is available, and returns the link to it. Returns
+  // null on a time-out, if an attempt was made already, or if the caller has
+  // disconnected.
   std::shared_ptr<Link> WaitForLink(const Context& context, AnswerSink* sink);
+  // Waits until the link to `endpoint` is usable, and returns it. Returns null
+  // once `until` has passed.
   std::shared_ptr<Link> WaitUntilUsable(const EndpointId& endpoint,
                                         const std::string& address,
                                         TimePoint until);
-  bool MayUse(const EndpointId& endpoint) const;
-  std::optional<wire::TicketAnswer> AskTicket(const std::shared_ptr<Link>& link,
-                                              StreamId stream,
-                                              StreamInbox* inbox,
-                                              const wire::Message& question);
+  // Returns false if the host list marks the endpoint as leaving.
+  bool IsAvailable(const EndpointId& endpoint) const;
+  // Sends a ticket call to a sidecar and closes `stream`. Returns the response,
+  // or nullopt if none arrived in time.
+  std::optional<wire::TicketAnswer> CallTicketIssuer(
+      const std::shared_ptr<Link>& link, StreamId stream, StreamInbox* inbox,
+      const wire::Message& call_message);
 
   DispatcherPorts ports_;
   std::string policy_name_;
@@ -125,7 +144,7 @@
   AccountLimiter limiter_;
   std::mutex table_mutex_;
   RcuCell<EndpointTable> table_;
-  Counter* limited_;
+  Counter* rate_limited_;
   Counter* retries_;
   Counter* resumed_;
   Counter* groups_;
--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -1,4 +1,4 @@
-// Runs a prompt that is larger than any one engine on a group of them.
+// Runs a request whose prompt is distributed over a group of engines.
 
 #ifndef HARECRANK_SRC_ENTRY_GROUP_RUNNER_H_
 #define HARECRANK_SRC_ENTRY_GROUP_RUNNER_H_
@@ -16,23 +16,24 @@
 
 namespace harecrank {
 
-// What a group works with. All must outlive it.
+// Dependencies and parameters of a GroupRunner. All pointers must outlive it.
 struct GroupPorts {
   AttemptPorts attempt;
   RandomSource random;
-  // Returns whether an endpoint may be given new work.
+  // Returns whether an endpoint accepts new work.
   std::function<bool(const EndpointId&)> is_available;
   int short_headroom_percent = 0;
-  // Among how many engines to spread a prompt that fewer could hold. Halved
-  // with each round that finds no room.
+  // Minimum number of engines to spread the prompt over, even if fewer could
+  // hold it. Halved after each round in which the reservation fails.
   std::size_t min_members = 1;
-  // Counts segments that had to be prefilled again.
+  // Counter of segments that were prefilled again.
   Counter* segments_redone = nullptr;
 };
 
-// Coordinates one group, on the caller's thread: reserves all members or none,
-// has each prefill its segment, and has the last one generate over all of
-// them. A member that is lost is replaced, and only its segment is done again.
+// Coordinates one group on the calling thread. It reserves memory on all
+// members or on none, has each member prefill its segment, and has the last
+// member generate the answer from all segments. If a member is lost, it is
+// replaced and only its segment is prefilled again.
 class GroupRunner {
  public:
   GroupRunner(GroupPorts ports, const CallerRequest& request,
@@ -41,49 +42,55 @@
   GroupRunner(const GroupRunner&) = delete;
   GroupRunner& operator=(const GroupRunner&) = delete;
 
-  // Runs the request to its end.
+  // Runs the request to completion.
   AttemptResult Run(AttemptEvidence* evidence);
 
-  // Returns the member that generates, and how many there are; none before
-  // Run has reserved them.
+  // Returns the member that runs decode, and the number of members. The result
+  // is an empty ID or 0 before Run has reserved the members.
   EndpointId DecodeEndpoint() const;
   int MemberCount() const { return static_cast<int>(members_.size()); }
 
  private:
-  // One engine of the group.
+  // An engine in the group.
   struct Member {
     Segment segment;
     std::shared_ptr<Link> link;
-    // The stream that holds the reservation, and the one that prefills.
+    // Stream IDs of the reservation and of the prefill; zero if not open.
     StreamId reservation;
     StreamId prefill;
     bool lost = false;
     bool ready = false;
-    wire::SegmentRef ref;
+    wire::SegmentRef segment_ref;
   };
 
-  bool CanEverFit() const;
+  // Returns whether the prompt would fit if all candidates were idle.
+  bool FitsWhenIdle() const;
+  // Returns `free` minus the headroom that is reserved for short requests.
   Tokens WithoutHeadroom(Tokens free, Tokens memory) const;
-  bool ReserveAll(AttemptEnd* why);
-  GroupStep AskAll(GroupReservation* reservation,
-                   const std::vector<Segment>& segments);
-  GroupStep Ask(GroupReservation* reservation, Member* member);
-  bool PrefillAll(AttemptEvidence* evidence, AttemptEnd* why);
+  bool ReserveAll(AttemptEnd* end_reason);
+  GroupStep ReserveMembers(GroupReservation* reservation,
+                           const std::vector<Segment>& segments);
+  GroupStep SendReserve(GroupReservation* reservation, Member* member);
+  bool PrefillAll(AttemptEvidence* evidence, AttemptEnd* end_reason);
   void SubmitSegment(Member* member);
   void OnEvent(const StreamEvent& event, AttemptEvidence* evidence);
-  bool ReplaceLost(AttemptEnd* why);
+  bool ReplaceLost(AttemptEnd* end_reason);
   bool Replace(Member* member);
-  bool ReplaceAmong(Member* member, bool members_too);
-  bool ReserveAt(const EndpointId& id, Member* member);
+  // Tries to reserve the segment of a lost member on another candidate. If
+  // `reuse_members` is set, engines that are members already are candidates,
+  // too.
+  bool TryReplace(Member* member, bool reuse_members);
+  bool TryReserve(const EndpointId& id, Member* member);
   AttemptResult Generate(AttemptEvidence* evidence);
+  // Marks all members that do not confirm a renewal of their reservation.
   void MarkLostMembers();
   void RenewAll();
   void Release(Member* member);
   void ReleaseAll();
   Member* FindByStream(StreamId stream);
   std::vector<SegmentCandidate> Candidates() const;
-  std::shared_ptr<Link> LinkTo(const EndpointId& id);
-  bool IsOutOfTime(AttemptEnd* why) const;
+  std::shared_ptr<Link> GetLink(const EndpointId& id);
+  bool IsPastDeadline(AttemptEnd* end_reason) const;
 
   GroupPorts ports_;
   const CallerRequest& request_;
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -19,22 +19,24 @@
 
 constexpr char kDocumentKey[] = "document";
 constexpr char kChangesKey[] = "changes";
-// A stop waits for the watch in hand, and a reader polls the host list between
-// two; the service's rate bears far more.
+// Maximum duration of one watch. Stop waits for the current watch to return,
+// and a watcher reads the host list between two watches. The resulting call
+// rate is far below the service's rate limit.
 constexpr Millis kWatchWait{2000};
-constexpr Millis kFirstBackoff{250};
-constexpr Millis kMostBackoff{8000};
+constexpr Millis kMinBackoff{250};
+constexpr Millis kMaxBackoff{8000};
 constexpr Millis kPeerTimeout{800};
 constexpr int kBootstrapRounds = 4;
-// After so many comparisons in a row without an answer a node looks at the
-// service itself: its data centre may have lost its readers.
-constexpr int kFailuresBeforeLook = 5;
-// Rare enough that all nodes of the target, cut off from each other at once,
-// stay within the service's rate.
-constexpr Millis kLonelyInterval{5000};
+// Number of consecutive failed comparisons after which a node polls the service
+// itself, because its data centre may have lost all its watchers.
+constexpr int kFailuresBeforePoll = 5;
+// Poll interval of a node that is isolated from its peers. It is long enough
+// that all nodes of a fleet of the planned size stay within the service's rate
+// limit, even if all are isolated at once.
+constexpr Millis kIsolatedPollInterval{5000};
 constexpr std::size_t kBootstrapPeers = 3;
 constexpr Millis kBootstrapPause{250};
-constexpr Millis kLookPoll{250};
+constexpr Millis kPollCheckInterval{250};
 
 std::string ToJson(const v1::ChangeLog& log) {
   std::string text;
@@ -112,7 +114,7 @@
 }
 
 PeerState ConfigFeed::OnPush(const PeerUpdate& update) {
-  TakeUpdate(update);
+  ApplyUpdate(update);
   return MyState();
 }
 
@@ -131,12 +133,12 @@
     const auto plan = Plan();
     if (plan == nullptr) {
       ReadDocument();
-      Sleep(Jittered(std::max(service_backoff_, kFirstBackoff)));
+      Sleep(Jittered(std::max(service_backoff_, kMinBackoff)));
     } else if (plan->IsWatcher()) {
       WatchOnce();
       Sleep(Jittered(service_backoff_));
     } else {
-      LookOnce();
+      PollOnce();
     }
   }
 }
@@ -150,21 +152,21 @@
     const NodeAddress* peer = plan->PickPeer(ports_.random);
     if (peer != nullptr) {
       const bool answered = CompareWith(peer->operations);
-      failures_ = answered ? 0 : failures_ + 1;
+      compare_failures_ = answered ? 0 : compare_failures_ + 1;
     }
   }
 }
 
-bool ConfigFeed::WaitToLook(Millis interval) {
+bool ConfigFeed::WaitForPoll(Millis interval) {
   const TimePoint due = ports_.clock() + interval;
-  const TimePoint lonely_due =
-      ports_.clock() + std::min(interval, kLonelyInterval);
+  const TimePoint isolated_due =
+      ports_.clock() + std::min(interval, kIsolatedPollInterval);
   while (ports_.clock() < due) {
-    const bool lonely = failures_ >= kFailuresBeforeLook;
-    if (lonely && ports_.clock() >= lonely_due) {
+    const bool isolated = compare_failures_ >= kFailuresBeforePoll;
+    if (isolated && ports_.clock() >= isolated_due) {
       return true;
     }
-    if (!Sleep(kLookPoll)) {
+    if (!Sleep(kPollCheckInterval)) {
       return false;
     }
   }
@@ -182,7 +184,8 @@
     if (plan == nullptr || stopping_) {
       continue;
     }
-    // Side by side: a child that is frozen must not hold back its siblings.
+    // Pushes run in parallel, so that a child that does not respond does not
+    // delay the others.
     std::vector<std::future<void>> pushes;
     for (const NodeAddress& child : plan->Children()) {
       pushes.push_back(std::async(std::launch::async,
@@ -202,8 +205,8 @@
       },
       [&] {
         service_errors_->Add();
-        service_backoff_ = std::min(
-            kMostBackoff, std::max(kFirstBackoff, service_backoff_ * 2));
+        service_backoff_ =
+            std::min(kMaxBackoff, std::max(kMinBackoff, service_backoff_ * 2));
       });
 }
 
@@ -216,48 +219,49 @@
         service_backoff_ = Millis(0);
         if (value) {
           watch_version_ = value->version;
-          TakeChanges(value->value, ConfigSource::kService);
+          ApplyChanges(value->value, ConfigSource::kService);
         }
         return {};
       },
       [&] {
         service_errors_->Add();
-        service_backoff_ = std::min(
-            kMostBackoff, std::max(kFirstBackoff, service_backoff_ * 2));
+        service_backoff_ =
+            std::min(kMaxBackoff, std::max(kMinBackoff, service_backoff_ * 2));
       });
 }
 
-void ConfigFeed::LookOnce() {
+void ConfigFeed::PollOnce() {
   const auto plan = Plan();
-  if (!WaitToLook(Jittered(plan->FallbackPollInterval()))) {
+  if (!WaitForPoll(Jittered(plan->FallbackPollInterval()))) {
     return;
   }
   service_calls_->Add();
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         BOOST_LEAF_AUTO(value, ports_.service->Read(kChangesKey));
-        TakeChanges(value.value, ConfigSource::kService);
+        ApplyChanges(value.value, ConfigSource::kService);
         return {};
       },
       [&] { service_errors_->Add(); });
 }
 
-void ConfigFeed::TakeChanges(const std::string& changes_json,
-                             ConfigSource source) {
+void ConfigFeed::ApplyChanges(const std::string& changes_json,
+                              ConfigSource source) {
   v1::ChangeLog log;
   if (!JsonStringToMessage(changes_json, &log).ok()) {
-    LOG4CXX_WARN(log_, "a change log cannot be read");
+    LOG4CXX_WARN(log_, "ignored a malformed change log");
     return;
   }
   OfferResult latest = OfferResult::kAlreadyInForce;
   for (const v1::Change& change : log.changes()) {
-    // Those already passed are no news.
+    // Skips changes that are already applied. The last one is offered in any
+    // case.
     if (change.revision() <= ports_.active_config->State().revision.value &&
         &change != &*log.changes().rbegin()) {
       continue;
     }
     latest = ports_.active_config->OfferChange(change, source);
-    Settle(latest);
+    HandleOfferResult(latest);
   }
   if (latest == OfferResult::kMissingBase && source == ConfigSource::kService) {
     ReadDocument();
@@ -276,7 +280,7 @@
       [&]() -> leaf::result<void> {
         BOOST_LEAF_AUTO(list, ports_.host_list->Read());
         if (ports_.hosts->Offer(std::move(list))) {
-          Settle(OfferResult::kAdopted);
+          HandleOfferResult(OfferResult::kAdopted);
         }
         return {};
       },
@@ -284,19 +288,19 @@
 }
 
 void ConfigFeed::Bootstrap() {
-  // A service that is silently stale would give a newcomer an old document, so
-  // the peers are asked before this node calls itself ready.
+  // The service may return an outdated document without an error, so a new node
+  // compares with its peers before it reports ready.
   for (int round = 0; round < kBootstrapRounds && !stopping_; ++round) {
     int answered = 0;
     const std::vector<std::string> peers = BootstrapPeers();
     for (const std::string& peer : peers) {
       answered += CompareWith(peer) ? 1 : 0;
     }
-    const bool have = ports_.active_config->InForce() != nullptr;
-    if (have && (answered > 0 || peers.empty())) {
+    const bool has_configuration = ports_.active_config->InForce() != nullptr;
+    if (has_configuration && (answered > 0 || peers.empty())) {
       break;
     }
-    if (!have) {
+    if (!has_configuration) {
       ReadDocument();
       round = 0;
     }
@@ -321,16 +325,16 @@
 
 bool ConfigFeed::CompareWith(const std::string& address) {
   peer_calls_->Add();
-  const std::string mine = EncodePeerState(MyState());
-  bytes_sent_->Add(mine.size());
-  const auto answer = Post(address, "/peer/compare", mine);
+  const std::string own_state = EncodePeerState(MyState());
+  bytes_sent_->Add(own_state.size());
+  const auto answer = Post(address, "/peer/compare", own_state);
   const auto update = answer ? DecodePeerUpdate(*answer) : std::nullopt;
   if (!update) {
     peer_errors_->Add();
     return false;
   }
   bytes_received_->Add(answer->size());
-  TakeUpdate(*update);
+  ApplyUpdate(*update);
   const PeerState now = MyState();
   if (update->state.revision < now.revision ||
       update->state.host_version < now.host_version) {
@@ -339,9 +343,9 @@
   return true;
 }
 
-void ConfigFeed::TakeUpdate(const PeerUpdate& update) {
+void ConfigFeed::ApplyUpdate(const PeerUpdate& update) {
   if (!update.changes_json.empty()) {
-    TakeChanges(update.changes_json, ConfigSource::kPeer);
+    ApplyChanges(update.changes_json, ConfigSource::kPeer);
   }
   if (!update.document_json.empty()) {
     OfferDocument(update.document_json, ConfigSource::kPeer);
@@ -353,22 +357,22 @@
       hosts.leaving.insert(NodeId{id});
     }
     if (ports_.hosts->Offer(std::move(hosts))) {
-      Settle(OfferResult::kAdopted);
+      HandleOfferResult(OfferResult::kAdopted);
     }
   }
 }
 
 void ConfigFeed::PushTo(const std::string& address) {
-  // What the other has is not known: the latest step is nearly always what it
-  // lacks, and it says where it stands in any case.
-  const auto theirs = Give(address, LatestStep());
+  // The peer's revision is not known. The latest change is nearly always what
+  // it lacks, and its reply contains its revision in any case.
+  const auto theirs = SendUpdate(address, LatestChangeUpdate());
   if (theirs && theirs->revision < MyState().revision) {
-    Give(address, UpdateFor(*theirs));
+    SendUpdate(address, UpdateFor(*theirs));
   }
 }
 
-std::optional<PeerState> ConfigFeed::Give(const std::string& address,
-                                          const PeerUpdate& update) {
+std::optional<PeerState> ConfigFeed::SendUpdate(const std::string& address,
+                                                const PeerUpdate& update) {
   peer_calls_->Add();
   const std::string body = EncodePeerUpdate(update);
   bytes_sent_->Add(body.size());
@@ -382,11 +386,12 @@
   return theirs;
 }
 
-PeerUpdate ConfigFeed::LatestStep() const {
-  // As for one that has this revision, but no host list.
-  PeerState level = MyState();
-  level.host_version = 0;
-  PeerUpdate update = UpdateFor(level);
+PeerUpdate ConfigFeed::LatestChangeUpdate() const {
+  // Builds the update for a peer with the same revision but without a host
+  // list.
+  PeerState same_revision = MyState();
+  same_revision.host_version = 0;
+  PeerUpdate update = UpdateFor(same_revision);
   const auto latest = ports_.active_config->LatestChange();
   if (latest) {
     v1::ChangeLog log;
@@ -421,16 +426,16 @@
 
 void ConfigFeed::OfferDocument(const std::string& document,
                                ConfigSource source) {
-  Settle(ports_.active_config->OfferDocument(document, source));
+  HandleOfferResult(ports_.active_config->OfferDocument(document, source));
 }
 
-void ConfigFeed::Settle(OfferResult offer) {
+void ConfigFeed::HandleOfferResult(OfferResult offer) {
   ports_.metrics
       ->GetCounter("harecrank_config_offers_total",
                    std::string("result=\"") + OfferResultName(offer) + "\"")
       ->Add();
   if (offer == OfferResult::kConflict || offer == OfferResult::kInvalid) {
-    LOG4CXX_WARN(log_, "configuration refused: "
+    LOG4CXX_WARN(log_, "configuration rejected: "
                            << ports_.active_config->State().last_fault);
     return;
   }
@@ -443,8 +448,9 @@
   if (listener_) {
     listener_();
   }
-  // Reading a document takes many times its size for a moment. Given back at
-  // once, that does not count against the node's memory for ever.
+  // Parsing a document temporarily takes many times its size in memory.
+  // malloc_trim returns that memory to the operating system, so that it does
+  // not permanently count towards the node's memory use.
   malloc_trim(0);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -474,7 +480,8 @@
 }
 
 Millis ConfigFeed::Jittered(Millis time) const {
-  // Between three and five quarters, so that nodes that started together part.
+  // Between 75% and 125% of `time`, so that nodes that started together do not
+  // stay synchronised.
   constexpr std::int64_t kQuarters = 4;
   const auto span = static_cast<std::uint64_t>(time.count() / 2 + 1);
   return time - time / kQuarters +
--- a/src/sidecar/http_engine.h
+++ b/src/sidecar/http_engine.h
@@ -1,4 +1,4 @@
-// A model engine over HTTP, as the stand-in offers it.
+// Client of a model engine that is called over HTTP.
 
 #ifndef HARECRANK_SRC_SIDECAR_HTTP_ENGINE_H_
 #define HARECRANK_SRC_SIDECAR_HTTP_ENGINE_H_
@@ -9,13 +9,13 @@
 
 namespace harecrank {
 
-// Speaks to the engine at one address. Answers come as lines of JSON.
+// Calls the engine at one address. Generated tokens arrive as lines of JSON.
 class HttpEngine : public EnginePort {
  public:
   explicit HttpEngine(std::string address);
 
   boost::leaf::result<std::int64_t> Generate(const EngineRequest& request,
-                                             const OnAccepted& on_taken,
+                                             const OnAccepted& on_accepted,
                                              const OnToken& on_token) override;
   boost::leaf::result<void> Prefill(const EngineRequest& request) override;
   boost::leaf::result<void> Cancel(const AllocationId& id) override;
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -1,4 +1,4 @@
-// The process beside one endpoint.
+// The sidecar process, which runs next to one endpoint.
 
 #ifndef HARECRANK_SRC_SIDECAR_SIDECAR_NODE_H_
 #define HARECRANK_SRC_SIDECAR_SIDECAR_NODE_H_
@@ -27,11 +27,12 @@
 
 namespace harecrank {
 
-// Takes requests from entry hosts, runs them at its endpoint, and keeps the
-// endpoint's memory and models in order.
+// Accepts requests from entry hosts, runs them at its endpoint, and reconciles
+// the endpoint's memory and models with the configuration.
 //
-// Messages come in on the link server's thread and never wait; each running
-// request has a thread of a bounded pool; one thread keeps time.
+// Messages arrive on the link server's thread, and their handlers never block.
+// Each running request occupies a thread of a bounded pool. One thread handles
+// timers, and one sends cancellations to the engine.
 class SidecarNode {
  public:
   SidecarNode(const SidecarSettings& settings, const MonotonicClock& clock,
@@ -40,18 +41,18 @@
   SidecarNode(const SidecarNode&) = delete;
   SidecarNode& operator=(const SidecarNode&) = delete;
 
-  // Starts everything and returns.
+  // Starts all servers and threads, and returns.
   void Start();
 
-  // Refuses new work, waits for what is in hand up to the drain limit, and
+  // Rejects new work, waits up to the drain limit for requests in flight, and
   // stops.
   void DrainAndStop();
 
  private:
-  struct StreamName {
+  struct StreamKey {
     ConnectionId connection;
     StreamId stream;
-    bool operator<(const StreamName& other) const;
+    bool operator<(const StreamKey& other) const;
   };
   using StreamPtr = std::shared_ptr<SidecarStream>;
   class RunTask;
@@ -59,10 +60,11 @@
   void OnMessage(ConnectionId connection, wire::Message message);
   void OnClose(ConnectionId connection);
 
-  // One overload for each message that an entry host may send.
+  // One overload for each message that an entry host may send. The link is
+  // closed on any other message.
   void On(ConnectionId connection, const wire::Hello& hello);
   void On(ConnectionId connection, wire::Submit& submit);
-  void On(ConnectionId connection, wire::BodyChunk& piece);
+  void On(ConnectionId connection, wire::BodyChunk& chunk);
   void On(ConnectionId connection, const wire::Revoke& revoke);
   void On(ConnectionId connection, const wire::Cancel& cancel);
   void On(ConnectionId connection, const wire::Credit& credit);
@@ -74,32 +76,50 @@
     links_->Close(connection);
   }
 
-  // These expect the mutex to be held.
-  void OnWhole(const StreamPtr& stream);
-  void Queue(const StreamPtr& stream);
+  // The following methods require that mutex_ is held, up to Find.
+
+  // Validates a request whose body is complete, and starts it under its
+  // reservation or enqueues it.
+  void OnBodyComplete(const StreamPtr& stream);
+  void Enqueue(const StreamPtr& stream);
+  // Starts a group member's request immediately in its reserved memory, and
+  // renews the reservation up to the deadline, within kMaxReservationTtl.
   void RunUnderReservation(const StreamPtr& stream);
-  bool SpendTicket(const StreamPtr& stream);
+  // Redeems the ticket of an enqueued request. Returns true if the request may
+  // run or has no ticket. Otherwise the stream is removed from the queue, and
+  // it either receives the stored answer or an error.
+  bool RedeemTicket(const StreamPtr& stream);
   void AttachToLog(const StreamPtr& stream, const Ticket& ticket);
-  void StartWaiting();
+  // Starts the requests that the scheduler admits.
+  void StartQueued();
+  // Runs the request, or the replay of its log, on a thread of the pool.
   void StartThread(const StreamPtr& stream, bool replay);
+  // Rejects queued requests whose deadline has passed.
   void DropOverdue();
-  void EndLeases();
-  void EndMember(std::uint64_t reservation);
+  // Cancels requests and reservations whose lease has expired.
+  void CancelExpiredLeases();
+  // Cancels the requests that use a group reservation, and removes it.
+  void CancelMember(std::uint64_t reservation);
+  // Handles a caller that has disconnected. A running request with a ticket
+  // continues; any other request is abandoned.
   void Detach(const StreamPtr& stream);
+  // Cancels a request and, if it is running, its allocation on the engine.
   void Abandon(const StreamPtr& stream);
-  void Refuse(const StreamPtr& stream, const wire::Refused& refused);
-  void Forget(const StreamPtr& stream);
-  void CancelLater(const AllocationId& holding);
+  void Reject(const StreamPtr& stream, const wire::Refused& refused);
+  void RemoveStream(const StreamPtr& stream);
+  // Queues an allocation for release by the canceller thread.
+  void QueueCancel(const AllocationId& allocation);
   StreamPtr Find(ConnectionId connection, StreamId stream) const;
 
   void OnRunEnded(const StreamPtr& stream, bool replay);
   void ApplyConfiguration();
   void RunTimer();
   void RunCanceller();
-  void SendPulses(bool all);
+  // Sends heartbeats to all connections, or only to those with streams.
+  void SendHeartbeats(bool all);
   void Dump(nlohmann::json* dump);
   SchedulerOptions OptionsFrom(const Configuration& configuration);
-  std::set<std::string> LiveHoldings();
+  std::set<std::string> LiveAllocations();
 
   SidecarSettings settings_;
   MonotonicClock clock_;
@@ -108,19 +128,20 @@
   Node node_;
   std::unique_ptr<EnginePort> engine_;
   WorkRunner runner_;
-  EngineReconciler keeper_;
+  EngineReconciler reconciler_;
   Poco::ThreadPool pool_;
 
   std::mutex mutex_;
   std::condition_variable wake_;
   EndpointScheduler scheduler_;
   TicketRegistry tickets_;
-  std::map<StreamName, StreamPtr> streams_;
+  std::map<StreamKey, StreamPtr> streams_;
   std::unordered_map<std::uint64_t, StreamPtr> by_key_;
-  // Reservations of groups, by the stream that made them.
-  std::map<StreamName, std::uint64_t> reservations_;
+  // Keys of group reservations, by the stream that made them.
+  std::map<StreamKey, std::uint64_t> reservations_;
   std::unordered_map<std::uint64_t, std::shared_ptr<AnswerLog>> logs_;
-  // The order in which logs were made, so that the oldest goes first.
+  // Ticket nonces in the order in which their logs were created, for evicting
+  // the oldest log first.
   std::deque<std::uint64_t> log_order_;
   std::set<ConnectionId> connections_;
   std::deque<AllocationId> to_cancel_;
@@ -134,7 +155,7 @@
   std::thread timer_;
   std::thread canceller_;
   Counter* accepted_;
-  Counter* refused_;
+  Counter* rejected_;
   Counter* started_;
   Counter* replayed_;
   Counter* abandoned_;
