--- a/src/adapters/link_server_test.cc
+++ b/src/adapters/link_server_test.cc
@@ -58,7 +58,8 @@
 
 TEST_CASE("A link server delivers no message before Start") {
   constexpr int kPort = 29001;
-  const std::string address = testing::OwnIp() + ":" + std::to_string(kPort);
+  const std::string address =
+      testing::UniqueLoopbackAddress() + ":" + std::to_string(kPort);
   std::atomic<int> messages{0};
   LinkServer::Handlers handlers;
   handlers.on_message = [&messages](ConnectionId, const wire::Message&) {
