--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -40,7 +40,7 @@
     }
     RoutingDocument document;
     document.version = RoutingVersion{1};
-    document.services = {testing::EngineService(kService)};
+    document.services = {testing::MakeEngineServiceProfile(kService)};
     RouteRule route;
     route.name = "read";
     route.host = "a";
