--- a/src/adapters/link_server_test.cc
+++ b/src/adapters/link_server_test.cc
@@ -58,7 +58,8 @@
 
 TEST_CASE("No message comes before a link server's owner has started it") {
   constexpr int kPort = 29001;
-  const std::string address = testing::OwnIp() + ":" + std::to_string(kPort);
+  const std::string address =
+      testing::UniqueLoopbackAddress() + ":" + std::to_string(kPort);
   std::atomic<int> messages{0};
   LinkServer::Handlers handlers;
   handlers.on_message = [&messages](ConnectionId, const wire::Message&) {
--- a/testing/loopback.h
+++ b/testing/loopback.h
@@ -17,7 +17,7 @@
 constexpr int kFirstPort = 20000;
 
 // Returns an address that no other process has while this one lives.
-inline std::string OwnIp() {
+inline std::string UniqueLoopbackAddress() {
   constexpr int kByte = 256;
   constexpr int kFirstBytes = 100;
   const int pid = static_cast<int>(getpid());
@@ -27,7 +27,7 @@
 }
 
 // Returns the first three bytes of addresses, with the point behind them, of
-// which the same holds. They never meet those of OwnIp.
+// which the same holds. They never meet those of UniqueLoopbackAddress.
 inline std::string OwnNet() {
   constexpr int kByte = 256;
   constexpr int kFirstByte = 120;
