--- a/testing/loopback.h
+++ b/testing/loopback.h
@@ -28,7 +28,7 @@
 
 // Returns the first three bytes of addresses, with the point behind them, of
 // which the same holds. They never meet those of UniqueLoopbackAddress.
-inline std::string OwnNet() {
+inline std::string UniqueLoopbackPrefix() {
   constexpr int kByte = 256;
   constexpr int kFirstByte = 120;
   constexpr int kFirstBytes = 100;
