--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -104,7 +104,9 @@
 }
 
 Fleet::Fleet(const FleetOptions& options)
-    : options_(options), ip_(UniqueLoopbackAddress()), next_port_(kFirstPort) {
+    : options_(options),
+      ip_(UniqueLoopbackAddress()),
+      next_port_(kFirstTestPort) {
   directory_ = (std::filesystem::temp_directory_path() /
                 ("harecrank-" + std::to_string(getpid())))
                    .string();
--- a/testing/loopback.h
+++ b/testing/loopback.h
@@ -14,7 +14,7 @@
 namespace harecrank::testing {
 
 // Below the ports that the system hands out by itself.
-constexpr int kFirstPort = 20000;
+constexpr int kFirstTestPort = 20000;
 
 // Returns an address that no other process has while this one lives.
 inline std::string UniqueLoopbackAddress() {
