--- a/src/core/overload_admission_test.cc
+++ b/src/core/overload_admission_test.cc
@@ -49,7 +49,7 @@
     }
     RoutingDocument document;
     document.version = RoutingVersion{1};
-    ServiceProfile service = testing::EngineService(kWriters);
+    ServiceProfile service = testing::MakeEngineServiceProfile(kWriters);
     service.engine->slots = 12;
     service.engine->memory = Tokens{267750};
     service.engine->steps_per_pass = 57;
--- a/src/core/planner_shares_test.cc
+++ b/src/core/planner_shares_test.cc
@@ -40,7 +40,7 @@
     }
     RoutingDocument document;
     document.version = RoutingVersion{1};
-    document.services = {testing::EngineService(kReaders)};
+    document.services = {testing::MakeEngineServiceProfile(kReaders)};
     RouteRule route;
     route.name = "read";
     route.host = "a";
--- a/src/core/planner_test.cc
+++ b/src/core/planner_test.cc
@@ -26,7 +26,7 @@
     }
     RoutingDocument document;
     document.version = RoutingVersion{1};
-    document.services = {testing::EngineService(kWriters)};
+    document.services = {testing::MakeEngineServiceProfile(kWriters)};
     for (const Millis gap : {Millis(300), Millis(1200)}) {
       RouteRule route;
       route.name = std::to_string(gap.count());
--- a/testing/engine_service.h
+++ b/testing/engine_service.h
@@ -11,7 +11,7 @@
 
 // Returns a service of engines that take ten requests at once, hold 315,000
 // tokens and read 177 a millisecond.
-inline ServiceProfile EngineService(ServiceName name) {
+inline ServiceProfile MakeEngineServiceProfile(ServiceName name) {
   ServiceProfile service;
   service.name = std::move(name);
   EngineProfile& engine = service.engine.emplace();
