--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -552,7 +552,7 @@
   return text;
 }
 
-CallerAnswer Call(const CallerCall& asked) {
+CallerAnswer Call(const ClientRequest& asked) {
   HttpCall call;
   call.address = asked.address;
   call.method = asked.method;
@@ -591,15 +591,15 @@
   return answer;
 }
 
-CallerCall Completion(const std::string& address, const std::string& label,
-                      int tokens, int answer_tokens, bool stream) {
+ClientRequest Completion(const std::string& address, const std::string& label,
+                         int tokens, int answer_tokens, bool stream) {
   std::string prompt = label + " ";
   const std::size_t bytes = static_cast<std::size_t>(tokens) * kBytesPerToken;
   while (prompt.size() < bytes) {
     prompt += "a word and another ";
   }
   prompt.resize(bytes);
-  CallerCall call;
+  ClientRequest call;
   call.address = address;
   call.body = {{"model", kModel},
                {"prompt", prompt},
@@ -608,7 +608,7 @@
   return call;
 }
 
-std::string ExpectedText(const CallerCall& call) {
+std::string ExpectedText(const ClientRequest& call) {
   const auto digest =
       standins::DigestText(call.body["prompt"].get<std::string>());
   std::string text;
@@ -619,7 +619,7 @@
 }
 
 std::string FetchTicket(const std::string& address, const json& target) {
-  CallerCall call;
+  ClientRequest call;
   call.address = address;
   call.path = "/v1/tickets";
   call.body = target;
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -190,7 +190,7 @@
 };
 
 // One request as a caller makes it.
-struct CallerCall {
+struct ClientRequest {
   std::string address;
   std::string path = "/v1/completions";
   std::string method = "POST";
@@ -202,14 +202,14 @@
 
 // Makes a call and reads the whole answer, streamed or not. The status is 0 if
 // the connection was lost.
-CallerAnswer Call(const CallerCall& call);
+CallerAnswer Call(const ClientRequest& call);
 
 // Returns a call for `tokens` of prompt that begins with `label`.
-CallerCall Completion(const std::string& address, const std::string& label,
-                      int tokens, int answer_tokens, bool stream);
+ClientRequest Completion(const std::string& address, const std::string& label,
+                         int tokens, int answer_tokens, bool stream);
 
 // Returns the answer that an engine gives to such a prompt.
-std::string ExpectedText(const CallerCall& call);
+std::string ExpectedText(const ClientRequest& call);
 
 // Fetches a ticket. Returns an empty string if none was given.
 std::string FetchTicket(const std::string& address,
--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -16,7 +16,7 @@
 // One bad request and what it must be told.
 struct BadRequest {
   std::string name;
-  CallerCall call;
+  ClientRequest call;
   int status;
   std::string code;
 };
@@ -38,10 +38,10 @@
 }
 
 std::vector<BadRequest> BadRequests(const std::string& address) {
-  const CallerCall good = Completion(address, "good", 10, 4, false);
+  const ClientRequest good = Completion(address, "good", 10, 4, false);
   std::vector<BadRequest> bad;
   const auto add = [&](const std::string& name, int status,
-                       const std::string& code) -> CallerCall& {
+                       const std::string& code) -> ClientRequest& {
     bad.push_back(BadRequest{name, good, status, code});
     return bad.back().call;
   };
@@ -64,10 +64,11 @@
   add("wrong method", 405, "method_not_allowed").method = "GET";
   add("unknown path", 404, "not_found").path = "/v2/completions";
   add("unknown service", 404, "unknown_service").path = "/v1/services/none/x";
-  CallerCall& ticket = add("ticket for an unknown model", 404, "unknown_model");
+  ClientRequest& ticket =
+      add("ticket for an unknown model", 404, "unknown_model");
   ticket.path = "/v1/tickets";
   ticket.body = {{"model", "nobody"}};
-  CallerCall& chat = add("chat without messages", 400, "bad_request");
+  ClientRequest& chat = add("chat without messages", 400, "bad_request");
   chat.path = "/v1/chat/completions";
   return bad;
 }
@@ -115,7 +116,7 @@
 TEST_CASE("Callers can list the models, with a key") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  CallerCall call;
+  ClientRequest call;
   call.address = fleet.Callers(0);
   call.path = "/v1/models";
   call.method = "GET";
@@ -129,7 +130,7 @@
 TEST_CASE("An operator's call without an operator's key is refused") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  CallerCall call;
+  ClientRequest call;
   call.address = fleet.Operations("entry-0");
   call.path = "/rpc/harecrank.v1.Administration/GetInForce";
   call.key = "wrong";
--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -366,7 +366,7 @@
   void CheckRuns(const CallerAnswer& got) {
     if (cell_.kind == Kind::kTicketed) {
       // Asked again through the other entry host, as a caller would.
-      CallerCall again = call_;
+      ClientRequest again = call_;
       again.address = fleet_.Callers(1);
       const CallerAnswer second = Call(again);
       INFO("asked again: " << second.status << " " << second.end_event << " "
@@ -393,7 +393,7 @@
   const Cell& cell_;
   Fleet fleet_;
   std::string label_;
-  CallerCall call_;
+  ClientRequest call_;
   std::string ticket_;
   int target_ = 0;
 };
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -22,8 +22,8 @@
   return options;
 }
 
-CallerCall GroupCall(const Fleet& fleet, const std::string& label) {
-  CallerCall call = Completion(fleet.Callers(0), label, 30000, 200, true);
+ClientRequest GroupCall(const Fleet& fleet, const std::string& label) {
+  ClientRequest call = Completion(fleet.Callers(0), label, 30000, 200, true);
   call.fields = {{"Harecrank-Time-Limit-Ms", "30000"}};
   return call;
 }
@@ -60,7 +60,7 @@
     "A group whose member's engine dies in prefill gives the whole answer") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  const CallerCall call = GroupCall(fleet, "engine dies");
+  const ClientRequest call = GroupCall(fleet, "engine dies");
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   const int member = Member(&fleet, false);
   REQUIRE(member >= 0);
@@ -74,7 +74,7 @@
 TEST_CASE("A group whose member's sidecar dies in prefill gives the answer") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  const CallerCall call = GroupCall(fleet, "sidecar dies");
+  const ClientRequest call = GroupCall(fleet, "sidecar dies");
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   const int member = Member(&fleet, false);
   REQUIRE(member >= 0);
@@ -90,7 +90,7 @@
 TEST_CASE("A group that loses a member while it generates goes on in place") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  const CallerCall call = GroupCall(fleet, "loses one");
+  const ClientRequest call = GroupCall(fleet, "loses one");
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   const int member = Member(&fleet, false);
   REQUIRE(member >= 0);
@@ -113,7 +113,8 @@
 TEST_CASE("A prompt that no group can ever hold is refused without a wait") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  CallerCall call = Completion(fleet.Callers(0), "too large", 90000, 4, false);
+  ClientRequest call =
+      Completion(fleet.Callers(0), "too large", 90000, 4, false);
   // Ten minutes: the answer must not wait for it.
   call.fields = {{"Harecrank-Time-Limit-Ms", "600000"}};
   const CallerAnswer answer = Call(call);
@@ -124,7 +125,7 @@
 TEST_CASE("A group's memory comes back when its entry host dies") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  const CallerCall call = GroupCall(fleet, "entry dies");
+  const ClientRequest call = GroupCall(fleet, "entry dies");
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   REQUIRE(Member(&fleet, false) >= 0);
   fleet.Get("entry-0").Kill();
@@ -135,16 +136,16 @@
 TEST_CASE("Groups that want more than there is all get their answers") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  std::vector<CallerCall> calls;
+  std::vector<ClientRequest> calls;
   std::vector<std::future<CallerAnswer>> answers;
   for (int i = 0; i < 5; ++i) {
-    CallerCall call = Completion(fleet.Callers(i % 2),
-                                 "crowd " + std::to_string(i), 30000, 10, true);
+    ClientRequest call = Completion(
+        fleet.Callers(i % 2), "crowd " + std::to_string(i), 30000, 10, true);
     call.fields = {{"Harecrank-Time-Limit-Ms", "60000"}};
     calls.push_back(call);
   }
   answers.reserve(calls.size());
-  for (const CallerCall& call : calls) {
+  for (const ClientRequest& call : calls) {
     answers.push_back(
         std::async(std::launch::async, [&call] { return Call(call); }));
   }
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -58,7 +58,7 @@
   options.step_ms = 10;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const CallerCall call =
+  const ClientRequest call =
       Completion(fleet.Callers(0), "drained", 100, 100, true);
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   const int engine = WorkingEngine(&fleet);
@@ -79,12 +79,12 @@
   options.step_ms = 10;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const CallerCall call =
+  const ClientRequest call =
       Completion(fleet.Callers(0), "drained", 100, 100, true);
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   REQUIRE(WorkingEngine(&fleet) >= 0);
   fleet.Get("entry-0").Signal(SIGTERM);
-  const CallerCall late = Completion(fleet.Callers(0), "late", 50, 2, false);
+  const ClientRequest late = Completion(fleet.Callers(0), "late", 50, 2, false);
   CallerAnswer refused;
   CHECK(WaitUntil([&] {
     refused = Call(late);
--- a/tests/promises_test.cc
+++ b/tests/promises_test.cc
@@ -34,7 +34,7 @@
 
 // Sends a request over a socket of its own and returns it unread. Its time
 // limit is far off, so that nothing that it holds is freed by its deadline.
-Poco::Net::StreamSocket SendAndHold(const CallerCall& call) {
+Poco::Net::StreamSocket SendAndHold(const ClientRequest& call) {
   const std::string body = call.body.dump();
   Poco::Net::StreamSocket socket;
   socket.connect(Poco::Net::SocketAddress(call.address));
@@ -56,7 +56,7 @@
   const std::string ticket = FetchTicket(fleet.Callers(0), {{"model", kModel}});
   REQUIRE_FALSE(ticket.empty());
   fleet.Get("sidecar-0").Signal(SIGSTOP);
-  CallerCall call = Completion(fleet.Callers(0), "frozen", 50, 4, false);
+  ClientRequest call = Completion(fleet.Callers(0), "frozen", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket},
                  {"Harecrank-Time-Limit-Ms", "800"}};
   const CallerAnswer answer = Call(call);
@@ -81,7 +81,7 @@
   fleet.Get("sidecar-0").Kill();
   fleet.Restart("sidecar-0");
   REQUIRE(fleet.WaitReady());
-  CallerCall call = Completion(fleet.Callers(1), "old life", 50, 4, false);
+  ClientRequest call = Completion(fleet.Callers(1), "old life", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket}};
   const CallerAnswer answer = Call(call);
   INFO("told " << answer.body.dump());
@@ -94,14 +94,14 @@
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const std::string ticket = FetchTicket(fleet.Callers(0), {{"model", kModel}});
-  CallerCall revoke;
+  ClientRequest revoke;
   revoke.address = fleet.Callers(1);
   revoke.method = "DELETE";
   revoke.path = "/v1/tickets/" + ticket;
   const CallerAnswer revoked = Call(revoke);
   INFO("told " << revoked.body.dump());
   CHECK(revoked.body["outcome"] == "not_run");
-  CallerCall call = Completion(fleet.Callers(0), "revoked", 50, 4, false);
+  ClientRequest call = Completion(fleet.Callers(0), "revoked", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket}};
   const CallerAnswer answer = Call(call);
   CHECK(answer.Code() == "ticket_ended");
@@ -114,7 +114,7 @@
   REQUIRE(fleet.WaitReady());
   const std::string ticket =
       FetchTicket(fleet.Callers(0), {{"service", "orders"}});
-  CallerCall call;
+  ClientRequest call;
   call.path = "/v1/services/orders/confirm";
   call.body = "rolls-9";
   call.fields = {{"Harecrank-Ticket", ticket}};
@@ -171,7 +171,7 @@
   options.step_ms = 10;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const CallerCall call =
+  const ClientRequest call =
       Completion(fleet.Callers(0), "resumed", 100, 200, true);
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   REQUIRE(WaitUntil([&] {
@@ -207,7 +207,7 @@
       SendAndHold(Completion(fleet.Callers(0), "held", 100, 200000, true));
   REQUIRE(WaitUntil([&] { return fleet.EngineUsed(0) > 0; }));
   for (int i = 0; i < 5; ++i) {
-    const CallerCall call = Completion(
+    const ClientRequest call = Completion(
         fleet.Callers(0), "free " + std::to_string(i), 100, 200, true);
     CHECK(Call(call).Text() == ExpectedText(call));
   }
@@ -251,8 +251,8 @@
   REQUIRE(fleet.WaitReady());
   std::vector<std::future<CallerAnswer>> answers;
   for (int i = 0; i < 12; ++i) {
-    CallerCall call = Completion(fleet.Callers(i % 2),
-                                 "flood " + std::to_string(i), 1500, 400, true);
+    ClientRequest call = Completion(
+        fleet.Callers(i % 2), "flood " + std::to_string(i), 1500, 400, true);
     answers.push_back(
         std::async(std::launch::async, [call] { return Call(call); }));
   }
@@ -280,7 +280,8 @@
               {{"put_account", {{"id", "tinta"}, {"account", account}}}}) == 2);
   REQUIRE(WaitUntil(
       [&] { return fleet.Dump("entry-0")["configuration"]["revision"] == 2; }));
-  const CallerCall call = Completion(fleet.Callers(0), "limit", 1000, 4, false);
+  const ClientRequest call =
+      Completion(fleet.Callers(0), "limit", 1000, 4, false);
   CHECK(Call(call).status == 200);
   const CallerAnswer refused = Call(call);
   CHECK(refused.Code() == "account_limit");
@@ -301,7 +302,8 @@
       return Get(fleet.Engine(i), "/v1/account")["models"].contains(kModel);
     }));
   }
-  const CallerCall call = Completion(fleet.Callers(0), "loaded", 50, 4, false);
+  const ClientRequest call =
+      Completion(fleet.Callers(0), "loaded", 50, 4, false);
   CHECK(WaitUntil([&] { return Call(call).status == 200; }));
 }
 
--- a/tests/whole_path_test.cc
+++ b/tests/whole_path_test.cc
@@ -10,7 +10,8 @@
 TEST_CASE("A short prompt gets its whole answer") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  const CallerCall call = Completion(fleet.Callers(0), "short", 100, 8, false);
+  const ClientRequest call =
+      Completion(fleet.Callers(0), "short", 100, 8, false);
   const CallerAnswer answer = Call(call);
   INFO("the answer was " << answer.body.dump());
   CHECK(answer.status == 200);
@@ -20,7 +21,7 @@
 TEST_CASE("A streamed answer brings each token once and ends explicitly") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  const CallerCall call =
+  const ClientRequest call =
       Completion(fleet.Callers(0), "streamed", 100, 40, true);
   const CallerAnswer answer = Call(call);
   INFO("the answer ended with " << answer.end.dump());
@@ -34,7 +35,8 @@
   options.engine_memory = 20000;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const CallerCall call = Completion(fleet.Callers(0), "large", 45000, 8, true);
+  const ClientRequest call =
+      Completion(fleet.Callers(0), "large", 45000, 8, true);
   const CallerAnswer answer = Call(call);
   INFO("the answer was " << answer.status << answer.body.dump()
                          << answer.end.dump());
@@ -50,7 +52,7 @@
 TEST_CASE("A plain service is called through the same door") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  CallerCall call;
+  ClientRequest call;
   call.address = fleet.Callers(0);
   call.path = "/v1/services/orders/confirm?n=1";
   call.body = "order-17";
@@ -66,7 +68,7 @@
   REQUIRE(fleet.WaitReady());
   const std::string ticket = FetchTicket(fleet.Callers(0), {{"model", kModel}});
   REQUIRE_FALSE(ticket.empty());
-  CallerCall call = Completion(fleet.Callers(0), "ticketed", 100, 8, false);
+  ClientRequest call = Completion(fleet.Callers(0), "ticketed", 100, 8, false);
   call.fields = {{"Harecrank-Not-Repeatable", "order-1"},
                  {"Harecrank-Ticket", ticket}};
   const CallerAnswer first = Call(call);
