--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -64,7 +64,7 @@
 
 // Takes the events of one stream apart. The fields are those of the event
 // stream format; data is one line, since the system sends JSON.
-void ReadEvents(std::istream& body, CallerAnswer* answer) {
+void ReadEvents(std::istream& body, ClientResponse* answer) {
   std::string line;
   std::string event;
   while (std::getline(body, line)) {
@@ -527,21 +527,21 @@
   return true;
 }
 
-std::string CallerAnswer::Code() const {
+std::string ClientResponse::Code() const {
   const json& from = end_event == "error" ? end : body;
   return from.is_object() && from.contains("error")
              ? from["error"].value("code", std::string())
              : std::string();
 }
 
-std::string CallerAnswer::Outcome() const {
+std::string ClientResponse::Outcome() const {
   const json& from = end_event == "error" ? end : body;
   return from.is_object() && from.contains("error")
              ? from["error"].value("outcome", std::string())
              : std::string();
 }
 
-std::string CallerAnswer::Text() const {
+std::string ClientResponse::Text() const {
   if (body.is_object() && body.contains("choices")) {
     return body["choices"][0].value("text", std::string());
   }
@@ -552,7 +552,7 @@
   return text;
 }
 
-CallerAnswer Call(const ClientRequest& asked) {
+ClientResponse Call(const ClientRequest& asked) {
   HttpCall call;
   call.address = asked.address;
   call.method = asked.method;
@@ -566,7 +566,7 @@
   call.fields.push_back(HttpHeader{"Authorization", "Bearer " + asked.key});
   const bool stream =
       asked.body.is_object() && asked.body.value("stream", false);
-  CallerAnswer answer;
+  ClientResponse answer;
   if (!stream) {
     const HttpResponse got = CallOrEmpty(call);
     answer.status = got.status;
@@ -623,7 +623,7 @@
   call.address = address;
   call.path = "/v1/tickets";
   call.body = target;
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   return answer.status == http_status::kOk
              ? answer.body.value("ticket", std::string())
              : std::string();
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -173,7 +173,7 @@
                Millis limit = Millis(30000));
 
 // What a caller got.
-struct CallerAnswer {
+struct ClientResponse {
   int status = 0;
   nlohmann::json body;
   std::string retry_after;
@@ -202,7 +202,7 @@
 
 // Makes a call and reads the whole answer, streamed or not. The status is 0 if
 // the connection was lost.
-CallerAnswer Call(const ClientRequest& call);
+ClientResponse Call(const ClientRequest& call);
 
 // Returns a call for `tokens` of prompt that begins with `label`.
 ClientRequest Completion(const std::string& address, const std::string& label,
--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -79,7 +79,7 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   for (const BadRequest& bad : BadRequests(fleet.Callers(0))) {
-    const CallerAnswer answer = Call(bad.call);
+    const ClientResponse answer = Call(bad.call);
     INFO(bad.name << ": expected " << bad.status << " " << bad.code
                   << " and saw " << answer.status << " " << answer.body.dump());
     CHECK(answer.status == bad.status);
@@ -120,7 +120,7 @@
   call.address = fleet.Callers(0);
   call.path = "/v1/models";
   call.method = "GET";
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   CHECK(answer.status == 200);
   CHECK(answer.body["data"][0]["id"] == kModel);
   call.key = "wrong";
--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -193,7 +193,7 @@
       REQUIRE(ReachStep());
       Cause();
     }
-    const CallerAnswer got = answer.get();
+    const ClientResponse got = answer.get();
     Heal();
     CheckAnswer(got);
     CheckRuns(got);
@@ -337,7 +337,7 @@
     }
   }
 
-  void CheckAnswer(const CallerAnswer& got) {
+  void CheckAnswer(const ClientResponse& got) {
     const bool whole =
         got.end_event == "done" && got.Text() == ExpectedText(call_);
     INFO("status " << got.status << ", " << got.parts.size() << " parts, end '"
@@ -363,12 +363,12 @@
     CHECK(expected.compare(0, got.Text().size(), got.Text()) == 0);
   }
 
-  void CheckRuns(const CallerAnswer& got) {
+  void CheckRuns(const ClientResponse& got) {
     if (cell_.kind == Kind::kTicketed) {
       // Asked again through the other entry host, as a caller would.
       ClientRequest again = call_;
       again.address = fleet_.Callers(1);
-      const CallerAnswer second = Call(again);
+      const ClientResponse second = Call(again);
       INFO("asked again: " << second.status << " " << second.end_event << " "
                            << second.end.dump() << second.body.dump());
       const bool second_whole =
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -65,7 +65,7 @@
   const int member = Member(&fleet, false);
   REQUIRE(member >= 0);
   fleet.Get("engine-" + std::to_string(member)).Kill();
-  const CallerAnswer got = answer.get();
+  const ClientResponse got = answer.get();
   INFO(got.status << " " << got.end.dump() << got.body.dump());
   CHECK(got.Text() == ExpectedText(call));
   CheckMemoryIsBack(&fleet);
@@ -80,7 +80,7 @@
   REQUIRE(member >= 0);
   const std::string name = "sidecar-" + std::to_string(member);
   fleet.Get(name).Kill();
-  const CallerAnswer got = answer.get();
+  const ClientResponse got = answer.get();
   INFO(got.status << " " << got.end.dump() << got.body.dump());
   CHECK(got.Text() == ExpectedText(call));
   fleet.Restart(name);
@@ -104,7 +104,7 @@
                        std::string::npos;
   }));
   fleet.Get("engine-" + std::to_string(member)).Kill();
-  const CallerAnswer got = answer.get();
+  const ClientResponse got = answer.get();
   INFO(got.status << " " << got.parts.size() << " parts " << got.end.dump());
   CHECK(got.Text() == ExpectedText(call));
   CheckMemoryIsBack(&fleet);
@@ -117,7 +117,7 @@
       Completion(fleet.Callers(0), "too large", 90000, 4, false);
   // Ten minutes: the answer must not wait for it.
   call.fields = {{"Harecrank-Time-Limit-Ms", "600000"}};
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   CHECK(answer.Code() == "larger_than_engine");
   CHECK(answer.Outcome() == "not_run");
 }
@@ -137,7 +137,7 @@
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
   std::vector<ClientRequest> calls;
-  std::vector<std::future<CallerAnswer>> answers;
+  std::vector<std::future<ClientResponse>> answers;
   for (int i = 0; i < 5; ++i) {
     ClientRequest call = Completion(
         fleet.Callers(i % 2), "crowd " + std::to_string(i), 30000, 10, true);
@@ -150,7 +150,7 @@
         std::async(std::launch::async, [&call] { return Call(call); }));
   }
   for (std::size_t i = 0; i < calls.size(); ++i) {
-    const CallerAnswer got = answers[i].get();
+    const ClientResponse got = answers[i].get();
     INFO("group " << i << ": " << got.status << got.end.dump()
                   << got.body.dump());
     CHECK(got.Text() == ExpectedText(calls[i]));
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -29,7 +29,7 @@
 bool AvoidsEngine(Fleet* fleet, int engine, int count) {
   for (int i = 0; i < count; ++i) {
     const std::string label = "avoid-" + std::to_string(i);
-    const CallerAnswer answer =
+    const ClientResponse answer =
         Call(Completion(fleet->Callers(i % 2), label, 50, 2, false));
     const std::string node = Fleet::EngineNode(engine);
     if (answer.status != 200 || answer.body["harecrank"]["endpoint"] == node) {
@@ -66,7 +66,7 @@
   fleet.Get("sidecar-" + std::to_string(engine)).Signal(SIGTERM);
   REQUIRE(IsSeenDraining(&fleet, engine));
   CHECK(AvoidsEngine(&fleet, engine, 6));
-  const CallerAnswer got = answer.get();
+  const ClientResponse got = answer.get();
   INFO("the stream ended with '" << got.end_event << "' " << got.end.dump());
   CHECK(got.Text() == ExpectedText(call));
   CHECK(got.end["attempts"] == 1);
@@ -85,7 +85,7 @@
   REQUIRE(WorkingEngine(&fleet) >= 0);
   fleet.Get("entry-0").Signal(SIGTERM);
   const ClientRequest late = Completion(fleet.Callers(0), "late", 50, 2, false);
-  CallerAnswer refused;
+  ClientResponse refused;
   CHECK(WaitUntil([&] {
     refused = Call(late);
     return refused.status == 503;
--- a/tests/promises_test.cc
+++ b/tests/promises_test.cc
@@ -59,7 +59,7 @@
   ClientRequest call = Completion(fleet.Callers(0), "frozen", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket},
                  {"Harecrank-Time-Limit-Ms", "800"}};
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   INFO("told " << answer.body.dump());
   CHECK(answer.Outcome() == "unknown");
   fleet.Get("sidecar-0").Signal(SIGCONT);
@@ -83,7 +83,7 @@
   REQUIRE(fleet.WaitReady());
   ClientRequest call = Completion(fleet.Callers(1), "old life", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket}};
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   INFO("told " << answer.body.dump());
   CHECK(answer.Code() == "ticket_unknown");
   CHECK(answer.Outcome() == "unknown");
@@ -98,12 +98,12 @@
   revoke.address = fleet.Callers(1);
   revoke.method = "DELETE";
   revoke.path = "/v1/tickets/" + ticket;
-  const CallerAnswer revoked = Call(revoke);
+  const ClientResponse revoked = Call(revoke);
   INFO("told " << revoked.body.dump());
   CHECK(revoked.body["outcome"] == "not_run");
   ClientRequest call = Completion(fleet.Callers(0), "revoked", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket}};
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   CHECK(answer.Code() == "ticket_ended");
   CHECK(answer.Outcome() == "not_run");
   CHECK(RunsOf(&fleet, kEngines, "revoked") == 0);
@@ -120,7 +120,7 @@
   call.fields = {{"Harecrank-Ticket", ticket}};
   for (int i = 0; i < 4; ++i) {
     call.address = fleet.Callers(i % 2);
-    const CallerAnswer answer = Call(call);
+    const ClientResponse answer = Call(call);
     INFO("answer " << i << " was " << answer.status << answer.body.dump());
     CHECK(answer.body.value("echo", "") == "rolls-9");
   }
@@ -226,7 +226,7 @@
       SendAndHold(Completion(fleet.Callers(0), "two", 100, 2000, true));
   REQUIRE(WaitUntil(
       [&] { return fleet.Dump("entry-0")["entry"]["requests_in_hand"] == 2; }));
-  const CallerAnswer refused =
+  const ClientResponse refused =
       Call(Completion(fleet.Callers(0), "three", 100, 4, false));
   CHECK(refused.status == 429);
   CHECK(refused.Code() == "entry_full");
@@ -249,7 +249,7 @@
   options.sidecar_settings = {{"queue_limit", 2}};
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  std::vector<std::future<CallerAnswer>> answers;
+  std::vector<std::future<ClientResponse>> answers;
   for (int i = 0; i < 12; ++i) {
     ClientRequest call = Completion(
         fleet.Callers(i % 2), "flood " + std::to_string(i), 1500, 400, true);
@@ -259,7 +259,7 @@
   int answered = 0;
   int refused = 0;
   for (auto& future : answers) {
-    const CallerAnswer answer = future.get();
+    const ClientResponse answer = future.get();
     answered += answer.end_event == "done" ? 1 : 0;
     refused +=
         answer.Outcome() == "not_run" && answer.Code() == "overloaded" ? 1 : 0;
@@ -283,7 +283,7 @@
   const ClientRequest call =
       Completion(fleet.Callers(0), "limit", 1000, 4, false);
   CHECK(Call(call).status == 200);
-  const CallerAnswer refused = Call(call);
+  const ClientResponse refused = Call(call);
   CHECK(refused.Code() == "account_limit");
   CHECK(refused.Outcome() == "not_run");
   CHECK_FALSE(refused.retry_after.empty());
--- a/tests/whole_path_test.cc
+++ b/tests/whole_path_test.cc
@@ -12,7 +12,7 @@
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
       Completion(fleet.Callers(0), "short", 100, 8, false);
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   INFO("the answer was " << answer.body.dump());
   CHECK(answer.status == 200);
   CHECK(answer.Text() == ExpectedText(call));
@@ -23,7 +23,7 @@
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
       Completion(fleet.Callers(0), "streamed", 100, 40, true);
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   INFO("the answer ended with " << answer.end.dump());
   CHECK(answer.parts.size() == 40);
   CHECK(answer.Text() == ExpectedText(call));
@@ -37,7 +37,7 @@
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
       Completion(fleet.Callers(0), "large", 45000, 8, true);
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   INFO("the answer was " << answer.status << answer.body.dump()
                          << answer.end.dump());
   CHECK(answer.Text() == ExpectedText(call));
@@ -56,7 +56,7 @@
   call.address = fleet.Callers(0);
   call.path = "/v1/services/orders/confirm?n=1";
   call.body = "order-17";
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   INFO("the answer was " << answer.status << answer.body.dump());
   CHECK(answer.status == 200);
   CHECK(answer.body.value("echo", "") == "order-17");
@@ -71,11 +71,11 @@
   ClientRequest call = Completion(fleet.Callers(0), "ticketed", 100, 8, false);
   call.fields = {{"Harecrank-Not-Repeatable", "order-1"},
                  {"Harecrank-Ticket", ticket}};
-  const CallerAnswer first = Call(call);
+  const ClientResponse first = Call(call);
   INFO("the first answer was " << first.status << first.body.dump());
   CHECK(first.Text() == ExpectedText(call));
   call.address = fleet.Callers(1);
-  const CallerAnswer again = Call(call);
+  const ClientResponse again = Call(call);
   INFO("the second answer was " << again.status << again.body.dump());
   CHECK(again.Text() == first.Text());
   CHECK(RunsOf(&fleet, 3, "ticketed") == 1);
