--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -629,7 +629,7 @@
              : std::string();
 }
 
-int RunsOf(Fleet* fleet, int engines, const std::string& label) {
+int CountRuns(Fleet* fleet, int engines, const std::string& label) {
   int runs = 0;
   for (int i = 0; i < engines; ++i) {
     const json all =
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -217,7 +217,7 @@
 
 // Returns `count` of the call's prompt beginnings at each engine: how often a
 // request with this label ran anywhere in the fleet.
-int RunsOf(Fleet* fleet, int engines, const std::string& label);
+int CountRuns(Fleet* fleet, int engines, const std::string& label);
 
 }  // namespace harecrank::testing
 
--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -86,7 +86,7 @@
     CHECK(answer.Code() == bad.code);
     CHECK(answer.Outcome() == "not_run");
   }
-  CHECK(RunsOf(&fleet, options.engines, "good") == 0);
+  CHECK(CountRuns(&fleet, options.engines, "good") == 0);
 }
 
 TEST_CASE("A request with two lengths is refused and its connection closed") {
@@ -110,7 +110,7 @@
     CHECK(answer.find("two_lengths") != std::string::npos);
     CHECK(answer.find("HTTP/1.1", 1) == std::string::npos);
   }
-  CHECK(RunsOf(&fleet, options.engines, "hidden") == 0);
+  CHECK(CountRuns(&fleet, options.engines, "hidden") == 0);
 }
 
 TEST_CASE("Callers can list the models, with a key") {
--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -375,10 +375,10 @@
           second.end_event == "done" && second.Text() == ExpectedText(call_);
       CHECK((second_whole || !second.Outcome().empty()));
       // An engine that was killed forgets its count, and only makes it less.
-      CHECK(RunsOf(&fleet_, kEngines, label_) <= 1);
+      CHECK(CountRuns(&fleet_, kEngines, label_) <= 1);
     }
     if (got.Outcome() == "not_run") {
-      CHECK(RunsOf(&fleet_, kEngines, label_) == 0);
+      CHECK(CountRuns(&fleet_, kEngines, label_) == 0);
     }
   }
 
--- a/tests/promises_test.cc
+++ b/tests/promises_test.cc
@@ -68,7 +68,7 @@
     return Call(Completion(fleet.Callers(1), "later", 50, 4, false)).status ==
            200;
   }));
-  CHECK(RunsOf(&fleet, 1, "frozen") == 0);
+  CHECK(CountRuns(&fleet, 1, "frozen") == 0);
 }
 
 TEST_CASE("A sidecar without memory runs no ticket of its life before") {
@@ -87,7 +87,7 @@
   INFO("told " << answer.body.dump());
   CHECK(answer.Code() == "ticket_unknown");
   CHECK(answer.Outcome() == "unknown");
-  CHECK(RunsOf(&fleet, 1, "old life") == 0);
+  CHECK(CountRuns(&fleet, 1, "old life") == 0);
 }
 
 TEST_CASE("A revoked ticket's request is truly not run") {
@@ -106,7 +106,7 @@
   const ClientResponse answer = Call(call);
   CHECK(answer.Code() == "ticket_ended");
   CHECK(answer.Outcome() == "not_run");
-  CHECK(RunsOf(&fleet, kEngines, "revoked") == 0);
+  CHECK(CountRuns(&fleet, kEngines, "revoked") == 0);
 }
 
 TEST_CASE("A plain service's call that may not be repeated runs once") {
--- a/tests/whole_path_test.cc
+++ b/tests/whole_path_test.cc
@@ -78,7 +78,7 @@
   const ClientResponse again = Call(call);
   INFO("the second answer was " << again.status << again.body.dump());
   CHECK(again.Text() == first.Text());
-  CHECK(RunsOf(&fleet, 3, "ticketed") == 1);
+  CHECK(CountRuns(&fleet, 3, "ticketed") == 1);
 }
 
 }  // namespace
