--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -287,7 +287,7 @@
   return Get(ProcessNameOf(node));
 }
 
-std::int64_t Fleet::EngineUsed(int index) {
+std::int64_t Fleet::EngineUsedTokens(int index) {
   const json account =
       Parsed(Request(Engine(index), "GET", "/v1/account").body);
   return account.is_object() ? account.value("used", std::int64_t{-1}) : -1;
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -123,7 +123,7 @@
   const std::vector<std::string>& Nodes() const { return nodes_; }
 
   // Returns the memory in use by an engine's own account, or -1.
-  std::int64_t EngineUsed(int index);
+  std::int64_t EngineUsedTokens(int index);
 
   const nlohmann::json& Document() const { return document_; }
   const std::string& Directory() const { return directory_; }
--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -213,7 +213,7 @@
   bool ReachStep() {
     return WaitUntil([&] {
       for (int i = 0; i < kEngines; ++i) {
-        if (fleet_.EngineUsed(i) > 0 && IsAtStep(i)) {
+        if (fleet_.EngineUsedTokens(i) > 0 && IsAtStep(i)) {
           target_ = i;
           return true;
         }
@@ -300,7 +300,7 @@
     fleet_.SetFault(Name("link-proxy"), {{"cut", true}});
     WaitUntil([&] {
       for (int i = 0; i < kEngines; ++i) {
-        if (i != first && fleet_.EngineUsed(i) > 0) {
+        if (i != first && fleet_.EngineUsedTokens(i) > 0) {
           target_ = i;
           return true;
         }
@@ -384,9 +384,9 @@
 
   void CheckMemory() {
     for (int i = 0; i < kEngines; ++i) {
-      INFO("engine " << i << " still holds " << fleet_.EngineUsed(i)
+      INFO("engine " << i << " still holds " << fleet_.EngineUsedTokens(i)
                      << " tokens");
-      CHECK(WaitUntil([&] { return fleet_.EngineUsed(i) == 0; }));
+      CHECK(WaitUntil([&] { return fleet_.EngineUsedTokens(i) == 0; }));
     }
   }
 
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -36,7 +36,7 @@
     int holding = 0;
     std::int64_t best = 0;
     for (int i = 0; i < kEngines; ++i) {
-      const std::int64_t used = fleet->EngineUsed(i);
+      const std::int64_t used = fleet->EngineUsedTokens(i);
       holding += used > 0 ? 1 : 0;
       const bool better = lead ? used > best : used < best || best == 0;
       if (used > 0 && better) {
@@ -51,8 +51,8 @@
 
 void CheckMemoryIsBack(Fleet* fleet) {
   for (int i = 0; i < kEngines; ++i) {
-    INFO("engine " << i << " still holds " << fleet->EngineUsed(i));
-    CHECK(WaitUntil([&] { return fleet->EngineUsed(i) <= 0; }));
+    INFO("engine " << i << " still holds " << fleet->EngineUsedTokens(i));
+    CHECK(WaitUntil([&] { return fleet->EngineUsedTokens(i) <= 0; }));
   }
 }
 
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -18,7 +18,7 @@
   int working = -1;
   WaitUntil([&] {
     for (int i = 0; i < kEngines; ++i) {
-      working = fleet->EngineUsed(i) > 0 ? i : working;
+      working = fleet->EngineUsedTokens(i) > 0 ? i : working;
     }
     return working >= 0;
   });
--- a/tests/promises_test.cc
+++ b/tests/promises_test.cc
@@ -25,7 +25,7 @@
 
 bool AllMemoryIsBack(Fleet* fleet, int engines) {
   for (int i = 0; i < engines; ++i) {
-    if (!WaitUntil([&] { return fleet->EngineUsed(i) == 0; })) {
+    if (!WaitUntil([&] { return fleet->EngineUsedTokens(i) == 0; })) {
       return false;
     }
   }
@@ -157,7 +157,8 @@
     auto socket =
         SendAndHold(Completion(fleet.Callers(0), "leaves", 15000, 10, false));
     REQUIRE(WaitUntil([&] {
-      return fleet.EngineUsed(0) + fleet.EngineUsed(1) + fleet.EngineUsed(2) >
+      return fleet.EngineUsedTokens(0) + fleet.EngineUsedTokens(1) +
+                 fleet.EngineUsedTokens(2) >
              0;
     }));
   }
@@ -180,7 +181,7 @@
            std::string::npos;
   }));
   for (int i = 0; i < kEngines; ++i) {
-    if (fleet.EngineUsed(i) > 0) {
+    if (fleet.EngineUsedTokens(i) > 0) {
       fleet.SetFault("link-proxy-" + std::to_string(i), {{"cut", true}});
     }
   }
@@ -205,7 +206,7 @@
   // Far more than the sockets on the way can hold.
   auto held =
       SendAndHold(Completion(fleet.Callers(0), "held", 100, 200000, true));
-  REQUIRE(WaitUntil([&] { return fleet.EngineUsed(0) > 0; }));
+  REQUIRE(WaitUntil([&] { return fleet.EngineUsedTokens(0) > 0; }));
   for (int i = 0; i < 5; ++i) {
     const ClientRequest call = Completion(
         fleet.Callers(0), "free " + std::to_string(i), 100, 200, true);
--- a/tests/whole_path_test.cc
+++ b/tests/whole_path_test.cc
@@ -45,7 +45,7 @@
   CHECK(answer.end["members"] == 3);
   for (int i = 0; i < options.engines; ++i) {
     INFO("engine " << i << " must hold nothing once the answer is whole");
-    CHECK(WaitUntil([&] { return fleet.EngineUsed(i) == 0; }));
+    CHECK(WaitUntil([&] { return fleet.EngineUsedTokens(i) == 0; }));
   }
 }
 
