--- a/tests/suspension.cc
+++ b/tests/suspension.cc
@@ -29,7 +29,7 @@
   process.Signal(SIGSTOP);
 }
 
-void StoppableClock::Wake(const Process& process) {
+void StoppableClock::Resume(const Process& process) {
   stood_still_ += (BootClock::now() - suspended_).count();
   WriteNumber(file_, stood_still_);
   process.Signal(SIGCONT);
--- a/tests/suspension.h
+++ b/tests/suspension.h
@@ -22,9 +22,9 @@
   // Returns the variables to start the process with.
   const std::vector<std::string>& Environment() const { return environment_; }
 
-  // Stops `process` until Wake.
+  // Stops `process` until Resume.
   void Suspend(const Process& process);
-  void Wake(const Process& process);
+  void Resume(const Process& process);
 
  private:
   std::string file_;
