--- a/bench/fleet_runs.cc
+++ b/bench/fleet_runs.cc
@@ -59,7 +59,8 @@
 // Publishes a change and returns after how long the last node had it in force.
 double SpreadOnce(Fleet* fleet, int number) {
   const std::int64_t began = NowMs();
-  const std::uint32_t revision = fleet->Change("entry-0", PutAccount(number));
+  const std::uint32_t revision =
+      fleet->PlanAndPublish("entry-0", PutAccount(number));
   double last = 0;
   for (const std::string& node : fleet->Nodes()) {
     std::string metrics;
@@ -189,7 +190,8 @@
     const double before = ReadProcess(pid).cpu_seconds;
     const std::int64_t began = NowMs();
     for (int i = 0; i < changes; ++i) {
-      const std::uint32_t revision = fleet.Change("entry-0", PutAccount(i));
+      const std::uint32_t revision =
+          fleet.PlanAndPublish("entry-0", PutAccount(i));
       WaitUntil([&] {
         return MetricValue(fleet.Metrics("bare-0"), kRevision) >= revision &&
                MetricValue(fleet.Metrics("entry-0"), kRevision) >= revision;
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -238,7 +238,8 @@
   Request(ConfigService(), "POST", "/control/values/" + key, value);
 }
 
-std::uint32_t Fleet::Change(const std::string& node, const json& request) {
+std::uint32_t Fleet::PlanAndPublish(const std::string& node,
+                                    const json& request) {
   const HttpResponse answer =
       Request(Operations(node), "POST", "/rpc/harecrank.v1.Administration/Plan",
               request.dump(), kOperatorKey);
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -105,7 +105,8 @@
 
   // Plans a change at a node and publishes what it returns. Returns the new
   // revision, or 0 if the plan was refused.
-  std::uint32_t Change(const std::string& node, const nlohmann::json& request);
+  std::uint32_t PlanAndPublish(const std::string& node,
+                               const nlohmann::json& request);
 
   // Sets the host list: the ids that are leaving among all nodes.
   void SetLeaving(const std::vector<std::string>& ids);
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -37,7 +37,7 @@
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const std::uint32_t revision =
-      fleet.Change("endpoint-1", PutAccount("tan", 'a'));
+      fleet.PlanAndPublish("endpoint-1", PutAccount("tan", 'a'));
   REQUIRE(revision == 2);
   CHECK(ComesIntoForce(&fleet, revision));
 }
@@ -48,8 +48,8 @@
   fleet.Get("entry-1").Signal(SIGSTOP);
   std::uint32_t revision = 0;
   for (char digit = 'a'; digit <= 'f'; ++digit) {
-    revision =
-        fleet.Change("entry-0", PutAccount(std::string(1, digit), digit));
+    revision = fleet.PlanAndPublish("entry-0",
+                                    PutAccount(std::string(1, digit), digit));
     REQUIRE(WaitUntil([&] { return IsInForce(&fleet, "entry-0", revision); }));
   }
   fleet.Get("entry-1").Signal(SIGCONT);
@@ -65,7 +65,7 @@
     fleet.Get(name).Signal(SIGSTOP);
   }
   const std::uint32_t revision =
-      fleet.Change("entry-0", PutAccount("tan", 'a'));
+      fleet.PlanAndPublish("entry-0", PutAccount("tan", 'a'));
   REQUIRE(WaitUntil([&] { return IsInForce(&fleet, "entry-0", revision); }));
   fleet.SetFault("config", {{"down", true}});
   for (const char* name : {"entry-1", "sidecar-1", "sidecar-2"}) {
@@ -85,7 +85,7 @@
   options.entry_settings = {{"compare_interval_ms", 100}};
   Fleet fleet(options);
   REQUIRE(WaitUntil([&] { return IsInForce(&fleet, "entry-0", 1); }));
-  REQUIRE(fleet.Change("entry-0", PutAccount("tan", 'a')) == 2);
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("tan", 'a')) == 2);
   CHECK(WaitUntil([&] { return IsInForce(&fleet, "entry-0", 2); }));
 }
 
@@ -93,7 +93,7 @@
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const json first = fleet.Document();
-  REQUIRE(fleet.Change("entry-0", PutAccount("tan", 'a')) == 2);
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("tan", 'a')) == 2);
   REQUIRE(ComesIntoForce(&fleet, 2));
   // From here on the service shows the first revision and says nothing of it.
   fleet.Publish("document", first.dump());
@@ -112,7 +112,7 @@
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const json first = fleet.Document();
-  REQUIRE(fleet.Change("entry-0", PutAccount("tan", 'a')) == 2);
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("tan", 'a')) == 2);
   REQUIRE(ComesIntoForce(&fleet, 2));
   fleet.Publish("document", first.dump());
   fleet.Publish("changes", json{{"changes",
@@ -138,7 +138,7 @@
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const json base = fleet.Document();
-  REQUIRE(fleet.Change("entry-0", PutAccount("mine", 'a')) == 2);
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("mine", 'a')) == 2);
   REQUIRE(ComesIntoForce(&fleet, 2));
   json yours = base;
   yours["revision"] = 2;
@@ -160,18 +160,18 @@
     return false;
   };
   CHECK(WaitUntil(sees_conflict));
-  REQUIRE(fleet.Change("entry-0", PutAccount("third", 'c')) == 3);
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("third", 'c')) == 3);
   CHECK(ComesIntoForce(&fleet, 3));
 }
 
 TEST_CASE("A plan on a base that has moved is refused with the reason") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  REQUIRE(fleet.Change("entry-0", PutAccount("mine", 'a')) == 2);
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("mine", 'a')) == 2);
   REQUIRE(ComesIntoForce(&fleet, 2));
   json late = PutAccount("yours", 'b');
   late["base_revision"] = 1;
-  CHECK(fleet.Change("entry-0", late) == 0);
+  CHECK(fleet.PlanAndPublish("entry-0", late) == 0);
 }
 
 }  // namespace
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -116,7 +116,7 @@
   REQUIRE(fleet.WaitReady());
   json endpoint = fleet.Document()["endpoints"][Fleet::EngineNode(2)];
   endpoint["leaving"] = true;
-  const std::uint32_t revision = fleet.Change(
+  const std::uint32_t revision = fleet.PlanAndPublish(
       "entry-0", {{"put_endpoint",
                    {{"id", Fleet::EngineNode(2)}, {"endpoint", endpoint}}}});
   REQUIRE(revision == 2);
--- a/tests/promises_test.cc
+++ b/tests/promises_test.cc
@@ -276,7 +276,7 @@
   REQUIRE(fleet.WaitReady());
   json account = fleet.Document()["accounts"]["tinta"];
   account["tokens_per_second"] = 10;
-  REQUIRE(fleet.Change(
+  REQUIRE(fleet.PlanAndPublish(
               "entry-0",
               {{"put_account", {{"id", "tinta"}, {"account", account}}}}) == 2);
   REQUIRE(WaitUntil(
@@ -313,13 +313,15 @@
   REQUIRE(fleet.WaitReady());
   json model = fleet.Document()["models"][kModel];
   model["adapters"] = {{"tagalog", {{"version", "1"}}}};
-  REQUIRE(fleet.Change("entry-0", {{"put_model",
-                                    {{"id", kModel}, {"model", model}}}}) == 2);
+  REQUIRE(fleet.PlanAndPublish(
+              "entry-0", {{"put_model", {{"id", kModel}, {"model", model}}}}) ==
+          2);
   model["adapters"]["tagalog"]["version"] = "2";
   REQUIRE(WaitUntil(
       [&] { return fleet.Dump("entry-0")["configuration"]["revision"] == 2; }));
-  REQUIRE(fleet.Change("entry-0", {{"put_model",
-                                    {{"id", kModel}, {"model", model}}}}) == 3);
+  REQUIRE(fleet.PlanAndPublish(
+              "entry-0", {{"put_model", {{"id", kModel}, {"model", model}}}}) ==
+          3);
   for (int i = 0; i < kEngines; ++i) {
     CHECK(WaitUntil([&] {
       const json held = Get(fleet.Engine(i), "/v1/account")["models"][kModel];
