--- a/bench/load_plan.h
+++ b/bench/load_plan.h
@@ -12,7 +12,7 @@
 inline LoadPlan PlanFor(const testing::Fleet& fleet, int entries) {
   LoadPlan plan;
   for (int i = 0; i < entries; ++i) {
-    plan.targets.push_back(fleet.Callers(i));
+    plan.targets.push_back(fleet.CallersAddress(i));
   }
   plan.key = testing::kAccountKey;
   plan.model = testing::kModel;
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -204,7 +204,7 @@
       commands_.at(name), directory_ + "/" + name + ".log");
 }
 
-std::string Fleet::Callers(int entry) const {
+std::string Fleet::CallersAddress(int entry) const {
   return addresses_.at("entry-" + std::to_string(entry));
 }
 
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -89,7 +89,7 @@
   void Restart(const std::string& name);
 
   // Addresses by what they serve.
-  std::string Callers(int entry) const;
+  std::string CallersAddress(int entry) const;
   std::string Operations(const std::string& node) const;
   std::string Engine(int index) const;
   std::string Service(int index) const;
--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -78,7 +78,7 @@
   options.entry_settings = {{"max_body_bytes", 100000}};
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  for (const BadRequest& bad : BadRequests(fleet.Callers(0))) {
+  for (const BadRequest& bad : BadRequests(fleet.CallersAddress(0))) {
     const ClientResponse answer = Call(bad.call);
     INFO(bad.name << ": expected " << bad.status << " " << bad.code
                   << " and saw " << answer.status << " " << answer.body.dump());
@@ -104,7 +104,7 @@
     // Read whole: the entry host must close, also with bytes left over.
     std::string request = head;
     request.append(second).append("\r\n").append(body);
-    const std::string answer = Exchange(fleet.Callers(0), request);
+    const std::string answer = Exchange(fleet.CallersAddress(0), request);
     INFO(answer);
     CHECK(answer.rfind("HTTP/1.1 400", 0) == 0);
     CHECK(answer.find("two_lengths") != std::string::npos);
@@ -117,7 +117,7 @@
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   ClientRequest call;
-  call.address = fleet.Callers(0);
+  call.address = fleet.CallersAddress(0);
   call.path = "/v1/models";
   call.method = "GET";
   const ClientResponse answer = Call(call);
--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -175,11 +175,11 @@
 
   void Run() {
     REQUIRE(fleet_.WaitReady());
-    call_ = Completion(fleet_.Callers(0), label_, kPromptTokens, kAnswerTokens,
-                       true);
+    call_ = Completion(fleet_.CallersAddress(0), label_, kPromptTokens,
+                       kAnswerTokens, true);
     call_.fields = {{"Harecrank-Time-Limit-Ms", std::to_string(kTimeLimitMs)}};
     if (cell_.kind == Kind::kTicketed) {
-      ticket_ = FetchTicket(fleet_.Callers(0), {{"model", kModel}});
+      ticket_ = FetchTicket(fleet_.CallersAddress(0), {{"model", kModel}});
       REQUIRE_FALSE(ticket_.empty());
       call_.fields.push_back(HttpHeader{"Harecrank-Ticket", ticket_});
     }
@@ -367,7 +367,7 @@
     if (cell_.kind == Kind::kTicketed) {
       // Asked again through the other entry host, as a caller would.
       ClientRequest again = call_;
-      again.address = fleet_.Callers(1);
+      again.address = fleet_.CallersAddress(1);
       const ClientResponse second = Call(again);
       INFO("asked again: " << second.status << " " << second.end_event << " "
                            << second.end.dump() << second.body.dump());
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -23,7 +23,8 @@
 }
 
 ClientRequest GroupCall(const Fleet& fleet, const std::string& label) {
-  ClientRequest call = Completion(fleet.Callers(0), label, 30000, 200, true);
+  ClientRequest call =
+      Completion(fleet.CallersAddress(0), label, 30000, 200, true);
   call.fields = {{"Harecrank-Time-Limit-Ms", "30000"}};
   return call;
 }
@@ -114,7 +115,7 @@
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
   ClientRequest call =
-      Completion(fleet.Callers(0), "too large", 90000, 4, false);
+      Completion(fleet.CallersAddress(0), "too large", 90000, 4, false);
   // Ten minutes: the answer must not wait for it.
   call.fields = {{"Harecrank-Time-Limit-Ms", "600000"}};
   const ClientResponse answer = Call(call);
@@ -139,8 +140,9 @@
   std::vector<ClientRequest> calls;
   std::vector<std::future<ClientResponse>> answers;
   for (int i = 0; i < 5; ++i) {
-    ClientRequest call = Completion(
-        fleet.Callers(i % 2), "crowd " + std::to_string(i), 30000, 10, true);
+    ClientRequest call =
+        Completion(fleet.CallersAddress(i % 2), "crowd " + std::to_string(i),
+                   30000, 10, true);
     call.fields = {{"Harecrank-Time-Limit-Ms", "60000"}};
     calls.push_back(call);
   }
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -30,7 +30,7 @@
   for (int i = 0; i < count; ++i) {
     const std::string label = "avoid-" + std::to_string(i);
     const ClientResponse answer =
-        Call(Completion(fleet->Callers(i % 2), label, 50, 2, false));
+        Call(Completion(fleet->CallersAddress(i % 2), label, 50, 2, false));
     const std::string node = Fleet::EngineNode(engine);
     if (answer.status != 200 || answer.body["harecrank"]["endpoint"] == node) {
       return false;
@@ -59,7 +59,7 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
-      Completion(fleet.Callers(0), "drained", 100, 100, true);
+      Completion(fleet.CallersAddress(0), "drained", 100, 100, true);
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   const int engine = WorkingEngine(&fleet);
   REQUIRE(engine >= 0);
@@ -80,11 +80,12 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
-      Completion(fleet.Callers(0), "drained", 100, 100, true);
+      Completion(fleet.CallersAddress(0), "drained", 100, 100, true);
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   REQUIRE(WorkingEngine(&fleet) >= 0);
   fleet.Get("entry-0").Signal(SIGTERM);
-  const ClientRequest late = Completion(fleet.Callers(0), "late", 50, 2, false);
+  const ClientRequest late =
+      Completion(fleet.CallersAddress(0), "late", 50, 2, false);
   ClientResponse refused;
   CHECK(WaitUntil([&] {
     refused = Call(late);
--- a/tests/promises_test.cc
+++ b/tests/promises_test.cc
@@ -53,10 +53,12 @@
   options.services = 0;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const std::string ticket = FetchTicket(fleet.Callers(0), {{"model", kModel}});
+  const std::string ticket =
+      FetchTicket(fleet.CallersAddress(0), {{"model", kModel}});
   REQUIRE_FALSE(ticket.empty());
   fleet.Get("sidecar-0").Signal(SIGSTOP);
-  ClientRequest call = Completion(fleet.Callers(0), "frozen", 50, 4, false);
+  ClientRequest call =
+      Completion(fleet.CallersAddress(0), "frozen", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket},
                  {"Harecrank-Time-Limit-Ms", "800"}};
   const ClientResponse answer = Call(call);
@@ -65,8 +67,8 @@
   fleet.Get("sidecar-0").Signal(SIGCONT);
   // A later request shows that the sidecar has read all that came before.
   CHECK(WaitUntil([&] {
-    return Call(Completion(fleet.Callers(1), "later", 50, 4, false)).status ==
-           200;
+    return Call(Completion(fleet.CallersAddress(1), "later", 50, 4, false))
+               .status == 200;
   }));
   CHECK(CountRuns(&fleet, 1, "frozen") == 0);
 }
@@ -77,11 +79,13 @@
   options.services = 0;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const std::string ticket = FetchTicket(fleet.Callers(0), {{"model", kModel}});
+  const std::string ticket =
+      FetchTicket(fleet.CallersAddress(0), {{"model", kModel}});
   fleet.Get("sidecar-0").Kill();
   fleet.Restart("sidecar-0");
   REQUIRE(fleet.WaitReady());
-  ClientRequest call = Completion(fleet.Callers(1), "old life", 50, 4, false);
+  ClientRequest call =
+      Completion(fleet.CallersAddress(1), "old life", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket}};
   const ClientResponse answer = Call(call);
   INFO("told " << answer.body.dump());
@@ -93,15 +97,17 @@
 TEST_CASE("A revoked ticket's request is truly not run") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  const std::string ticket = FetchTicket(fleet.Callers(0), {{"model", kModel}});
+  const std::string ticket =
+      FetchTicket(fleet.CallersAddress(0), {{"model", kModel}});
   ClientRequest revoke;
-  revoke.address = fleet.Callers(1);
+  revoke.address = fleet.CallersAddress(1);
   revoke.method = "DELETE";
   revoke.path = "/v1/tickets/" + ticket;
   const ClientResponse revoked = Call(revoke);
   INFO("told " << revoked.body.dump());
   CHECK(revoked.body["outcome"] == "not_run");
-  ClientRequest call = Completion(fleet.Callers(0), "revoked", 50, 4, false);
+  ClientRequest call =
+      Completion(fleet.CallersAddress(0), "revoked", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket}};
   const ClientResponse answer = Call(call);
   CHECK(answer.Code() == "ticket_ended");
@@ -113,13 +119,13 @@
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const std::string ticket =
-      FetchTicket(fleet.Callers(0), {{"service", "orders"}});
+      FetchTicket(fleet.CallersAddress(0), {{"service", "orders"}});
   ClientRequest call;
   call.path = "/v1/services/orders/confirm";
   call.body = "rolls-9";
   call.fields = {{"Harecrank-Ticket", ticket}};
   for (int i = 0; i < 4; ++i) {
-    call.address = fleet.Callers(i % 2);
+    call.address = fleet.CallersAddress(i % 2);
     const ClientResponse answer = Call(call);
     INFO("answer " << i << " was " << answer.status << answer.body.dump());
     CHECK(answer.body.value("echo", "") == "rolls-9");
@@ -136,8 +142,8 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   {
-    auto socket =
-        SendAndHold(Completion(fleet.Callers(0), "leaves", 100, 5000, true));
+    auto socket = SendAndHold(
+        Completion(fleet.CallersAddress(0), "leaves", 100, 5000, true));
     char first[64];
     REQUIRE(socket.receiveBytes(first, sizeof(first)) > 0);
   }
@@ -154,8 +160,8 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   {
-    auto socket =
-        SendAndHold(Completion(fleet.Callers(0), "leaves", 15000, 10, false));
+    auto socket = SendAndHold(
+        Completion(fleet.CallersAddress(0), "leaves", 15000, 10, false));
     REQUIRE(WaitUntil([&] {
       return fleet.EngineUsedTokens(0) + fleet.EngineUsedTokens(1) +
                  fleet.EngineUsedTokens(2) >
@@ -173,7 +179,7 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
-      Completion(fleet.Callers(0), "resumed", 100, 200, true);
+      Completion(fleet.CallersAddress(0), "resumed", 100, 200, true);
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   REQUIRE(WaitUntil([&] {
     return fleet.Metrics("entry-0").find(
@@ -204,12 +210,12 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   // Far more than the sockets on the way can hold.
-  auto held =
-      SendAndHold(Completion(fleet.Callers(0), "held", 100, 200000, true));
+  auto held = SendAndHold(
+      Completion(fleet.CallersAddress(0), "held", 100, 200000, true));
   REQUIRE(WaitUntil([&] { return fleet.EngineUsedTokens(0) > 0; }));
   for (int i = 0; i < 5; ++i) {
     const ClientRequest call = Completion(
-        fleet.Callers(0), "free " + std::to_string(i), 100, 200, true);
+        fleet.CallersAddress(0), "free " + std::to_string(i), 100, 200, true);
     CHECK(Call(call).Text() == ExpectedText(call));
   }
 }
@@ -222,19 +228,19 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   auto first =
-      SendAndHold(Completion(fleet.Callers(0), "one", 100, 2000, true));
+      SendAndHold(Completion(fleet.CallersAddress(0), "one", 100, 2000, true));
   auto second =
-      SendAndHold(Completion(fleet.Callers(0), "two", 100, 2000, true));
+      SendAndHold(Completion(fleet.CallersAddress(0), "two", 100, 2000, true));
   REQUIRE(WaitUntil(
       [&] { return fleet.Dump("entry-0")["entry"]["requests_in_hand"] == 2; }));
   const ClientResponse refused =
-      Call(Completion(fleet.Callers(0), "three", 100, 4, false));
+      Call(Completion(fleet.CallersAddress(0), "three", 100, 4, false));
   CHECK(refused.status == 429);
   CHECK(refused.Code() == "entry_full");
   CHECK(refused.Outcome() == "not_run");
   CHECK_FALSE(refused.retry_after.empty());
   HttpCall health;
-  health.address = fleet.Callers(0);
+  health.address = fleet.CallersAddress(0);
   health.path = "/healthz";
   const auto healthy = SendHttpRequest(health);
   REQUIRE(healthy);
@@ -252,8 +258,9 @@
   REQUIRE(fleet.WaitReady());
   std::vector<std::future<ClientResponse>> answers;
   for (int i = 0; i < 12; ++i) {
-    ClientRequest call = Completion(
-        fleet.Callers(i % 2), "flood " + std::to_string(i), 1500, 400, true);
+    ClientRequest call =
+        Completion(fleet.CallersAddress(i % 2), "flood " + std::to_string(i),
+                   1500, 400, true);
     answers.push_back(
         std::async(std::launch::async, [call] { return Call(call); }));
   }
@@ -282,7 +289,7 @@
   REQUIRE(WaitUntil(
       [&] { return fleet.Dump("entry-0")["configuration"]["revision"] == 2; }));
   const ClientRequest call =
-      Completion(fleet.Callers(0), "limit", 1000, 4, false);
+      Completion(fleet.CallersAddress(0), "limit", 1000, 4, false);
   CHECK(Call(call).status == 200);
   const ClientResponse refused = Call(call);
   CHECK(refused.Code() == "account_limit");
@@ -304,7 +311,7 @@
     }));
   }
   const ClientRequest call =
-      Completion(fleet.Callers(0), "loaded", 50, 4, false);
+      Completion(fleet.CallersAddress(0), "loaded", 50, 4, false);
   CHECK(WaitUntil([&] { return Call(call).status == 200; }));
 }
 
