--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -149,7 +149,7 @@
 
 bool Fleet::WaitReady() {
   for (const std::string& node : nodes_) {
-    const std::string address = Operations(node);
+    const std::string address = OperationsAddress(node);
     bool ready = false;
     WaitUntil([&] {
       ready = Request(address, "GET", "/readyz").status == http_status::kOk;
@@ -185,7 +185,7 @@
   if (!process.IsRunning()) {
     return "its process has ended: " + process.DescribeEnd();
   }
-  const int status = Request(Operations(node), "GET", "/readyz").status;
+  const int status = Request(OperationsAddress(node), "GET", "/readyz").status;
   return "not ready, readiness answered " + std::to_string(status);
 }
 
@@ -208,7 +208,7 @@
   return addresses_.at("entry-" + std::to_string(entry));
 }
 
-std::string Fleet::Operations(const std::string& node) const {
+std::string Fleet::OperationsAddress(const std::string& node) const {
   return addresses_.at("operations-" + node);
 }
 
@@ -240,9 +240,9 @@
 
 std::uint32_t Fleet::PlanAndPublish(const std::string& node,
                                     const json& request) {
-  const HttpResponse answer =
-      Request(Operations(node), "POST", "/rpc/harecrank.v1.Administration/Plan",
-              request.dump(), kOperatorKey);
+  const HttpResponse answer = Request(OperationsAddress(node), "POST",
+                                      "/rpc/harecrank.v1.Administration/Plan",
+                                      request.dump(), kOperatorKey);
   if (answer.status != http_status::kOk) {
     return 0;
   }
@@ -263,11 +263,11 @@
 
 json Fleet::Dump(const std::string& node) {
   return Parsed(
-      Request(Operations(node), "GET", "/dump", "", kOperatorKey).body);
+      Request(OperationsAddress(node), "GET", "/dump", "", kOperatorKey).body);
 }
 
 std::string Fleet::Metrics(const std::string& node) {
-  return Request(Operations(node), "GET", "/metrics").body;
+  return Request(OperationsAddress(node), "GET", "/metrics").body;
 }
 
 std::string Fleet::ProcessNameOf(const std::string& node) const {
@@ -416,7 +416,7 @@
 json Fleet::NodeSettings(const std::string& node, int data_centre) {
   json settings{{"node_id", node},
                 {"data_centre", DataCentre(data_centre)},
-                {"operations_address", Operations(node)},
+                {"operations_address", OperationsAddress(node)},
                 {"config_service", ConfigService()},
                 {"operator_keys_sha256", {Sha256Hex(kOperatorKey)}},
                 {"compare_interval_ms", 500}};
@@ -449,7 +449,7 @@
         {"link_address",
          addresses_[(options_.proxied_links ? "link-proxy-" : "sidecar-link-") +
                     n]},
-        {"operations_address", Operations(EngineNode(i))},
+        {"operations_address", OperationsAddress(EngineNode(i))},
         {"data_centre", DataCentre(i)},
         {"engine",
          {{"models", {kModel}},
@@ -463,7 +463,7 @@
     addresses_["operations-" + ServiceNode(i)] = NextAddress();
     document["endpoints"][ServiceNode(i)] = {
         {"link_address", addresses_["service-link-" + n]},
-        {"operations_address", Operations(ServiceNode(i))},
+        {"operations_address", OperationsAddress(ServiceNode(i))},
         {"data_centre", DataCentre(i)},
         {"service", {{"name", "orders"}}}};
   }
@@ -472,8 +472,9 @@
     const std::string name = "entry-" + std::to_string(i);
     addresses_[name] = NextAddress();
     addresses_["operations-" + name] = NextAddress();
-    document["entries"][name] = {{"operations_address", Operations(name)},
-                                 {"data_centre", DataCentre(i)}};
+    document["entries"][name] = {
+        {"operations_address", OperationsAddress(name)},
+        {"data_centre", DataCentre(i)}};
   }
 }
 
@@ -493,8 +494,8 @@
     addresses_["bare-" + n] = NextAddress();
     addresses_["bare-link-" + n] = NextAddress();
     addresses_["operations-" + BareNode(i)] = NextAddress();
-    document_["endpoints"][BareNode(i)] =
-        endpoint(addresses_["bare-link-" + n], Operations(BareNode(i)), i);
+    document_["endpoints"][BareNode(i)] = endpoint(
+        addresses_["bare-link-" + n], OperationsAddress(BareNode(i)), i);
   }
   for (int i = 0; i < options_.listed_endpoints; ++i) {
     document_["endpoints"]["listed-" + std::to_string(i)] = endpoint(
--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -131,7 +131,7 @@
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   ClientRequest call;
-  call.address = fleet.Operations("entry-0");
+  call.address = fleet.OperationsAddress("entry-0");
   call.path = "/rpc/harecrank.v1.Administration/GetInForce";
   call.key = "wrong";
   CHECK(Call(call).status == 403);
--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -229,7 +229,7 @@
     // A stream has begun once the entry host has counted a first token.
     static_cast<void>(engine);
     HttpCall metrics;
-    metrics.address = fleet_.Operations("entry-0");
+    metrics.address = fleet_.OperationsAddress("entry-0");
     metrics.path = "/metrics";
     const auto answer = SendHttpRequest(metrics);
     return answer && answer.value().body.find(
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -97,7 +97,7 @@
   REQUIRE(member >= 0);
   REQUIRE(WaitUntil([&] {
     HttpCall metrics;
-    metrics.address = fleet.Operations("entry-0");
+    metrics.address = fleet.OperationsAddress("entry-0");
     metrics.path = "/metrics";
     const auto text = SendHttpRequest(metrics);
     return text && text.value().body.find(
