--- a/bench/load_runs.cc
+++ b/bench/load_runs.cc
@@ -139,7 +139,7 @@
     plan.seconds = seconds;
     plan.threads = 128;
     LoadPlan direct = plan;
-    direct.engine_address = fleet.Engine(0);
+    direct.engine_address = fleet.EngineAddress(0);
     const json without = Load(direct)["lengths"]["1000"];
     json with;
     double sidecar = 0;
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -212,7 +212,7 @@
   return addresses_.at("operations-" + node);
 }
 
-std::string Fleet::Engine(int index) const {
+std::string Fleet::EngineAddress(int index) const {
   return addresses_.at("engine-" + std::to_string(index));
 }
 
@@ -290,7 +290,7 @@
 
 std::int64_t Fleet::EngineUsedTokens(int index) {
   const json account =
-      Parsed(Request(Engine(index), "GET", "/v1/account").body);
+      Parsed(Request(EngineAddress(index), "GET", "/v1/account").body);
   return account.is_object() ? account.value("used", std::int64_t{-1}) : -1;
 }
 
@@ -635,7 +635,7 @@
   int runs = 0;
   for (int i = 0; i < engines; ++i) {
     const json all =
-        Parsed(Request(fleet->Engine(i), "GET", "/control/runs").body);
+        Parsed(Request(fleet->EngineAddress(i), "GET", "/control/runs").body);
     for (const auto& run : all.items()) {
       const bool same =
           run.key().compare(0, std::min(label.size(), kLabelBytes),
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -91,7 +91,7 @@
   // Addresses by what they serve.
   std::string CallersAddress(int entry) const;
   std::string OperationsAddress(const std::string& node) const;
-  std::string Engine(int index) const;
+  std::string EngineAddress(int index) const;
   std::string Service(int index) const;
   std::string Link(int index) const;
   std::string ConfigService() const;
--- a/tests/promises_test.cc
+++ b/tests/promises_test.cc
@@ -194,7 +194,7 @@
   CHECK(answer.get().Text() == ExpectedText(call));
   int resumed_from = 0;
   for (int i = 0; i < kEngines; ++i) {
-    const json resumes = Get(fleet.Engine(i), "/control/resumes");
+    const json resumes = Get(fleet.EngineAddress(i), "/control/resumes");
     resumed_from = std::max(resumed_from, resumes.get<int>());
   }
   INFO("the second engine was asked from position " << resumed_from);
@@ -307,7 +307,8 @@
   REQUIRE(fleet.WaitReady());
   for (int i = 0; i < kEngines; ++i) {
     CHECK(WaitUntil([&] {
-      return Get(fleet.Engine(i), "/v1/account")["models"].contains(kModel);
+      return Get(fleet.EngineAddress(i), "/v1/account")["models"].contains(
+          kModel);
     }));
   }
   const ClientRequest call =
@@ -331,11 +332,12 @@
           3);
   for (int i = 0; i < kEngines; ++i) {
     CHECK(WaitUntil([&] {
-      const json held = Get(fleet.Engine(i), "/v1/account")["models"][kModel];
+      const json held =
+          Get(fleet.EngineAddress(i), "/v1/account")["models"][kModel];
       return held["adapters"].value("tagalog", "") == "2";
     }));
     int last = 0;
-    for (const json& order : Get(fleet.Engine(i), "/control/orders")) {
+    for (const json& order : Get(fleet.EngineAddress(i), "/control/orders")) {
       CHECK(order["fence"].get<int>() >= last);
       last = order["fence"].get<int>();
     }
@@ -347,7 +349,7 @@
   REQUIRE(fleet.WaitReady());
   const auto order = [&](int fence) {
     HttpCall call;
-    call.address = fleet.Engine(0);
+    call.address = fleet.EngineAddress(0);
     call.method = "POST";
     call.path = "/v1/orders";
     call.body =
