--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -216,7 +216,7 @@
   return addresses_.at("engine-" + std::to_string(index));
 }
 
-std::string Fleet::Service(int index) const {
+std::string Fleet::ServiceAddress(int index) const {
   return addresses_.at("service-" + std::to_string(index));
 }
 
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -92,7 +92,7 @@
   std::string CallersAddress(int entry) const;
   std::string OperationsAddress(const std::string& node) const;
   std::string EngineAddress(int index) const;
-  std::string Service(int index) const;
+  std::string ServiceAddress(int index) const;
   std::string Link(int index) const;
   std::string ConfigService() const;
   std::string HostList() const;
--- a/tests/promises_test.cc
+++ b/tests/promises_test.cc
@@ -130,7 +130,7 @@
     INFO("answer " << i << " was " << answer.status << answer.body.dump());
     CHECK(answer.body.value("echo", "") == "rolls-9");
   }
-  const json calls = Get(fleet.Service(0), "/control/calls");
+  const json calls = Get(fleet.ServiceAddress(0), "/control/calls");
   INFO("the service was called with " << calls.dump());
   CHECK(calls["rolls-9"] == 1);
   CHECK(calls.size() == 1);
