--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -220,7 +220,7 @@
   return addresses_.at("service-" + std::to_string(index));
 }
 
-std::string Fleet::Link(int index) const {
+std::string Fleet::LinkAddress(int index) const {
   return addresses_.at("sidecar-link-" + std::to_string(index));
 }
 
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -93,7 +93,7 @@
   std::string OperationsAddress(const std::string& node) const;
   std::string EngineAddress(int index) const;
   std::string ServiceAddress(int index) const;
-  std::string Link(int index) const;
+  std::string LinkAddress(int index) const;
   std::string ConfigService() const;
   std::string HostList() const;
 
