--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -114,7 +114,7 @@
   BuildDocument();
   AddStandIns();
   WaitUntil([this] {
-    return Request(ConfigService(), "GET", "/control/stats").status ==
+    return Request(ConfigServiceAddress(), "GET", "/control/stats").status ==
            http_status::kOk;
   });
   Publish("document", document_.dump());
@@ -224,18 +224,21 @@
   return addresses_.at("sidecar-link-" + std::to_string(index));
 }
 
-std::string Fleet::ConfigService() const { return addresses_.at("config"); }
+std::string Fleet::ConfigServiceAddress() const {
+  return addresses_.at("config");
+}
 
 std::string Fleet::HostList() const { return addresses_.at("hosts"); }
 
 void Fleet::SetFault(const std::string& name, const json& fault) {
-  const std::string address =
-      name == "config" ? ConfigService() : addresses_.at(name + "-control");
+  const std::string address = name == "config"
+                                  ? ConfigServiceAddress()
+                                  : addresses_.at(name + "-control");
   Request(address, "POST", "/control/fault", fault.dump());
 }
 
 void Fleet::Publish(const std::string& key, const std::string& value) {
-  Request(ConfigService(), "POST", "/control/values/" + key, value);
+  Request(ConfigServiceAddress(), "POST", "/control/values/" + key, value);
 }
 
 std::uint32_t Fleet::PlanAndPublish(const std::string& node,
@@ -417,7 +420,7 @@
   json settings{{"node_id", node},
                 {"data_centre", DataCentre(data_centre)},
                 {"operations_address", OperationsAddress(node)},
-                {"config_service", ConfigService()},
+                {"config_service", ConfigServiceAddress()},
                 {"operator_keys_sha256", {Sha256Hex(kOperatorKey)}},
                 {"compare_interval_ms", 500}};
   if (options_.host_list) {
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -94,7 +94,7 @@
   std::string EngineAddress(int index) const;
   std::string ServiceAddress(int index) const;
   std::string LinkAddress(int index) const;
-  std::string ConfigService() const;
+  std::string ConfigServiceAddress() const;
   std::string HostList() const;
 
   // Sets the faults of a proxy, or of the configuration service.
