--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -228,7 +228,7 @@
   return addresses_.at("config");
 }
 
-std::string Fleet::HostList() const { return addresses_.at("hosts"); }
+std::string Fleet::HostListAddress() const { return addresses_.at("hosts"); }
 
 void Fleet::SetFault(const std::string& name, const json& fault) {
   const std::string address = name == "config"
@@ -261,7 +261,7 @@
   for (const std::string& id : ids) {
     hosts.push_back({{"id", id}, {"state", "leaving"}});
   }
-  Request(HostList(), "POST", "/control/hosts", hosts.dump());
+  Request(HostListAddress(), "POST", "/control/hosts", hosts.dump());
 }
 
 json Fleet::Dump(const std::string& node) {
@@ -424,7 +424,7 @@
                 {"operator_keys_sha256", {Sha256Hex(kOperatorKey)}},
                 {"compare_interval_ms", 500}};
   if (options_.host_list) {
-    settings["host_list"] = HostList();
+    settings["host_list"] = HostListAddress();
   }
   return settings;
 }
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -95,7 +95,7 @@
   std::string ServiceAddress(int index) const;
   std::string LinkAddress(int index) const;
   std::string ConfigServiceAddress() const;
-  std::string HostList() const;
+  std::string HostListAddress() const;
 
   // Sets the faults of a proxy, or of the configuration service.
   void SetFault(const std::string& name, const nlohmann::json& fault);
