--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -333,9 +333,9 @@
         {"hosts", "--lag-ms", std::to_string(options_.host_list_lag_ms)});
   }
   if (options_.weight_store) {
-    add("weights",
-        {"weights", "--at-once", std::to_string(options_.weight_store_at_once),
-         "--load-ms", std::to_string(options_.weight_load_ms)});
+    add("weights", {"weights", "--at-once",
+                    std::to_string(options_.max_concurrent_weight_loads),
+                    "--load-ms", std::to_string(options_.weight_load_ms)});
   }
   const auto add_proxy = [&](const std::string& name,
                              const std::string& target) {
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -38,7 +38,7 @@
   bool host_list = false;
   int host_list_lag_ms = 0;
   bool weight_store = false;
-  int weight_store_at_once = 2;
+  int max_concurrent_weight_loads = 2;
   int weight_load_ms = 50;
   // Whether engines hold the model when they start.
   bool models_loaded = true;
--- a/tests/promises_test.cc
+++ b/tests/promises_test.cc
@@ -301,7 +301,7 @@
   FleetOptions options;
   options.models_loaded = false;
   options.weight_store = true;
-  options.weight_store_at_once = 1;
+  options.max_concurrent_weight_loads = 1;
   options.policy = {{"weight_loads_at_once", 1}};
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
