--- a/bench/fleet_runs.cc
+++ b/bench/fleet_runs.cc
@@ -226,7 +226,7 @@
   Fleet fleet(fleet_options);
   fleet.WaitReady();
   for (const int tokens : {8, 32, 64, 128, 256}) {
-    LoadPlan plan = PlanFor(fleet, 1);
+    LoadPlan plan = MakeLoadPlan(fleet, 1);
     plan.rate = 50;
     plan.seconds = options.quick ? 3 : 5;
     plan.answer_tokens = tokens;
@@ -262,7 +262,7 @@
     fleet_options.step_ms_per_stream = 0;
     Fleet fleet(fleet_options);
     fleet.WaitReady();
-    LoadPlan plan = PlanFor(fleet, 1);
+    LoadPlan plan = MakeLoadPlan(fleet, 1);
     plan.rate = in_hand;
     plan.seconds = 1;
     plan.answer_tokens = 120;
--- a/bench/load_plan.h
+++ b/bench/load_plan.h
@@ -9,7 +9,7 @@
 namespace harecrank::bench {
 
 // Returns a plan that sends to the first `entries` entry hosts of `fleet`.
-inline LoadPlan PlanFor(const testing::Fleet& fleet, int entries) {
+inline LoadPlan MakeLoadPlan(const testing::Fleet& fleet, int entries) {
   LoadPlan plan;
   for (int i = 0; i < entries; ++i) {
     plan.targets.push_back(fleet.CallersAddress(i));
--- a/bench/load_runs.cc
+++ b/bench/load_runs.cc
@@ -90,7 +90,7 @@
   const FleetOptions options = PolicyFleet(variant);
   Fleet fleet(options);
   fleet.WaitReady();
-  LoadPlan plan = PlanFor(fleet, options.entries);
+  LoadPlan plan = MakeLoadPlan(fleet, options.entries);
   plan.rate = Capacity(options) * share;
   plan.seconds = seconds;
   plan.mix = {"1000:0.90", "8000:0.06"};
@@ -134,7 +134,7 @@
   std::cout << "rate    direct p50   p99 ms    through p50   p99 ms    entry "
                "ms/request   sidecar ms/request\n";
   for (const double rate : {25.0, 50.0, 100.0, 200.0}) {
-    LoadPlan plan = PlanFor(fleet, 1);
+    LoadPlan plan = MakeLoadPlan(fleet, 1);
     plan.rate = rate;
     plan.seconds = seconds;
     plan.threads = 128;
@@ -203,7 +203,7 @@
        {1000, 10000, 100000, 300000, 500000, 700000, 1000000}) {
     std::vector<double> first;
     for (int i = 0; i < repeats; ++i) {
-      LoadPlan plan = PlanFor(fleet, 1);
+      LoadPlan plan = MakeLoadPlan(fleet, 1);
       plan.seed = static_cast<std::uint64_t>(tokens + i);
       plan.mix = {std::to_string(tokens)};
       plan.threads = 1;
