--- a/bench/fleet_runs.cc
+++ b/bench/fleet_runs.cc
@@ -283,7 +283,7 @@
 
 }  // namespace
 
-json MeasureSpread(const RunOptions& options) {
+json MeasurePropagation(const RunOptions& options) {
   json figures = json::array();
   std::cout << "nodes   in force everywhere, median ms   worst ms   service "
                "calls/s   peer bytes/s a node\n";
--- a/bench/main.cc
+++ b/bench/main.cc
@@ -30,7 +30,7 @@
   add("hops", "cost of the two hops", MeasureHops);
   add("policies", "routing policies side by side", MeasurePolicies);
   add("groups", "first token against prompt length", MeasureGroups);
-  add("spread", "time until a change is in force", MeasureSpread);
+  add("spread", "time until a change is in force", MeasurePropagation);
   add("configuration", "one change among many routes, step by step",
       MeasureConfiguration);
   add("control", "the planner's words, asks, changes and starts by size",
--- a/bench/runs.h
+++ b/bench/runs.h
@@ -27,7 +27,7 @@
 nlohmann::json MeasureGroups(const RunOptions& options);
 
 // The time until a change is in force everywhere, against the number of nodes.
-nlohmann::json MeasureSpread(const RunOptions& options);
+nlohmann::json MeasurePropagation(const RunOptions& options);
 
 // The processor time that one published change costs a host, step by step.
 nlohmann::json MeasureConfiguration(const RunOptions& options);
