--- a/bench/measure.cc
+++ b/bench/measure.cc
@@ -82,8 +82,8 @@
   for (const Point& point : points) {
     const double off =
         std::abs(point.y - line.intercept - line.slope * point.x);
-    line.worst_residue =
-        std::max(line.worst_residue, largest == 0 ? 0 : off / largest);
+    line.worst_residual =
+        std::max(line.worst_residual, largest == 0 ? 0 : off / largest);
   }
   return line;
 }
@@ -99,14 +99,14 @@
   }
   std::cout << "  slope " << line.slope << " " << slope.y_unit << " per "
             << slope.x_unit << ", at zero " << line.intercept
-            << ", worst residue " << line.worst_residue * 100 << "%\n";
+            << ", worst residue " << line.worst_residual * 100 << "%\n";
   return {{"name", slope.name},
           {"x_unit", slope.x_unit},
           {"y_unit", slope.y_unit},
           {"points", points},
           {"slope", line.slope},
           {"intercept", line.intercept},
-          {"worst_residue", line.worst_residue}};
+          {"worst_residue", line.worst_residual}};
 }
 
 void DrawSlopes(const std::vector<Slope>& slopes, const std::string& path) {
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -36,7 +36,7 @@
   double intercept = 0;
   // The largest distance of a point from the line, as a share of the largest
   // value measured.
-  double worst_residue = 0;
+  double worst_residual = 0;
 };
 Line FitLine(const std::vector<Point>& points);
 
