--- a/standins/engine_model.cc
+++ b/standins/engine_model.cc
@@ -121,12 +121,12 @@
   return used_;
 }
 
-std::vector<EngineHolding> EngineModel::Holdings() {
+std::vector<MemoryAllocation> EngineModel::Holdings() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  std::vector<EngineHolding> holdings;
+  std::vector<MemoryAllocation> holdings;
   for (const auto& sequence : sequences_) {
-    holdings.push_back(EngineHolding{sequence->work.id, sequence->work.owner,
-                                     sequence->memory});
+    holdings.push_back(MemoryAllocation{sequence->work.id, sequence->work.owner,
+                                        sequence->memory});
   }
   return holdings;
 }
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -69,7 +69,7 @@
 enum class WorkState { kRunning, kDone, kGone };
 
 // What the engine holds memory for.
-struct EngineHolding {
+struct MemoryAllocation {
   std::string id;
   std::uint64_t owner = 0;
   std::int64_t tokens = 0;
@@ -97,7 +97,7 @@
 
   std::int64_t Used();
   std::int64_t Memory() const { return options_.memory_tokens; }
-  std::vector<EngineHolding> Holdings();
+  std::vector<MemoryAllocation> Holdings();
 
  private:
   struct Sequence {
