--- a/standins/engine_model.cc
+++ b/standins/engine_model.cc
@@ -121,7 +121,7 @@
   return used_;
 }
 
-std::vector<MemoryAllocation> EngineModel::Holdings() {
+std::vector<MemoryAllocation> EngineModel::Allocations() {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<MemoryAllocation> holdings;
   for (const auto& sequence : sequences_) {
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -97,7 +97,7 @@
 
   std::int64_t Used();
   std::int64_t Memory() const { return options_.memory_tokens; }
-  std::vector<MemoryAllocation> Holdings();
+  std::vector<MemoryAllocation> Allocations();
 
  private:
   struct Sequence {
--- a/standins/engine_server.cc
+++ b/standins/engine_server.cc
@@ -285,7 +285,7 @@
 
   void HandleAccount(HTTPServerResponse& response) {
     json holdings = json::array();
-    for (const MemoryAllocation& holding : model_.Holdings()) {
+    for (const MemoryAllocation& holding : model_.Allocations()) {
       holdings.push_back({{"id", holding.id},
                           {"owner", holding.owner},
                           {"tokens", holding.tokens}});
