--- a/standins/engine_model.cc
+++ b/standins/engine_model.cc
@@ -79,14 +79,14 @@
   std::unique_lock<std::mutex> lock(mutex_);
   const auto found = by_id_.find(id);
   if (found == by_id_.end()) {
-    return WorkState::kGone;
+    return WorkState::kNotFound;
   }
   const auto sequence = found->second;
   changed_.wait_for(lock, kWait, [&] {
     return sequence->done || !sequence->ready.empty() || by_id_.count(id) == 0;
   });
   if (by_id_.count(id) == 0) {
-    return WorkState::kGone;
+    return WorkState::kNotFound;
   }
   for (; !sequence->ready.empty(); sequence->ready.pop_front()) {
     tokens->push_back(sequence->ready.front());
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -66,7 +66,7 @@
 };
 
 // What a wait for work brought.
-enum class WorkState { kRunning, kDone, kGone };
+enum class WorkState { kRunning, kDone, kNotFound };
 
 // What the engine holds memory for.
 struct MemoryAllocation {
