--- a/standins/engine_model.cc
+++ b/standins/engine_model.cc
@@ -116,7 +116,7 @@
   return found->second->work.prompt;
 }
 
-std::int64_t EngineModel::Used() {
+std::int64_t EngineModel::UsedTokens() {
   const std::lock_guard<std::mutex> lock(mutex_);
   return used_;
 }
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -95,7 +95,7 @@
   // Returns the digest of a segment that is prefilled, or nothing.
   std::optional<TextDigest> Segment(const std::string& id);
 
-  std::int64_t Used();
+  std::int64_t UsedTokens();
   std::int64_t Memory() const { return options_.memory_tokens; }
   std::vector<MemoryAllocation> Allocations();
 
--- a/standins/engine_server.cc
+++ b/standins/engine_server.cc
@@ -297,7 +297,7 @@
     }
     SendResponse(response, http_status::kOk,
                  json{{"memory", model_.Memory()},
-                      {"used", model_.Used()},
+                      {"used", model_.UsedTokens()},
                       {"holdings", holdings},
                       {"models", models}}
                      .dump());
