--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -96,7 +96,7 @@
   std::optional<TextDigest> Segment(const std::string& id);
 
   std::int64_t UsedTokens();
-  std::int64_t Memory() const { return options_.memory_tokens; }
+  std::int64_t CapacityTokens() const { return options_.memory_tokens; }
   std::vector<MemoryAllocation> Allocations();
 
  private:
--- a/standins/engine_server.cc
+++ b/standins/engine_server.cc
@@ -296,7 +296,7 @@
       models[name] = {{"version", held.version}, {"adapters", held.adapters}};
     }
     SendResponse(response, http_status::kOk,
-                 json{{"memory", model_.Memory()},
+                 json{{"memory", model_.CapacityTokens()},
                       {"used", model_.UsedTokens()},
                       {"holdings", holdings},
                       {"models", models}}
