--- a/standins/engine_model.cc
+++ b/standins/engine_model.cc
@@ -106,7 +106,7 @@
   changed_.notify_all();
 }
 
-std::optional<TextDigest> EngineModel::Segment(const std::string& id) {
+std::optional<TextDigest> EngineModel::FindSegment(const std::string& id) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = by_id_.find(id);
   if (found == by_id_.end() || !found->second->work.is_segment ||
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -93,7 +93,7 @@
   void Remove(const std::string& id);
 
   // Returns the digest of a segment that is prefilled, or nothing.
-  std::optional<TextDigest> Segment(const std::string& id);
+  std::optional<TextDigest> FindSegment(const std::string& id);
 
   std::int64_t UsedTokens();
   std::int64_t CapacityTokens() const { return options_.memory_tokens; }
--- a/standins/engine_server.cc
+++ b/standins/engine_server.cc
@@ -215,7 +215,7 @@
     const std::string id = member.at("segment").get<std::string>();
     const std::string address = member.at("engine_address").get<std::string>();
     if (address == options_.address) {
-      return model_.Segment(id);
+      return model_.FindSegment(id);
     }
     HttpCall call;
     call.address = address;
@@ -271,7 +271,7 @@
   }
 
   void HandleExport(const std::string& id, HTTPServerResponse& response) {
-    const auto digest = model_.Segment(id);
+    const auto digest = model_.FindSegment(id);
     if (!digest) {
       SendResponse(response, http_status::kNotFound, "{}");
       return;
