--- a/standins/engine_model.cc
+++ b/standins/engine_model.cc
@@ -196,7 +196,7 @@
     // The step that ends the prefill brings the first token.
     const bool first = sequence->position == sequence->work.resume_from;
     if (first) {
-      Remember(sequence->work.blocks);
+      AddToCache(sequence->work.blocks);
     }
     if (first || decoded.count(sequence->work.id) > 0) {
       sequence->ready.push_back(
@@ -220,7 +220,7 @@
   return cached;
 }
 
-void EngineModel::Remember(const std::vector<std::uint64_t>& blocks) {
+void EngineModel::AddToCache(const std::vector<std::uint64_t>& blocks) {
   const auto most =
       static_cast<std::size_t>(options_.cache_tokens / kBlockTokens);
   for (const std::uint64_t block : blocks) {
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -113,7 +113,7 @@
   double PlanStep(std::vector<Sequence*>* decoding);
   void FinishStep(const std::set<std::string>& decoded);
   std::int64_t CachedTokens(const std::vector<std::uint64_t>& blocks) const;
-  void Remember(const std::vector<std::uint64_t>& blocks);
+  void AddToCache(const std::vector<std::uint64_t>& blocks);
 
   EngineOptions options_;
   std::mutex mutex_;
