--- a/standins/engine_model.cc
+++ b/standins/engine_model.cc
@@ -74,8 +74,8 @@
   return true;
 }
 
-WorkState EngineModel::Wait(const std::string& id,
-                            std::vector<ReadyToken>* tokens) {
+WorkState EngineModel::WaitForTokens(const std::string& id,
+                                     std::vector<ReadyToken>* tokens) {
   std::unique_lock<std::mutex> lock(mutex_);
   const auto found = by_id_.find(id);
   if (found == by_id_.end()) {
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -87,7 +87,8 @@
   bool Add(const EngineWork& work);
 
   // Waits a little for tokens of `id` and appends those that are ready.
-  WorkState Wait(const std::string& id, std::vector<ReadyToken>* tokens);
+  WorkState WaitForTokens(const std::string& id,
+                          std::vector<ReadyToken>* tokens);
 
   // Ends work or drops a segment, and frees its memory.
   void Remove(const std::string& id);
--- a/standins/engine_server.cc
+++ b/standins/engine_server.cc
@@ -165,7 +165,7 @@
     std::int64_t sent = 0;
     while (state == WorkState::kRunning) {
       std::vector<ReadyToken> tokens;
-      state = model_.Wait(work.id, &tokens);
+      state = model_.WaitForTokens(work.id, &tokens);
       for (const ReadyToken& token : tokens) {
         out << json{{"p", token.position}, {"t", token.text}}.dump() << "\n";
         ++sent;
@@ -261,7 +261,7 @@
     WorkState state = WorkState::kRunning;
     std::vector<ReadyToken> none;
     while (state == WorkState::kRunning && IsCallerConnected(request)) {
-      state = model_.Wait(work.id, &none);
+      state = model_.WaitForTokens(work.id, &none);
     }
     if (state != WorkState::kDone) {
       SendResponse(response, http_status::kUnavailable, "cancelled");
