--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -156,7 +156,7 @@
       return ready || !ProcessOf(node).IsRunning();
     });
     if (!ready) {
-      TellUnready(node, StateOf(node));
+      PrintNotReady(node, StateOf(node));
       return false;
     }
   }
@@ -173,7 +173,7 @@
     });
     if (!linked) {
       const std::string entry = "entry-" + std::to_string(i);
-      TellUnready(entry, Dump(entry)["entry"]["links"].dump());
+      PrintNotReady(entry, Dump(entry)["entry"]["links"].dump());
       return false;
     }
   }
@@ -189,7 +189,7 @@
   return "not ready, readiness answered " + std::to_string(status);
 }
 
-void Fleet::TellUnready(const std::string& node, const std::string& state) {
+void Fleet::PrintNotReady(const std::string& node, const std::string& state) {
   std::cerr << node << ": " << state << "\n";
   // The log is gone with the fleet, and tells why a process has ended.
   std::ifstream log(directory_ + "/" + ProcessNameOf(node) + ".log");
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -147,7 +147,7 @@
   // Returns whether the node's process runs, and what its readiness answers.
   std::string StateOf(const std::string& node);
   // Prints what is known of a node that did not become ready in time.
-  void TellUnready(const std::string& node, const std::string& state);
+  void PrintNotReady(const std::string& node, const std::string& state);
   void WriteSettings(const std::string& name, const nlohmann::json& settings);
   nlohmann::json NodeSettings(const std::string& node, int data_centre);
   void BuildDocument();
