--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -156,7 +156,7 @@
       return ready || !ProcessOf(node).IsRunning();
     });
     if (!ready) {
-      PrintNotReady(node, StateOf(node));
+      PrintNotReady(node, DescribeReadiness(node));
       return false;
     }
   }
@@ -180,7 +180,7 @@
   return true;
 }
 
-std::string Fleet::StateOf(const std::string& node) {
+std::string Fleet::DescribeReadiness(const std::string& node) {
   Process& process = ProcessOf(node);
   if (!process.IsRunning()) {
     return "its process has ended: " + process.DescribeEnd();
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -145,7 +145,7 @@
   // Returns the name under which the node's process runs.
   std::string ProcessNameOf(const std::string& node) const;
   // Returns whether the node's process runs, and what its readiness answers.
-  std::string StateOf(const std::string& node);
+  std::string DescribeReadiness(const std::string& node);
   // Prints what is known of a node that did not become ready in time.
   void PrintNotReady(const std::string& node, const std::string& state);
   void WriteSettings(const std::string& name, const nlohmann::json& settings);
