--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -470,7 +470,7 @@
         {"data_centre", DataCentre(i)},
         {"service", {{"name", "orders"}}}};
   }
-  ListMore();
+  AddListedNodes();
   for (int i = 0; i < options_.entries; ++i) {
     const std::string name = "entry-" + std::to_string(i);
     addresses_[name] = NextAddress();
@@ -481,7 +481,7 @@
   }
 }
 
-void Fleet::ListMore() {
+void Fleet::AddListedNodes() {
   const auto endpoint = [&](const std::string& link,
                             const std::string& operations, int index) {
     return json{{"link_address", link},
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -151,7 +151,7 @@
   void WriteSettings(const std::string& name, const nlohmann::json& settings);
   nlohmann::json NodeSettings(const std::string& node, int data_centre);
   void BuildDocument();
-  void ListMore();
+  void AddListedNodes();
   std::string DataCentre(int index) const;
 
   FleetOptions options_;
