--- a/testing/process.cc
+++ b/testing/process.cc
@@ -88,11 +88,11 @@
   }
   int status = 0;
   waitpid(pid_, &status, 0);
-  NoteEnd(status);
+  RecordExit(status);
   return exit_code_;
 }
 
-void Process::NoteEnd(int status) {
+void Process::RecordExit(int status) {
   ended_ = true;
   exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   end_signal_ = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
@@ -110,7 +110,7 @@
 bool Process::IsRunning() {
   int status = 0;
   if (!ended_ && waitpid(pid_, &status, WNOHANG) == pid_) {
-    NoteEnd(status);
+    RecordExit(status);
   }
   return !ended_;
 }
--- a/testing/process.h
+++ b/testing/process.h
@@ -39,7 +39,7 @@
   pid_t Pid() const { return pid_; }
 
  private:
-  void NoteEnd(int status);
+  void RecordExit(int status);
 
   pid_t pid_;
   bool ended_ = false;
