--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -183,7 +183,7 @@
 std::string Fleet::DescribeReadiness(const std::string& node) {
   Process& process = ProcessOf(node);
   if (!process.IsRunning()) {
-    return "its process has ended: " + process.DescribeEnd();
+    return "its process has ended: " + process.DescribeExit();
   }
   const int status = Request(OperationsAddress(node), "GET", "/readyz").status;
   return "not ready, readiness answered " + std::to_string(status);
--- a/testing/process.cc
+++ b/testing/process.cc
@@ -98,7 +98,7 @@
   end_signal_ = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
 }
 
-std::string Process::DescribeEnd() {
+std::string Process::DescribeExit() {
   Wait();
   if (end_signal_ == 0) {
     return "exit code " + std::to_string(exit_code_);
--- a/testing/process.h
+++ b/testing/process.h
@@ -35,7 +35,7 @@
   bool IsRunning();
 
   // Waits for the child's end and says how it ended: an exit code or a signal.
-  std::string DescribeEnd();
+  std::string DescribeExit();
   pid_t Pid() const { return pid_; }
 
  private:
