--- a/testing/process.cc
+++ b/testing/process.cc
@@ -72,7 +72,7 @@
 Process::~Process() { Kill(); }
 
 void Process::Signal(int signal) const {
-  if (!ended_ && pid_ > 0) {
+  if (!exited_ && pid_ > 0) {
     kill(pid_, signal);
   }
 }
@@ -83,7 +83,7 @@
 }
 
 int Process::Wait() {
-  if (ended_ || pid_ <= 0) {
+  if (exited_ || pid_ <= 0) {
     return exit_code_;
   }
   int status = 0;
@@ -93,7 +93,7 @@
 }
 
 void Process::RecordExit(int status) {
-  ended_ = true;
+  exited_ = true;
   exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   end_signal_ = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
 }
@@ -109,10 +109,10 @@
 
 bool Process::IsRunning() {
   int status = 0;
-  if (!ended_ && waitpid(pid_, &status, WNOHANG) == pid_) {
+  if (!exited_ && waitpid(pid_, &status, WNOHANG) == pid_) {
     RecordExit(status);
   }
-  return !ended_;
+  return !exited_;
 }
 
 }  // namespace harecrank::testing
--- a/testing/process.h
+++ b/testing/process.h
@@ -42,7 +42,7 @@
   void RecordExit(int status);
 
   pid_t pid_;
-  bool ended_ = false;
+  bool exited_ = false;
   int exit_code_ = -1;
   // Zero if it ended by itself.
   int end_signal_ = 0;
