--- a/testing/process.cc
+++ b/testing/process.cc
@@ -95,16 +95,16 @@
 void Process::RecordExit(int status) {
   exited_ = true;
   exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  end_signal_ = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
+  exit_signal_ = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
 }
 
 std::string Process::DescribeExit() {
   Wait();
-  if (end_signal_ == 0) {
+  if (exit_signal_ == 0) {
     return "exit code " + std::to_string(exit_code_);
   }
-  return "signal " + std::to_string(end_signal_) + ", " +
-         sigdescr_np(end_signal_);
+  return "signal " + std::to_string(exit_signal_) + ", " +
+         sigdescr_np(exit_signal_);
 }
 
 bool Process::IsRunning() {
--- a/testing/process.h
+++ b/testing/process.h
@@ -45,7 +45,7 @@
   bool exited_ = false;
   int exit_code_ = -1;
   // Zero if it ended by itself.
-  int end_signal_ = 0;
+  int exit_signal_ = 0;
 };
 
 }  // namespace harecrank::testing
