--- a/tests/suspension.cc
+++ b/tests/suspension.cc
@@ -20,8 +20,7 @@
       environment_(
           {"LD_PRELOAD=" + library, "HARECRANK_TEST_STOPPED_TIME=" + file_}) {
   std::ofstream(file_, std::ios::binary)
-      .write(reinterpret_cast<const char*>(&stood_still_),
-             sizeof(stood_still_));
+      .write(reinterpret_cast<const char*>(&stopped_ns_), sizeof(stopped_ns_));
 }
 
 void StoppableClock::Suspend(const Process& process) {
@@ -30,8 +29,8 @@
 }
 
 void StoppableClock::Resume(const Process& process) {
-  stood_still_ += (BootClock::now() - suspended_).count();
-  WriteNumber(file_, stood_still_);
+  stopped_ns_ += (BootClock::now() - suspended_).count();
+  WriteNumber(file_, stopped_ns_);
   process.Signal(SIGCONT);
 }
 
--- a/tests/suspension.h
+++ b/tests/suspension.h
@@ -30,7 +30,7 @@
   std::string file_;
   std::vector<std::string> environment_;
   TimePoint suspended_{};
-  std::int64_t stood_still_ = 0;
+  std::int64_t stopped_ns_ = 0;
 };
 
 }  // namespace harecrank::testing
