--- a/tests/suspension.cc
+++ b/tests/suspension.cc
@@ -24,12 +24,12 @@
 }
 
 void StoppableClock::Suspend(const Process& process) {
-  suspended_ = BootClock::now();
+  suspended_at_ = BootClock::now();
   process.Signal(SIGSTOP);
 }
 
 void StoppableClock::Resume(const Process& process) {
-  stopped_ns_ += (BootClock::now() - suspended_).count();
+  stopped_ns_ += (BootClock::now() - suspended_at_).count();
   WriteNumber(file_, stopped_ns_);
   process.Signal(SIGCONT);
 }
--- a/tests/suspension.h
+++ b/tests/suspension.h
@@ -29,7 +29,7 @@
  private:
   std::string file_;
   std::vector<std::string> environment_;
-  TimePoint suspended_{};
+  TimePoint suspended_at_{};
   std::int64_t stopped_ns_ = 0;
 };
 
