--- a/standins/servers.h
+++ b/standins/servers.h
@@ -1,4 +1,4 @@
-// The stand-ins for what the platform gives, each as a server.
+// Servers that stand in for the services of the platform in tests and demos.
 
 #ifndef HARECRANK_STANDINS_SERVERS_H_
 #define HARECRANK_STANDINS_SERVERS_H_
@@ -11,52 +11,60 @@
 
 namespace harecrank::standins {
 
-// A server that runs from its construction to its end.
+// A server that accepts requests from its construction to its destruction.
 class StandIn {
  public:
   virtual ~StandIn() = default;
 };
 
-// How an engine stand-in is set.
+// Configuration of an engine stand-in.
 struct EngineServerOptions {
   std::string address;
   EngineOptions engine;
-  // Empty if loads take no weights from a store.
+  // Address of the weight store. If empty, the engine loads models without one.
   std::string weight_store;
-  // Models that it holds at its start, as NAME:VERSION.
+  // Models that are loaded at the start, as NAME:VERSION.
   std::vector<std::string> models;
+  // Accepts orders with an outdated fence, as an engine without fences does.
   bool ignores_fences = false;
-  // Tokens of a segment that another engine imports in a second.
+  // Rate at which the engine imports segments that other engines prefilled.
   double import_tokens_per_second = 4e6;
 };
 std::unique_ptr<StandIn> MakeEngineServer(const EngineServerOptions& options);
 
-// A plain service that counts its calls.
+// Returns an HTTP service that echoes each request and counts requests by their
+// body.
 std::unique_ptr<StandIn> MakePlainService(const std::string& address);
 
-// How a configuration service stand-in is set.
+// Configuration of a configuration service stand-in.
 struct ConfigServerOptions {
   std::string address;
-  // Calls a second that are answered; more are refused.
+  // Limit of calls in any period of one second. Calls above it get status 429.
   int calls_per_second = 2000;
   int threads = 300;
 };
 std::unique_ptr<StandIn> MakeConfigServer(const ConfigServerOptions& options);
 
-// The host list; what is set shows `lag_ms` later.
+// Returns a host list service. A new list becomes visible `lag_ms` milliseconds
+// after it is set.
 std::unique_ptr<StandIn> MakeHostList(const std::string& address, int lag_ms);
 
-// The weight store: `at_once` loads of `load_ms` each; more are refused.
+// Returns a weight store that serves up to `max_concurrent_loads` loads at the
+// same time and takes `load_ms` milliseconds for each. Further loads get status
+// 429.
 std::unique_ptr<StandIn> MakeWeightStore(const std::string& address,
-                                         int at_once, int load_ms);
+                                         int max_concurrent_loads, int load_ms);
 
-// How a proxy is set.
+// Addresses of a fault-injecting proxy.
 struct ProxyOptions {
+  // Accepts the connections that are forwarded to `target`.
   std::string listen;
   std::string target;
+  // Accepts the HTTP calls that set faults.
   std::string control;
 };
-// A TCP proxy that takes its faults at POST /control/fault.
+// Returns a TCP proxy whose faults are set by POST /control/fault at its
+// control address.
 std::unique_ptr<StandIn> MakeFaultProxy(const ProxyOptions& options);
 
 }  // namespace harecrank::standins
