--- a/testing/engine_service.h
+++ b/testing/engine_service.h
@@ -1,4 +1,5 @@
-// A service of engines as deployments publish them, for tests and benchmarks.
+// The profile of an engine service as deployments publish it, for tests and
+// benchmarks.
 
 #ifndef HARECRANK_TESTING_ENGINE_SERVICE_H_
 #define HARECRANK_TESTING_ENGINE_SERVICE_H_
@@ -9,8 +10,9 @@
 
 namespace harecrank::testing {
 
-// Returns a service of engines that take ten requests at once, hold 315,000
-// tokens and read 177 a millisecond.
+// Returns the profile of a service whose engines run up to ten requests
+// concurrently, have memory for 315,000 tokens and prefill 177 tokens per
+// millisecond.
 inline ServiceProfile MakeEngineServiceProfile(ServiceName name) {
   ServiceProfile service;
   service.name = std::move(name);
--- a/testing/loopback.h
+++ b/testing/loopback.h
@@ -1,8 +1,8 @@
-// Addresses of the loopback range that no other running test has.
+// Loopback addresses that are unique among running test processes.
 //
-// The system's own choice of a free port is not safe for a server that binds
-// later: until then another process may get the same port, for a connection of
-// its own too.
+// Tests don't let the system choose a free port, since that is not safe for a
+// server that binds later: until then the system may give the same port to
+// another process, also for an outgoing connection.
 
 #ifndef HARECRANK_TESTING_LOOPBACK_H_
 #define HARECRANK_TESTING_LOOPBACK_H_
@@ -13,10 +13,11 @@
 
 namespace harecrank::testing {
 
-// Below the ports that the system hands out by itself.
+// Below the system's range of ephemeral ports.
 constexpr int kFirstTestPort = 20000;
 
-// Returns an address that no other process has while this one lives.
+// Returns a loopback address that is derived from the process id, so that no
+// other running process gets the same one.
 inline std::string UniqueLoopbackAddress() {
   constexpr int kByte = 256;
   constexpr int kFirstBytes = 100;
@@ -26,8 +27,9 @@
          std::to_string(pid % kByte);
 }
 
-// Returns the first three bytes of addresses, with the point behind them, of
-// which the same holds. They never meet those of UniqueLoopbackAddress.
+// Returns the first three bytes of an address range with a trailing dot, such
+// as "127.130.7.". The range is derived from the process id as well and is
+// disjoint from the addresses of UniqueLoopbackAddress.
 inline std::string UniqueLoopbackPrefix() {
   constexpr int kByte = 256;
   constexpr int kFirstByte = 120;
--- a/testing/process.h
+++ b/testing/process.h
@@ -10,31 +10,33 @@
 
 namespace harecrank::testing {
 
-// One child. It dies with its parent, however the parent ends.
+// A child process. The system kills it when its parent ends for any reason.
 class Process {
  public:
-  // Starts `command`, whose first word is the program's path. Its output goes
-  // to the file `log`. `environment` is added to this process's own: NAME=TEXT.
+  // Starts `command`, whose first element is the path of the program. Appends
+  // its standard output and error to the file `log`. Adds the variables of
+  // `environment`, as NAME=TEXT, to the environment of this process.
   Process(const std::vector<std::string>& command, const std::string& log,
           const std::vector<std::string>& environment = {});
-  // Kills the child if it still runs.
+  // Kills the child if it is still running.
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  // Sends a signal, such as SIGSTOP.
+  // Sends a signal, such as SIGSTOP. Has no effect once the child's exit has
+  // been recorded.
   void Signal(int signal) const;
 
-  // Kills the child at once and waits for its end.
+  // Sends SIGKILL and waits for the child's exit.
   void Kill();
 
-  // Waits for the child's end and returns its exit code, or -1 if a signal
-  // ended it.
+  // Waits for the child's exit and returns its exit code, or -1 if a signal
+  // terminated it.
   int Wait();
 
   bool IsRunning();
 
-  // Waits for the child's end and says how it ended: an exit code or a signal.
+  // Waits for the child's exit and returns its exit code or signal as text.
   std::string DescribeExit();
   pid_t Pid() const { return pid_; }
 
@@ -44,7 +46,7 @@
   pid_t pid_;
   bool exited_ = false;
   int exit_code_ = -1;
-  // Zero if it ended by itself.
+  // The signal that terminated the child, or 0 if it exited by itself.
   int exit_signal_ = 0;
 };
 
