--- a/bench/load_plan.h
+++ b/bench/load_plan.h
@@ -1,4 +1,4 @@
-// The part of a load's plan that every measurement shares.
+// The part of a load plan that all measurements have in common.
 
 #ifndef HARECRANK_BENCH_LOAD_PLAN_H_
 #define HARECRANK_BENCH_LOAD_PLAN_H_
@@ -8,7 +8,8 @@
 
 namespace harecrank::bench {
 
-// Returns a plan that sends to the first `entries` entry hosts of `fleet`.
+// Returns a plan that sends requests to the first `entries` entry hosts of
+// `fleet`.
 inline LoadPlan MakeLoadPlan(const testing::Fleet& fleet, int entries) {
   LoadPlan plan;
   for (int i = 0; i < entries; ++i) {
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -1,4 +1,5 @@
-// What all measurements share: readings of processes, fitted lines, reports.
+// Utilities of the measurements: resource usage of processes, linear fits and
+// reports.
 
 #ifndef HARECRANK_BENCH_MEASURE_H_
 #define HARECRANK_BENCH_MEASURE_H_
@@ -11,36 +12,38 @@
 
 namespace harecrank::bench {
 
-// What a process has used so far.
+// Resource usage of a process.
 struct ProcessReading {
+  // User and system time since the start of the process.
   double cpu_seconds = 0;
   double resident_mib = 0;
   int threads = 0;
 };
 
-// Reads a process's use from the system.
+// Reads the resource usage of a process from /proc.
 ProcessReading ReadProcess(pid_t pid);
 
-// Returns the value of the metric called `name`, labels included, or 0.
+// Returns the value of a metric from the text that a node exports, or 0 if it
+// is missing. `name` includes the labels.
 double MetricValue(const std::string& metrics, const std::string& name);
 
-// One measured point.
+// A measured point.
 struct Point {
   double x = 0;
   double y = 0;
 };
 
-// A straight line through points, and how far they lie from it.
+// A linear fit by least squares.
 struct Line {
   double slope = 0;
   double intercept = 0;
-  // The largest distance of a point from the line, as a share of the largest
-  // value measured.
+  // Largest vertical distance of a point from the line, as a fraction of the
+  // largest absolute value of y.
   double worst_residual = 0;
 };
 Line FitLine(const std::vector<Point>& points);
 
-// One slope: what was varied, what was measured, and the points.
+// A measurement of y at several values of x, and the units of both.
 struct Slope {
   std::string name;
   std::string x_unit;
@@ -48,10 +51,10 @@
   std::vector<Point> points;
 };
 
-// Prints `slope` with its line, and returns both as JSON.
+// Prints the points of `slope` and their linear fit, and returns both as JSON.
 nlohmann::json ReportSlope(const Slope& slope);
 
-// Draws the slopes one below the other into an SVG file.
+// Writes an SVG file with one plot per slope, arranged vertically.
 void DrawSlopes(const std::vector<Slope>& slopes, const std::string& path);
 
 }  // namespace harecrank::bench
--- a/bench/runs.h
+++ b/bench/runs.h
@@ -1,4 +1,4 @@
-// The measurements. Each prints a table and returns its figures as JSON.
+// The measurements. Each prints its results and returns them as JSON.
 
 #ifndef HARECRANK_BENCH_RUNS_H_
 #define HARECRANK_BENCH_RUNS_H_
@@ -8,35 +8,42 @@
 
 namespace harecrank::bench {
 
-// What each measurement is told.
+// Options that all measurements have.
 struct RunOptions {
-  // Shorter and less sure, to try a measurement out.
+  // Makes a measurement shorter and less precise, to try it out.
   bool quick = false;
-  // Where plots go; none are drawn if it is empty.
+  // Path of the SVG file for plots. If empty, nothing is drawn.
   std::string plot;
 };
 
-// The cost of the two hops against calling the engine stand-in directly.
+// Measures the latency and processor time that entry host and sidecar add,
+// compared with direct calls to the engine stand-in.
 nlohmann::json MeasureHops(const RunOptions& options);
 
-// First-token time by length under each routing policy, at rates around
-// capacity, and the slowdown of short requests by long ones.
+// Measures the time to first token by prompt length under each routing policy
+// at 0.5 to 2 times the capacity, and how much long requests slow short ones
+// down.
 nlohmann::json MeasurePolicies(const RunOptions& options);
 
-// First-token time against prompt length, and the share of the ideal reached.
+// Measures the time to first token by prompt length, and the ratio of the ideal
+// time to it.
 nlohmann::json MeasureGroups(const RunOptions& options);
 
-// The time until a change is in force everywhere, against the number of nodes.
+// Measures the time until a configuration change is in force on all nodes, by
+// the number of nodes.
 nlohmann::json MeasurePropagation(const RunOptions& options);
 
-// The processor time that one published change costs a host, step by step.
+// Measures the processor time that a host spends on one published configuration
+// change, for each step of its processing.
 nlohmann::json MeasureConfiguration(const RunOptions& options);
 
-// What words, asks, changes and starts cost the host that plans, at 100 to
-// 3,216 hosts with ten times as many endpoints.
+// Measures the time that the planner spends on heartbeats, placement queries,
+// configuration changes and snapshots for hosts that start, with 100 to 3,216
+// hosts and ten times as many endpoints.
 nlohmann::json MeasureControl(const RunOptions& options);
 
-// The slopes that docs/CAPACITY.md is worked out from.
+// Measures the resource usage per link, listed endpoint, token and request that
+// docs/CAPACITY.md is derived from.
 nlohmann::json MeasureSlopes(const RunOptions& options);
 
 }  // namespace harecrank::bench
