--- a/standins/engine_model.cc
+++ b/standins/engine_model.cc
@@ -7,18 +7,18 @@
 namespace harecrank::standins {
 namespace {
 
-constexpr std::uint64_t kBase = 1099511628211ULL;
-constexpr std::uint64_t kMix = 0x9E3779B97F4A7C15ULL;
+constexpr std::uint64_t kHashBase = 1099511628211ULL;
+constexpr std::uint64_t kMixFactor = 0x9E3779B97F4A7C15ULL;
 constexpr double kMillisPerSecond = 1000.0;
-constexpr std::chrono::milliseconds kWait{50};
+constexpr std::chrono::milliseconds kMaxWait{50};
 
 }  // namespace
 
 TextDigest DigestText(const std::string& text) {
   TextDigest digest;
   for (const char c : text) {
-    digest.hash = digest.hash * kBase + static_cast<unsigned char>(c) + 1;
-    digest.power *= kBase;
+    digest.hash = digest.hash * kHashBase + static_cast<unsigned char>(c) + 1;
+    digest.power *= kHashBase;
   }
   digest.bytes = static_cast<std::int64_t>(text.size());
   return digest;
@@ -34,7 +34,7 @@
 
 std::string TokenAt(const TextDigest& prompt, std::int64_t position) {
   std::uint64_t mixed =
-      (prompt.hash ^ static_cast<std::uint64_t>(position)) * kMix;
+      (prompt.hash ^ static_cast<std::uint64_t>(position)) * kMixFactor;
   mixed ^= mixed >> 29U;
   constexpr std::size_t kSize = 8;
   char text[kSize];
@@ -82,7 +82,7 @@
     return WorkState::kNotFound;
   }
   const auto sequence = found->second;
-  changed_.wait_for(lock, kWait, [&] {
+  changed_.wait_for(lock, kMaxWait, [&] {
     return sequence->done || !sequence->ready.empty() || by_id_.count(id) == 0;
   });
   if (by_id_.count(id) == 0) {
@@ -137,7 +137,7 @@
     std::vector<Sequence*> decoding;
     const double step_ms = PlanStep(&decoding);
     if (step_ms <= 0) {
-      changed_.wait_for(lock, kWait);
+      changed_.wait_for(lock, kMaxWait);
       continue;
     }
     std::set<std::string> decoded;
@@ -167,20 +167,20 @@
                      return a->work.priority > b->work.priority;
                    });
   std::int64_t budget = options_.step_tokens;
-  std::int64_t taken = 0;
+  std::int64_t prefilled = 0;
   for (Sequence* sequence : prefilling) {
-    const std::int64_t part =
+    const std::int64_t chunk =
         std::min({sequence->prefill_left, sequence->work.chunk_tokens, budget});
-    sequence->prefill_left -= part;
-    budget -= part;
-    taken += part;
+    sequence->prefill_left -= chunk;
+    budget -= chunk;
+    prefilled += chunk;
   }
   if (prefilling.empty() && decoding->empty()) {
     return 0;
   }
   return options_.base_step_ms +
          options_.step_ms_per_stream * static_cast<double>(decoding->size()) +
-         static_cast<double>(taken) / options_.prefill_tokens_per_second *
+         static_cast<double>(prefilled) / options_.prefill_tokens_per_second *
              kMillisPerSecond;
 }
 
@@ -193,7 +193,7 @@
       sequence->done = true;
       continue;
     }
-    // The step that ends the prefill brings the first token.
+    // The step that completes the prefill also generates the first token.
     const bool first = sequence->position == sequence->work.resume_from;
     if (first) {
       AddToCache(sequence->work.blocks);
@@ -221,13 +221,13 @@
 }
 
 void EngineModel::AddToCache(const std::vector<std::uint64_t>& blocks) {
-  const auto most =
+  const auto max_blocks =
       static_cast<std::size_t>(options_.cache_tokens / kBlockTokens);
   for (const std::uint64_t block : blocks) {
     if (cache_.insert(block).second) {
       cache_order_.push_back(block);
     }
-    if (cache_order_.size() > most) {
+    if (cache_order_.size() > max_blocks) {
       cache_.erase(cache_order_.front());
       cache_order_.pop_front();
     }
--- a/standins/engine_server.cc
+++ b/standins/engine_server.cc
@@ -18,14 +18,14 @@
 using Poco::Net::HTTPServerResponse;
 
 constexpr int kThreads = 600;
-constexpr std::size_t kMostBody = 64U << 20U;
+constexpr std::size_t kMaxBodyBytes = 64U << 20U;
 constexpr std::size_t kLabelBytes = 32;
-constexpr std::int64_t kCheckMembersEvery = 8;
-constexpr Millis kMemberTimeout{300};
+constexpr std::int64_t kSegmentCheckInterval = 8;
+constexpr Millis kSegmentTimeout{300};
 constexpr Millis kStoreTimeout{60000};
 constexpr double kMillisPerSecond = 1000.0;
 
-std::vector<std::uint64_t> BlocksOf(const std::string& prompt) {
+std::vector<std::uint64_t> PrefixBlocks(const std::string& prompt) {
   std::vector<std::uint64_t> blocks;
   const std::size_t size =
       static_cast<std::size_t>(kBlockTokens * kBytesPerToken);
@@ -37,7 +37,7 @@
   return blocks;
 }
 
-std::int64_t TokensOf(std::size_t bytes) {
+std::int64_t CountTokens(std::size_t bytes) {
   return (static_cast<std::int64_t>(bytes) + kBytesPerToken - 1) /
          kBytesPerToken;
 }
@@ -48,8 +48,8 @@
   work.id = body.at("id").get<std::string>();
   work.owner = body.at("owner").get<std::uint64_t>();
   work.prompt = DigestText(prompt);
-  work.blocks = BlocksOf(prompt);
-  work.prompt_tokens = TokensOf(prompt.size());
+  work.blocks = PrefixBlocks(prompt);
+  work.prompt_tokens = CountTokens(prompt.size());
   work.answer_tokens = body.value("max_tokens", std::int64_t{0});
   work.resume_from = body.value("resume_from", std::int64_t{0});
   work.priority = body.value("priority", 0);
@@ -57,8 +57,8 @@
   return work;
 }
 
-// A model as the engine holds it.
-struct Held {
+// A loaded model and its adapters, with their versions.
+struct LoadedModel {
   std::string version;
   std::map<std::string, std::string> adapters;
 };
@@ -96,7 +96,7 @@
       model_.Remove(path.substr(holdings.size()));
       SendResponse(response, http_status::kOk, "{}");
     } else if (path == "/v1/account") {
-      HandleAccount(response);
+      HandleStatus(response);
     } else if (path == "/v1/orders") {
       HandleOrder(request, response);
     } else if (path == "/control/runs") {
@@ -104,7 +104,7 @@
       SendResponse(response, http_status::kOk, json(runs_).dump());
     } else if (path == "/control/resumes") {
       const std::lock_guard<std::mutex> lock(mutex_);
-      SendResponse(response, http_status::kOk, json(resumed_from_).dump());
+      SendResponse(response, http_status::kOk, json(max_resume_from_).dump());
     } else if (path == "/control/orders") {
       const std::lock_guard<std::mutex> lock(mutex_);
       SendResponse(response, http_status::kOk, json(orders_).dump());
@@ -113,32 +113,32 @@
     }
   }
 
-  bool Take(HTTPServerRequest& request, HTTPServerResponse& response,
-            json* body) {
+  bool AcceptRequest(HTTPServerRequest& request, HTTPServerResponse& response,
+                     json* body) {
     std::string text;
-    ReadBody(request, kMostBody, &text);
+    ReadBody(request, kMaxBodyBytes, &text);
     *body = json::parse(text);
     const std::lock_guard<std::mutex> lock(mutex_);
     if (models_.count(body->value("model", std::string())) == 0) {
       SendResponse(response, http_status::kNotFound, "model not loaded");
       return false;
     }
-    // Counted by the prompt's beginning, so that a test can tell whether a
-    // request ran twice.
-    resumed_from_ =
-        std::max(resumed_from_, body->value("resume_from", std::int64_t{0}));
+    // Requests are counted by the first bytes of their prompt, so that a test
+    // can detect a request that ran twice.
+    max_resume_from_ =
+        std::max(max_resume_from_, body->value("resume_from", std::int64_t{0}));
     ++runs_[body->value("prompt", std::string()).substr(0, kLabelBytes)];
     return true;
   }
 
   void HandleStream(HTTPServerRequest& request, HTTPServerResponse& response) {
     json body;
-    if (!Take(request, response, &body)) {
+    if (!AcceptRequest(request, response, &body)) {
       return;
     }
     EngineWork work = ToWork(body);
     const json members = body.value("segments", json::array());
-    if (!Gather(members, &work)) {
+    if (!JoinSegments(members, &work)) {
       SendResponse(response, http_status::kFailedDependency,
                    "a segment is gone");
       return;
@@ -152,9 +152,10 @@
     }
   }
 
-  // Returns whether the stream has ended. One whose reader went away goes on,
-  // as on an engine whose streams can be resumed, and holds its memory until
-  // somebody cancels it.
+  // Sends tokens until the response is complete, its caller disconnects or a
+  // segment is lost. Returns whether the request is finished. After a
+  // disconnect it is not: it continues to run, as on an engine whose streams
+  // can be resumed, and keeps its memory until it is cancelled.
   bool Stream(HTTPServerRequest& request, HTTPServerResponse& response,
               const EngineWork& work, const json& members) {
     response.setChunkedTransferEncoding(true);
@@ -171,13 +172,13 @@
         ++sent;
       }
       out.flush();
-      const bool members_there = members.empty() ||
-                                 sent % kCheckMembersEvery != 0 ||
-                                 AreMembersThere(members);
-      const bool reader_there = out.good() && IsCallerConnected(request);
-      if (!reader_there || !members_there) {
+      const bool segments_available = members.empty() ||
+                                      sent % kSegmentCheckInterval != 0 ||
+                                      AreSegmentsAvailable(members);
+      const bool caller_connected = out.good() && IsCallerConnected(request);
+      if (!caller_connected || !segments_available) {
         response.setKeepAlive(false);
-        return !members_there;
+        return !segments_available;
       }
     }
     if (state == WorkState::kDone) {
@@ -187,9 +188,10 @@
     return true;
   }
 
-  // Joins the digests of a group's segments, and takes the time that it takes
-  // to import those of others.
-  bool Gather(const json& members, EngineWork* work) {
+  // Computes the digest of a group's prompt from its segments, and waits for
+  // the time that importing the segments of other engines takes. Returns false
+  // if a segment is missing.
+  bool JoinSegments(const json& members, EngineWork* work) {
     TextDigest joined;
     std::int64_t imported = 0;
     for (const json& member : members) {
@@ -199,7 +201,8 @@
       }
       joined = JoinDigests(joined, *digest);
       const bool own = member.at("engine_address") == options_.address;
-      imported += own ? 0 : TokensOf(static_cast<std::size_t>(digest->bytes));
+      imported +=
+          own ? 0 : CountTokens(static_cast<std::size_t>(digest->bytes));
     }
     if (!members.empty()) {
       work->prompt = joined;
@@ -220,14 +223,14 @@
     HttpCall call;
     call.address = address;
     call.path = "/v1/segments/" + id;
-    call.timeout = kMemberTimeout;
+    call.timeout = kSegmentTimeout;
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::optional<TextDigest>> {
-          BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
-          if (answer.status != http_status::kOk) {
+          BOOST_LEAF_AUTO(http_response, SendHttpRequest(call));
+          if (http_response.status != http_status::kOk) {
             return std::optional<TextDigest>();
           }
-          const json body = json::parse(answer.body);
+          const json body = json::parse(http_response.body);
           TextDigest digest;
           body.at("hash").get_to(digest.hash);
           body.at("power").get_to(digest.power);
@@ -237,7 +240,7 @@
         [] { return std::optional<TextDigest>(); });
   }
 
-  bool AreMembersThere(const json& members) {
+  bool AreSegmentsAvailable(const json& members) {
     for (const json& member : members) {
       if (!ReadSegment(member)) {
         return false;
@@ -248,7 +251,7 @@
 
   void HandleSegment(HTTPServerRequest& request, HTTPServerResponse& response) {
     json body;
-    if (!Take(request, response, &body)) {
+    if (!AcceptRequest(request, response, &body)) {
       return;
     }
     EngineWork work = ToWork(body);
@@ -283,7 +286,7 @@
                      .dump());
   }
 
-  void HandleAccount(HTTPServerResponse& response) {
+  void HandleStatus(HTTPServerResponse& response) {
     json holdings = json::array();
     for (const MemoryAllocation& holding : model_.Allocations()) {
       holdings.push_back({{"id", holding.id},
@@ -292,8 +295,9 @@
     }
     const std::lock_guard<std::mutex> lock(mutex_);
     json models = json::object();
-    for (const auto& [name, held] : models_) {
-      models[name] = {{"version", held.version}, {"adapters", held.adapters}};
+    for (const auto& [name, loaded] : models_) {
+      models[name] = {{"version", loaded.version},
+                      {"adapters", loaded.adapters}};
     }
     SendResponse(response, http_status::kOk,
                  json{{"memory", model_.CapacityTokens()},
@@ -305,7 +309,7 @@
 
   void HandleOrder(HTTPServerRequest& request, HTTPServerResponse& response) {
     std::string text;
-    ReadBody(request, kMostBody, &text);
+    ReadBody(request, kMaxBodyBytes, &text);
     const json order = json::parse(text);
     {
       const std::lock_guard<std::mutex> lock(mutex_);
@@ -337,8 +341,8 @@
     call.timeout = kStoreTimeout;
     return leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
-          BOOST_LEAF_AUTO(answer, SendHttpRequest(call));
-          return answer.status == http_status::kOk;
+          BOOST_LEAF_AUTO(http_response, SendHttpRequest(call));
+          return http_response.status == http_status::kOk;
         },
         [] { return false; });
   }
@@ -360,12 +364,12 @@
   EngineServerOptions options_;
   EngineModel model_;
   std::mutex mutex_;
-  std::map<std::string, Held> models_;
+  std::map<std::string, LoadedModel> models_;
   std::map<std::string, int> runs_;
   std::vector<json> orders_;
   std::uint64_t fence_ = 0;
-  // The farthest position that a stream was asked to resume from.
-  std::int64_t resumed_from_ = 0;
+  // Largest position that a request asked to resume from.
+  std::int64_t max_resume_from_ = 0;
   std::unique_ptr<HttpServer> server_;
 };
 
