--- a/standins/fault_proxy.cc
+++ b/standins/fault_proxy.cc
@@ -20,23 +20,25 @@
 using nlohmann::json;
 using Poco::Net::StreamSocket;
 
-constexpr std::size_t kPiece = 16384;
-constexpr std::chrono::milliseconds kPoll{5};
+constexpr std::size_t kBufferBytes = 16384;
+constexpr std::chrono::milliseconds kPollInterval{5};
 constexpr std::int64_t kMicrosPerMilli = 1000;
 
-// The faults in force. Each takes effect on connections old and new.
+// The faults in force. Each affects existing and new connections.
 struct Faults {
-  // Connections are closed, and new ones refused.
+  // Existing connections are closed, and new ones are closed at once.
   std::atomic<bool> cut{false};
-  // Connections are reset, and new ones too.
+  // Existing and new connections are reset.
   std::atomic<bool> reset{false};
-  // Bytes are held both ways until it ends.
+  // No bytes are forwarded in either direction until the fault is removed.
   std::atomic<bool> freeze{false};
-  // Bytes of one direction are held: a one-way loss, as TCP shows it.
-  std::atomic<bool> hold_up{false};
-  std::atomic<bool> hold_down{false};
-  // New connections are taken and nothing is forwarded.
+  // No bytes are forwarded in one direction, which is how a one-way loss of
+  // packets appears to users of TCP. Upstream is from the caller to the target.
+  std::atomic<bool> stall_upstream{false};
+  std::atomic<bool> stall_downstream{false};
+  // New connections are accepted and nothing is forwarded.
   std::atomic<bool> half_open{false};
+  // Delay of each block of bytes that is forwarded.
   std::atomic<int> delay_ms{0};
   // Zero for no limit.
   std::atomic<std::int64_t> bytes_per_second{0};
@@ -53,8 +55,8 @@
         control, [this](Poco::Net::HTTPServerRequest& request,
                         Poco::Net::HTTPServerResponse& response) {
           std::string body;
-          ReadBody(request, kPiece, &body);
-          Set(json::parse(body));
+          ReadBody(request, kBufferBytes, &body);
+          SetFaults(json::parse(body));
           SendResponse(response, http_status::kOk, "{}");
         });
     acceptor_ = std::thread([this] { Accept(); });
@@ -63,26 +65,26 @@
   ~FaultProxy() override {
     stopping_ = true;
     acceptor_.join();
-    for (std::thread& thread : pumps_) {
+    for (std::thread& thread : connection_threads_) {
       thread.join();
     }
   }
 
  private:
-  void Set(const json& fault) {
+  void SetFaults(const json& fault) {
     faults_.reset = fault.value("reset", false);
-    // The pumps end by `cut`, and then close as `reset` says.
+    // `cut` ends the forwarding loops; Shutdown then applies `reset`.
     faults_.cut = faults_.reset || fault.value("cut", false);
     faults_.freeze = fault.value("freeze", false);
-    faults_.hold_up = fault.value("hold_up", false);
-    faults_.hold_down = fault.value("hold_down", false);
+    faults_.stall_upstream = fault.value("hold_up", false);
+    faults_.stall_downstream = fault.value("hold_down", false);
     faults_.half_open = fault.value("half_open", false);
     faults_.delay_ms = fault.value("delay_ms", 0);
     faults_.bytes_per_second = fault.value("bytes_per_second", 0);
   }
 
   void Accept() {
-    const Poco::Timespan wait(kPoll.count() * kMicrosPerMilli);
+    const Poco::Timespan wait(kPollInterval.count() * kMicrosPerMilli);
     while (!stopping_) {
       if (!listener_.poll(wait, Poco::Net::Socket::SELECT_READ)) {
         continue;
@@ -93,13 +95,13 @@
         caller.close();
         continue;
       }
-      pumps_.emplace_back([this, caller] { Serve(caller); });
+      connection_threads_.emplace_back([this, caller] { Serve(caller); });
     }
   }
 
   void Serve(StreamSocket caller) {
     while (faults_.half_open && !faults_.cut && !stopping_) {
-      std::this_thread::sleep_for(kPoll);
+      std::this_thread::sleep_for(kPollInterval);
     }
     StreamSocket target;
     try {
@@ -110,40 +112,43 @@
       caller.close();
       return;
     }
-    std::thread down([&] { Pump(target, caller, &faults_.hold_down); });
-    Pump(caller, target, &faults_.hold_up);
-    down.join();
+    std::thread downstream(
+        [&] { Forward(target, caller, &faults_.stall_downstream); });
+    Forward(caller, target, &faults_.stall_upstream);
+    downstream.join();
   }
 
-  // Forwards until either side ends, or the proxy is cut.
-  void Pump(StreamSocket from, StreamSocket to, const std::atomic<bool>* held) {
-    std::array<char, kPiece> piece{};
-    const Poco::Timespan wait(kPoll.count() * kMicrosPerMilli);
+  // Forwards bytes until either side closes its connection or `cut` is set.
+  void Forward(StreamSocket from, StreamSocket to,
+               const std::atomic<bool>* stalled) {
+    std::array<char, kBufferBytes> buffer{};
+    const Poco::Timespan wait(kPollInterval.count() * kMicrosPerMilli);
     try {
       while (!faults_.cut && !stopping_) {
-        if (faults_.freeze || *held) {
-          std::this_thread::sleep_for(kPoll);
+        if (faults_.freeze || *stalled) {
+          std::this_thread::sleep_for(kPollInterval);
           continue;
         }
         if (!from.poll(wait, Poco::Net::Socket::SELECT_READ)) {
           continue;
         }
-        const int got =
-            from.receiveBytes(piece.data(), static_cast<int>(piece.size()));
-        if (got <= 0) {
+        const int received =
+            from.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
+        if (received <= 0) {
           break;
         }
-        Hold(got);
-        to.sendBytes(piece.data(), got);
+        Throttle(received);
+        to.sendBytes(buffer.data(), received);
       }
     } catch (const Poco::Exception&) {
-      // Ended by one of the sides; the other learns below.
+      // One side has closed or reset its connection. The other one is closed
+      // below.
     }
     Shutdown(&from);
     Shutdown(&to);
   }
 
-  void Hold(int bytes) const {
+  void Throttle(int bytes) const {
     std::this_thread::sleep_for(
         std::chrono::milliseconds(faults_.delay_ms.load()));
     const std::int64_t rate = faults_.bytes_per_second;
@@ -156,14 +161,15 @@
   void Shutdown(StreamSocket* socket) const {
     try {
       if (faults_.reset) {
-        // To close with no time to linger discards what is unsent and resets.
+        // Closing with a linger time of zero discards unsent bytes and sends a
+        // reset.
         socket->setLinger(true, 0);
         socket->close();
         return;
       }
       socket->shutdown();
     } catch (const Poco::Exception&) {
-      // It was closed already.
+      // The socket is closed already.
     }
   }
 
@@ -172,7 +178,7 @@
   std::atomic<bool> stopping_{false};
   Poco::Net::ServerSocket listener_;
   std::unique_ptr<HttpServer> control_;
-  std::list<std::thread> pumps_;
+  std::list<std::thread> connection_threads_;
   std::thread acceptor_;
 };
 
--- a/standins/main.cc
+++ b/standins/main.cc
@@ -1,4 +1,4 @@
-// Stand-ins for what the platform gives. For tests and the demo only.
+// Runs one stand-in for a service of the platform. For tests and the demo only.
 
 #include <Poco/Exception.h>
 
@@ -13,77 +13,83 @@
 
 namespace harecrank::standins {
 
-constexpr int kFailed = 1;
+constexpr int kExitFailure = 1;
 
 namespace {
 
-// Builds the stand-in that the command line asks for.
-using Maker = std::function<std::unique_ptr<StandIn>()>;
+// Creates the stand-in that the command line selects.
+using Factory = std::function<std::unique_ptr<StandIn>()>;
 
-void AddEngine(CLI::App* app, const std::string& address, Maker* make) {
+void AddEngine(CLI::App* app, const std::string& address, Factory* factory) {
   auto* command = app->add_subcommand("engine", "a model engine");
   const auto options = std::make_shared<EngineServerOptions>();
   EngineOptions& engine = options->engine;
   command->add_option("--memory", engine.memory_tokens, "KV memory in tokens");
   command->add_option("--prefill-rate", engine.prefill_tokens_per_second,
-                      "tokens prefilled a second");
+                      "tokens prefilled per second");
   command->add_option("--step-ms", engine.base_step_ms, "least step time");
   command->add_option("--step-tokens", engine.step_tokens,
-                      "tokens prefilled in one step at most");
+                      "maximum tokens prefilled in one step");
   command->add_option("--step-ms-per-stream", engine.step_ms_per_stream,
                       "step time that each running stream adds");
   command->add_option("--cache", engine.cache_tokens, "prefix cache in tokens");
   command->add_option("--weights", options->weight_store, "the weight store");
-  command->add_option("--model", options->models, "NAME:VERSION held at start");
+  command->add_option("--model", options->models,
+                      "NAME:VERSION loaded at start");
   command->add_flag("--ignore-fences", options->ignores_fences,
-                    "take orders whatever their fence");
-  command->callback([options, &address, make] {
+                    "accept orders with an outdated fence");
+  command->callback([options, &address, factory] {
     options->address = address;
-    *make = [options] { return MakeEngineServer(*options); };
+    *factory = [options] { return MakeEngineServer(*options); };
   });
 }
 
-void AddSmall(CLI::App* app, const std::string& address, Maker* make) {
+void AddServices(CLI::App* app, const std::string& address, Factory* factory) {
   auto* service = app->add_subcommand("service", "a plain service");
-  service->callback(
-      [&address, make] { *make = [&] { return MakePlainService(address); }; });
+  service->callback([&address, factory] {
+    *factory = [&] { return MakePlainService(address); };
+  });
 
   auto* config = app->add_subcommand("config", "the configuration service");
   const auto options = std::make_shared<ConfigServerOptions>();
   config->add_option("--calls-per-second", options->calls_per_second);
-  config->callback([options, &address, make] {
+  config->callback([options, &address, factory] {
     options->address = address;
-    *make = [options] { return MakeConfigServer(*options); };
+    *factory = [options] { return MakeConfigServer(*options); };
   });
 
   auto* hosts = app->add_subcommand("hosts", "the host list");
-  const auto lag = std::make_shared<int>(0);
-  hosts->add_option("--lag-ms", *lag, "how late a change shows");
-  hosts->callback([lag, &address, make] {
-    *make = [lag, &address] { return MakeHostList(address, *lag); };
+  const auto lag_ms = std::make_shared<int>(0);
+  hosts->add_option("--lag-ms", *lag_ms, "time until a change becomes visible");
+  hosts->callback([lag_ms, &address, factory] {
+    *factory = [lag_ms, &address] { return MakeHostList(address, *lag_ms); };
   });
 
   auto* weights = app->add_subcommand("weights", "the weight store");
-  const auto at_once = std::make_shared<int>(2);
+  const auto max_concurrent_loads = std::make_shared<int>(2);
   const auto load_ms = std::make_shared<int>(100);
-  weights->add_option("--at-once", *at_once, "loads at once");
+  weights->add_option("--at-once", *max_concurrent_loads,
+                      "maximum number of concurrent loads");
   weights->add_option("--load-ms", *load_ms, "time of one load");
-  weights->callback([at_once, load_ms, &address, make] {
-    *make = [at_once, load_ms, &address] {
-      return MakeWeightStore(address, *at_once, *load_ms);
+  weights->callback([max_concurrent_loads, load_ms, &address, factory] {
+    *factory = [max_concurrent_loads, load_ms, &address] {
+      return MakeWeightStore(address, *max_concurrent_loads, *load_ms);
     };
   });
 }
 
-void AddProxy(CLI::App* app, const std::string& address, Maker* make) {
+void AddProxy(CLI::App* app, const std::string& address, Factory* factory) {
   auto* command = app->add_subcommand("proxy", "a fault-injecting TCP proxy");
   const auto options = std::make_shared<ProxyOptions>();
-  command->add_option("--target", options->target, "where to")->required();
-  command->add_option("--control", options->control, "where faults are set")
+  command->add_option("--target", options->target, "address to forward to")
+      ->required();
+  command
+      ->add_option("--control", options->control,
+                   "address of the calls that set faults")
       ->required();
-  command->callback([options, &address, make] {
+  command->callback([options, &address, factory] {
     options->listen = address;
-    *make = [options] { return MakeFaultProxy(*options); };
+    *factory = [options] { return MakeFaultProxy(*options); };
   });
 }
 
@@ -92,11 +98,11 @@
   app.require_subcommand(1);
   app.fallthrough();
   std::string address;
-  app.add_option("--address", address, "where to listen")->required();
-  Maker make;
-  AddEngine(&app, address, &make);
-  AddSmall(&app, address, &make);
-  AddProxy(&app, address, &make);
+  app.add_option("--address", address, "address to listen on")->required();
+  Factory factory;
+  AddEngine(&app, address, &factory);
+  AddServices(&app, address, &factory);
+  AddProxy(&app, address, &factory);
   CLI11_PARSE(app, argc, argv);
 
   sigset_t signals;
@@ -106,16 +112,16 @@
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    const std::unique_ptr<StandIn> standin = make();
+    const std::unique_ptr<StandIn> standin = factory();
     static_cast<void>(standin);
     int received = 0;
     sigwait(&signals, &received);
-    // Nothing of a stand-in is worth waiting for.
+    // Stand-ins keep no state, so that no orderly shutdown is needed.
     std::quick_exit(0);
   } catch (const std::exception& error) {
     std::cerr << "harecrank_standins: " << error.what() << "\n";
   }
-  return kFailed;
+  return kExitFailure;
 }
 
 }  // namespace
@@ -125,6 +131,6 @@
   try {
     return harecrank::standins::Run(argc, argv);
   } catch (...) {
-    return harecrank::standins::kFailed;
+    return harecrank::standins::kExitFailure;
   }
 }
--- a/standins/platform_servers.cc
+++ b/standins/platform_servers.cc
@@ -20,17 +20,17 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-constexpr std::size_t kMostBody = 8U << 20U;
-constexpr std::size_t kMostValue = 1U << 20U;
+constexpr std::size_t kMaxBodyBytes = 8U << 20U;
+constexpr std::size_t kMaxValueBytes = 1U << 20U;
 constexpr std::chrono::seconds kRateWindow{1};
 
-std::string BodyOf(HTTPServerRequest& request) {
+std::string ReadBodyText(HTTPServerRequest& request) {
   std::string body;
-  ReadBody(request, kMostBody, &body);
+  ReadBody(request, kMaxBodyBytes, &body);
   return body;
 }
 
-// A server whose requests all go to one virtual function.
+// An HTTP server that passes each request to Handle.
 class SimpleServer : public StandIn {
  public:
   SimpleServer(const std::string& address, int threads) {
@@ -40,14 +40,16 @@
   }
 
  protected:
-  // Called last by each constructor, once all members stand.
-  void Listen() {
+  // Each constructor of a derived class calls this last, since requests may
+  // arrive at once and need all members.
+  void StartServer() {
     server_ = std::make_unique<HttpServer>(
         options_,
         [this](HTTPServerRequest& request, HTTPServerResponse& response) {
           Handle(PathOf(request.getURI()), request, response);
         });
   }
+  // Each destructor of a derived class calls this first, for the same reason.
   void StopServer() { server_.reset(); }
 
   virtual void Handle(const std::string& path, HTTPServerRequest& request,
@@ -62,14 +64,14 @@
  public:
   explicit PlainService(const std::string& address)
       : SimpleServer(address, 64) {
-    Listen();
+    StartServer();
   }
   ~PlainService() override { StopServer(); }
 
  protected:
   void Handle(const std::string& path, HTTPServerRequest& request,
               HTTPServerResponse& response) override {
-    const std::string body = BodyOf(request);
+    const std::string body = ReadBodyText(request);
     if (path == "/control/calls") {
       const std::lock_guard<std::mutex> lock(mutex_);
       SendResponse(response, http_status::kOk, json(calls_).dump());
@@ -103,7 +105,7 @@
   explicit ConfigServer(const ConfigServerOptions& options)
       : SimpleServer(options.address, options.threads),
         calls_per_second_(options.calls_per_second) {
-    Listen();
+    StartServer();
   }
   ~ConfigServer() override { StopServer(); }
 
@@ -115,15 +117,15 @@
     if (path.compare(0, values.size(), values) == 0) {
       HandleRead(path.substr(values.size()), request, response);
     } else if (path.compare(0, control.size(), control) == 0) {
-      Publish(path.substr(control.size()), BodyOf(request));
+      Publish(path.substr(control.size()), ReadBodyText(request));
       SendResponse(response, http_status::kOk, "{}");
     } else if (path == "/control/fault") {
-      HandleFault(json::parse(BodyOf(request)));
+      HandleFault(json::parse(ReadBodyText(request)));
       SendResponse(response, http_status::kOk, "{}");
     } else if (path == "/control/stats") {
       const std::lock_guard<std::mutex> lock(mutex_);
       SendResponse(response, http_status::kOk,
-                   json{{"calls", calls_}, {"refused", refused_}}.dump());
+                   json{{"calls", calls_}, {"refused", rejected_}}.dump());
     } else {
       SendResponse(response, http_status::kNotFound, "{}");
     }
@@ -144,7 +146,8 @@
     {
       const std::lock_guard<std::mutex> lock(mutex_);
       down_ = fault.value("down", false);
-      // A stale service goes on with what it had, and says nothing of it.
+      // A stale service continues to return the values that it had when the
+      // fault was set, without any sign of it.
       if (fault.value("stale", false) && !stale_) {
         stale_values_ = values_;
       }
@@ -160,19 +163,21 @@
     const std::chrono::milliseconds wait(
         std::stoll(QueryValue(uri, "wait_ms", "0")));
     std::unique_lock<std::mutex> lock(mutex_);
-    if (!CountCall()) {
+    if (!AdmitCall()) {
       lock.unlock();
       SendResponse(response, http_status::kTooManyRequests, "{}");
       return;
     }
-    const auto differs = [&] { return down_ || Current(key).version != after; };
+    const auto has_changed = [&] {
+      return down_ || CurrentValue(key).version != after;
+    };
     if (wait.count() > 0) {
-      changed_.wait_for(lock, wait, differs);
+      changed_.wait_for(lock, wait, has_changed);
     }
     const bool down = down_;
-    const Value value = Current(key);
+    const Value value = CurrentValue(key);
     lock.unlock();
-    if (down || value.text.size() > kMostValue) {
+    if (down || value.text.size() > kMaxValueBytes) {
       SendResponse(response, http_status::kUnavailable, "{}");
     } else if (value.version == 0) {
       SendResponse(response, http_status::kNotFound, "{}");
@@ -185,22 +190,23 @@
     }
   }
 
-  // Expects the mutex to be held.
-  bool CountCall() {
+  // Counts a call. Returns false if it exceeds the rate limit. Requires the
+  // mutex.
+  bool AdmitCall() {
     const auto now = Clock::now();
     ++calls_;
-    recent_.push_back(now);
-    while (recent_.front() < now - kRateWindow) {
-      recent_.pop_front();
+    recent_calls_.push_back(now);
+    while (recent_calls_.front() < now - kRateWindow) {
+      recent_calls_.pop_front();
     }
-    if (recent_.size() > static_cast<std::size_t>(calls_per_second_)) {
-      ++refused_;
+    if (recent_calls_.size() > static_cast<std::size_t>(calls_per_second_)) {
+      ++rejected_;
       return false;
     }
     return true;
   }
 
-  Value Current(const std::string& key) {
+  Value CurrentValue(const std::string& key) {
     return stale_ ? stale_values_[key] : values_[key];
   }
 
@@ -209,9 +215,9 @@
   std::condition_variable changed_;
   std::map<std::string, Value> values_;
   std::map<std::string, Value> stale_values_;
-  std::deque<Clock::time_point> recent_;
+  std::deque<Clock::time_point> recent_calls_;
   std::uint64_t calls_ = 0;
-  std::uint64_t refused_ = 0;
+  std::uint64_t rejected_ = 0;
   bool down_ = false;
   bool stale_ = false;
 };
@@ -220,7 +226,7 @@
  public:
   HostListServer(const std::string& address, int lag_ms)
       : SimpleServer(address, 64), lag_(lag_ms) {
-    Listen();
+    StartServer();
   }
   ~HostListServer() override { StopServer(); }
 
@@ -230,11 +236,11 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (path == "/control/hosts") {
       pending_.push_back(
-          Pending{Clock::now() + lag_, json::parse(BodyOf(request))});
+          PendingList{Clock::now() + lag_, json::parse(ReadBodyText(request))});
       SendResponse(response, http_status::kOk, "{}");
       return;
     }
-    while (!pending_.empty() && pending_.front().shows <= Clock::now()) {
+    while (!pending_.empty() && pending_.front().visible_at <= Clock::now()) {
       hosts_ = pending_.front().hosts;
       ++version_;
       pending_.pop_front();
@@ -244,23 +250,25 @@
   }
 
  private:
-  struct Pending {
-    Clock::time_point shows;
+  struct PendingList {
+    Clock::time_point visible_at;
     json hosts;
   };
 
   std::chrono::milliseconds lag_;
   std::mutex mutex_;
-  std::deque<Pending> pending_;
+  std::deque<PendingList> pending_;
   json hosts_ = json::array();
   std::uint64_t version_ = 1;
 };
 
 class WeightStore final : public SimpleServer {
  public:
-  WeightStore(const std::string& address, int at_once, int load_ms)
-      : SimpleServer(address, 64), at_once_(at_once), load_(load_ms) {
-    Listen();
+  WeightStore(const std::string& address, int max_concurrent_loads, int load_ms)
+      : SimpleServer(address, 64),
+        max_concurrent_loads_(max_concurrent_loads),
+        load_time_(load_ms) {
+    StartServer();
   }
   ~WeightStore() override { StopServer(); }
 
@@ -270,27 +278,27 @@
     if (path == "/control/stats") {
       SendResponse(
           response, http_status::kOk,
-          json{{"loads", loads_.load()}, {"refused", refused_.load()}}.dump());
+          json{{"loads", loads_.load()}, {"refused", rejected_.load()}}.dump());
       return;
     }
-    if (loading_.fetch_add(1) >= at_once_) {
+    if (loading_.fetch_add(1) >= max_concurrent_loads_) {
       loading_.fetch_sub(1);
-      ++refused_;
+      ++rejected_;
       SendResponse(response, http_status::kTooManyRequests, "{}");
       return;
     }
     ++loads_;
-    std::this_thread::sleep_for(load_);
+    std::this_thread::sleep_for(load_time_);
     loading_.fetch_sub(1);
     SendResponse(response, http_status::kOk, "{}");
   }
 
  private:
-  int at_once_;
-  std::chrono::milliseconds load_;
+  int max_concurrent_loads_;
+  std::chrono::milliseconds load_time_;
   std::atomic<int> loading_{0};
   std::atomic<int> loads_{0};
-  std::atomic<int> refused_{0};
+  std::atomic<int> rejected_{0};
 };
 
 }  // namespace
@@ -308,8 +316,9 @@
 }
 
 std::unique_ptr<StandIn> MakeWeightStore(const std::string& address,
-                                         int at_once, int load_ms) {
-  return std::make_unique<WeightStore>(address, at_once, load_ms);
+                                         int max_concurrent_loads,
+                                         int load_ms) {
+  return std::make_unique<WeightStore>(address, max_concurrent_loads, load_ms);
 }
 
 }  // namespace harecrank::standins
