--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -20,12 +20,12 @@
 namespace leaf = boost::leaf;
 using nlohmann::json;
 
-constexpr Millis kPoll{10};
+constexpr Millis kPollInterval{10};
 constexpr Millis kCallTimeout{5000};
 constexpr std::size_t kLabelBytes = 32;
 constexpr std::size_t kBytesPerToken = 4;
 
-HttpResponse CallOrEmpty(const HttpCall& call) {
+HttpResponse SendOrEmpty(const HttpCall& call) {
   return leaf::try_handle_all([&] { return SendHttpRequest(call); },
                               [] { return HttpResponse(); });
 }
@@ -42,10 +42,10 @@
   if (!key.empty()) {
     call.fields.push_back(HttpHeader{"Authorization", "Bearer " + key});
   }
-  return CallOrEmpty(call);
+  return SendOrEmpty(call);
 }
 
-json Parsed(const std::string& text) {
+json ParseJson(const std::string& text) {
   json parsed = json::parse(text, nullptr, false);
   return parsed.is_discarded() ? json() : parsed;
 }
@@ -62,9 +62,9 @@
           {"weight_loads_at_once", 2}};
 }
 
-// Takes the events of one stream apart. The fields are those of the event
-// stream format; data is one line, since the system sends JSON.
-void ReadEvents(std::istream& body, ClientResponse* answer) {
+// Parses the server-sent events of a stream. Expects the data of each event on
+// one line, as the system sends it.
+void ReadEvents(std::istream& body, ClientResponse* response) {
   std::string line;
   std::string event;
   while (std::getline(body, line)) {
@@ -76,13 +76,13 @@
       event = line.empty() ? "" : event;
       continue;
     }
-    const json data = Parsed(line.substr(6));
+    const json data = ParseJson(line.substr(6));
     if (!event.empty()) {
-      answer->end_event = event;
-      answer->end = data;
+      response->end_event = event;
+      response->end = data;
     } else if (data.is_object()) {
       const json& choice = data["choices"][0];
-      answer->parts.push_back(
+      response->parts.push_back(
           choice.contains("text")
               ? choice["text"].get<std::string>()
               : choice["delta"]["content"].get<std::string>());
@@ -191,7 +191,8 @@
 
 void Fleet::PrintNotReady(const std::string& node, const std::string& state) {
   std::cerr << node << ": " << state << "\n";
-  // The log is gone with the fleet, and tells why a process has ended.
+  // The fleet's destructor deletes the log, which has the reason why a process
+  // has ended.
   std::ifstream log(directory_ + "/" + ProcessNameOf(node) + ".log");
   std::cerr << log.rdbuf() << "\n";
 }
@@ -243,16 +244,16 @@
 
 std::uint32_t Fleet::PlanAndPublish(const std::string& node,
                                     const json& request) {
-  const HttpResponse answer = Request(OperationsAddress(node), "POST",
-                                      "/rpc/harecrank.v1.Administration/Plan",
-                                      request.dump(), kOperatorKey);
-  if (answer.status != http_status::kOk) {
+  const HttpResponse response = Request(OperationsAddress(node), "POST",
+                                        "/rpc/harecrank.v1.Administration/Plan",
+                                        request.dump(), kOperatorKey);
+  if (response.status != http_status::kOk) {
     return 0;
   }
-  const json plan = Parsed(answer.body);
+  const json plan = ParseJson(response.body);
   Publish("document", plan["document_json"].get<std::string>());
   Publish("changes", plan["changes_json"].get<std::string>());
-  document_ = Parsed(plan["document_json"].get<std::string>());
+  document_ = ParseJson(plan["document_json"].get<std::string>());
   return plan["revision"].get<std::uint32_t>();
 }
 
@@ -265,7 +266,7 @@
 }
 
 json Fleet::Dump(const std::string& node) {
-  return Parsed(
+  return ParseJson(
       Request(OperationsAddress(node), "GET", "/dump", "", kOperatorKey).body);
 }
 
@@ -293,7 +294,7 @@
 
 std::int64_t Fleet::EngineUsedTokens(int index) {
   const json account =
-      Parsed(Request(EngineAddress(index), "GET", "/v1/account").body);
+      ParseJson(Request(EngineAddress(index), "GET", "/v1/account").body);
   return account.is_object() ? account.value("used", std::int64_t{-1}) : -1;
 }
 
@@ -503,8 +504,9 @@
   for (int i = 0; i < options_.listed_endpoints; ++i) {
     document_["endpoints"]["listed-" + std::to_string(i)] = endpoint(
         ip_ + ":1", ip_ + ":1",
-        // None in the first data centre: those listed there would be
-        // its readers, and no process is behind them.
+        // None in the first data centre: its watchers, the nodes that poll the
+        // configuration service for the others, would be chosen from them, and
+        // they have no process.
         options_.data_centres > 1 ? 1 + i % (options_.data_centres - 1) : 0);
   }
   for (int i = 0; i < options_.listed_accounts; ++i) {
@@ -522,27 +524,27 @@
 std::string HarecrankBinary() { return HARECRANK_BINARY; }
 
 bool WaitUntil(const std::function<bool()>& condition, Millis limit) {
-  const auto until = std::chrono::steady_clock::now() + limit;
+  const auto deadline = std::chrono::steady_clock::now() + limit;
   while (!condition()) {
-    if (std::chrono::steady_clock::now() >= until) {
+    if (std::chrono::steady_clock::now() >= deadline) {
       return false;
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
 
 std::string ClientResponse::Code() const {
-  const json& from = end_event == "error" ? end : body;
-  return from.is_object() && from.contains("error")
-             ? from["error"].value("code", std::string())
+  const json& source = end_event == "error" ? end : body;
+  return source.is_object() && source.contains("error")
+             ? source["error"].value("code", std::string())
              : std::string();
 }
 
 std::string ClientResponse::Outcome() const {
-  const json& from = end_event == "error" ? end : body;
-  return from.is_object() && from.contains("error")
-             ? from["error"].value("outcome", std::string())
+  const json& source = end_event == "error" ? end : body;
+  return source.is_object() && source.contains("error")
+             ? source["error"].value("outcome", std::string())
              : std::string();
 }
 
@@ -571,29 +573,29 @@
   call.fields.push_back(HttpHeader{"Authorization", "Bearer " + asked.key});
   const bool stream =
       asked.body.is_object() && asked.body.value("stream", false);
-  ClientResponse answer;
+  ClientResponse response;
   if (!stream) {
-    const HttpResponse got = CallOrEmpty(call);
-    answer.status = got.status;
-    answer.body = Parsed(got.body);
-    answer.retry_after = got.retry_after;
-    return answer;
+    const HttpResponse http_response = SendOrEmpty(call);
+    response.status = http_response.status;
+    response.body = ParseJson(http_response.body);
+    response.retry_after = http_response.retry_after;
+    return response;
   }
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         return StreamHttp(call, [&](int status, std::istream& body) {
-          answer.status = status;
+          response.status = status;
           if (status == http_status::kOk) {
-            ReadEvents(body, &answer);
+            ReadEvents(body, &response);
             return;
           }
           std::string line;
           std::getline(body, line);
-          answer.body = Parsed(line);
+          response.body = ParseJson(line);
         });
       },
       [] {});
-  return answer;
+  return response;
 }
 
 ClientRequest Completion(const std::string& address, const std::string& label,
@@ -628,25 +630,25 @@
   call.address = address;
   call.path = "/v1/tickets";
   call.body = target;
-  const ClientResponse answer = Call(call);
-  return answer.status == http_status::kOk
-             ? answer.body.value("ticket", std::string())
+  const ClientResponse response = Call(call);
+  return response.status == http_status::kOk
+             ? response.body.value("ticket", std::string())
              : std::string();
 }
 
 int CountRuns(Fleet* fleet, int engines, const std::string& label) {
-  int runs = 0;
+  int count = 0;
   for (int i = 0; i < engines; ++i) {
-    const json all =
-        Parsed(Request(fleet->EngineAddress(i), "GET", "/control/runs").body);
+    const json all = ParseJson(
+        Request(fleet->EngineAddress(i), "GET", "/control/runs").body);
     for (const auto& run : all.items()) {
-      const bool same =
+      const bool matches =
           run.key().compare(0, std::min(label.size(), kLabelBytes),
                             label.substr(0, kLabelBytes)) == 0;
-      runs += same ? run.value().get<int>() : 0;
+      count += matches ? run.value().get<int>() : 0;
     }
   }
-  return runs;
+  return count;
 }
 
 }  // namespace harecrank::testing
--- a/testing/process.cc
+++ b/testing/process.cc
@@ -16,28 +16,30 @@
 constexpr int kExecFailed = 127;
 constexpr mode_t kLogMode = 0644;
 
-void Tell(const char* text) {
+void WriteToStderr(const char* text) {
   const ssize_t ignored = write(STDERR_FILENO, text, std::strlen(text));
   static_cast<void>(ignored);
 }
 
-// Says why a program could not be started: a fleet that misses a process cannot
-// tell that from one that is slow.
-void TellFailure(const char* program, int error) {
-  Tell("cannot start ");
-  Tell(program);
-  Tell(": ");
-  Tell(strerrordesc_np(error));
-  Tell("\n");
+// Writes the reason why a program could not be started to its log. A fleet
+// cannot distinguish a process that is missing from one that is slow to start.
+void ReportStartFailure(const char* program, int error) {
+  WriteToStderr("cannot start ");
+  WriteToStderr(program);
+  WriteToStderr(": ");
+  WriteToStderr(strerrordesc_np(error));
+  WriteToStderr("\n");
 }
 
-[[noreturn]] void Become(const std::vector<std::string>& command,
-                         const std::string& log,
-                         const std::vector<std::string>& environment) {
+// Replaces the forked child by the program of `command`. The system kills it
+// when its parent ends.
+[[noreturn]] void ExecProgram(const std::vector<std::string>& command,
+                              const std::string& log,
+                              const std::vector<std::string>& environment) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  sigset_t none;
-  sigemptyset(&none);
-  sigprocmask(SIG_SETMASK, &none, nullptr);
+  sigset_t no_signals;
+  sigemptyset(&no_signals);
+  sigprocmask(SIG_SETMASK, &no_signals, nullptr);
   const int file =
       open(log.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, kLogMode);
   if (file >= 0) {
@@ -46,15 +48,15 @@
   }
   std::vector<char*> arguments;
   arguments.reserve(command.size() + 1);
-  for (const std::string& word : command) {
-    arguments.push_back(const_cast<char*>(word.c_str()));
+  for (const std::string& argument : command) {
+    arguments.push_back(const_cast<char*>(argument.c_str()));
   }
   arguments.push_back(nullptr);
   for (const std::string& variable : environment) {
     putenv(const_cast<char*>(variable.c_str()));
   }
   execv(arguments.front(), arguments.data());
-  TellFailure(arguments.front(), errno);
+  ReportStartFailure(arguments.front(), errno);
   _exit(kExecFailed);
 }
 
@@ -65,7 +67,7 @@
                  const std::vector<std::string>& environment)
     : pid_(fork()) {
   if (pid_ == 0) {
-    Become(command, log, environment);
+    ExecProgram(command, log, environment);
   }
 }
 
