--- a/tests/stopped_clock.cc
+++ b/tests/stopped_clock.cc
@@ -1,9 +1,10 @@
-// A library that tests load into a process before its own: there the steady
-// clock stands still for as long as a file says, as it does on a machine that
-// was suspended. The clocks that count on during a suspension are left alone.
+// A library that tests preload into a process. It sets CLOCK_MONOTONIC back by
+// the time that a file holds, as if the clock had been stopped by a suspension
+// of the machine. Clocks that count the time of a suspension are not changed.
 //
-// The file holds one number of eight bytes: nanoseconds. Who stops the process
-// adds to it what the stop lasted, before the process goes on.
+// The file holds the time in nanoseconds as an integer of eight bytes. A test
+// that stops the process adds the duration of the stop before it resumes the
+// process.
 
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -50,10 +51,10 @@
 
 extern "C" int clock_gettime(clockid_t clock, timespec* now) noexcept {
   const int result = RealClock()(clock, now);
-  const bool stood_still = clock == CLOCK_MONOTONIC ||
-                           clock == CLOCK_MONOTONIC_COARSE ||
-                           clock == CLOCK_MONOTONIC_RAW;
-  if (result == 0 && stood_still) {
+  const bool is_stopped = clock == CLOCK_MONOTONIC ||
+                          clock == CLOCK_MONOTONIC_COARSE ||
+                          clock == CLOCK_MONOTONIC_RAW;
+  if (result == 0 && is_stopped) {
     const std::int64_t nanos =
         now->tv_sec * kNanosPerSecond + now->tv_nsec - StoppedTime();
     now->tv_sec = nanos / kNanosPerSecond;
--- a/tests/suspension.cc
+++ b/tests/suspension.cc
@@ -7,7 +7,8 @@
 namespace harecrank::testing {
 namespace {
 
-// In place: the process has the file mapped.
+// Overwrites the number without truncating the file, since the process has
+// mapped it.
 void WriteNumber(const std::string& file, std::int64_t number) {
   std::fstream out(file, std::ios::in | std::ios::out | std::ios::binary);
   out.write(reinterpret_cast<const char*>(&number), sizeof(number));
