--- a/bench/fleet_runs.cc
+++ b/bench/fleet_runs.cc
@@ -1,4 +1,5 @@
-// Measurements of what a fleet costs its nodes: configuration and slopes.
+// Measurements of the resources that nodes of a fleet use, and of the
+// propagation of configuration changes.
 
 #include <algorithm>
 #include <cmath>
@@ -20,16 +21,16 @@
 using testing::FleetOptions;
 using testing::WaitUntil;
 
-constexpr char kRevision[] = "harecrank_config_revision";
-constexpr char kSince[] = "harecrank_config_in_force_since_ms";
-constexpr char kSent[] = "harecrank_peer_bytes_sent_total";
-constexpr char kReceived[] = "harecrank_peer_bytes_received_total";
+constexpr char kConfigRevision[] = "harecrank_config_revision";
+constexpr char kInForceSince[] = "harecrank_config_in_force_since_ms";
+constexpr char kPeerBytesSent[] = "harecrank_peer_bytes_sent_total";
+constexpr char kPeerBytesReceived[] = "harecrank_peer_bytes_received_total";
 constexpr char kServiceCalls[] = "harecrank_config_service_calls_total";
-constexpr double kMicros = 1e6;
-constexpr double kMillis = 1e3;
+constexpr double kMicrosPerSecond = 1e6;
+constexpr double kMillisPerSecond = 1e3;
 
-// A fleet of one entry host without endpoints of its own.
-FleetOptions BareFleet(int bare_sidecars) {
+// Returns the options of a fleet with one entry host and no endpoints.
+FleetOptions BareFleetOptions(int bare_sidecars) {
   FleetOptions options;
   options.entries = 1;
   options.engines = 0;
@@ -48,7 +49,7 @@
       .count();
 }
 
-json PutAccount(int number) {
+json PutAccountRequest(int number) {
   return {{"put_account",
            {{"id", "measured"},
             {"account",
@@ -56,25 +57,26 @@
               {"weight", 1 + number % 100}}}}}};
 }
 
-// Publishes a change and returns after how long the last node had it in force.
-double SpreadOnce(Fleet* fleet, int number) {
-  const std::int64_t began = NowMs();
+// Publishes a change and returns the time in milliseconds until it is in force
+// on all nodes.
+double MeasurePropagationOnce(Fleet* fleet, int number) {
+  const std::int64_t start = NowMs();
   const std::uint32_t revision =
-      fleet->PlanAndPublish("entry-0", PutAccount(number));
+      fleet->PlanAndPublish("entry-0", PutAccountRequest(number));
   double last = 0;
   for (const std::string& node : fleet->Nodes()) {
     std::string metrics;
     WaitUntil([&] {
       metrics = fleet->Metrics(node);
-      return MetricValue(metrics, kRevision) >= revision;
+      return MetricValue(metrics, kConfigRevision) >= revision;
     });
-    last = std::max(last,
-                    MetricValue(metrics, kSince) - static_cast<double>(began));
+    last = std::max(
+        last, MetricValue(metrics, kInForceSince) - static_cast<double>(start));
   }
   return last;
 }
 
-double SumOf(Fleet* fleet, const std::string& metric) {
+double SumOverNodes(Fleet* fleet, const std::string& metric) {
   double sum = 0;
   for (const std::string& node : fleet->Nodes()) {
     sum += MetricValue(fleet->Metrics(node), metric);
@@ -82,8 +84,8 @@
   return sum;
 }
 
-// What one size of fleet showed.
-struct SpreadFigures {
+// Results for one size of the fleet.
+struct PropagationFigures {
   double nodes = 0;
   double median_ms = 0;
   double worst_ms = 0;
@@ -91,8 +93,9 @@
   double bytes_per_node_second = 0;
 };
 
-SpreadFigures MeasureSpreadAt(int sidecars, int rounds, double idle_seconds) {
-  FleetOptions options = BareFleet(sidecars);
+PropagationFigures MeasurePropagationAt(int sidecars, int rounds,
+                                        double idle_seconds) {
+  FleetOptions options = BareFleetOptions(sidecars);
   options.entries = 2;
   options.data_centres = 2;
   options.entry_settings = {{"compare_interval_ms", 2000}};
@@ -100,39 +103,43 @@
                               {"pulse_interval_ms", 1000},
                               {"reconcile_interval_ms", 5000}};
   Fleet fleet(options);
-  WaitUntil([&] { return SumOf(&fleet, kRevision) >= sidecars + 2; });
+  WaitUntil(
+      [&] { return SumOverNodes(&fleet, kConfigRevision) >= sidecars + 2; });
   SleepFor(2);
-  SpreadFigures figures;
+  PropagationFigures figures;
   figures.nodes = sidecars + 2;
   std::vector<double> times;
   times.reserve(static_cast<std::size_t>(rounds));
   for (int i = 0; i < rounds; ++i) {
-    times.push_back(SpreadOnce(&fleet, i));
+    times.push_back(MeasurePropagationOnce(&fleet, i));
   }
   std::sort(times.begin(), times.end());
   figures.median_ms = times[times.size() / 2];
   figures.worst_ms = times.back();
-  const double calls = SumOf(&fleet, kServiceCalls);
-  const double bytes = SumOf(&fleet, kSent) + SumOf(&fleet, kReceived);
-  const auto began = std::chrono::steady_clock::now();
+  const double calls = SumOverNodes(&fleet, kServiceCalls);
+  const double bytes = SumOverNodes(&fleet, kPeerBytesSent) +
+                       SumOverNodes(&fleet, kPeerBytesReceived);
+  const auto start = std::chrono::steady_clock::now();
   SleepFor(idle_seconds);
-  const std::chrono::duration<double> passed =
-      std::chrono::steady_clock::now() - began;
+  const std::chrono::duration<double> elapsed =
+      std::chrono::steady_clock::now() - start;
   figures.service_calls_per_second =
-      (SumOf(&fleet, kServiceCalls) - calls) / passed.count();
+      (SumOverNodes(&fleet, kServiceCalls) - calls) / elapsed.count();
   figures.bytes_per_node_second =
-      (SumOf(&fleet, kSent) + SumOf(&fleet, kReceived) - bytes) /
-      passed.count() / figures.nodes;
+      (SumOverNodes(&fleet, kPeerBytesSent) +
+       SumOverNodes(&fleet, kPeerBytesReceived) - bytes) /
+      elapsed.count() / figures.nodes;
   return figures;
 }
 
-// The processor time and memory of an idle entry host against its links.
+// Measures processor time and memory of an idle entry host by its number of
+// links.
 void MeasureLinks(const RunOptions& options, std::vector<Slope>* slopes) {
   Slope cpu{"entry host, idle: processor time", "links", "% of a core", {}};
   Slope memory{"entry host, idle: resident memory", "links", "MiB", {}};
   const double seconds = options.quick ? 4 : 10;
   for (const int links : {10, 20, 40, 80}) {
-    FleetOptions fleet_options = BareFleet(links);
+    FleetOptions fleet_options = BareFleetOptions(links);
     fleet_options.policy = {{"subset_size", 256}};
     fleet_options.entry_settings = {{"compare_interval_ms", 2000}};
     fleet_options.sidecar_settings = {{"pulse_interval_ms", 1000},
@@ -163,44 +170,50 @@
   slopes->push_back(std::move(memory));
 }
 
-// What one change costs a node, and its memory, against the document's size.
+// Measures the processor time that one change costs a node, the memory of an
+// entry host and the size of the document, by the number of listed endpoints.
 void MeasureDocument(const RunOptions& options, std::vector<Slope>* slopes) {
   Slope cpu{"a change: processor time", "listed endpoints", "ms", {}};
   Slope memory{"entry host: resident memory", "listed endpoints", "MiB", {}};
   Slope size{"document", "listed endpoints", "KB", {}};
   const int changes = options.quick ? 5 : 10;
   for (const int listed : {500, 1000, 2000, 3700}) {
-    FleetOptions fleet_options = BareFleet(1);
+    FleetOptions fleet_options = BareFleetOptions(1);
     fleet_options.listed_endpoints = listed;
     fleet_options.listed_accounts = listed * 490 / 3700;
     fleet_options.data_centres = 14;
     fleet_options.policy = {{"subset_size", 1}};
     Fleet fleet(fleet_options);
     WaitUntil([&] {
-      return MetricValue(fleet.Metrics("bare-0"), kRevision) >= 1 &&
-             MetricValue(fleet.Metrics("entry-0"), kRevision) >= 1;
+      return MetricValue(fleet.Metrics("bare-0"), kConfigRevision) >= 1 &&
+             MetricValue(fleet.Metrics("entry-0"), kConfigRevision) >= 1;
     });
-    // The sidecar only takes changes; the entry host plans them as well.
+    // Measures the sidecar, which only applies changes. The entry host plans
+    // them as well.
     const pid_t pid = fleet.ProcessOf("bare-0").Pid();
     const double idle_before = ReadProcess(pid).cpu_seconds;
-    const std::int64_t idle_began = NowMs();
+    const std::int64_t idle_start = NowMs();
     SleepFor(options.quick ? 2 : 4);
-    const double idle = (ReadProcess(pid).cpu_seconds - idle_before) /
-                        (static_cast<double>(NowMs() - idle_began) / kMillis);
+    const double idle =
+        (ReadProcess(pid).cpu_seconds - idle_before) /
+        (static_cast<double>(NowMs() - idle_start) / kMillisPerSecond);
     const double before = ReadProcess(pid).cpu_seconds;
-    const std::int64_t began = NowMs();
+    const std::int64_t start = NowMs();
     for (int i = 0; i < changes; ++i) {
       const std::uint32_t revision =
-          fleet.PlanAndPublish("entry-0", PutAccount(i));
+          fleet.PlanAndPublish("entry-0", PutAccountRequest(i));
       WaitUntil([&] {
-        return MetricValue(fleet.Metrics("bare-0"), kRevision) >= revision &&
-               MetricValue(fleet.Metrics("entry-0"), kRevision) >= revision;
+        return MetricValue(fleet.Metrics("bare-0"), kConfigRevision) >=
+                   revision &&
+               MetricValue(fleet.Metrics("entry-0"), kConfigRevision) >=
+                   revision;
       });
     }
-    const double passed = static_cast<double>(NowMs() - began) / kMillis;
-    const double used = ReadProcess(pid).cpu_seconds - before - idle * passed;
+    const double elapsed =
+        static_cast<double>(NowMs() - start) / kMillisPerSecond;
+    const double used = ReadProcess(pid).cpu_seconds - before - idle * elapsed;
     const auto x = static_cast<double>(listed);
-    cpu.points.push_back(Point{x, used / changes * kMillis});
+    cpu.points.push_back(Point{x, used / changes * kMillisPerSecond});
     memory.points.push_back(
         Point{x, ReadProcess(fleet.Get("entry-0").Pid()).resident_mib});
     size.points.push_back(
@@ -211,8 +224,9 @@
   slopes->push_back(std::move(size));
 }
 
-// Processor time of the data path against tokens and requests.
-void MeasureData(const RunOptions& options, std::vector<Slope>* slopes) {
+// Measures the processor time of a request in entry host and sidecar, by the
+// number of response tokens.
+void MeasureDataPath(const RunOptions& options, std::vector<Slope>* slopes) {
   Slope entry{"entry host: processor time of a request",
               "answer tokens",
               "microseconds",
@@ -239,22 +253,23 @@
     entry.points.push_back(Point{
         static_cast<double>(tokens),
         (ReadProcess(fleet.Get("entry-0").Pid()).cpu_seconds - entry_before) /
-            answered * kMicros});
+            answered * kMicrosPerSecond});
     sidecar.points.push_back(
         Point{static_cast<double>(tokens),
               (ReadProcess(fleet.Get("sidecar-0").Pid()).cpu_seconds -
                sidecar_before) /
-                  answered * kMicros});
+                  answered * kMicrosPerSecond});
   }
   slopes->push_back(std::move(entry));
   slopes->push_back(std::move(sidecar));
 }
 
-// Memory and threads against the requests in hand.
-void MeasureInHand(const RunOptions&, std::vector<Slope>* slopes) {
+// Measures the memory of entry host and sidecar by the number of requests in
+// flight.
+void MeasureInFlight(const RunOptions&, std::vector<Slope>* slopes) {
   Slope entry{"entry host: resident memory", "requests in hand", "MiB", {}};
   Slope sidecar{"sidecar: resident memory", "requests in hand", "MiB", {}};
-  for (const int in_hand : {50, 100, 200, 400}) {
+  for (const int in_flight : {50, 100, 200, 400}) {
     FleetOptions fleet_options = testing::FastFleet();
     fleet_options.max_running = 512;
     fleet_options.max_requests = 512;
@@ -263,18 +278,21 @@
     Fleet fleet(fleet_options);
     fleet.WaitReady();
     LoadPlan plan = MakeLoadPlan(fleet, 1);
-    plan.rate = in_hand;
+    plan.rate = in_flight;
     plan.seconds = 1;
     plan.answer_tokens = 120;
-    plan.threads = in_hand * 2;
+    plan.threads = in_flight * 2;
     std::thread sender([&] { RunLoad(plan); });
     SleepFor(2.5);
     const json dump = fleet.Dump("entry-0");
-    const double held = dump["entry"]["requests_in_hand"].get<double>();
+    const double measured_in_flight =
+        dump["entry"]["requests_in_hand"].get<double>();
     entry.points.push_back(
-        Point{held, ReadProcess(fleet.Get("entry-0").Pid()).resident_mib});
+        Point{measured_in_flight,
+              ReadProcess(fleet.Get("entry-0").Pid()).resident_mib});
     sidecar.points.push_back(
-        Point{held, ReadProcess(fleet.Get("sidecar-0").Pid()).resident_mib});
+        Point{measured_in_flight,
+              ReadProcess(fleet.Get("sidecar-0").Pid()).resident_mib});
     sender.join();
   }
   slopes->push_back(std::move(entry));
@@ -291,8 +309,8 @@
                                      ? std::vector<int>{8, 18}
                                      : std::vector<int>{8, 18, 38, 78, 148};
   for (const int sidecars : sizes) {
-    const SpreadFigures figure =
-        MeasureSpreadAt(sidecars, options.quick ? 3 : 10, 10);
+    const PropagationFigures figure =
+        MeasurePropagationAt(sidecars, options.quick ? 3 : 10, 10);
     std::cout << std::fixed << std::setprecision(1) << std::setw(5)
               << figure.nodes << std::setw(32) << figure.median_ms
               << std::setw(11) << figure.worst_ms << std::setw(18)
@@ -312,8 +330,8 @@
   std::vector<Slope> slopes;
   MeasureLinks(options, &slopes);
   MeasureDocument(options, &slopes);
-  MeasureData(options, &slopes);
-  MeasureInHand(options, &slopes);
+  MeasureDataPath(options, &slopes);
+  MeasureInFlight(options, &slopes);
   json figures = json::array();
   for (const Slope& slope : slopes) {
     figures.push_back(ReportSlope(slope));
--- a/bench/load_runs.cc
+++ b/bench/load_runs.cc
@@ -1,4 +1,5 @@
-// Measurements made by sending a load: the hops, the policies, the groups.
+// Measurements under load: the cost of the hops, routing policies, prefill
+// groups.
 
 #include <algorithm>
 #include <cmath>
@@ -21,29 +22,32 @@
 using testing::FleetOptions;
 
 constexpr std::int64_t kShortTokens = 1000;
-constexpr std::int64_t kMiddleTokens = 8000;
+constexpr std::int64_t kMediumTokens = 8000;
 constexpr std::int64_t kLongTokens = 60000;
-// The policy's long_prompt_tokens on a fleet that sets none.
-constexpr std::int64_t kLongFrom = 8000;
+// The default of long_prompt_tokens in the policy of a fleet.
+constexpr std::int64_t kLongPromptTokens = 8000;
 
-json Load(const LoadPlan& plan) { return json::parse(RunLoad(plan).json); }
+json RunLoadAsJson(const LoadPlan& plan) {
+  return json::parse(RunLoad(plan).json);
+}
 
-// Adds the processor time that `name`'s process used while `run` ran.
+// Returns the processor time, in seconds, that process `name` used during
+// `run`.
 template <typename Run>
-double CpuOf(Fleet* fleet, const std::string& name, Run run) {
+double CpuSecondsOf(Fleet* fleet, const std::string& name, Run run) {
   const double before = ReadProcess(fleet->Get(name).Pid()).cpu_seconds;
   run();
   return ReadProcess(fleet->Get(name).Pid()).cpu_seconds - before;
 }
 
-// One way of routing, as it is measured.
+// A routing policy to measure.
 struct Variant {
   std::string name;
   std::string policy;
   int long_weight_percent = 50;
 };
 
-// The fleet that every variant is measured on.
+// Returns the options of the fleet that a variant is measured on.
 FleetOptions PolicyFleet(const Variant& variant) {
   FleetOptions options;
   options.entries = 2;
@@ -61,21 +65,21 @@
   return options;
 }
 
-// Requests a second that the fleet's prefill could do at most.
+// Returns the largest rate, in requests per second, that the fleet can prefill.
 double Capacity(const FleetOptions& options) {
   const double mean = 0.90 * static_cast<double>(kShortTokens) +
-                      0.06 * static_cast<double>(kMiddleTokens) +
+                      0.06 * static_cast<double>(kMediumTokens) +
                       0.04 * static_cast<double>(kLongTokens);
   return static_cast<double>(options.engines) * options.prefill_rate / mean;
 }
 
-void PrintPolicyHead() {
+void PrintPolicyHeader() {
   std::cout
       << "variant                 load | 1k answered   p50    p95    p99 ms"
          " | 60k answered   p50    p95    p99 ms | goodput\n";
 }
 
-// Prints one length's figures.
+// Prints the results for one prompt length.
 void PrintLength(const json& length) {
   const double sent = length.value("sent", 0.0);
   std::cout << std::setw(12)
@@ -85,13 +89,13 @@
             << length.value("first_ms_p99", 0.0) << " |";
 }
 
-json MeasureVariant(const Variant& variant, double share, double seconds,
+json MeasureVariant(const Variant& variant, double load_factor, double seconds,
                     bool with_long) {
   const FleetOptions options = PolicyFleet(variant);
   Fleet fleet(options);
   fleet.WaitReady();
   LoadPlan plan = MakeLoadPlan(fleet, options.entries);
-  plan.rate = Capacity(options) * share;
+  plan.rate = Capacity(options) * load_factor;
   plan.seconds = seconds;
   plan.mix = {"1000:0.90", "8000:0.06"};
   if (with_long) {
@@ -100,12 +104,13 @@
     plan.rate *= 0.96;
   }
   plan.time_limit_ms = 10000;
-  json result = Load(plan);
+  json result = RunLoadAsJson(plan);
   result["variant"] = variant.name;
-  result["load"] = share;
+  result["load"] = load_factor;
   result["with_long"] = with_long;
-  // Goodput is the work of the answers that came in time, against what the
-  // prefill of all engines could do while requests were sent.
+  // Goodput is the number of prompt tokens of requests that were answered
+  // within their time limit, divided by the number that all engines could
+  // prefill while requests were sent.
   double tokens = 0;
   for (const auto& length : result["lengths"].items()) {
     tokens +=
@@ -116,7 +121,7 @@
   result["goodput"] = goodput;
   std::cout << std::fixed << std::left << std::setw(23)
             << variant.name + (with_long ? "" : " (no long)") << std::right
-            << std::setprecision(1) << std::setw(4) << share << "x |"
+            << std::setprecision(1) << std::setw(4) << load_factor << "x |"
             << std::setprecision(0);
   PrintLength(result["lengths"]["1000"]);
   PrintLength(result["lengths"].value("60000", json::object()));
@@ -140,25 +145,26 @@
     plan.threads = 128;
     LoadPlan direct = plan;
     direct.engine_address = fleet.EngineAddress(0);
-    const json without = Load(direct)["lengths"]["1000"];
-    json with;
+    const json direct_result = RunLoadAsJson(direct)["lengths"]["1000"];
+    json routed_result;
     double sidecar = 0;
-    const double entry = CpuOf(&fleet, "entry-0", [&] {
-      sidecar = CpuOf(&fleet, "sidecar-0",
-                      [&] { with = Load(plan)["lengths"]["1000"]; });
+    const double entry = CpuSecondsOf(&fleet, "entry-0", [&] {
+      sidecar = CpuSecondsOf(&fleet, "sidecar-0", [&] {
+        routed_result = RunLoadAsJson(plan)["lengths"]["1000"];
+      });
     });
-    const double requests = with["answered"].get<double>();
+    const double requests = routed_result["answered"].get<double>();
     std::cout << std::fixed << std::setprecision(2) << std::setw(4) << rate
-              << std::setw(13) << without["first_ms_p50"].get<double>()
-              << std::setw(9) << without["first_ms_p99"].get<double>()
-              << std::setw(14) << with["first_ms_p50"].get<double>()
-              << std::setw(9) << with["first_ms_p99"].get<double>()
+              << std::setw(13) << direct_result["first_ms_p50"].get<double>()
+              << std::setw(9) << direct_result["first_ms_p99"].get<double>()
+              << std::setw(14) << routed_result["first_ms_p50"].get<double>()
+              << std::setw(9) << routed_result["first_ms_p99"].get<double>()
               << std::setw(18) << entry / requests * 1000 << std::setw(20)
               << sidecar / requests * 1000 << std::endl;
     figures.push_back(
         {{"rate", rate},
-         {"direct", without},
-         {"through", with},
+         {"direct", direct_result},
+         {"through", routed_result},
          {"entry_cpu_ms_per_request", entry / requests * 1000},
          {"sidecar_cpu_ms_per_request", sidecar / requests * 1000}});
   }
@@ -174,10 +180,10 @@
       {"length_aware weight 100", "length_aware", 100}};
   const double seconds = options.quick ? 4 : 6;
   json figures = json::array();
-  PrintPolicyHead();
-  for (const double share : {0.5, 1.0, 1.5, 2.0}) {
+  PrintPolicyHeader();
+  for (const double load_factor : {0.5, 1.0, 1.5, 2.0}) {
     for (const Variant& variant : variants) {
-      figures.push_back(MeasureVariant(variant, share, seconds, true));
+      figures.push_back(MeasureVariant(variant, load_factor, seconds, true));
     }
   }
   for (const Variant& variant : variants) {
@@ -201,7 +207,7 @@
                "share of ideal\n";
   for (const std::int64_t tokens :
        {1000, 10000, 100000, 300000, 500000, 700000, 1000000}) {
-    std::vector<double> first;
+    std::vector<double> first_token_ms;
     for (int i = 0; i < repeats; ++i) {
       LoadPlan plan = MakeLoadPlan(fleet, 1);
       plan.seed = static_cast<std::uint64_t>(tokens + i);
@@ -210,32 +216,34 @@
       plan.time_limit_ms = 60000;
       plan.answer_tokens = 4;
       plan.single_request = true;
-      const json result = Load(plan);
-      first.push_back(result["lengths"][std::to_string(tokens)]["first_ms_p50"]
-                          .get<double>());
+      const json result = RunLoadAsJson(plan);
+      first_token_ms.push_back(
+          result["lengths"][std::to_string(tokens)]["first_ms_p50"]
+              .get<double>());
     }
-    std::sort(first.begin(), first.end());
-    const double median = first[first.size() / 2];
-    const double usable =
+    std::sort(first_token_ms.begin(), first_token_ms.end());
+    const double median = first_token_ms[first_token_ms.size() / 2];
+    const double usable_tokens =
         static_cast<double>(fleet_options.engine_memory) * 0.9;
-    const double needed = std::ceil(static_cast<double>(tokens) / usable);
-    const bool is_long = tokens >= kLongFrom;
-    const double spread =
+    const double min_members =
+        std::ceil(static_cast<double>(tokens) / usable_tokens);
+    const bool is_long = tokens >= kLongPromptTokens;
+    const double parallel_parts =
         is_long ? static_cast<double>(PrefillPartCount(
                       Tokens{tokens},
                       static_cast<std::size_t>(fleet_options.engines)))
                 : 1.0;
-    const double members = std::max(needed, spread);
+    const double members = std::max(min_members, parallel_parts);
     const double ideal = static_cast<double>(tokens) /
                          (fleet_options.prefill_rate * members) * 1000;
     std::cout << std::fixed << std::setprecision(1) << std::setw(13) << tokens
               << std::setw(10) << members << std::setw(26) << median
               << std::setw(11) << ideal << std::setw(17) << ideal / median
-              << "   (" << first.front() << " to " << first.back() << ")"
-              << std::endl;
+              << "   (" << first_token_ms.front() << " to "
+              << first_token_ms.back() << ")" << std::endl;
     figures.push_back({{"tokens", tokens},
                        {"members", members},
-                       {"first_ms", first},
+                       {"first_ms", first_token_ms},
                        {"ideal_ms", ideal},
                        {"share", ideal / median}});
   }
--- a/bench/main.cc
+++ b/bench/main.cc
@@ -1,4 +1,5 @@
-// Measurements of harecrank on one machine, with small stand-ins.
+// Runs one of the measurements of harecrank, on one machine with stand-ins of
+// the platform.
 
 #include <CLI/CLI.hpp>
 #include <fstream>
@@ -18,23 +19,25 @@
   app.fallthrough();
   RunOptions options;
   std::string json_path;
-  app.add_flag("--quick", options.quick, "shorter and less sure");
-  app.add_option("--json", json_path, "write the figures here");
-  app.add_option("--plot", options.plot, "draw the slopes here, as SVG");
+  app.add_flag("--quick", options.quick, "shorter and less precise");
+  app.add_option("--json", json_path, "path for the results, as JSON");
+  app.add_option("--plot", options.plot,
+                 "path for plots of the slopes, as SVG");
   Measure measure = nullptr;
   const auto add = [&](const char* name, const char* text, Measure run) {
     app.add_subcommand(name, text)->callback([&measure, run] {
       measure = run;
     });
   };
-  add("hops", "cost of the two hops", MeasureHops);
-  add("policies", "routing policies side by side", MeasurePolicies);
-  add("groups", "first token against prompt length", MeasureGroups);
-  add("spread", "time until a change is in force", MeasurePropagation);
-  add("configuration", "one change among many routes, step by step",
+  add("hops", "latency and processor time of entry host and sidecar",
+      MeasureHops);
+  add("policies", "comparison of the routing policies", MeasurePolicies);
+  add("groups", "time to first token by prompt length", MeasureGroups);
+  add("spread", "time until a change is in force on all nodes",
+      MeasurePropagation);
+  add("configuration", "processor time of one change, for each step",
       MeasureConfiguration);
-  add("control", "the planner's words, asks, changes and starts by size",
-      MeasureControl);
+  add("control", "time of the planner by number of hosts", MeasureControl);
   add("slopes", "slopes for docs/CAPACITY.md", MeasureSlopes);
   CLI11_PARSE(app, argc, argv);
   ConfigureLogging("error");
--- a/bench/measure.cc
+++ b/bench/measure.cc
@@ -22,11 +22,12 @@
 
 ProcessReading ReadProcess(pid_t pid) {
   ProcessReading reading;
-  const std::string folder = "/proc/" + std::to_string(pid);
-  std::ifstream stat(folder + "/stat");
+  const std::string directory = "/proc/" + std::to_string(pid);
+  std::ifstream stat(directory + "/stat");
   std::string text;
   std::getline(stat, text);
-  // The second field may hold spaces; it ends at the last parenthesis.
+  // The second field, the program's name, may contain spaces. It ends at the
+  // last parenthesis.
   std::istringstream fields(text.substr(text.rfind(')') + 1));
   std::string field;
   for (int i = 0; i < kFieldsBeforeUserTime; ++i) {
@@ -41,7 +42,7 @@
     fields >> field;
   }
   fields >> reading.threads;
-  std::ifstream statm(folder + "/statm");
+  std::ifstream statm(directory + "/statm");
   double pages = 0;
   double resident = 0;
   statm >> pages >> resident;
@@ -76,14 +77,15 @@
     largest = std::max(largest, std::abs(point.y));
   }
   Line line;
-  const double spread = n * sum_xx - sum_x * sum_x;
-  line.slope = spread == 0 ? 0 : (n * sum_xy - sum_x * sum_y) / spread;
+  const double denominator = n * sum_xx - sum_x * sum_x;
+  line.slope =
+      denominator == 0 ? 0 : (n * sum_xy - sum_x * sum_y) / denominator;
   line.intercept = (sum_y - line.slope * sum_x) / n;
   for (const Point& point : points) {
-    const double off =
+    const double distance =
         std::abs(point.y - line.intercept - line.slope * point.x);
     line.worst_residual =
-        std::max(line.worst_residual, largest == 0 ? 0 : off / largest);
+        std::max(line.worst_residual, largest == 0 ? 0 : distance / largest);
   }
   return line;
 }
@@ -119,34 +121,34 @@
   int top = 0;
   for (const Slope& slope : slopes) {
     const Line line = FitLine(slope.points);
-    double most_x = 0;
-    double most_y = 0;
+    double max_x = 0;
+    double max_y = 0;
     for (const Point& point : slope.points) {
-      most_x = std::max(most_x, point.x);
-      most_y = std::max(most_y, point.y);
+      max_x = std::max(max_x, point.x);
+      max_y = std::max(max_y, point.y);
     }
-    most_x = most_x == 0 ? 1 : most_x;
-    most_y = most_y == 0 ? 1 : most_y * 1.1;
-    const auto place_x = [&](double x) {
-      return kMargin + x / most_x * (kPlotWidth - 2 * kMargin);
+    max_x = max_x == 0 ? 1 : max_x;
+    max_y = max_y == 0 ? 1 : max_y * 1.1;
+    const auto to_plot_x = [&](double x) {
+      return kMargin + x / max_x * (kPlotWidth - 2 * kMargin);
     };
-    const auto place_y = [&](double y) {
+    const auto to_plot_y = [&](double y) {
       return top + kPlotHeight - kMargin / 2.0 -
-             y / most_y * (kPlotHeight - kMargin);
+             y / max_y * (kPlotHeight - kMargin);
     };
     out << "<text x=\"" << kMargin << "\" y=\"" << top + 18 << "\">"
-        << slope.name << " [" << slope.y_unit << "], largest " << most_y / 1.1
-        << " at " << most_x << " " << slope.x_unit << "</text>\n";
-    out << "<line x1=\"" << place_x(0) << "\" y1=\"" << place_y(0) << "\" x2=\""
-        << place_x(most_x) << "\" y2=\"" << place_y(0)
+        << slope.name << " [" << slope.y_unit << "], largest " << max_y / 1.1
+        << " at " << max_x << " " << slope.x_unit << "</text>\n";
+    out << "<line x1=\"" << to_plot_x(0) << "\" y1=\"" << to_plot_y(0)
+        << "\" x2=\"" << to_plot_x(max_x) << "\" y2=\"" << to_plot_y(0)
         << "\" stroke=\"black\"/>\n";
-    out << "<line x1=\"" << place_x(0) << "\" y1=\"" << place_y(line.intercept)
-        << "\" x2=\"" << place_x(most_x) << "\" y2=\""
-        << place_y(line.intercept + line.slope * most_x)
+    out << "<line x1=\"" << to_plot_x(0) << "\" y1=\""
+        << to_plot_y(line.intercept) << "\" x2=\"" << to_plot_x(max_x)
+        << "\" y2=\"" << to_plot_y(line.intercept + line.slope * max_x)
         << "\" stroke=\"steelblue\"/>\n";
     for (const Point& point : slope.points) {
-      out << "<circle cx=\"" << place_x(point.x) << "\" cy=\""
-          << place_y(point.y) << "\" r=\"4\" fill=\"firebrick\"/>\n";
+      out << "<circle cx=\"" << to_plot_x(point.x) << "\" cy=\""
+          << to_plot_y(point.y) << "\" r=\"4\" fill=\"firebrick\"/>\n";
     }
     top += kPlotHeight;
   }
