--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -1,10 +1,11 @@
-// The fault matrix: a fault at a step of a request, and what must hold.
+// The fault matrix: faults at each step of a request, and the guarantees that
+// must hold nevertheless.
 //
-// A cell is a line of the table. Each cell starts a fleet, brings a request to
-// its step, causes the fault, and checks what must always hold: the request
-// ends within its time limit, its answer is whole or it is told an outcome
-// that is true, a ticketed request ran at most once, and no engine that lives
-// keeps memory.
+// A cell is a row of the table below. It starts a fleet, waits until a request
+// is at the given step, injects the fault and checks the guarantees: the
+// request ends within its time limit, the response is complete or has a correct
+// outcome, a ticketed request ran at most once, and no running engine keeps
+// memory.
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -29,11 +30,11 @@
   kSidecarFrozen,
   kEngineFrozen,
   kLinkCut,
-  kLinkHeldUp,
-  kLinkHeldDown,
+  kLinkUpstreamStalled,
+  kLinkDownstreamStalled,
   kLinkSlow,
   kEndpointCut,
-  kEndpointHeldDown,
+  kEndpointDownstreamStalled,
   kConfigDown,
   kConfigStale,
   kLinkCutTwice,
@@ -41,24 +42,24 @@
 };
 
 enum class Step {
-  // Before the request is made.
+  // Before the request is sent.
   kRoute,
-  // While its prompt is prefilled.
+  // While the prompt is prefilled.
   kPrefill,
-  // While its answer streams.
+  // While the response is streamed.
   kStreaming,
 };
 
 enum class Kind { kRepeatable, kTicketed };
 
-// What the caller must see.
+// The result that the caller must get.
 enum class Expect {
-  // The whole answer.
-  kWhole,
-  // The whole answer, or a refusal whose outcome is true.
-  kWholeOrTrue,
-  // The connection ends: the caller's own entry host is gone.
-  kCut,
+  // The complete response.
+  kComplete,
+  // The complete response, or an error with a correct outcome.
+  kCompleteOrOutcome,
+  // An incomplete response: the entry host of the caller was killed.
+  kConnectionLost,
 };
 
 struct Cell {
@@ -71,86 +72,86 @@
 
 const Cell kCells[] = {
     {"nothing at all", Fault::kNone, Step::kRoute, Kind::kRepeatable,
-     Expect::kWhole},
+     Expect::kComplete},
     {"sidecar killed, route", Fault::kSidecarKilled, Step::kRoute,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"sidecar killed, prefill", Fault::kSidecarKilled, Step::kPrefill,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"sidecar killed, streaming", Fault::kSidecarKilled, Step::kStreaming,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"sidecar killed, prefill, ticketed", Fault::kSidecarKilled, Step::kPrefill,
-     Kind::kTicketed, Expect::kWholeOrTrue},
+     Kind::kTicketed, Expect::kCompleteOrOutcome},
     {"sidecar killed, streaming, ticketed", Fault::kSidecarKilled,
-     Step::kStreaming, Kind::kTicketed, Expect::kWholeOrTrue},
+     Step::kStreaming, Kind::kTicketed, Expect::kCompleteOrOutcome},
     {"engine killed, route", Fault::kEngineKilled, Step::kRoute,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"engine killed, prefill", Fault::kEngineKilled, Step::kPrefill,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"engine killed, streaming", Fault::kEngineKilled, Step::kStreaming,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"engine killed, prefill, ticketed", Fault::kEngineKilled, Step::kPrefill,
-     Kind::kTicketed, Expect::kWholeOrTrue},
+     Kind::kTicketed, Expect::kCompleteOrOutcome},
     {"engine killed, route, ticketed", Fault::kEngineKilled, Step::kRoute,
-     Kind::kTicketed, Expect::kWholeOrTrue},
+     Kind::kTicketed, Expect::kCompleteOrOutcome},
     {"sidecar frozen, route", Fault::kSidecarFrozen, Step::kRoute,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"sidecar frozen, prefill", Fault::kSidecarFrozen, Step::kPrefill,
-     Kind::kRepeatable, Expect::kWholeOrTrue},
+     Kind::kRepeatable, Expect::kCompleteOrOutcome},
     {"sidecar frozen, streaming", Fault::kSidecarFrozen, Step::kStreaming,
-     Kind::kRepeatable, Expect::kWholeOrTrue},
+     Kind::kRepeatable, Expect::kCompleteOrOutcome},
     {"sidecar frozen, route, ticketed", Fault::kSidecarFrozen, Step::kRoute,
-     Kind::kTicketed, Expect::kWholeOrTrue},
+     Kind::kTicketed, Expect::kCompleteOrOutcome},
     {"sidecar frozen, streaming, ticketed", Fault::kSidecarFrozen,
-     Step::kStreaming, Kind::kTicketed, Expect::kWholeOrTrue},
+     Step::kStreaming, Kind::kTicketed, Expect::kCompleteOrOutcome},
     {"engine frozen, prefill", Fault::kEngineFrozen, Step::kPrefill,
-     Kind::kRepeatable, Expect::kWholeOrTrue},
+     Kind::kRepeatable, Expect::kCompleteOrOutcome},
     {"engine frozen, streaming", Fault::kEngineFrozen, Step::kStreaming,
-     Kind::kRepeatable, Expect::kWholeOrTrue},
+     Kind::kRepeatable, Expect::kCompleteOrOutcome},
     {"link cut, route", Fault::kLinkCut, Step::kRoute, Kind::kRepeatable,
-     Expect::kWhole},
+     Expect::kComplete},
     {"link cut, prefill", Fault::kLinkCut, Step::kPrefill, Kind::kRepeatable,
-     Expect::kWhole},
+     Expect::kComplete},
     {"link cut, streaming", Fault::kLinkCut, Step::kStreaming,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"link cut, prefill, ticketed", Fault::kLinkCut, Step::kPrefill,
-     Kind::kTicketed, Expect::kWholeOrTrue},
+     Kind::kTicketed, Expect::kCompleteOrOutcome},
     {"link cut, streaming, ticketed", Fault::kLinkCut, Step::kStreaming,
-     Kind::kTicketed, Expect::kWholeOrTrue},
-    {"one-way loss up, route", Fault::kLinkHeldUp, Step::kRoute,
-     Kind::kRepeatable, Expect::kWhole},
-    {"one-way loss up, route, ticketed", Fault::kLinkHeldUp, Step::kRoute,
-     Kind::kTicketed, Expect::kWholeOrTrue},
-    {"one-way loss down, route", Fault::kLinkHeldDown, Step::kRoute,
-     Kind::kRepeatable, Expect::kWhole},
-    {"one-way loss down, route, ticketed", Fault::kLinkHeldDown, Step::kRoute,
-     Kind::kTicketed, Expect::kWholeOrTrue},
-    {"one-way loss down, streaming", Fault::kLinkHeldDown, Step::kStreaming,
-     Kind::kRepeatable, Expect::kWholeOrTrue},
+     Kind::kTicketed, Expect::kCompleteOrOutcome},
+    {"one-way loss up, route", Fault::kLinkUpstreamStalled, Step::kRoute,
+     Kind::kRepeatable, Expect::kComplete},
+    {"one-way loss up, route, ticketed", Fault::kLinkUpstreamStalled,
+     Step::kRoute, Kind::kTicketed, Expect::kCompleteOrOutcome},
+    {"one-way loss down, route", Fault::kLinkDownstreamStalled, Step::kRoute,
+     Kind::kRepeatable, Expect::kComplete},
+    {"one-way loss down, route, ticketed", Fault::kLinkDownstreamStalled,
+     Step::kRoute, Kind::kTicketed, Expect::kCompleteOrOutcome},
+    {"one-way loss down, streaming", Fault::kLinkDownstreamStalled,
+     Step::kStreaming, Kind::kRepeatable, Expect::kCompleteOrOutcome},
     {"slow link, streaming", Fault::kLinkSlow, Step::kStreaming,
-     Kind::kRepeatable, Expect::kWholeOrTrue},
+     Kind::kRepeatable, Expect::kCompleteOrOutcome},
     {"endpoint cut, prefill", Fault::kEndpointCut, Step::kPrefill,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"endpoint cut, streaming, ticketed", Fault::kEndpointCut, Step::kStreaming,
-     Kind::kTicketed, Expect::kWholeOrTrue},
-    {"endpoint held, streaming", Fault::kEndpointHeldDown, Step::kStreaming,
-     Kind::kRepeatable, Expect::kWholeOrTrue},
+     Kind::kTicketed, Expect::kCompleteOrOutcome},
+    {"endpoint held, streaming", Fault::kEndpointDownstreamStalled,
+     Step::kStreaming, Kind::kRepeatable, Expect::kCompleteOrOutcome},
     {"configuration service down, route", Fault::kConfigDown, Step::kRoute,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"configuration service stale, route", Fault::kConfigStale, Step::kRoute,
-     Kind::kTicketed, Expect::kWhole},
+     Kind::kTicketed, Expect::kComplete},
     {"link cut twice, streaming", Fault::kLinkCutTwice, Step::kStreaming,
-     Kind::kRepeatable, Expect::kWhole},
+     Kind::kRepeatable, Expect::kComplete},
     {"sidecar and engine killed, streaming", Fault::kSidecarAndEngineKilled,
-     Step::kStreaming, Kind::kRepeatable, Expect::kWhole},
+     Step::kStreaming, Kind::kRepeatable, Expect::kComplete},
     {"sidecar and engine killed, prefill, ticketed",
      Fault::kSidecarAndEngineKilled, Step::kPrefill, Kind::kTicketed,
-     Expect::kWholeOrTrue},
+     Expect::kCompleteOrOutcome},
     {"entry killed, prefill", Fault::kEntryKilled, Step::kPrefill,
-     Kind::kRepeatable, Expect::kCut},
+     Kind::kRepeatable, Expect::kConnectionLost},
     {"entry killed, streaming", Fault::kEntryKilled, Step::kStreaming,
-     Kind::kRepeatable, Expect::kCut},
+     Kind::kRepeatable, Expect::kConnectionLost},
     {"entry killed, streaming, ticketed", Fault::kEntryKilled, Step::kStreaming,
-     Kind::kTicketed, Expect::kCut},
+     Kind::kTicketed, Expect::kConnectionLost},
 };
 
 FleetOptions OptionsFor(const Cell& cell) {
@@ -160,17 +161,17 @@
   options.proxied_links = true;
   options.proxied_endpoints = true;
   options.step_ms = 4;
-  // At the step of prefill a prompt takes about a second, so that a fault can
-  // meet it there; elsewhere it takes no time.
+  // For faults during prefill, the prefill takes about one second, so that the
+  // fault can be injected in time. For other steps it takes almost no time.
   options.prefill_rate = cell.step == Step::kPrefill ? 2000 : 1000000;
   options.step_tokens = 100;
   return options;
 }
 
-// Runs one cell.
-class Scene {
+// Runs a cell of the matrix.
+class FaultScenario {
  public:
-  explicit Scene(const Cell& cell)
+  explicit FaultScenario(const Cell& cell)
       : cell_(cell), fleet_(OptionsFor(cell)), label_(cell.name) {}
 
   void Run() {
@@ -184,33 +185,35 @@
       call_.fields.push_back(HttpHeader{"Harecrank-Ticket", ticket_});
     }
     if (cell_.step == Step::kRoute) {
-      target_ = TargetAtRoute();
-      Cause();
+      target_ = EndpointOfTicket();
+      InjectFault();
     }
-    auto answer =
+    auto pending =
         std::async(std::launch::async, [this] { return Call(call_); });
     if (cell_.step != Step::kRoute) {
-      REQUIRE(ReachStep());
-      Cause();
+      REQUIRE(WaitForStep());
+      InjectFault();
     }
-    const ClientResponse got = answer.get();
-    Heal();
-    CheckAnswer(got);
-    CheckRuns(got);
+    const ClientResponse response = pending.get();
+    RemoveFault();
+    CheckResponse(response);
+    CheckRuns(response);
     CheckMemory();
   }
 
  private:
-  // The endpoint that a request with a ticket, or with a warm cache, goes to;
-  // the first one where neither says.
-  int TargetAtRoute() const {
-    const auto place = ticket_.rfind("endpoint-");
-    return place == std::string::npos ? 0
-                                      : std::stoi(ticket_.substr(place + 9));
+  // Returns the index of the endpoint that the ticket names, or 0 without a
+  // ticket.
+  int EndpointOfTicket() const {
+    const auto position = ticket_.rfind("endpoint-");
+    return position == std::string::npos
+               ? 0
+               : std::stoi(ticket_.substr(position + 9));
   }
 
-  // Waits until the request is at its step somewhere, and notes where.
-  bool ReachStep() {
+  // Waits until the request is at the step of the cell, and sets `target_` to
+  // the engine that runs it.
+  bool WaitForStep() {
     return WaitUntil([&] {
       for (int i = 0; i < kEngines; ++i) {
         if (fleet_.EngineUsedTokens(i) > 0 && IsAtStep(i)) {
@@ -226,22 +229,23 @@
     if (cell_.step == Step::kPrefill) {
       return true;
     }
-    // A stream has begun once the entry host has counted a first token.
+    // The response is being streamed once the entry host has recorded a time
+    // between tokens.
     static_cast<void>(engine);
     HttpCall metrics;
     metrics.address = fleet_.OperationsAddress("entry-0");
     metrics.path = "/metrics";
-    const auto answer = SendHttpRequest(metrics);
-    return answer && answer.value().body.find(
-                         "harecrank_time_between_tokens_seconds_count 0") ==
-                         std::string::npos;
+    const auto response = SendHttpRequest(metrics);
+    return response && response.value().body.find(
+                           "harecrank_time_between_tokens_seconds_count 0") ==
+                           std::string::npos;
   }
 
   std::string Name(const std::string& kind) const {
     return kind + "-" + std::to_string(target_);
   }
 
-  void Cause() {
+  void InjectFault() {
     switch (cell_.fault) {
       case Fault::kNone:
         break;
@@ -263,10 +267,10 @@
       case Fault::kLinkCut:
         fleet_.SetFault(Name("link-proxy"), {{"cut", true}});
         break;
-      case Fault::kLinkHeldUp:
+      case Fault::kLinkUpstreamStalled:
         fleet_.SetFault(Name("link-proxy"), {{"hold_up", true}});
         break;
-      case Fault::kLinkHeldDown:
+      case Fault::kLinkDownstreamStalled:
         fleet_.SetFault(Name("link-proxy"), {{"hold_down", true}});
         break;
       case Fault::kLinkSlow:
@@ -275,7 +279,7 @@
       case Fault::kEndpointCut:
         fleet_.SetFault(Name("endpoint-proxy"), {{"cut", true}});
         break;
-      case Fault::kEndpointHeldDown:
+      case Fault::kEndpointDownstreamStalled:
         fleet_.SetFault(Name("endpoint-proxy"), {{"hold_down", true}});
         break;
       case Fault::kConfigDown:
@@ -285,7 +289,7 @@
         fleet_.SetFault("config", {{"stale", true}});
         break;
       case Fault::kLinkCutTwice:
-        CutTwice();
+        CutLinkTwice();
         break;
       case Fault::kSidecarAndEngineKilled:
         fleet_.Get(Name("engine")).Kill();
@@ -294,8 +298,9 @@
     }
   }
 
-  // Cuts the link, and then the one that the request resumed on.
-  void CutTwice() {
+  // Cuts the link of the request, waits until the request resumes on another
+  // engine and cuts the link to that one.
+  void CutLinkTwice() {
     const int first = target_;
     fleet_.SetFault(Name("link-proxy"), {{"cut", true}});
     WaitUntil([&] {
@@ -310,8 +315,9 @@
     fleet_.SetFault(Name("link-proxy"), {{"cut", true}});
   }
 
-  // Ends what can end, so that memory can be checked.
-  void Heal() {
+  // Removes the fault and restarts killed processes, so that the memory of
+  // engines can be checked.
+  void RemoveFault() {
     switch (cell_.fault) {
       case Fault::kSidecarFrozen:
         fleet_.Get(Name("sidecar")).Signal(SIGCONT);
@@ -337,47 +343,50 @@
     }
   }
 
-  void CheckAnswer(const ClientResponse& got) {
-    const bool whole =
-        got.end_event == "done" && got.Text() == ExpectedText(call_);
-    INFO("status " << got.status << ", " << got.parts.size() << " parts, end '"
-                   << got.end_event << "' " << got.end.dump() << " "
-                   << got.body.dump());
+  void CheckResponse(const ClientResponse& response) {
+    const bool complete =
+        response.end_event == "done" && response.Text() == ExpectedText(call_);
+    INFO("status " << response.status << ", " << response.parts.size()
+                   << " parts, end '" << response.end_event << "' "
+                   << response.end.dump() << " " << response.body.dump());
     switch (cell_.expect) {
-      case Expect::kWhole:
-        CHECK(whole);
+      case Expect::kComplete:
+        CHECK(complete);
         break;
-      case Expect::kWholeOrTrue: {
-        const bool told = got.Outcome() == "not_run" ||
-                          got.Outcome() == "failed" ||
-                          got.Outcome() == "unknown";
-        CHECK((whole || told));
+      case Expect::kCompleteOrOutcome: {
+        const bool has_outcome = response.Outcome() == "not_run" ||
+                                 response.Outcome() == "failed" ||
+                                 response.Outcome() == "unknown";
+        CHECK((complete || has_outcome));
         break;
       }
-      case Expect::kCut:
-        CHECK_FALSE(whole);
+      case Expect::kConnectionLost:
+        CHECK_FALSE(complete);
         break;
     }
-    // What was given of the answer is a beginning of it, each token once.
+    // An incomplete response must be a prefix of the complete one, with each
+    // token once.
     const std::string expected = ExpectedText(call_);
-    CHECK(expected.compare(0, got.Text().size(), got.Text()) == 0);
+    CHECK(expected.compare(0, response.Text().size(), response.Text()) == 0);
   }
 
-  void CheckRuns(const ClientResponse& got) {
+  void CheckRuns(const ClientResponse& response) {
     if (cell_.kind == Kind::kTicketed) {
-      // Asked again through the other entry host, as a caller would.
-      ClientRequest again = call_;
-      again.address = fleet_.CallersAddress(1);
-      const ClientResponse second = Call(again);
-      INFO("asked again: " << second.status << " " << second.end_event << " "
-                           << second.end.dump() << second.body.dump());
-      const bool second_whole =
+      // Repeats the request through the other entry host, as a caller would.
+      ClientRequest repeated = call_;
+      repeated.address = fleet_.CallersAddress(1);
+      const ClientResponse second = Call(repeated);
+      INFO("repeated request: " << second.status << " " << second.end_event
+                                << " " << second.end.dump()
+                                << second.body.dump());
+      const bool second_complete =
           second.end_event == "done" && second.Text() == ExpectedText(call_);
-      CHECK((second_whole || !second.Outcome().empty()));
-      // An engine that was killed forgets its count, and only makes it less.
+      CHECK((second_complete || !second.Outcome().empty()));
+      // An engine that was killed loses its count, so that the sum can only be
+      // too small.
       CHECK(CountRuns(&fleet_, kEngines, label_) <= 1);
     }
-    if (got.Outcome() == "not_run") {
+    if (response.Outcome() == "not_run") {
       CHECK(CountRuns(&fleet_, kEngines, label_) == 0);
     }
   }
@@ -398,7 +407,7 @@
   int target_ = 0;
 };
 
-// Returns how many cells there are in each part of the table.
+// Number of parts that the table is divided into.
 constexpr std::size_t kParts = 8;
 
 void RunPart(std::size_t part) {
@@ -407,19 +416,19 @@
     if (index++ % kParts != part) {
       continue;
     }
-    DYNAMIC_SECTION(cell.name) { Scene(cell).Run(); }
+    DYNAMIC_SECTION(cell.name) { FaultScenario(cell).Run(); }
   }
 }
 
-// Eight parts, so that CTest runs them side by side.
-TEST_CASE("What must hold holds under the fault matrix, part 1") { RunPart(0); }
-TEST_CASE("What must hold holds under the fault matrix, part 2") { RunPart(1); }
-TEST_CASE("What must hold holds under the fault matrix, part 3") { RunPart(2); }
-TEST_CASE("What must hold holds under the fault matrix, part 4") { RunPart(3); }
-TEST_CASE("What must hold holds under the fault matrix, part 5") { RunPart(4); }
-TEST_CASE("What must hold holds under the fault matrix, part 6") { RunPart(5); }
-TEST_CASE("What must hold holds under the fault matrix, part 7") { RunPart(6); }
-TEST_CASE("What must hold holds under the fault matrix, part 8") { RunPart(7); }
+// The matrix is divided into test cases so that CTest runs them in parallel.
+TEST_CASE("The guarantees hold under the fault matrix, part 1") { RunPart(0); }
+TEST_CASE("The guarantees hold under the fault matrix, part 2") { RunPart(1); }
+TEST_CASE("The guarantees hold under the fault matrix, part 3") { RunPart(2); }
+TEST_CASE("The guarantees hold under the fault matrix, part 4") { RunPart(3); }
+TEST_CASE("The guarantees hold under the fault matrix, part 5") { RunPart(4); }
+TEST_CASE("The guarantees hold under the fault matrix, part 6") { RunPart(5); }
+TEST_CASE("The guarantees hold under the fault matrix, part 7") { RunPart(6); }
+TEST_CASE("The guarantees hold under the fault matrix, part 8") { RunPart(7); }
 
 }  // namespace
 }  // namespace harecrank::testing
