--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -1,4 +1,5 @@
-// Prompts larger than an engine, under failure.
+// Tests of prompts that need several engines, with failures of members of the
+// group.
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -29,19 +30,21 @@
   return call;
 }
 
-// Waits until two engines hold parts of a prompt, and returns the one that
-// holds the least, which is not the one that will generate, or the most.
-int Member(Fleet* fleet, bool lead) {
+// Waits until two engines have memory allocated for a prompt. Returns the
+// engine with the largest allocation, or that with the smallest one, which will
+// not generate the response; -1 after a time-out.
+int FindGroupMember(Fleet* fleet, bool largest) {
   int found = -1;
   WaitUntil([&] {
     int holding = 0;
-    std::int64_t best = 0;
+    std::int64_t extreme = 0;
     for (int i = 0; i < kEngines; ++i) {
       const std::int64_t used = fleet->EngineUsedTokens(i);
       holding += used > 0 ? 1 : 0;
-      const bool better = lead ? used > best : used < best || best == 0;
+      const bool better =
+          largest ? used > extreme : used < extreme || extreme == 0;
       if (used > 0 && better) {
-        best = used;
+        extreme = used;
         found = i;
       }
     }
@@ -50,50 +53,50 @@
   return found;
 }
 
-void CheckMemoryIsBack(Fleet* fleet) {
+void CheckMemoryIsReleased(Fleet* fleet) {
   for (int i = 0; i < kEngines; ++i) {
     INFO("engine " << i << " still holds " << fleet->EngineUsedTokens(i));
     CHECK(WaitUntil([&] { return fleet->EngineUsedTokens(i) <= 0; }));
   }
 }
 
-TEST_CASE(
-    "A group whose member's engine dies in prefill gives the whole answer") {
+TEST_CASE("A group completes when a member's engine is killed during prefill") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
   const ClientRequest call = GroupCall(fleet, "engine dies");
-  auto answer = std::async(std::launch::async, [&] { return Call(call); });
-  const int member = Member(&fleet, false);
+  auto pending = std::async(std::launch::async, [&] { return Call(call); });
+  const int member = FindGroupMember(&fleet, false);
   REQUIRE(member >= 0);
   fleet.Get("engine-" + std::to_string(member)).Kill();
-  const ClientResponse got = answer.get();
-  INFO(got.status << " " << got.end.dump() << got.body.dump());
-  CHECK(got.Text() == ExpectedText(call));
-  CheckMemoryIsBack(&fleet);
+  const ClientResponse response = pending.get();
+  INFO(response.status << " " << response.end.dump() << response.body.dump());
+  CHECK(response.Text() == ExpectedText(call));
+  CheckMemoryIsReleased(&fleet);
 }
 
-TEST_CASE("A group whose member's sidecar dies in prefill gives the answer") {
+TEST_CASE(
+    "A group completes when a member's sidecar is killed during prefill") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
   const ClientRequest call = GroupCall(fleet, "sidecar dies");
-  auto answer = std::async(std::launch::async, [&] { return Call(call); });
-  const int member = Member(&fleet, false);
+  auto pending = std::async(std::launch::async, [&] { return Call(call); });
+  const int member = FindGroupMember(&fleet, false);
   REQUIRE(member >= 0);
   const std::string name = "sidecar-" + std::to_string(member);
   fleet.Get(name).Kill();
-  const ClientResponse got = answer.get();
-  INFO(got.status << " " << got.end.dump() << got.body.dump());
-  CHECK(got.Text() == ExpectedText(call));
+  const ClientResponse response = pending.get();
+  INFO(response.status << " " << response.end.dump() << response.body.dump());
+  CHECK(response.Text() == ExpectedText(call));
   fleet.Restart(name);
-  CheckMemoryIsBack(&fleet);
+  CheckMemoryIsReleased(&fleet);
 }
 
-TEST_CASE("A group that loses a member while it generates goes on in place") {
+TEST_CASE("A group completes when it loses a member while it generates") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
   const ClientRequest call = GroupCall(fleet, "loses one");
-  auto answer = std::async(std::launch::async, [&] { return Call(call); });
-  const int member = Member(&fleet, false);
+  auto pending = std::async(std::launch::async, [&] { return Call(call); });
+  const int member = FindGroupMember(&fleet, false);
   REQUIRE(member >= 0);
   REQUIRE(WaitUntil([&] {
     HttpCall metrics;
@@ -105,40 +108,42 @@
                        std::string::npos;
   }));
   fleet.Get("engine-" + std::to_string(member)).Kill();
-  const ClientResponse got = answer.get();
-  INFO(got.status << " " << got.parts.size() << " parts " << got.end.dump());
-  CHECK(got.Text() == ExpectedText(call));
-  CheckMemoryIsBack(&fleet);
+  const ClientResponse response = pending.get();
+  INFO(response.status << " " << response.parts.size() << " parts "
+                       << response.end.dump());
+  CHECK(response.Text() == ExpectedText(call));
+  CheckMemoryIsReleased(&fleet);
 }
 
-TEST_CASE("A prompt that no group can ever hold is refused without a wait") {
+TEST_CASE("A prompt that is too large for any group is rejected at once") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
   ClientRequest call =
       Completion(fleet.CallersAddress(0), "too large", 90000, 4, false);
-  // Ten minutes: the answer must not wait for it.
+  // The response must not wait for this time limit of ten minutes.
   call.fields = {{"Harecrank-Time-Limit-Ms", "600000"}};
-  const ClientResponse answer = Call(call);
-  CHECK(answer.Code() == "larger_than_engine");
-  CHECK(answer.Outcome() == "not_run");
+  const ClientResponse response = Call(call);
+  CHECK(response.Code() == "larger_than_engine");
+  CHECK(response.Outcome() == "not_run");
 }
 
-TEST_CASE("A group's memory comes back when its entry host dies") {
+TEST_CASE("The memory of a group is released when its entry host is killed") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
   const ClientRequest call = GroupCall(fleet, "entry dies");
-  auto answer = std::async(std::launch::async, [&] { return Call(call); });
-  REQUIRE(Member(&fleet, false) >= 0);
+  auto pending = std::async(std::launch::async, [&] { return Call(call); });
+  REQUIRE(FindGroupMember(&fleet, false) >= 0);
   fleet.Get("entry-0").Kill();
-  CHECK(answer.get().end_event.empty());
-  CheckMemoryIsBack(&fleet);
+  CHECK(pending.get().end_event.empty());
+  CheckMemoryIsReleased(&fleet);
 }
 
-TEST_CASE("Groups that want more than there is all get their answers") {
+TEST_CASE(
+    "Groups that together exceed the memory of all engines all complete") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
   std::vector<ClientRequest> calls;
-  std::vector<std::future<ClientResponse>> answers;
+  std::vector<std::future<ClientResponse>> pending;
   for (int i = 0; i < 5; ++i) {
     ClientRequest call =
         Completion(fleet.CallersAddress(i % 2), "crowd " + std::to_string(i),
@@ -146,18 +151,18 @@
     call.fields = {{"Harecrank-Time-Limit-Ms", "60000"}};
     calls.push_back(call);
   }
-  answers.reserve(calls.size());
+  pending.reserve(calls.size());
   for (const ClientRequest& call : calls) {
-    answers.push_back(
+    pending.push_back(
         std::async(std::launch::async, [&call] { return Call(call); }));
   }
   for (std::size_t i = 0; i < calls.size(); ++i) {
-    const ClientResponse got = answers[i].get();
-    INFO("group " << i << ": " << got.status << got.end.dump()
-                  << got.body.dump());
-    CHECK(got.Text() == ExpectedText(calls[i]));
+    const ClientResponse response = pending[i].get();
+    INFO("group " << i << ": " << response.status << response.end.dump()
+                  << response.body.dump());
+    CHECK(response.Text() == ExpectedText(calls[i]));
   }
-  CheckMemoryIsBack(&fleet);
+  CheckMemoryIsReleased(&fleet);
 }
 
 }  // namespace
