--- a/tests/guarantees_test.cc
+++ b/tests/guarantees_test.cc
@@ -1,4 +1,4 @@
-// Single promises, each with the fault that it is made for.
+// Tests of single guarantees, each with the fault that it covers.
 
 #include <Poco/Net/StreamSocket.h>
 
@@ -15,15 +15,15 @@
 
 constexpr int kEngines = 3;
 
-json Get(const std::string& address, const std::string& path) {
+json GetJson(const std::string& address, const std::string& path) {
   HttpCall call;
   call.address = address;
   call.path = path;
-  const auto answer = SendHttpRequest(call);
-  return answer ? json::parse(answer.value().body, nullptr, false) : json();
+  const auto response = SendHttpRequest(call);
+  return response ? json::parse(response.value().body, nullptr, false) : json();
 }
 
-bool AllMemoryIsBack(Fleet* fleet, int engines) {
+bool AllMemoryIsReleased(Fleet* fleet, int engines) {
   for (int i = 0; i < engines; ++i) {
     if (!WaitUntil([&] { return fleet->EngineUsedTokens(i) == 0; })) {
       return false;
@@ -32,9 +32,10 @@
   return true;
 }
 
-// Sends a request over a socket of its own and returns it unread. Its time
-// limit is far off, so that nothing that it holds is freed by its deadline.
-Poco::Net::StreamSocket SendAndHold(const ClientRequest& call) {
+// Sends a request over a new socket and returns the socket without reading the
+// response. The time limit of ten minutes is long enough that no resources are
+// released because of it during a test.
+Poco::Net::StreamSocket SendWithoutReading(const ClientRequest& call) {
   const std::string body = call.body.dump();
   Poco::Net::StreamSocket socket;
   socket.connect(Poco::Net::SocketAddress(call.address));
@@ -42,12 +43,13 @@
       "POST " + call.path + " HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer " +
       kAccountKey + "\r\nHarecrank-Time-Limit-Ms: 600000\r\nContent-Length: " +
       std::to_string(body.size()) + "\r\n\r\n";
-  const std::string whole = head + body;
-  socket.sendBytes(whole.data(), static_cast<int>(whole.size()));
+  const std::string request = head + body;
+  socket.sendBytes(request.data(), static_cast<int>(request.size()));
   return socket;
 }
 
-TEST_CASE("A message that sat in a frozen sidecar's socket does not start") {
+TEST_CASE(
+    "A request that expired in a stopped sidecar's socket is not started") {
   FleetOptions options;
   options.engines = 1;
   options.services = 0;
@@ -61,11 +63,11 @@
       Completion(fleet.CallersAddress(0), "frozen", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket},
                  {"Harecrank-Time-Limit-Ms", "800"}};
-  const ClientResponse answer = Call(call);
-  INFO("told " << answer.body.dump());
-  CHECK(answer.Outcome() == "unknown");
+  const ClientResponse response = Call(call);
+  INFO("response: " << response.body.dump());
+  CHECK(response.Outcome() == "unknown");
   fleet.Get("sidecar-0").Signal(SIGCONT);
-  // A later request shows that the sidecar has read all that came before.
+  // A successful later request shows that the sidecar has read the earlier one.
   CHECK(WaitUntil([&] {
     return Call(Completion(fleet.CallersAddress(1), "later", 50, 4, false))
                .status == 200;
@@ -73,7 +75,8 @@
   CHECK(CountRuns(&fleet, 1, "frozen") == 0);
 }
 
-TEST_CASE("A sidecar without memory runs no ticket of its life before") {
+TEST_CASE(
+    "A restarted sidecar runs no request with a ticket it issued before") {
   FleetOptions options;
   options.engines = 1;
   options.services = 0;
@@ -87,14 +90,14 @@
   ClientRequest call =
       Completion(fleet.CallersAddress(1), "old life", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket}};
-  const ClientResponse answer = Call(call);
-  INFO("told " << answer.body.dump());
-  CHECK(answer.Code() == "ticket_unknown");
-  CHECK(answer.Outcome() == "unknown");
+  const ClientResponse response = Call(call);
+  INFO("response: " << response.body.dump());
+  CHECK(response.Code() == "ticket_unknown");
+  CHECK(response.Outcome() == "unknown");
   CHECK(CountRuns(&fleet, 1, "old life") == 0);
 }
 
-TEST_CASE("A revoked ticket's request is truly not run") {
+TEST_CASE("A request with a revoked ticket is not run") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const std::string ticket =
@@ -104,18 +107,18 @@
   revoke.method = "DELETE";
   revoke.path = "/v1/tickets/" + ticket;
   const ClientResponse revoked = Call(revoke);
-  INFO("told " << revoked.body.dump());
+  INFO("response: " << revoked.body.dump());
   CHECK(revoked.body["outcome"] == "not_run");
   ClientRequest call =
       Completion(fleet.CallersAddress(0), "revoked", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket}};
-  const ClientResponse answer = Call(call);
-  CHECK(answer.Code() == "ticket_ended");
-  CHECK(answer.Outcome() == "not_run");
+  const ClientResponse response = Call(call);
+  CHECK(response.Code() == "ticket_ended");
+  CHECK(response.Outcome() == "not_run");
   CHECK(CountRuns(&fleet, kEngines, "revoked") == 0);
 }
 
-TEST_CASE("A plain service's call that may not be repeated runs once") {
+TEST_CASE("A repeated ticketed call of a plain service runs once") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const std::string ticket =
@@ -126,41 +129,44 @@
   call.fields = {{"Harecrank-Ticket", ticket}};
   for (int i = 0; i < 4; ++i) {
     call.address = fleet.CallersAddress(i % 2);
-    const ClientResponse answer = Call(call);
-    INFO("answer " << i << " was " << answer.status << answer.body.dump());
-    CHECK(answer.body.value("echo", "") == "rolls-9");
+    const ClientResponse response = Call(call);
+    INFO("answer " << i << " was " << response.status << response.body.dump());
+    CHECK(response.body.value("echo", "") == "rolls-9");
   }
-  const json calls = Get(fleet.ServiceAddress(0), "/control/calls");
+  const json calls = GetJson(fleet.ServiceAddress(0), "/control/calls");
   INFO("the service was called with " << calls.dump());
   CHECK(calls["rolls-9"] == 1);
   CHECK(calls.size() == 1);
 }
 
-TEST_CASE("A caller that leaves mid-stream releases the engine's memory") {
+TEST_CASE(
+    "The engine's memory is released when a caller disconnects from a stream") {
   FleetOptions options;
   options.step_ms = 10;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   {
-    auto socket = SendAndHold(
+    auto socket = SendWithoutReading(
         Completion(fleet.CallersAddress(0), "leaves", 100, 5000, true));
     char first[64];
     REQUIRE(socket.receiveBytes(first, sizeof(first)) > 0);
   }
-  CHECK(AllMemoryIsBack(&fleet, kEngines));
+  CHECK(AllMemoryIsReleased(&fleet, kEngines));
   CHECK(WaitUntil(
       [&] { return fleet.Dump("entry-0")["entry"]["requests_in_hand"] == 0; }));
 }
 
-TEST_CASE("A caller that leaves during prefill releases the engine's memory") {
+TEST_CASE(
+    "The engine's memory is released when a caller disconnects in prefill") {
   FleetOptions options;
-  // The prefill would take minutes: only a cancel at the engine can end it.
+  // The prefill would take minutes, so that only a cancellation at the engine
+  // can end it within the time-out of the test.
   options.prefill_rate = 100;
   options.step_tokens = 50;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   {
-    auto socket = SendAndHold(
+    auto socket = SendWithoutReading(
         Completion(fleet.CallersAddress(0), "leaves", 15000, 10, false));
     REQUIRE(WaitUntil([&] {
       return fleet.EngineUsedTokens(0) + fleet.EngineUsedTokens(1) +
@@ -168,10 +174,11 @@
              0;
     }));
   }
-  CHECK(AllMemoryIsBack(&fleet, kEngines));
+  CHECK(AllMemoryIsReleased(&fleet, kEngines));
 }
 
-TEST_CASE("A stream that goes on elsewhere asks only for what is missing") {
+TEST_CASE(
+    "A stream that resumes on another engine requests only missing tokens") {
   FleetOptions options;
   options.proxied_links = true;
   options.services = 0;
@@ -180,7 +187,7 @@
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
       Completion(fleet.CallersAddress(0), "resumed", 100, 200, true);
-  auto answer = std::async(std::launch::async, [&] { return Call(call); });
+  auto pending = std::async(std::launch::async, [&] { return Call(call); });
   REQUIRE(WaitUntil([&] {
     return fleet.Metrics("entry-0").find(
                "harecrank_time_between_tokens_seconds_count 0") ==
@@ -191,17 +198,19 @@
       fleet.SetFault("link-proxy-" + std::to_string(i), {{"cut", true}});
     }
   }
-  CHECK(answer.get().Text() == ExpectedText(call));
+  CHECK(pending.get().Text() == ExpectedText(call));
   int resumed_from = 0;
   for (int i = 0; i < kEngines; ++i) {
-    const json resumes = Get(fleet.EngineAddress(i), "/control/resumes");
+    const json resumes = GetJson(fleet.EngineAddress(i), "/control/resumes");
     resumed_from = std::max(resumed_from, resumes.get<int>());
   }
-  INFO("the second engine was asked from position " << resumed_from);
+  INFO("largest position that an engine was asked to resume from: "
+       << resumed_from);
   CHECK(resumed_from > 0);
 }
 
-TEST_CASE("A caller that does not read holds back no other stream") {
+TEST_CASE(
+    "A caller that does not read its stream does not delay other streams") {
   FleetOptions options;
   options.engines = 1;
   options.services = 0;
@@ -209,8 +218,8 @@
   options.step_ms = 0.2;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  // Far more than the sockets on the way can hold.
-  auto held = SendAndHold(
+  // The response is far larger than the socket buffers along its path.
+  auto held = SendWithoutReading(
       Completion(fleet.CallersAddress(0), "held", 100, 200000, true));
   REQUIRE(WaitUntil([&] { return fleet.EngineUsedTokens(0) > 0; }));
   for (int i = 0; i < 5; ++i) {
@@ -220,25 +229,24 @@
   }
 }
 
-TEST_CASE(
-    "An entry host that is full refuses at once and says when to return") {
+TEST_CASE("An entry host at its limit rejects at once with a retry time") {
   FleetOptions options;
   options.max_requests = 2;
   options.step_ms = 20;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  auto first =
-      SendAndHold(Completion(fleet.CallersAddress(0), "one", 100, 2000, true));
-  auto second =
-      SendAndHold(Completion(fleet.CallersAddress(0), "two", 100, 2000, true));
+  auto first = SendWithoutReading(
+      Completion(fleet.CallersAddress(0), "one", 100, 2000, true));
+  auto second = SendWithoutReading(
+      Completion(fleet.CallersAddress(0), "two", 100, 2000, true));
   REQUIRE(WaitUntil(
       [&] { return fleet.Dump("entry-0")["entry"]["requests_in_hand"] == 2; }));
-  const ClientResponse refused =
+  const ClientResponse rejected =
       Call(Completion(fleet.CallersAddress(0), "three", 100, 4, false));
-  CHECK(refused.status == 429);
-  CHECK(refused.Code() == "entry_full");
-  CHECK(refused.Outcome() == "not_run");
-  CHECK_FALSE(refused.retry_after.empty());
+  CHECK(rejected.status == 429);
+  CHECK(rejected.Code() == "entry_full");
+  CHECK(rejected.Outcome() == "not_run");
+  CHECK_FALSE(rejected.retry_after.empty());
   HttpCall health;
   health.address = fleet.CallersAddress(0);
   health.path = "/healthz";
@@ -247,7 +255,8 @@
   CHECK(healthy.value().status == 200);
 }
 
-TEST_CASE("What one engine of the overloaded fleet cannot start is refused") {
+TEST_CASE(
+    "Requests beyond the queue limit of an overloaded engine are rejected") {
   FleetOptions options;
   options.engines = 1;
   options.services = 0;
@@ -256,29 +265,30 @@
   options.sidecar_settings = {{"queue_limit", 2}};
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  std::vector<std::future<ClientResponse>> answers;
+  std::vector<std::future<ClientResponse>> pending;
   for (int i = 0; i < 12; ++i) {
     ClientRequest call =
         Completion(fleet.CallersAddress(i % 2), "flood " + std::to_string(i),
                    1500, 400, true);
-    answers.push_back(
+    pending.push_back(
         std::async(std::launch::async, [call] { return Call(call); }));
   }
   int answered = 0;
-  int refused = 0;
-  for (auto& future : answers) {
-    const ClientResponse answer = future.get();
-    answered += answer.end_event == "done" ? 1 : 0;
-    refused +=
-        answer.Outcome() == "not_run" && answer.Code() == "overloaded" ? 1 : 0;
+  int rejected = 0;
+  for (auto& future : pending) {
+    const ClientResponse response = future.get();
+    answered += response.end_event == "done" ? 1 : 0;
+    rejected +=
+        response.Outcome() == "not_run" && response.Code() == "overloaded" ? 1
+                                                                           : 0;
   }
-  INFO(answered << " answered and " << refused << " refused as overloaded");
+  INFO(answered << " answered and " << rejected << " rejected as overloaded");
   CHECK(answered >= 1);
-  CHECK(refused >= 1);
-  CHECK(answered + refused == 12);
+  CHECK(rejected >= 1);
+  CHECK(answered + rejected == 12);
 }
 
-TEST_CASE("An account over its limit is refused and told when to return") {
+TEST_CASE("A request over its account's limit is rejected with a retry time") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   json account = fleet.Document()["accounts"]["tinta"];
@@ -291,13 +301,13 @@
   const ClientRequest call =
       Completion(fleet.CallersAddress(0), "limit", 1000, 4, false);
   CHECK(Call(call).status == 200);
-  const ClientResponse refused = Call(call);
-  CHECK(refused.Code() == "account_limit");
-  CHECK(refused.Outcome() == "not_run");
-  CHECK_FALSE(refused.retry_after.empty());
+  const ClientResponse rejected = Call(call);
+  CHECK(rejected.Code() == "account_limit");
+  CHECK(rejected.Outcome() == "not_run");
+  CHECK_FALSE(rejected.retry_after.empty());
 }
 
-TEST_CASE("Engines load a model within the rate of the weight store") {
+TEST_CASE("Engines load a model from a store that serves one load at a time") {
   FleetOptions options;
   options.models_loaded = false;
   options.weight_store = true;
@@ -307,7 +317,7 @@
   REQUIRE(fleet.WaitReady());
   for (int i = 0; i < kEngines; ++i) {
     CHECK(WaitUntil([&] {
-      return Get(fleet.EngineAddress(i), "/v1/account")["models"].contains(
+      return GetJson(fleet.EngineAddress(i), "/v1/account")["models"].contains(
           kModel);
     }));
   }
@@ -316,7 +326,7 @@
   CHECK(WaitUntil([&] { return Call(call).status == 200; }));
 }
 
-TEST_CASE("Orders carry the revision as a fence that never goes back") {
+TEST_CASE("Orders carry the revision as a fence that never decreases") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   json model = fleet.Document()["models"][kModel];
@@ -333,18 +343,19 @@
   for (int i = 0; i < kEngines; ++i) {
     CHECK(WaitUntil([&] {
       const json held =
-          Get(fleet.EngineAddress(i), "/v1/account")["models"][kModel];
+          GetJson(fleet.EngineAddress(i), "/v1/account")["models"][kModel];
       return held["adapters"].value("tagalog", "") == "2";
     }));
     int last = 0;
-    for (const json& order : Get(fleet.EngineAddress(i), "/control/orders")) {
+    for (const json& order :
+         GetJson(fleet.EngineAddress(i), "/control/orders")) {
       CHECK(order["fence"].get<int>() >= last);
       last = order["fence"].get<int>();
     }
   }
 }
 
-TEST_CASE("An engine refuses an order with an older fence") {
+TEST_CASE("An engine rejects an order with an outdated fence") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const auto order = [&](int fence) {
@@ -354,8 +365,8 @@
     call.path = "/v1/orders";
     call.body =
         json{{"fence", fence}, {"kind", "unload_model"}, {"model", "x"}}.dump();
-    const auto answer = SendHttpRequest(call);
-    return answer ? answer.value().status : 0;
+    const auto response = SendHttpRequest(call);
+    return response ? response.value().status : 0;
   };
   CHECK(order(50) == 200);
   CHECK(order(49) == 409);
