--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -1,4 +1,4 @@
-// What callers get for requests that cannot be served as they are.
+// Tests of the responses to invalid requests, configuration and settings.
 
 #include <Poco/Net/SocketAddress.h>
 #include <Poco/Net/StreamSocket.h>
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-// One bad request and what it must be told.
+// An invalid request, and the status and error code that it must get.
 struct BadRequest {
   std::string name;
   ClientRequest call;
@@ -21,20 +21,20 @@
   std::string code;
 };
 
-// Sends bytes as they are and returns all that comes until the other side
-// closes.
-std::string Exchange(const std::string& address, const std::string& bytes) {
+// Sends bytes without any framing and returns all bytes that are received until
+// the peer closes the connection.
+std::string SendRaw(const std::string& address, const std::string& bytes) {
   Poco::Net::StreamSocket socket{Poco::Net::SocketAddress(address)};
   socket.setReceiveTimeout(Poco::Timespan(10, 0));
   socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
-  std::string all;
-  std::array<char, 4096> piece{};
-  int got = 0;
-  while ((got = socket.receiveBytes(piece.data(),
-                                    static_cast<int>(piece.size()))) > 0) {
-    all.append(piece.data(), static_cast<std::size_t>(got));
+  std::string received;
+  std::array<char, 4096> buffer{};
+  int length = 0;
+  while ((length = socket.receiveBytes(buffer.data(),
+                                       static_cast<int>(buffer.size()))) > 0) {
+    received.append(buffer.data(), static_cast<std::size_t>(length));
   }
-  return all;
+  return received;
 }
 
 std::vector<BadRequest> BadRequests(const std::string& address) {
@@ -73,23 +73,23 @@
   return bad;
 }
 
-TEST_CASE("Each bad request is told its fault and that it was not run") {
+TEST_CASE("Each invalid request gets its error code and the outcome not_run") {
   FleetOptions options;
   options.entry_settings = {{"max_body_bytes", 100000}};
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   for (const BadRequest& bad : BadRequests(fleet.CallersAddress(0))) {
-    const ClientResponse answer = Call(bad.call);
-    INFO(bad.name << ": expected " << bad.status << " " << bad.code
-                  << " and saw " << answer.status << " " << answer.body.dump());
-    CHECK(answer.status == bad.status);
-    CHECK(answer.Code() == bad.code);
-    CHECK(answer.Outcome() == "not_run");
+    const ClientResponse response = Call(bad.call);
+    INFO(bad.name << ": expected " << bad.status << " " << bad.code << ", got "
+                  << response.status << " " << response.body.dump());
+    CHECK(response.status == bad.status);
+    CHECK(response.Code() == bad.code);
+    CHECK(response.Outcome() == "not_run");
   }
   CHECK(CountRuns(&fleet, options.engines, "good") == 0);
 }
 
-TEST_CASE("A request with two lengths is refused and its connection closed") {
+TEST_CASE("A request with two lengths is rejected and its connection closed") {
   FleetOptions options;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
@@ -101,33 +101,34 @@
       "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
   for (const std::string second :
        {"Content-Length: 3\r\n", "Transfer-Encoding: chunked\r\n"}) {
-    // Read whole: the entry host must close, also with bytes left over.
+    // Reads until the connection is closed: the entry host must close it
+    // although bytes of the request are unread.
     std::string request = head;
     request.append(second).append("\r\n").append(body);
-    const std::string answer = Exchange(fleet.CallersAddress(0), request);
-    INFO(answer);
-    CHECK(answer.rfind("HTTP/1.1 400", 0) == 0);
-    CHECK(answer.find("two_lengths") != std::string::npos);
-    CHECK(answer.find("HTTP/1.1", 1) == std::string::npos);
+    const std::string response = SendRaw(fleet.CallersAddress(0), request);
+    INFO(response);
+    CHECK(response.rfind("HTTP/1.1 400", 0) == 0);
+    CHECK(response.find("two_lengths") != std::string::npos);
+    CHECK(response.find("HTTP/1.1", 1) == std::string::npos);
   }
   CHECK(CountRuns(&fleet, options.engines, "hidden") == 0);
 }
 
-TEST_CASE("Callers can list the models, with a key") {
+TEST_CASE("Callers can list the models with a valid key only") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   ClientRequest call;
   call.address = fleet.CallersAddress(0);
   call.path = "/v1/models";
   call.method = "GET";
-  const ClientResponse answer = Call(call);
-  CHECK(answer.status == 200);
-  CHECK(answer.body["data"][0]["id"] == kModel);
+  const ClientResponse response = Call(call);
+  CHECK(response.status == 200);
+  CHECK(response.body["data"][0]["id"] == kModel);
   call.key = "wrong";
   CHECK(Call(call).status == 401);
 }
 
-TEST_CASE("An operator's call without an operator's key is refused") {
+TEST_CASE("An administration call without an operator key is rejected") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   ClientRequest call;
@@ -141,7 +142,7 @@
   CHECK(Call(call).status == 404);
 }
 
-TEST_CASE("A bad document changes nothing and is reported") {
+TEST_CASE("An invalid document is reported and does not come into force") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   json document = fleet.Document();
@@ -161,7 +162,7 @@
   CHECK(fleet.Dump("entry-0")["configuration"]["revision"] == 1);
 }
 
-TEST_CASE("Settings that are wrong stop the process with their place") {
+TEST_CASE("Invalid settings make the process exit with code 3") {
   Fleet fleet(FleetOptions{});
   const std::string path = fleet.Directory() + "/wrong.json";
   FILE* file = fopen(path.c_str(), "w");
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -1,4 +1,5 @@
-// Configuration: in force everywhere, and never back.
+// Tests that configuration changes come into force on all nodes and that no
+// node returns to an older revision.
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -13,7 +14,7 @@
 const std::vector<std::string> kNodes{"entry-0",    "entry-1",    "endpoint-0",
                                       "endpoint-1", "endpoint-2", "plain-0"};
 
-json PutAccount(const std::string& id, char digit) {
+json PutAccountRequest(const std::string& id, char digit) {
   return {
       {"put_account",
        {{"id", id},
@@ -24,7 +25,7 @@
   return fleet->Dump(node)["configuration"]["revision"] == revision;
 }
 
-bool ComesIntoForce(Fleet* fleet, std::uint32_t revision) {
+bool ComesIntoForceEverywhere(Fleet* fleet, std::uint32_t revision) {
   for (const std::string& node : kNodes) {
     if (!WaitUntil([&] { return IsInForce(fleet, node, revision); })) {
       return false;
@@ -37,9 +38,9 @@
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const std::uint32_t revision =
-      fleet.PlanAndPublish("endpoint-1", PutAccount("tan", 'a'));
+      fleet.PlanAndPublish("endpoint-1", PutAccountRequest("tan", 'a'));
   REQUIRE(revision == 2);
-  CHECK(ComesIntoForce(&fleet, revision));
+  CHECK(ComesIntoForceEverywhere(&fleet, revision));
 }
 
 TEST_CASE("Nodes that missed many changes catch up") {
@@ -48,54 +49,57 @@
   fleet.Get("entry-1").Signal(SIGSTOP);
   std::uint32_t revision = 0;
   for (char digit = 'a'; digit <= 'f'; ++digit) {
-    revision = fleet.PlanAndPublish("entry-0",
-                                    PutAccount(std::string(1, digit), digit));
+    revision = fleet.PlanAndPublish(
+        "entry-0", PutAccountRequest(std::string(1, digit), digit));
     REQUIRE(WaitUntil([&] { return IsInForce(&fleet, "entry-0", revision); }));
   }
   fleet.Get("entry-1").Signal(SIGCONT);
-  CHECK(ComesIntoForce(&fleet, revision));
+  CHECK(ComesIntoForceEverywhere(&fleet, revision));
 }
 
-TEST_CASE("With the service down a change that one node has reaches the rest") {
+TEST_CASE(
+    "A change that one node has reaches all nodes while the service is down") {
   FleetOptions options;
-  // Frozen while the change is read, these can only hear of it from peers.
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
+  // These nodes are stopped while the change is published, so that they can
+  // receive it from their peers only.
   for (const char* name : {"entry-1", "sidecar-1", "sidecar-2"}) {
     fleet.Get(name).Signal(SIGSTOP);
   }
   const std::uint32_t revision =
-      fleet.PlanAndPublish("entry-0", PutAccount("tan", 'a'));
+      fleet.PlanAndPublish("entry-0", PutAccountRequest("tan", 'a'));
   REQUIRE(WaitUntil([&] { return IsInForce(&fleet, "entry-0", revision); }));
   fleet.SetFault("config", {{"down", true}});
   for (const char* name : {"entry-1", "sidecar-1", "sidecar-2"}) {
     fleet.Get(name).Signal(SIGCONT);
   }
-  CHECK(ComesIntoForce(&fleet, revision));
+  CHECK(ComesIntoForceEverywhere(&fleet, revision));
 }
 
-TEST_CASE("A node whose readers are all gone reads the service itself") {
+TEST_CASE("A node whose watchers are all gone polls the service itself") {
   FleetOptions options;
   options.entries = 1;
   options.engines = 0;
   options.services = 0;
-  // Listed in the same data centre, with no process behind them: nearly always
-  // they are its readers.
+  // These endpoints are listed in the node's data centre and have no process.
+  // With so many of them the chosen watchers are nearly always among them.
   options.listed_endpoints = 60;
   options.entry_settings = {{"compare_interval_ms", 100}};
   Fleet fleet(options);
   REQUIRE(WaitUntil([&] { return IsInForce(&fleet, "entry-0", 1); }));
-  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("tan", 'a')) == 2);
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccountRequest("tan", 'a')) == 2);
   CHECK(WaitUntil([&] { return IsInForce(&fleet, "entry-0", 2); }));
 }
 
-TEST_CASE("A newcomer to a stale service takes its peers' revision first") {
+TEST_CASE("A node that starts with a stale service takes its peers' revision") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const json first = fleet.Document();
-  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("tan", 'a')) == 2);
-  REQUIRE(ComesIntoForce(&fleet, 2));
-  // From here on the service shows the first revision and says nothing of it.
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccountRequest("tan", 'a')) == 2);
+  REQUIRE(ComesIntoForceEverywhere(&fleet, 2));
+  // From here on the service returns the first revision, without any sign that
+  // it is outdated.
   fleet.Publish("document", first.dump());
   fleet.Publish("changes", "{\"changes\":[]}");
   fleet.Restart("entry-1");
@@ -104,16 +108,16 @@
     return dump.is_object() && dump["node"].value("ready", false);
   }));
   const json dump = fleet.Dump("entry-1");
-  INFO("the newcomer's configuration was " << dump["configuration"].dump());
+  INFO("configuration of the restarted node: " << dump["configuration"].dump());
   CHECK(dump["configuration"]["revision"] == 2);
 }
 
-TEST_CASE("A service that goes back to an old revision changes nothing") {
+TEST_CASE("No node follows a service that returns to an older revision") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const json first = fleet.Document();
-  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("tan", 'a')) == 2);
-  REQUIRE(ComesIntoForce(&fleet, 2));
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccountRequest("tan", 'a')) == 2);
+  REQUIRE(ComesIntoForceEverywhere(&fleet, 2));
   fleet.Publish("document", first.dump());
   fleet.Publish("changes", json{{"changes",
                                  {{{"revision", 1},
@@ -134,12 +138,13 @@
   }
 }
 
-TEST_CASE("Two operators' racing changes are reported, and a third mends it") {
+TEST_CASE(
+    "Conflicting changes are reported, and a later change resolves them") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const json base = fleet.Document();
-  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("mine", 'a')) == 2);
-  REQUIRE(ComesIntoForce(&fleet, 2));
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccountRequest("mine", 'a')) == 2);
+  REQUIRE(ComesIntoForceEverywhere(&fleet, 2));
   json yours = base;
   yours["revision"] = 2;
   yours["accounts"]["yours"] = {{"key_sha256", std::string(64, 'b')},
@@ -160,18 +165,19 @@
     return false;
   };
   CHECK(WaitUntil(sees_conflict));
-  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("third", 'c')) == 3);
-  CHECK(ComesIntoForce(&fleet, 3));
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccountRequest("third", 'c')) ==
+          3);
+  CHECK(ComesIntoForceEverywhere(&fleet, 3));
 }
 
-TEST_CASE("A plan on a base that has moved is refused with the reason") {
+TEST_CASE("A change that was planned on an outdated revision is rejected") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccount("mine", 'a')) == 2);
-  REQUIRE(ComesIntoForce(&fleet, 2));
-  json late = PutAccount("yours", 'b');
-  late["base_revision"] = 1;
-  CHECK(fleet.PlanAndPublish("entry-0", late) == 0);
+  REQUIRE(fleet.PlanAndPublish("entry-0", PutAccountRequest("mine", 'a')) == 2);
+  REQUIRE(ComesIntoForceEverywhere(&fleet, 2));
+  json outdated = PutAccountRequest("yours", 'b');
+  outdated["base_revision"] = 1;
+  CHECK(fleet.PlanAndPublish("entry-0", outdated) == 0);
 }
 
 }  // namespace
