--- a/tests/documentation_test.cc
+++ b/tests/documentation_test.cc
@@ -1,4 +1,4 @@
-// The pages must name what the code has.
+// Tests that the documentation names what the code defines.
 
 #include <google/protobuf/descriptor.h>
 #include <google/protobuf/descriptor.pb.h>
@@ -21,7 +21,7 @@
   return text.str();
 }
 
-// Adds the names of the fields of `message`, and of those within it.
+// Adds the names of the fields of `message` and of its nested messages.
 void AddFields(const google::protobuf::Descriptor* message,
                std::set<std::string>* names) {
   for (int i = 0; i < message->field_count(); ++i) {
@@ -59,7 +59,7 @@
   }
 }
 
-// The list of allowed keys is what an unknown key is answered with.
+// The error for an unknown key lists the allowed keys.
 TEST_CASE("The configuration page names every key of the settings") {
   const std::string page = ReadPage("CONFIGURATION.md");
   const auto check = [&](const std::string& error) {
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -1,4 +1,4 @@
-// Planned stops, and endpoints that leave.
+// Tests of planned stops of processes and of endpoints that are drained.
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -13,35 +13,39 @@
 
 constexpr int kEngines = 3;
 
-// Returns the engine that works now, waiting for one to begin.
-int WorkingEngine(Fleet* fleet) {
-  int working = -1;
+// Waits until an engine runs a request and returns its index, or -1 after a
+// time-out.
+int WaitForBusyEngine(Fleet* fleet) {
+  int busy = -1;
   WaitUntil([&] {
     for (int i = 0; i < kEngines; ++i) {
-      working = fleet->EngineUsedTokens(i) > 0 ? i : working;
+      busy = fleet->EngineUsedTokens(i) > 0 ? i : busy;
     }
-    return working >= 0;
+    return busy >= 0;
   });
-  return working;
+  return busy;
 }
 
-// Returns whether none of `count` requests runs at `engine`.
+// Sends `count` requests. Returns whether all succeed and none runs on
+// `engine`.
 bool AvoidsEngine(Fleet* fleet, int engine, int count) {
   for (int i = 0; i < count; ++i) {
     const std::string label = "avoid-" + std::to_string(i);
-    const ClientResponse answer =
+    const ClientResponse response =
         Call(Completion(fleet->CallersAddress(i % 2), label, 50, 2, false));
     const std::string node = Fleet::EngineNode(engine);
-    if (answer.status != 200 || answer.body["harecrank"]["endpoint"] == node) {
+    if (response.status != 200 ||
+        response.body["harecrank"]["endpoint"] == node) {
       return false;
     }
   }
   return true;
 }
 
-// Returns whether both entry hosts come to know that an endpoint drains.
-bool IsSeenDraining(Fleet* fleet, int engine) {
-  const auto knows = [&](const std::string& entry) {
+// Waits until both entry hosts report that the endpoint of `engine` is
+// draining. Returns false after a time-out.
+bool IsReportedDraining(Fleet* fleet, int engine) {
+  const auto reports_draining = [&](const std::string& entry) {
     const json dump = fleet->Dump(entry);
     for (const json& link : dump["entry"]["links"]) {
       if (link["endpoint"] == Fleet::EngineNode(engine)) {
@@ -50,54 +54,57 @@
     }
     return false;
   };
-  return WaitUntil([&] { return knows("entry-0") && knows("entry-1"); });
+  return WaitUntil([&] {
+    return reports_draining("entry-0") && reports_draining("entry-1");
+  });
 }
 
-TEST_CASE("A planned stop of a sidecar cuts off no stream") {
+TEST_CASE("A planned stop of a sidecar does not interrupt its streams") {
   FleetOptions options;
   options.step_ms = 10;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
       Completion(fleet.CallersAddress(0), "drained", 100, 100, true);
-  auto answer = std::async(std::launch::async, [&] { return Call(call); });
-  const int engine = WorkingEngine(&fleet);
+  auto pending = std::async(std::launch::async, [&] { return Call(call); });
+  const int engine = WaitForBusyEngine(&fleet);
   REQUIRE(engine >= 0);
   fleet.Get("sidecar-" + std::to_string(engine)).Signal(SIGTERM);
-  REQUIRE(IsSeenDraining(&fleet, engine));
+  REQUIRE(IsReportedDraining(&fleet, engine));
   CHECK(AvoidsEngine(&fleet, engine, 6));
-  const ClientResponse got = answer.get();
-  INFO("the stream ended with '" << got.end_event << "' " << got.end.dump());
-  CHECK(got.Text() == ExpectedText(call));
-  CHECK(got.end["attempts"] == 1);
+  const ClientResponse response = pending.get();
+  INFO("the stream ended with '" << response.end_event << "' "
+                                 << response.end.dump());
+  CHECK(response.Text() == ExpectedText(call));
+  CHECK(response.end["attempts"] == 1);
   CHECK(fleet.Get("sidecar-" + std::to_string(engine)).Wait() == 0);
 }
 
 TEST_CASE(
-    "A planned stop of an entry host ends its streams and takes no more") {
+    "A planned stop of an entry host completes streams and rejects requests") {
   FleetOptions options;
   options.step_ms = 10;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
       Completion(fleet.CallersAddress(0), "drained", 100, 100, true);
-  auto answer = std::async(std::launch::async, [&] { return Call(call); });
-  REQUIRE(WorkingEngine(&fleet) >= 0);
+  auto pending = std::async(std::launch::async, [&] { return Call(call); });
+  REQUIRE(WaitForBusyEngine(&fleet) >= 0);
   fleet.Get("entry-0").Signal(SIGTERM);
   const ClientRequest late =
       Completion(fleet.CallersAddress(0), "late", 50, 2, false);
-  ClientResponse refused;
+  ClientResponse rejected;
   CHECK(WaitUntil([&] {
-    refused = Call(late);
-    return refused.status == 503;
+    rejected = Call(late);
+    return rejected.status == 503;
   }));
-  CHECK(refused.Outcome() == "not_run");
-  CHECK_FALSE(refused.retry_after.empty());
-  CHECK(answer.get().Text() == ExpectedText(call));
+  CHECK(rejected.Outcome() == "not_run");
+  CHECK_FALSE(rejected.retry_after.empty());
+  CHECK(pending.get().Text() == ExpectedText(call));
   CHECK(fleet.Get("entry-0").Wait() == 0);
 }
 
-TEST_CASE("An endpoint that the host list says is leaving gets no new work") {
+TEST_CASE("An endpoint that is leaving by the host list gets no new requests") {
   FleetOptions options;
   options.host_list = true;
   Fleet fleet(options);
@@ -112,7 +119,8 @@
   CHECK(AvoidsEngine(&fleet, 1, 20));
 }
 
-TEST_CASE("An endpoint that the configuration marks as leaving gets no work") {
+TEST_CASE(
+    "An endpoint that is leaving by the configuration gets no new requests") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   json endpoint = fleet.Document()["endpoints"][Fleet::EngineNode(2)];
--- a/tests/end_to_end_test.cc
+++ b/tests/end_to_end_test.cc
@@ -1,4 +1,4 @@
-// The whole path with real processes, without faults.
+// End-to-end tests with real processes and without faults.
 
 #include <catch2/catch.hpp>
 
@@ -7,27 +7,27 @@
 namespace harecrank::testing {
 namespace {
 
-TEST_CASE("A short prompt gets its whole answer") {
+TEST_CASE("A short prompt gets its complete response") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
       Completion(fleet.CallersAddress(0), "short", 100, 8, false);
-  const ClientResponse answer = Call(call);
-  INFO("the answer was " << answer.body.dump());
-  CHECK(answer.status == 200);
-  CHECK(answer.Text() == ExpectedText(call));
+  const ClientResponse response = Call(call);
+  INFO("the answer was " << response.body.dump());
+  CHECK(response.status == 200);
+  CHECK(response.Text() == ExpectedText(call));
 }
 
-TEST_CASE("A streamed answer brings each token once and ends explicitly") {
+TEST_CASE("A streamed response has each token once and an explicit end") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
       Completion(fleet.CallersAddress(0), "streamed", 100, 40, true);
-  const ClientResponse answer = Call(call);
-  INFO("the answer ended with " << answer.end.dump());
-  CHECK(answer.parts.size() == 40);
-  CHECK(answer.Text() == ExpectedText(call));
-  CHECK(answer.end_event == "done");
+  const ClientResponse response = Call(call);
+  INFO("the answer ended with " << response.end.dump());
+  CHECK(response.parts.size() == 40);
+  CHECK(response.Text() == ExpectedText(call));
+  CHECK(response.end_event == "done");
 }
 
 TEST_CASE("A prompt larger than one engine is answered by a group") {
@@ -37,33 +37,34 @@
   REQUIRE(fleet.WaitReady());
   const ClientRequest call =
       Completion(fleet.CallersAddress(0), "large", 45000, 8, true);
-  const ClientResponse answer = Call(call);
-  INFO("the answer was " << answer.status << answer.body.dump()
-                         << answer.end.dump());
-  CHECK(answer.Text() == ExpectedText(call));
-  CHECK(answer.end_event == "done");
-  CHECK(answer.end["members"] == 3);
+  const ClientResponse response = Call(call);
+  INFO("the answer was " << response.status << response.body.dump()
+                         << response.end.dump());
+  CHECK(response.Text() == ExpectedText(call));
+  CHECK(response.end_event == "done");
+  CHECK(response.end["members"] == 3);
   for (int i = 0; i < options.engines; ++i) {
-    INFO("engine " << i << " must hold nothing once the answer is whole");
+    INFO("engine " << i
+                   << " must use no memory after the response is complete");
     CHECK(WaitUntil([&] { return fleet.EngineUsedTokens(i) == 0; }));
   }
 }
 
-TEST_CASE("A plain service is called through the same door") {
+TEST_CASE("A plain service is called through an entry host") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   ClientRequest call;
   call.address = fleet.CallersAddress(0);
   call.path = "/v1/services/orders/confirm?n=1";
   call.body = "order-17";
-  const ClientResponse answer = Call(call);
-  INFO("the answer was " << answer.status << answer.body.dump());
-  CHECK(answer.status == 200);
-  CHECK(answer.body.value("echo", "") == "order-17");
-  CHECK(answer.body.value("path", "") == "/confirm");
+  const ClientResponse response = Call(call);
+  INFO("the answer was " << response.status << response.body.dump());
+  CHECK(response.status == 200);
+  CHECK(response.body.value("echo", "") == "order-17");
+  CHECK(response.body.value("path", "") == "/confirm");
 }
 
-TEST_CASE("A ticketed request runs once, and asking again brings its answer") {
+TEST_CASE("A repeated ticketed request runs once and gets the same response") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const std::string ticket =
