--- a/standins/main.cc
+++ b/standins/main.cc
@@ -94,7 +94,7 @@
 }
 
 int Run(int argc, char** argv) {
-  CLI::App app("stand-ins for what the platform gives; for tests only");
+  CLI::App app("stand-ins for the services of the platform; for tests only");
   app.require_subcommand(1);
   app.fallthrough();
   std::string address;
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -559,20 +559,20 @@
   return text;
 }
 
-ClientResponse Call(const ClientRequest& asked) {
+ClientResponse Call(const ClientRequest& request) {
   HttpCall call;
-  call.address = asked.address;
-  call.method = asked.method;
-  call.path = asked.path;
-  call.body = asked.body.is_null()
+  call.address = request.address;
+  call.method = request.method;
+  call.path = request.path;
+  call.body = request.body.is_null()
                   ? ""
-                  : (asked.body.is_string() ? asked.body.get<std::string>()
-                                            : asked.body.dump());
-  call.timeout = asked.timeout;
-  call.fields = asked.fields;
-  call.fields.push_back(HttpHeader{"Authorization", "Bearer " + asked.key});
+                  : (request.body.is_string() ? request.body.get<std::string>()
+                                              : request.body.dump());
+  call.timeout = request.timeout;
+  call.fields = request.fields;
+  call.fields.push_back(HttpHeader{"Authorization", "Bearer " + request.key});
   const bool stream =
-      asked.body.is_object() && asked.body.value("stream", false);
+      request.body.is_object() && request.body.value("stream", false);
   ClientResponse response;
   if (!stream) {
     const HttpResponse http_response = SendOrEmpty(call);
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -145,7 +145,8 @@
   // respond.
   std::int64_t EngineUsedTokens(int index);
 
-  // Returns the last published configuration document.
+  // Returns the initial configuration document, or that of the last change that
+  // PlanAndPublish has published.
   const nlohmann::json& Document() const { return document_; }
   // Returns the directory of settings and logs.
   const std::string& Directory() const { return directory_; }
@@ -227,7 +228,7 @@
 
 // Sends a request and reads the whole response, streamed or not. The status is
 // 0 if the connection was lost before a status was received.
-ClientResponse Call(const ClientRequest& call);
+ClientResponse Call(const ClientRequest& request);
 
 // Returns a request with a prompt of `tokens` tokens that begins with `label`.
 ClientRequest Completion(const std::string& address, const std::string& label,
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -91,11 +91,11 @@
   auto pending = std::async(std::launch::async, [&] { return Call(call); });
   REQUIRE(WaitForBusyEngine(&fleet) >= 0);
   fleet.Get("entry-0").Signal(SIGTERM);
-  const ClientRequest late =
+  const ClientRequest after_stop =
       Completion(fleet.CallersAddress(0), "late", 50, 2, false);
   ClientResponse rejected;
   CHECK(WaitUntil([&] {
-    rejected = Call(late);
+    rejected = Call(after_stop);
     return rejected.status == 503;
   }));
   CHECK(rejected.Outcome() == "not_run");
--- a/tests/end_to_end_test.cc
+++ b/tests/end_to_end_test.cc
@@ -13,7 +13,7 @@
   const ClientRequest call =
       Completion(fleet.CallersAddress(0), "short", 100, 8, false);
   const ClientResponse response = Call(call);
-  INFO("the answer was " << response.body.dump());
+  INFO("the response was " << response.body.dump());
   CHECK(response.status == 200);
   CHECK(response.Text() == ExpectedText(call));
 }
@@ -24,7 +24,7 @@
   const ClientRequest call =
       Completion(fleet.CallersAddress(0), "streamed", 100, 40, true);
   const ClientResponse response = Call(call);
-  INFO("the answer ended with " << response.end.dump());
+  INFO("the response ended with " << response.end.dump());
   CHECK(response.parts.size() == 40);
   CHECK(response.Text() == ExpectedText(call));
   CHECK(response.end_event == "done");
@@ -38,8 +38,8 @@
   const ClientRequest call =
       Completion(fleet.CallersAddress(0), "large", 45000, 8, true);
   const ClientResponse response = Call(call);
-  INFO("the answer was " << response.status << response.body.dump()
-                         << response.end.dump());
+  INFO("the response was " << response.status << response.body.dump()
+                           << response.end.dump());
   CHECK(response.Text() == ExpectedText(call));
   CHECK(response.end_event == "done");
   CHECK(response.end["members"] == 3);
@@ -58,7 +58,7 @@
   call.path = "/v1/services/orders/confirm?n=1";
   call.body = "order-17";
   const ClientResponse response = Call(call);
-  INFO("the answer was " << response.status << response.body.dump());
+  INFO("the response was " << response.status << response.body.dump());
   CHECK(response.status == 200);
   CHECK(response.body.value("echo", "") == "order-17");
   CHECK(response.body.value("path", "") == "/confirm");
@@ -75,11 +75,11 @@
   call.fields = {{"Harecrank-Not-Repeatable", "order-1"},
                  {"Harecrank-Ticket", ticket}};
   const ClientResponse first = Call(call);
-  INFO("the first answer was " << first.status << first.body.dump());
+  INFO("the first response was " << first.status << first.body.dump());
   CHECK(first.Text() == ExpectedText(call));
   call.address = fleet.CallersAddress(1);
   const ClientResponse again = Call(call);
-  INFO("the second answer was " << again.status << again.body.dump());
+  INFO("the second response was " << again.status << again.body.dump());
   CHECK(again.Text() == first.Text());
   CHECK(CountRuns(&fleet, 3, "ticketed") == 1);
 }
--- a/tests/guarantees_test.cc
+++ b/tests/guarantees_test.cc
@@ -130,7 +130,8 @@
   for (int i = 0; i < 4; ++i) {
     call.address = fleet.CallersAddress(i % 2);
     const ClientResponse response = Call(call);
-    INFO("answer " << i << " was " << response.status << response.body.dump());
+    INFO("response " << i << " was " << response.status
+                     << response.body.dump());
     CHECK(response.body.value("echo", "") == "rolls-9");
   }
   const json calls = GetJson(fleet.ServiceAddress(0), "/control/calls");
@@ -219,7 +220,7 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   // The response is far larger than the socket buffers along its path.
-  auto held = SendWithoutReading(
+  auto unread_stream = SendWithoutReading(
       Completion(fleet.CallersAddress(0), "held", 100, 200000, true));
   REQUIRE(WaitUntil([&] { return fleet.EngineUsedTokens(0) > 0; }));
   for (int i = 0; i < 5; ++i) {
@@ -342,9 +343,9 @@
           3);
   for (int i = 0; i < kEngines; ++i) {
     CHECK(WaitUntil([&] {
-      const json held =
+      const json loaded =
           GetJson(fleet.EngineAddress(i), "/v1/account")["models"][kModel];
-      return held["adapters"].value("tagalog", "") == "2";
+      return loaded["adapters"].value("tagalog", "") == "2";
     }));
     int last = 0;
     for (const json& order :
