--- a/testing/process.cc
+++ b/testing/process.cc
@@ -16,28 +16,30 @@
 constexpr int kExecFailed = 127;
 constexpr mode_t kLogMode = 0644;
 
-void Tell(const char* text) {
+void WriteToStderr(const char* text) {
   const ssize_t ignored = write(STDERR_FILENO, text, std::strlen(text));
   static_cast<void>(ignored);
 }
 
-// Says why a program could not be started: a fleet that misses a process cannot
-// tell that from one that is slow.
-void TellFailure(const char* program, int error) {
-  Tell("cannot start ");
-  Tell(program);
-  Tell(": ");
-  Tell(strerrordesc_np(error));
-  Tell("\n");
+// Writes the reason why a program could not be started to its log. A fleet
+// cannot distinguish a process that is missing from one that is slow to start.
+void ReportStartFailure(const char* program, int error) {
+  WriteToStderr("cannot start ");
+  WriteToStderr(program);
+  WriteToStderr(": ");
+  WriteToStderr(strerrordesc_np(error));
+  WriteToStderr("\n");
 }
 
-[[noreturn]] void Become(const std::vector<std::string>& command,
-                         const std::string& log,
-                         const std::vector<std::string>& environment) {
+// Replaces the forked child by the program of `command`. The system kills it
+// when its parent ends.
+[[noreturn]] void ExecProgram(const std::vector<std::string>& command,
+                              const std::string& log,
+                              const std::vector<std::string>& environment) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  sigset_t none;
-  sigemptyset(&none);
-  sigprocmask(SIG_SETMASK, &none, nullptr);
+  sigset_t no_signals;
+  sigemptyset(&no_signals);
+  sigprocmask(SIG_SETMASK, &no_signals, nullptr);
   const int file =
       open(log.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, kLogMode);
   if (file >= 0) {
@@ -46,15 +48,15 @@
   }
   std::vector<char*> arguments;
   arguments.reserve(command.size() + 1);
-  for (const std::string& word : command) {
-    arguments.push_back(const_cast<char*>(word.c_str()));
+  for (const std::string& argument : command) {
+    arguments.push_back(const_cast<char*>(argument.c_str()));
   }
   arguments.push_back(nullptr);
   for (const std::string& variable : environment) {
     putenv(const_cast<char*>(variable.c_str()));
   }
   execv(arguments.front(), arguments.data());
-  TellFailure(arguments.front(), errno);
+  ReportStartFailure(arguments.front(), errno);
   _exit(kExecFailed);
 }
 
@@ -65,14 +67,14 @@
                  const std::vector<std::string>& environment)
     : pid_(fork()) {
   if (pid_ == 0) {
-    Become(command, log, environment);
+    ExecProgram(command, log, environment);
   }
 }
 
 Process::~Process() { Kill(); }
 
 void Process::Signal(int signal) const {
-  if (!ended_ && pid_ > 0) {
+  if (!exited_ && pid_ > 0) {
     kill(pid_, signal);
   }
 }
@@ -83,36 +85,36 @@
 }
 
 int Process::Wait() {
-  if (ended_ || pid_ <= 0) {
+  if (exited_ || pid_ <= 0) {
     return exit_code_;
   }
   int status = 0;
   waitpid(pid_, &status, 0);
-  NoteEnd(status);
+  RecordExit(status);
   return exit_code_;
 }
 
-void Process::NoteEnd(int status) {
-  ended_ = true;
+void Process::RecordExit(int status) {
+  exited_ = true;
   exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  end_signal_ = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
+  exit_signal_ = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
 }
 
-std::string Process::DescribeEnd() {
+std::string Process::DescribeExit() {
   Wait();
-  if (end_signal_ == 0) {
+  if (exit_signal_ == 0) {
     return "exit code " + std::to_string(exit_code_);
   }
-  return "signal " + std::to_string(end_signal_) + ", " +
-         sigdescr_np(end_signal_);
+  return "signal " + std::to_string(exit_signal_) + ", " +
+         sigdescr_np(exit_signal_);
 }
 
 bool Process::IsRunning() {
   int status = 0;
-  if (!ended_ && waitpid(pid_, &status, WNOHANG) == pid_) {
-    NoteEnd(status);
+  if (!exited_ && waitpid(pid_, &status, WNOHANG) == pid_) {
+    RecordExit(status);
   }
-  return !ended_;
+  return !exited_;
 }
 
 }  // namespace harecrank::testing
--- a/tests/suspension.cc
+++ b/tests/suspension.cc
@@ -7,7 +7,8 @@
 namespace harecrank::testing {
 namespace {
 
-// In place: the process has the file mapped.
+// Overwrites the number without truncating the file, since the process has
+// mapped it.
 void WriteNumber(const std::string& file, std::int64_t number) {
   std::fstream out(file, std::ios::in | std::ios::out | std::ios::binary);
   out.write(reinterpret_cast<const char*>(&number), sizeof(number));
@@ -20,18 +21,17 @@
       environment_(
           {"LD_PRELOAD=" + library, "HARECRANK_TEST_STOPPED_TIME=" + file_}) {
   std::ofstream(file_, std::ios::binary)
-      .write(reinterpret_cast<const char*>(&stood_still_),
-             sizeof(stood_still_));
+      .write(reinterpret_cast<const char*>(&stopped_ns_), sizeof(stopped_ns_));
 }
 
 void StoppableClock::Suspend(const Process& process) {
-  suspended_ = BootClock::now();
+  suspended_at_ = BootClock::now();
   process.Signal(SIGSTOP);
 }
 
 void StoppableClock::Resume(const Process& process) {
-  stood_still_ += (BootClock::now() - suspended_).count();
-  WriteNumber(file_, stood_still_);
+  stopped_ns_ += (BootClock::now() - suspended_at_).count();
+  WriteNumber(file_, stopped_ns_);
   process.Signal(SIGCONT);
 }
 
