--- a/bench/fleet_runs.cc
+++ b/bench/fleet_runs.cc
@@ -59,7 +59,8 @@
 // Publishes a change and returns after how long the last node had it in force.
 double SpreadOnce(Fleet* fleet, int number) {
   const std::int64_t began = NowMs();
-  const std::uint32_t revision = fleet->Change("entry-0", PutAccount(number));
+  const std::uint32_t revision =
+      fleet->PlanAndPublish("entry-0", PutAccount(number));
   double last = 0;
   for (const std::string& node : fleet->Nodes()) {
     std::string metrics;
@@ -189,7 +190,8 @@
     const double before = ReadProcess(pid).cpu_seconds;
     const std::int64_t began = NowMs();
     for (int i = 0; i < changes; ++i) {
-      const std::uint32_t revision = fleet.Change("entry-0", PutAccount(i));
+      const std::uint32_t revision =
+          fleet.PlanAndPublish("entry-0", PutAccount(i));
       WaitUntil([&] {
         return MetricValue(fleet.Metrics("bare-0"), kRevision) >= revision &&
                MetricValue(fleet.Metrics("entry-0"), kRevision) >= revision;
@@ -224,7 +226,7 @@
   Fleet fleet(fleet_options);
   fleet.WaitReady();
   for (const int tokens : {8, 32, 64, 128, 256}) {
-    LoadPlan plan = PlanFor(fleet, 1);
+    LoadPlan plan = MakeLoadPlan(fleet, 1);
     plan.rate = 50;
     plan.seconds = options.quick ? 3 : 5;
     plan.answer_tokens = tokens;
@@ -260,7 +262,7 @@
     fleet_options.step_ms_per_stream = 0;
     Fleet fleet(fleet_options);
     fleet.WaitReady();
-    LoadPlan plan = PlanFor(fleet, 1);
+    LoadPlan plan = MakeLoadPlan(fleet, 1);
     plan.rate = in_hand;
     plan.seconds = 1;
     plan.answer_tokens = 120;
@@ -281,7 +283,7 @@
 
 }  // namespace
 
-json MeasureSpread(const RunOptions& options) {
+json MeasurePropagation(const RunOptions& options) {
   json figures = json::array();
   std::cout << "nodes   in force everywhere, median ms   worst ms   service "
                "calls/s   peer bytes/s a node\n";
--- a/bench/load_plan.h
+++ b/bench/load_plan.h
@@ -9,10 +9,10 @@
 namespace harecrank::bench {
 
 // Returns a plan that sends to the first `entries` entry hosts of `fleet`.
-inline LoadPlan PlanFor(const testing::Fleet& fleet, int entries) {
+inline LoadPlan MakeLoadPlan(const testing::Fleet& fleet, int entries) {
   LoadPlan plan;
   for (int i = 0; i < entries; ++i) {
-    plan.targets.push_back(fleet.Callers(i));
+    plan.targets.push_back(fleet.CallersAddress(i));
   }
   plan.key = testing::kAccountKey;
   plan.model = testing::kModel;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -116,7 +116,7 @@
     const auto update = DecodePeerUpdate(body);
     if (update) {
       SendResponse(response, http_status::kOk,
-                   EncodePeerState(feed_.OnOffer(*update)), "application/cbor");
+                   EncodePeerState(feed_.OnPush(*update)), "application/cbor");
       return;
     }
   }
@@ -149,7 +149,7 @@
     return;
   }
   const std::string method = path.substr(sizeof(kRpcPrefix) - 1);
-  const RpcAnswer answer = CallRpc(&administration_, method, body);
+  const RpcResponse answer = CallRpc(&administration_, method, body);
   SendResponse(response, answer.status, answer.body);
 }
 
--- a/src/node/platform.h
+++ b/src/node/platform.h
@@ -19,14 +19,14 @@
 struct PlatformUnreachable {
   std::string reason;
 };
-struct PlatformRefused {
+struct PlatformRejected {
   int status = 0;
 };
-struct PlatformAnswerUnreadable {
+struct PlatformResponseMalformed {
   std::string reason;
 };
-using PlatformError = std::variant<PlatformUnreachable, PlatformRefused,
-                                   PlatformAnswerUnreadable>;
+using PlatformError = std::variant<PlatformUnreachable, PlatformRejected,
+                                   PlatformResponseMalformed>;
 
 // Returns one sentence for a person.
 std::string Describe(const PlatformError& error);
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -21,7 +21,7 @@
 #include "src/adapters/link_server.h"
 #include "src/adapters/settings.h"
 #include "src/node/node.h"
-#include "src/sidecar/engine_keeper.h"
+#include "src/sidecar/engine_reconciler.h"
 #include "src/sidecar/sidecar_stream.h"
 #include "src/sidecar/work_runner.h"
 
@@ -89,7 +89,7 @@
   void Abandon(const StreamPtr& stream);
   void Refuse(const StreamPtr& stream, const wire::Refused& refused);
   void Forget(const StreamPtr& stream);
-  void CancelLater(const HoldingId& holding);
+  void CancelLater(const AllocationId& holding);
   StreamPtr Find(ConnectionId connection, StreamId stream) const;
 
   void OnRunEnded(const StreamPtr& stream, bool replay);
@@ -108,7 +108,7 @@
   Node node_;
   std::unique_ptr<EnginePort> engine_;
   WorkRunner runner_;
-  EngineKeeper keeper_;
+  EngineReconciler keeper_;
   Poco::ThreadPool pool_;
 
   std::mutex mutex_;
@@ -123,7 +123,7 @@
   // The order in which logs were made, so that the oldest goes first.
   std::deque<std::uint64_t> log_order_;
   std::set<ConnectionId> connections_;
-  std::deque<HoldingId> to_cancel_;
+  std::deque<AllocationId> to_cancel_;
   std::uint64_t next_key_ = 1;
   PrefillPolicy prefill_;
   Tokens reported_memory_;
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -64,7 +64,7 @@
 
 // Takes the events of one stream apart. The fields are those of the event
 // stream format; data is one line, since the system sends JSON.
-void ReadEvents(std::istream& body, CallerAnswer* answer) {
+void ReadEvents(std::istream& body, ClientResponse* answer) {
   std::string line;
   std::string event;
   while (std::getline(body, line)) {
@@ -104,7 +104,9 @@
 }
 
 Fleet::Fleet(const FleetOptions& options)
-    : options_(options), ip_(OwnIp()), next_port_(kFirstPort) {
+    : options_(options),
+      ip_(UniqueLoopbackAddress()),
+      next_port_(kFirstTestPort) {
   directory_ = (std::filesystem::temp_directory_path() /
                 ("harecrank-" + std::to_string(getpid())))
                    .string();
@@ -112,7 +114,7 @@
   BuildDocument();
   AddStandIns();
   WaitUntil([this] {
-    return Request(ConfigService(), "GET", "/control/stats").status ==
+    return Request(ConfigServiceAddress(), "GET", "/control/stats").status ==
            http_status::kOk;
   });
   Publish("document", document_.dump());
@@ -147,7 +149,7 @@
 
 bool Fleet::WaitReady() {
   for (const std::string& node : nodes_) {
-    const std::string address = Operations(node);
+    const std::string address = OperationsAddress(node);
     bool ready = false;
     WaitUntil([&] {
       ready = Request(address, "GET", "/readyz").status == http_status::kOk;
@@ -183,7 +185,7 @@
   if (!process.IsRunning()) {
     return "its process has ended: " + process.DescribeEnd();
   }
-  const int status = Request(Operations(node), "GET", "/readyz").status;
+  const int status = Request(OperationsAddress(node), "GET", "/readyz").status;
   return "not ready, readiness answered " + std::to_string(status);
 }
 
@@ -202,44 +204,48 @@
       commands_.at(name), directory_ + "/" + name + ".log");
 }
 
-std::string Fleet::Callers(int entry) const {
+std::string Fleet::CallersAddress(int entry) const {
   return addresses_.at("entry-" + std::to_string(entry));
 }
 
-std::string Fleet::Operations(const std::string& node) const {
+std::string Fleet::OperationsAddress(const std::string& node) const {
   return addresses_.at("operations-" + node);
 }
 
-std::string Fleet::Engine(int index) const {
+std::string Fleet::EngineAddress(int index) const {
   return addresses_.at("engine-" + std::to_string(index));
 }
 
-std::string Fleet::Service(int index) const {
+std::string Fleet::ServiceAddress(int index) const {
   return addresses_.at("service-" + std::to_string(index));
 }
 
-std::string Fleet::Link(int index) const {
+std::string Fleet::LinkAddress(int index) const {
   return addresses_.at("sidecar-link-" + std::to_string(index));
 }
 
-std::string Fleet::ConfigService() const { return addresses_.at("config"); }
+std::string Fleet::ConfigServiceAddress() const {
+  return addresses_.at("config");
+}
 
-std::string Fleet::HostList() const { return addresses_.at("hosts"); }
+std::string Fleet::HostListAddress() const { return addresses_.at("hosts"); }
 
 void Fleet::SetFault(const std::string& name, const json& fault) {
-  const std::string address =
-      name == "config" ? ConfigService() : addresses_.at(name + "-control");
+  const std::string address = name == "config"
+                                  ? ConfigServiceAddress()
+                                  : addresses_.at(name + "-control");
   Request(address, "POST", "/control/fault", fault.dump());
 }
 
 void Fleet::Publish(const std::string& key, const std::string& value) {
-  Request(ConfigService(), "POST", "/control/values/" + key, value);
+  Request(ConfigServiceAddress(), "POST", "/control/values/" + key, value);
 }
 
-std::uint32_t Fleet::Change(const std::string& node, const json& request) {
-  const HttpResponse answer =
-      Request(Operations(node), "POST", "/rpc/harecrank.v1.Administration/Plan",
-              request.dump(), kOperatorKey);
+std::uint32_t Fleet::PlanAndPublish(const std::string& node,
+                                    const json& request) {
+  const HttpResponse answer = Request(OperationsAddress(node), "POST",
+                                      "/rpc/harecrank.v1.Administration/Plan",
+                                      request.dump(), kOperatorKey);
   if (answer.status != http_status::kOk) {
     return 0;
   }
@@ -255,16 +261,16 @@
   for (const std::string& id : ids) {
     hosts.push_back({{"id", id}, {"state", "leaving"}});
   }
-  Request(HostList(), "POST", "/control/hosts", hosts.dump());
+  Request(HostListAddress(), "POST", "/control/hosts", hosts.dump());
 }
 
 json Fleet::Dump(const std::string& node) {
   return Parsed(
-      Request(Operations(node), "GET", "/dump", "", kOperatorKey).body);
+      Request(OperationsAddress(node), "GET", "/dump", "", kOperatorKey).body);
 }
 
 std::string Fleet::Metrics(const std::string& node) {
-  return Request(Operations(node), "GET", "/metrics").body;
+  return Request(OperationsAddress(node), "GET", "/metrics").body;
 }
 
 std::string Fleet::ProcessNameOf(const std::string& node) const {
@@ -285,9 +291,9 @@
   return Get(ProcessNameOf(node));
 }
 
-std::int64_t Fleet::EngineUsed(int index) {
+std::int64_t Fleet::EngineUsedTokens(int index) {
   const json account =
-      Parsed(Request(Engine(index), "GET", "/v1/account").body);
+      Parsed(Request(EngineAddress(index), "GET", "/v1/account").body);
   return account.is_object() ? account.value("used", std::int64_t{-1}) : -1;
 }
 
@@ -327,9 +333,9 @@
         {"hosts", "--lag-ms", std::to_string(options_.host_list_lag_ms)});
   }
   if (options_.weight_store) {
-    add("weights",
-        {"weights", "--at-once", std::to_string(options_.weight_store_at_once),
-         "--load-ms", std::to_string(options_.weight_load_ms)});
+    add("weights", {"weights", "--at-once",
+                    std::to_string(options_.max_concurrent_weight_loads),
+                    "--load-ms", std::to_string(options_.weight_load_ms)});
   }
   const auto add_proxy = [&](const std::string& name,
                              const std::string& target) {
@@ -413,12 +419,12 @@
 json Fleet::NodeSettings(const std::string& node, int data_centre) {
   json settings{{"node_id", node},
                 {"data_centre", DataCentre(data_centre)},
-                {"operations_address", Operations(node)},
-                {"config_service", ConfigService()},
+                {"operations_address", OperationsAddress(node)},
+                {"config_service", ConfigServiceAddress()},
                 {"operator_keys_sha256", {Sha256Hex(kOperatorKey)}},
                 {"compare_interval_ms", 500}};
   if (options_.host_list) {
-    settings["host_list"] = HostList();
+    settings["host_list"] = HostListAddress();
   }
   return settings;
 }
@@ -446,7 +452,7 @@
         {"link_address",
          addresses_[(options_.proxied_links ? "link-proxy-" : "sidecar-link-") +
                     n]},
-        {"operations_address", Operations(EngineNode(i))},
+        {"operations_address", OperationsAddress(EngineNode(i))},
         {"data_centre", DataCentre(i)},
         {"engine",
          {{"models", {kModel}},
@@ -460,7 +466,7 @@
     addresses_["operations-" + ServiceNode(i)] = NextAddress();
     document["endpoints"][ServiceNode(i)] = {
         {"link_address", addresses_["service-link-" + n]},
-        {"operations_address", Operations(ServiceNode(i))},
+        {"operations_address", OperationsAddress(ServiceNode(i))},
         {"data_centre", DataCentre(i)},
         {"service", {{"name", "orders"}}}};
   }
@@ -469,8 +475,9 @@
     const std::string name = "entry-" + std::to_string(i);
     addresses_[name] = NextAddress();
     addresses_["operations-" + name] = NextAddress();
-    document["entries"][name] = {{"operations_address", Operations(name)},
-                                 {"data_centre", DataCentre(i)}};
+    document["entries"][name] = {
+        {"operations_address", OperationsAddress(name)},
+        {"data_centre", DataCentre(i)}};
   }
 }
 
@@ -490,8 +497,8 @@
     addresses_["bare-" + n] = NextAddress();
     addresses_["bare-link-" + n] = NextAddress();
     addresses_["operations-" + BareNode(i)] = NextAddress();
-    document_["endpoints"][BareNode(i)] =
-        endpoint(addresses_["bare-link-" + n], Operations(BareNode(i)), i);
+    document_["endpoints"][BareNode(i)] = endpoint(
+        addresses_["bare-link-" + n], OperationsAddress(BareNode(i)), i);
   }
   for (int i = 0; i < options_.listed_endpoints; ++i) {
     document_["endpoints"]["listed-" + std::to_string(i)] = endpoint(
@@ -525,21 +532,21 @@
   return true;
 }
 
-std::string CallerAnswer::Code() const {
+std::string ClientResponse::Code() const {
   const json& from = end_event == "error" ? end : body;
   return from.is_object() && from.contains("error")
              ? from["error"].value("code", std::string())
              : std::string();
 }
 
-std::string CallerAnswer::Outcome() const {
+std::string ClientResponse::Outcome() const {
   const json& from = end_event == "error" ? end : body;
   return from.is_object() && from.contains("error")
              ? from["error"].value("outcome", std::string())
              : std::string();
 }
 
-std::string CallerAnswer::Text() const {
+std::string ClientResponse::Text() const {
   if (body.is_object() && body.contains("choices")) {
     return body["choices"][0].value("text", std::string());
   }
@@ -550,7 +557,7 @@
   return text;
 }
 
-CallerAnswer Call(const CallerCall& asked) {
+ClientResponse Call(const ClientRequest& asked) {
   HttpCall call;
   call.address = asked.address;
   call.method = asked.method;
@@ -564,7 +571,7 @@
   call.fields.push_back(HttpHeader{"Authorization", "Bearer " + asked.key});
   const bool stream =
       asked.body.is_object() && asked.body.value("stream", false);
-  CallerAnswer answer;
+  ClientResponse answer;
   if (!stream) {
     const HttpResponse got = CallOrEmpty(call);
     answer.status = got.status;
@@ -589,15 +596,15 @@
   return answer;
 }
 
-CallerCall Completion(const std::string& address, const std::string& label,
-                      int tokens, int answer_tokens, bool stream) {
+ClientRequest Completion(const std::string& address, const std::string& label,
+                         int tokens, int answer_tokens, bool stream) {
   std::string prompt = label + " ";
   const std::size_t bytes = static_cast<std::size_t>(tokens) * kBytesPerToken;
   while (prompt.size() < bytes) {
     prompt += "a word and another ";
   }
   prompt.resize(bytes);
-  CallerCall call;
+  ClientRequest call;
   call.address = address;
   call.body = {{"model", kModel},
                {"prompt", prompt},
@@ -606,7 +613,7 @@
   return call;
 }
 
-std::string ExpectedText(const CallerCall& call) {
+std::string ExpectedText(const ClientRequest& call) {
   const auto digest =
       standins::DigestText(call.body["prompt"].get<std::string>());
   std::string text;
@@ -617,21 +624,21 @@
 }
 
 std::string FetchTicket(const std::string& address, const json& target) {
-  CallerCall call;
+  ClientRequest call;
   call.address = address;
   call.path = "/v1/tickets";
   call.body = target;
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   return answer.status == http_status::kOk
              ? answer.body.value("ticket", std::string())
              : std::string();
 }
 
-int RunsOf(Fleet* fleet, int engines, const std::string& label) {
+int CountRuns(Fleet* fleet, int engines, const std::string& label) {
   int runs = 0;
   for (int i = 0; i < engines; ++i) {
     const json all =
-        Parsed(Request(fleet->Engine(i), "GET", "/control/runs").body);
+        Parsed(Request(fleet->EngineAddress(i), "GET", "/control/runs").body);
     for (const auto& run : all.items()) {
       const bool same =
           run.key().compare(0, std::min(label.size(), kLabelBytes),
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -38,7 +38,7 @@
   bool host_list = false;
   int host_list_lag_ms = 0;
   bool weight_store = false;
-  int weight_store_at_once = 2;
+  int max_concurrent_weight_loads = 2;
   int weight_load_ms = 50;
   // Whether engines hold the model when they start.
   bool models_loaded = true;
@@ -89,13 +89,13 @@
   void Restart(const std::string& name);
 
   // Addresses by what they serve.
-  std::string Callers(int entry) const;
-  std::string Operations(const std::string& node) const;
-  std::string Engine(int index) const;
-  std::string Service(int index) const;
-  std::string Link(int index) const;
-  std::string ConfigService() const;
-  std::string HostList() const;
+  std::string CallersAddress(int entry) const;
+  std::string OperationsAddress(const std::string& node) const;
+  std::string EngineAddress(int index) const;
+  std::string ServiceAddress(int index) const;
+  std::string LinkAddress(int index) const;
+  std::string ConfigServiceAddress() const;
+  std::string HostListAddress() const;
 
   // Sets the faults of a proxy, or of the configuration service.
   void SetFault(const std::string& name, const nlohmann::json& fault);
@@ -105,7 +105,8 @@
 
   // Plans a change at a node and publishes what it returns. Returns the new
   // revision, or 0 if the plan was refused.
-  std::uint32_t Change(const std::string& node, const nlohmann::json& request);
+  std::uint32_t PlanAndPublish(const std::string& node,
+                               const nlohmann::json& request);
 
   // Sets the host list: the ids that are leaving among all nodes.
   void SetLeaving(const std::vector<std::string>& ids);
@@ -123,7 +124,7 @@
   const std::vector<std::string>& Nodes() const { return nodes_; }
 
   // Returns the memory in use by an engine's own account, or -1.
-  std::int64_t EngineUsed(int index);
+  std::int64_t EngineUsedTokens(int index);
 
   const nlohmann::json& Document() const { return document_; }
   const std::string& Directory() const { return directory_; }
@@ -173,7 +174,7 @@
                Millis limit = Millis(30000));
 
 // What a caller got.
-struct CallerAnswer {
+struct ClientResponse {
   int status = 0;
   nlohmann::json body;
   std::string retry_after;
@@ -190,7 +191,7 @@
 };
 
 // One request as a caller makes it.
-struct CallerCall {
+struct ClientRequest {
   std::string address;
   std::string path = "/v1/completions";
   std::string method = "POST";
@@ -202,14 +203,14 @@
 
 // Makes a call and reads the whole answer, streamed or not. The status is 0 if
 // the connection was lost.
-CallerAnswer Call(const CallerCall& call);
+ClientResponse Call(const ClientRequest& call);
 
 // Returns a call for `tokens` of prompt that begins with `label`.
-CallerCall Completion(const std::string& address, const std::string& label,
-                      int tokens, int answer_tokens, bool stream);
+ClientRequest Completion(const std::string& address, const std::string& label,
+                         int tokens, int answer_tokens, bool stream);
 
 // Returns the answer that an engine gives to such a prompt.
-std::string ExpectedText(const CallerCall& call);
+std::string ExpectedText(const ClientRequest& call);
 
 // Fetches a ticket. Returns an empty string if none was given.
 std::string FetchTicket(const std::string& address,
@@ -217,7 +218,7 @@
 
 // Returns `count` of the call's prompt beginnings at each engine: how often a
 // request with this label ran anywhere in the fleet.
-int RunsOf(Fleet* fleet, int engines, const std::string& label);
+int CountRuns(Fleet* fleet, int engines, const std::string& label);
 
 }  // namespace harecrank::testing
 
--- a/testing/loopback.h
+++ b/testing/loopback.h
@@ -14,10 +14,10 @@
 namespace harecrank::testing {
 
 // Below the ports that the system hands out by itself.
-constexpr int kFirstPort = 20000;
+constexpr int kFirstTestPort = 20000;
 
 // Returns an address that no other process has while this one lives.
-inline std::string OwnIp() {
+inline std::string UniqueLoopbackAddress() {
   constexpr int kByte = 256;
   constexpr int kFirstBytes = 100;
   const int pid = static_cast<int>(getpid());
@@ -27,8 +27,8 @@
 }
 
 // Returns the first three bytes of addresses, with the point behind them, of
-// which the same holds. They never meet those of OwnIp.
-inline std::string OwnNet() {
+// which the same holds. They never meet those of UniqueLoopbackAddress.
+inline std::string UniqueLoopbackPrefix() {
   constexpr int kByte = 256;
   constexpr int kFirstByte = 120;
   constexpr int kFirstBytes = 100;
--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -16,7 +16,7 @@
 // One bad request and what it must be told.
 struct BadRequest {
   std::string name;
-  CallerCall call;
+  ClientRequest call;
   int status;
   std::string code;
 };
@@ -38,10 +38,10 @@
 }
 
 std::vector<BadRequest> BadRequests(const std::string& address) {
-  const CallerCall good = Completion(address, "good", 10, 4, false);
+  const ClientRequest good = Completion(address, "good", 10, 4, false);
   std::vector<BadRequest> bad;
   const auto add = [&](const std::string& name, int status,
-                       const std::string& code) -> CallerCall& {
+                       const std::string& code) -> ClientRequest& {
     bad.push_back(BadRequest{name, good, status, code});
     return bad.back().call;
   };
@@ -64,10 +64,11 @@
   add("wrong method", 405, "method_not_allowed").method = "GET";
   add("unknown path", 404, "not_found").path = "/v2/completions";
   add("unknown service", 404, "unknown_service").path = "/v1/services/none/x";
-  CallerCall& ticket = add("ticket for an unknown model", 404, "unknown_model");
+  ClientRequest& ticket =
+      add("ticket for an unknown model", 404, "unknown_model");
   ticket.path = "/v1/tickets";
   ticket.body = {{"model", "nobody"}};
-  CallerCall& chat = add("chat without messages", 400, "bad_request");
+  ClientRequest& chat = add("chat without messages", 400, "bad_request");
   chat.path = "/v1/chat/completions";
   return bad;
 }
@@ -77,15 +78,15 @@
   options.entry_settings = {{"max_body_bytes", 100000}};
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  for (const BadRequest& bad : BadRequests(fleet.Callers(0))) {
-    const CallerAnswer answer = Call(bad.call);
+  for (const BadRequest& bad : BadRequests(fleet.CallersAddress(0))) {
+    const ClientResponse answer = Call(bad.call);
     INFO(bad.name << ": expected " << bad.status << " " << bad.code
                   << " and saw " << answer.status << " " << answer.body.dump());
     CHECK(answer.status == bad.status);
     CHECK(answer.Code() == bad.code);
     CHECK(answer.Outcome() == "not_run");
   }
-  CHECK(RunsOf(&fleet, options.engines, "good") == 0);
+  CHECK(CountRuns(&fleet, options.engines, "good") == 0);
 }
 
 TEST_CASE("A request with two lengths is refused and its connection closed") {
@@ -103,23 +104,23 @@
     // Read whole: the entry host must close, also with bytes left over.
     std::string request = head;
     request.append(second).append("\r\n").append(body);
-    const std::string answer = Exchange(fleet.Callers(0), request);
+    const std::string answer = Exchange(fleet.CallersAddress(0), request);
     INFO(answer);
     CHECK(answer.rfind("HTTP/1.1 400", 0) == 0);
     CHECK(answer.find("two_lengths") != std::string::npos);
     CHECK(answer.find("HTTP/1.1", 1) == std::string::npos);
   }
-  CHECK(RunsOf(&fleet, options.engines, "hidden") == 0);
+  CHECK(CountRuns(&fleet, options.engines, "hidden") == 0);
 }
 
 TEST_CASE("Callers can list the models, with a key") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  CallerCall call;
-  call.address = fleet.Callers(0);
+  ClientRequest call;
+  call.address = fleet.CallersAddress(0);
   call.path = "/v1/models";
   call.method = "GET";
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   CHECK(answer.status == 200);
   CHECK(answer.body["data"][0]["id"] == kModel);
   call.key = "wrong";
@@ -129,8 +130,8 @@
 TEST_CASE("An operator's call without an operator's key is refused") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  CallerCall call;
-  call.address = fleet.Operations("entry-0");
+  ClientRequest call;
+  call.address = fleet.OperationsAddress("entry-0");
   call.path = "/rpc/harecrank.v1.Administration/GetInForce";
   call.key = "wrong";
   CHECK(Call(call).status == 403);
--- a/tests/leaving_test.cc
+++ b/tests/drain_test.cc
@@ -18,7 +18,7 @@
   int working = -1;
   WaitUntil([&] {
     for (int i = 0; i < kEngines; ++i) {
-      working = fleet->EngineUsed(i) > 0 ? i : working;
+      working = fleet->EngineUsedTokens(i) > 0 ? i : working;
     }
     return working >= 0;
   });
@@ -29,8 +29,8 @@
 bool AvoidsEngine(Fleet* fleet, int engine, int count) {
   for (int i = 0; i < count; ++i) {
     const std::string label = "avoid-" + std::to_string(i);
-    const CallerAnswer answer =
-        Call(Completion(fleet->Callers(i % 2), label, 50, 2, false));
+    const ClientResponse answer =
+        Call(Completion(fleet->CallersAddress(i % 2), label, 50, 2, false));
     const std::string node = Fleet::EngineNode(engine);
     if (answer.status != 200 || answer.body["harecrank"]["endpoint"] == node) {
       return false;
@@ -58,15 +58,15 @@
   options.step_ms = 10;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const CallerCall call =
-      Completion(fleet.Callers(0), "drained", 100, 100, true);
+  const ClientRequest call =
+      Completion(fleet.CallersAddress(0), "drained", 100, 100, true);
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   const int engine = WorkingEngine(&fleet);
   REQUIRE(engine >= 0);
   fleet.Get("sidecar-" + std::to_string(engine)).Signal(SIGTERM);
   REQUIRE(IsSeenDraining(&fleet, engine));
   CHECK(AvoidsEngine(&fleet, engine, 6));
-  const CallerAnswer got = answer.get();
+  const ClientResponse got = answer.get();
   INFO("the stream ended with '" << got.end_event << "' " << got.end.dump());
   CHECK(got.Text() == ExpectedText(call));
   CHECK(got.end["attempts"] == 1);
@@ -79,13 +79,14 @@
   options.step_ms = 10;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const CallerCall call =
-      Completion(fleet.Callers(0), "drained", 100, 100, true);
+  const ClientRequest call =
+      Completion(fleet.CallersAddress(0), "drained", 100, 100, true);
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   REQUIRE(WorkingEngine(&fleet) >= 0);
   fleet.Get("entry-0").Signal(SIGTERM);
-  const CallerCall late = Completion(fleet.Callers(0), "late", 50, 2, false);
-  CallerAnswer refused;
+  const ClientRequest late =
+      Completion(fleet.CallersAddress(0), "late", 50, 2, false);
+  ClientResponse refused;
   CHECK(WaitUntil([&] {
     refused = Call(late);
     return refused.status == 503;
@@ -116,7 +117,7 @@
   REQUIRE(fleet.WaitReady());
   json endpoint = fleet.Document()["endpoints"][Fleet::EngineNode(2)];
   endpoint["leaving"] = true;
-  const std::uint32_t revision = fleet.Change(
+  const std::uint32_t revision = fleet.PlanAndPublish(
       "entry-0", {{"put_endpoint",
                    {{"id", Fleet::EngineNode(2)}, {"endpoint", endpoint}}}});
   REQUIRE(revision == 2);
--- a/tests/fault_matrix_test.cc
+++ b/tests/fault_matrix_test.cc
@@ -175,11 +175,11 @@
 
   void Run() {
     REQUIRE(fleet_.WaitReady());
-    call_ = Completion(fleet_.Callers(0), label_, kPromptTokens, kAnswerTokens,
-                       true);
+    call_ = Completion(fleet_.CallersAddress(0), label_, kPromptTokens,
+                       kAnswerTokens, true);
     call_.fields = {{"Harecrank-Time-Limit-Ms", std::to_string(kTimeLimitMs)}};
     if (cell_.kind == Kind::kTicketed) {
-      ticket_ = FetchTicket(fleet_.Callers(0), {{"model", kModel}});
+      ticket_ = FetchTicket(fleet_.CallersAddress(0), {{"model", kModel}});
       REQUIRE_FALSE(ticket_.empty());
       call_.fields.push_back(HttpHeader{"Harecrank-Ticket", ticket_});
     }
@@ -193,7 +193,7 @@
       REQUIRE(ReachStep());
       Cause();
     }
-    const CallerAnswer got = answer.get();
+    const ClientResponse got = answer.get();
     Heal();
     CheckAnswer(got);
     CheckRuns(got);
@@ -213,7 +213,7 @@
   bool ReachStep() {
     return WaitUntil([&] {
       for (int i = 0; i < kEngines; ++i) {
-        if (fleet_.EngineUsed(i) > 0 && IsAtStep(i)) {
+        if (fleet_.EngineUsedTokens(i) > 0 && IsAtStep(i)) {
           target_ = i;
           return true;
         }
@@ -229,7 +229,7 @@
     // A stream has begun once the entry host has counted a first token.
     static_cast<void>(engine);
     HttpCall metrics;
-    metrics.address = fleet_.Operations("entry-0");
+    metrics.address = fleet_.OperationsAddress("entry-0");
     metrics.path = "/metrics";
     const auto answer = SendHttpRequest(metrics);
     return answer && answer.value().body.find(
@@ -300,7 +300,7 @@
     fleet_.SetFault(Name("link-proxy"), {{"cut", true}});
     WaitUntil([&] {
       for (int i = 0; i < kEngines; ++i) {
-        if (i != first && fleet_.EngineUsed(i) > 0) {
+        if (i != first && fleet_.EngineUsedTokens(i) > 0) {
           target_ = i;
           return true;
         }
@@ -337,7 +337,7 @@
     }
   }
 
-  void CheckAnswer(const CallerAnswer& got) {
+  void CheckAnswer(const ClientResponse& got) {
     const bool whole =
         got.end_event == "done" && got.Text() == ExpectedText(call_);
     INFO("status " << got.status << ", " << got.parts.size() << " parts, end '"
@@ -363,37 +363,37 @@
     CHECK(expected.compare(0, got.Text().size(), got.Text()) == 0);
   }
 
-  void CheckRuns(const CallerAnswer& got) {
+  void CheckRuns(const ClientResponse& got) {
     if (cell_.kind == Kind::kTicketed) {
       // Asked again through the other entry host, as a caller would.
-      CallerCall again = call_;
-      again.address = fleet_.Callers(1);
-      const CallerAnswer second = Call(again);
+      ClientRequest again = call_;
+      again.address = fleet_.CallersAddress(1);
+      const ClientResponse second = Call(again);
       INFO("asked again: " << second.status << " " << second.end_event << " "
                            << second.end.dump() << second.body.dump());
       const bool second_whole =
           second.end_event == "done" && second.Text() == ExpectedText(call_);
       CHECK((second_whole || !second.Outcome().empty()));
       // An engine that was killed forgets its count, and only makes it less.
-      CHECK(RunsOf(&fleet_, kEngines, label_) <= 1);
+      CHECK(CountRuns(&fleet_, kEngines, label_) <= 1);
     }
     if (got.Outcome() == "not_run") {
-      CHECK(RunsOf(&fleet_, kEngines, label_) == 0);
+      CHECK(CountRuns(&fleet_, kEngines, label_) == 0);
     }
   }
 
   void CheckMemory() {
     for (int i = 0; i < kEngines; ++i) {
-      INFO("engine " << i << " still holds " << fleet_.EngineUsed(i)
+      INFO("engine " << i << " still holds " << fleet_.EngineUsedTokens(i)
                      << " tokens");
-      CHECK(WaitUntil([&] { return fleet_.EngineUsed(i) == 0; }));
+      CHECK(WaitUntil([&] { return fleet_.EngineUsedTokens(i) == 0; }));
     }
   }
 
   const Cell& cell_;
   Fleet fleet_;
   std::string label_;
-  CallerCall call_;
+  ClientRequest call_;
   std::string ticket_;
   int target_ = 0;
 };
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -22,8 +22,9 @@
   return options;
 }
 
-CallerCall GroupCall(const Fleet& fleet, const std::string& label) {
-  CallerCall call = Completion(fleet.Callers(0), label, 30000, 200, true);
+ClientRequest GroupCall(const Fleet& fleet, const std::string& label) {
+  ClientRequest call =
+      Completion(fleet.CallersAddress(0), label, 30000, 200, true);
   call.fields = {{"Harecrank-Time-Limit-Ms", "30000"}};
   return call;
 }
@@ -36,7 +37,7 @@
     int holding = 0;
     std::int64_t best = 0;
     for (int i = 0; i < kEngines; ++i) {
-      const std::int64_t used = fleet->EngineUsed(i);
+      const std::int64_t used = fleet->EngineUsedTokens(i);
       holding += used > 0 ? 1 : 0;
       const bool better = lead ? used > best : used < best || best == 0;
       if (used > 0 && better) {
@@ -51,8 +52,8 @@
 
 void CheckMemoryIsBack(Fleet* fleet) {
   for (int i = 0; i < kEngines; ++i) {
-    INFO("engine " << i << " still holds " << fleet->EngineUsed(i));
-    CHECK(WaitUntil([&] { return fleet->EngineUsed(i) <= 0; }));
+    INFO("engine " << i << " still holds " << fleet->EngineUsedTokens(i));
+    CHECK(WaitUntil([&] { return fleet->EngineUsedTokens(i) <= 0; }));
   }
 }
 
@@ -60,12 +61,12 @@
     "A group whose member's engine dies in prefill gives the whole answer") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  const CallerCall call = GroupCall(fleet, "engine dies");
+  const ClientRequest call = GroupCall(fleet, "engine dies");
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   const int member = Member(&fleet, false);
   REQUIRE(member >= 0);
   fleet.Get("engine-" + std::to_string(member)).Kill();
-  const CallerAnswer got = answer.get();
+  const ClientResponse got = answer.get();
   INFO(got.status << " " << got.end.dump() << got.body.dump());
   CHECK(got.Text() == ExpectedText(call));
   CheckMemoryIsBack(&fleet);
@@ -74,13 +75,13 @@
 TEST_CASE("A group whose member's sidecar dies in prefill gives the answer") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  const CallerCall call = GroupCall(fleet, "sidecar dies");
+  const ClientRequest call = GroupCall(fleet, "sidecar dies");
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   const int member = Member(&fleet, false);
   REQUIRE(member >= 0);
   const std::string name = "sidecar-" + std::to_string(member);
   fleet.Get(name).Kill();
-  const CallerAnswer got = answer.get();
+  const ClientResponse got = answer.get();
   INFO(got.status << " " << got.end.dump() << got.body.dump());
   CHECK(got.Text() == ExpectedText(call));
   fleet.Restart(name);
@@ -90,13 +91,13 @@
 TEST_CASE("A group that loses a member while it generates goes on in place") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  const CallerCall call = GroupCall(fleet, "loses one");
+  const ClientRequest call = GroupCall(fleet, "loses one");
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   const int member = Member(&fleet, false);
   REQUIRE(member >= 0);
   REQUIRE(WaitUntil([&] {
     HttpCall metrics;
-    metrics.address = fleet.Operations("entry-0");
+    metrics.address = fleet.OperationsAddress("entry-0");
     metrics.path = "/metrics";
     const auto text = SendHttpRequest(metrics);
     return text && text.value().body.find(
@@ -104,7 +105,7 @@
                        std::string::npos;
   }));
   fleet.Get("engine-" + std::to_string(member)).Kill();
-  const CallerAnswer got = answer.get();
+  const ClientResponse got = answer.get();
   INFO(got.status << " " << got.parts.size() << " parts " << got.end.dump());
   CHECK(got.Text() == ExpectedText(call));
   CheckMemoryIsBack(&fleet);
@@ -113,10 +114,11 @@
 TEST_CASE("A prompt that no group can ever hold is refused without a wait") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  CallerCall call = Completion(fleet.Callers(0), "too large", 90000, 4, false);
+  ClientRequest call =
+      Completion(fleet.CallersAddress(0), "too large", 90000, 4, false);
   // Ten minutes: the answer must not wait for it.
   call.fields = {{"Harecrank-Time-Limit-Ms", "600000"}};
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   CHECK(answer.Code() == "larger_than_engine");
   CHECK(answer.Outcome() == "not_run");
 }
@@ -124,7 +126,7 @@
 TEST_CASE("A group's memory comes back when its entry host dies") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  const CallerCall call = GroupCall(fleet, "entry dies");
+  const ClientRequest call = GroupCall(fleet, "entry dies");
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   REQUIRE(Member(&fleet, false) >= 0);
   fleet.Get("entry-0").Kill();
@@ -135,21 +137,22 @@
 TEST_CASE("Groups that want more than there is all get their answers") {
   Fleet fleet(GroupOptions());
   REQUIRE(fleet.WaitReady());
-  std::vector<CallerCall> calls;
-  std::vector<std::future<CallerAnswer>> answers;
+  std::vector<ClientRequest> calls;
+  std::vector<std::future<ClientResponse>> answers;
   for (int i = 0; i < 5; ++i) {
-    CallerCall call = Completion(fleet.Callers(i % 2),
-                                 "crowd " + std::to_string(i), 30000, 10, true);
+    ClientRequest call =
+        Completion(fleet.CallersAddress(i % 2), "crowd " + std::to_string(i),
+                   30000, 10, true);
     call.fields = {{"Harecrank-Time-Limit-Ms", "60000"}};
     calls.push_back(call);
   }
   answers.reserve(calls.size());
-  for (const CallerCall& call : calls) {
+  for (const ClientRequest& call : calls) {
     answers.push_back(
         std::async(std::launch::async, [&call] { return Call(call); }));
   }
   for (std::size_t i = 0; i < calls.size(); ++i) {
-    const CallerAnswer got = answers[i].get();
+    const ClientResponse got = answers[i].get();
     INFO("group " << i << ": " << got.status << got.end.dump()
                   << got.body.dump());
     CHECK(got.Text() == ExpectedText(calls[i]));
--- a/tests/promises_test.cc
+++ b/tests/guarantees_test.cc
@@ -25,7 +25,7 @@
 
 bool AllMemoryIsBack(Fleet* fleet, int engines) {
   for (int i = 0; i < engines; ++i) {
-    if (!WaitUntil([&] { return fleet->EngineUsed(i) == 0; })) {
+    if (!WaitUntil([&] { return fleet->EngineUsedTokens(i) == 0; })) {
       return false;
     }
   }
@@ -34,7 +34,7 @@
 
 // Sends a request over a socket of its own and returns it unread. Its time
 // limit is far off, so that nothing that it holds is freed by its deadline.
-Poco::Net::StreamSocket SendAndHold(const CallerCall& call) {
+Poco::Net::StreamSocket SendAndHold(const ClientRequest& call) {
   const std::string body = call.body.dump();
   Poco::Net::StreamSocket socket;
   socket.connect(Poco::Net::SocketAddress(call.address));
@@ -53,22 +53,24 @@
   options.services = 0;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const std::string ticket = FetchTicket(fleet.Callers(0), {{"model", kModel}});
+  const std::string ticket =
+      FetchTicket(fleet.CallersAddress(0), {{"model", kModel}});
   REQUIRE_FALSE(ticket.empty());
   fleet.Get("sidecar-0").Signal(SIGSTOP);
-  CallerCall call = Completion(fleet.Callers(0), "frozen", 50, 4, false);
+  ClientRequest call =
+      Completion(fleet.CallersAddress(0), "frozen", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket},
                  {"Harecrank-Time-Limit-Ms", "800"}};
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   INFO("told " << answer.body.dump());
   CHECK(answer.Outcome() == "unknown");
   fleet.Get("sidecar-0").Signal(SIGCONT);
   // A later request shows that the sidecar has read all that came before.
   CHECK(WaitUntil([&] {
-    return Call(Completion(fleet.Callers(1), "later", 50, 4, false)).status ==
-           200;
+    return Call(Completion(fleet.CallersAddress(1), "later", 50, 4, false))
+               .status == 200;
   }));
-  CHECK(RunsOf(&fleet, 1, "frozen") == 0);
+  CHECK(CountRuns(&fleet, 1, "frozen") == 0);
 }
 
 TEST_CASE("A sidecar without memory runs no ticket of its life before") {
@@ -77,54 +79,58 @@
   options.services = 0;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const std::string ticket = FetchTicket(fleet.Callers(0), {{"model", kModel}});
+  const std::string ticket =
+      FetchTicket(fleet.CallersAddress(0), {{"model", kModel}});
   fleet.Get("sidecar-0").Kill();
   fleet.Restart("sidecar-0");
   REQUIRE(fleet.WaitReady());
-  CallerCall call = Completion(fleet.Callers(1), "old life", 50, 4, false);
+  ClientRequest call =
+      Completion(fleet.CallersAddress(1), "old life", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket}};
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   INFO("told " << answer.body.dump());
   CHECK(answer.Code() == "ticket_unknown");
   CHECK(answer.Outcome() == "unknown");
-  CHECK(RunsOf(&fleet, 1, "old life") == 0);
+  CHECK(CountRuns(&fleet, 1, "old life") == 0);
 }
 
 TEST_CASE("A revoked ticket's request is truly not run") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
-  const std::string ticket = FetchTicket(fleet.Callers(0), {{"model", kModel}});
-  CallerCall revoke;
-  revoke.address = fleet.Callers(1);
+  const std::string ticket =
+      FetchTicket(fleet.CallersAddress(0), {{"model", kModel}});
+  ClientRequest revoke;
+  revoke.address = fleet.CallersAddress(1);
   revoke.method = "DELETE";
   revoke.path = "/v1/tickets/" + ticket;
-  const CallerAnswer revoked = Call(revoke);
+  const ClientResponse revoked = Call(revoke);
   INFO("told " << revoked.body.dump());
   CHECK(revoked.body["outcome"] == "not_run");
-  CallerCall call = Completion(fleet.Callers(0), "revoked", 50, 4, false);
+  ClientRequest call =
+      Completion(fleet.CallersAddress(0), "revoked", 50, 4, false);
   call.fields = {{"Harecrank-Ticket", ticket}};
-  const CallerAnswer answer = Call(call);
+  const ClientResponse answer = Call(call);
   CHECK(answer.Code() == "ticket_ended");
   CHECK(answer.Outcome() == "not_run");
-  CHECK(RunsOf(&fleet, kEngines, "revoked") == 0);
+  CHECK(CountRuns(&fleet, kEngines, "revoked") == 0);
 }
 
 TEST_CASE("A plain service's call that may not be repeated runs once") {
   Fleet fleet(FleetOptions{});
   REQUIRE(fleet.WaitReady());
   const std::string ticket =
-      FetchTicket(fleet.Callers(0), {{"service", "orders"}});
-  CallerCall call;
+      FetchTicket(fleet.CallersAddress(0), {{"service", "orders"}});
+  ClientRequest call;
   call.path = "/v1/services/orders/confirm";
   call.body = "rolls-9";
   call.fields = {{"Harecrank-Ticket", ticket}};
   for (int i = 0; i < 4; ++i) {
-    call.address = fleet.Callers(i % 2);
-    const CallerAnswer answer = Call(call);
+    call.address = fleet.CallersAddress(i % 2);
+    const ClientResponse answer = Call(call);
     INFO("answer " << i << " was " << answer.status << answer.body.dump());
     CHECK(answer.body.value("echo", "") == "rolls-9");
   }
-  const json calls = Get(fleet.Service(0), "/control/calls");
+  const json calls = Get(fleet.ServiceAddress(0), "/control/calls");
   INFO("the service was called with " << calls.dump());
   CHECK(calls["rolls-9"] == 1);
   CHECK(calls.size() == 1);
@@ -136,8 +142,8 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   {
-    auto socket =
-        SendAndHold(Completion(fleet.Callers(0), "leaves", 100, 5000, true));
+    auto socket = SendAndHold(
+        Completion(fleet.CallersAddress(0), "leaves", 100, 5000, true));
     char first[64];
     REQUIRE(socket.receiveBytes(first, sizeof(first)) > 0);
   }
@@ -154,10 +160,11 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   {
-    auto socket =
-        SendAndHold(Completion(fleet.Callers(0), "leaves", 15000, 10, false));
+    auto socket = SendAndHold(
+        Completion(fleet.CallersAddress(0), "leaves", 15000, 10, false));
     REQUIRE(WaitUntil([&] {
-      return fleet.EngineUsed(0) + fleet.EngineUsed(1) + fleet.EngineUsed(2) >
+      return fleet.EngineUsedTokens(0) + fleet.EngineUsedTokens(1) +
+                 fleet.EngineUsedTokens(2) >
              0;
     }));
   }
@@ -171,8 +178,8 @@
   options.step_ms = 10;
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  const CallerCall call =
-      Completion(fleet.Callers(0), "resumed", 100, 200, true);
+  const ClientRequest call =
+      Completion(fleet.CallersAddress(0), "resumed", 100, 200, true);
   auto answer = std::async(std::launch::async, [&] { return Call(call); });
   REQUIRE(WaitUntil([&] {
     return fleet.Metrics("entry-0").find(
@@ -180,14 +187,14 @@
            std::string::npos;
   }));
   for (int i = 0; i < kEngines; ++i) {
-    if (fleet.EngineUsed(i) > 0) {
+    if (fleet.EngineUsedTokens(i) > 0) {
       fleet.SetFault("link-proxy-" + std::to_string(i), {{"cut", true}});
     }
   }
   CHECK(answer.get().Text() == ExpectedText(call));
   int resumed_from = 0;
   for (int i = 0; i < kEngines; ++i) {
-    const json resumes = Get(fleet.Engine(i), "/control/resumes");
+    const json resumes = Get(fleet.EngineAddress(i), "/control/resumes");
     resumed_from = std::max(resumed_from, resumes.get<int>());
   }
   INFO("the second engine was asked from position " << resumed_from);
@@ -203,12 +210,12 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   // Far more than the sockets on the way can hold.
-  auto held =
-      SendAndHold(Completion(fleet.Callers(0), "held", 100, 200000, true));
-  REQUIRE(WaitUntil([&] { return fleet.EngineUsed(0) > 0; }));
+  auto held = SendAndHold(
+      Completion(fleet.CallersAddress(0), "held", 100, 200000, true));
+  REQUIRE(WaitUntil([&] { return fleet.EngineUsedTokens(0) > 0; }));
   for (int i = 0; i < 5; ++i) {
-    const CallerCall call = Completion(
-        fleet.Callers(0), "free " + std::to_string(i), 100, 200, true);
+    const ClientRequest call = Completion(
+        fleet.CallersAddress(0), "free " + std::to_string(i), 100, 200, true);
     CHECK(Call(call).Text() == ExpectedText(call));
   }
 }
@@ -221,19 +228,19 @@
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   auto first =
-      SendAndHold(Completion(fleet.Callers(0), "one", 100, 2000, true));
+      SendAndHold(Completion(fleet.CallersAddress(0), "one", 100, 2000, true));
   auto second =
-      SendAndHold(Completion(fleet.Callers(0), "two", 100, 2000, true));
+      SendAndHold(Completion(fleet.CallersAddress(0), "two", 100, 2000, true));
   REQUIRE(WaitUntil(
       [&] { return fleet.Dump("entry-0")["entry"]["requests_in_hand"] == 2; }));
-  const CallerAnswer refused =
-      Call(Completion(fleet.Callers(0), "three", 100, 4, false));
+  const ClientResponse refused =
+      Call(Completion(fleet.CallersAddress(0), "three", 100, 4, false));
   CHECK(refused.status == 429);
   CHECK(refused.Code() == "entry_full");
   CHECK(refused.Outcome() == "not_run");
   CHECK_FALSE(refused.retry_after.empty());
   HttpCall health;
-  health.address = fleet.Callers(0);
+  health.address = fleet.CallersAddress(0);
   health.path = "/healthz";
   const auto healthy = SendHttpRequest(health);
   REQUIRE(healthy);
@@ -249,17 +256,18 @@
   options.sidecar_settings = {{"queue_limit", 2}};
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
-  std::vector<std::future<CallerAnswer>> answers;
+  std::vector<std::future<ClientResponse>> answers;
   for (int i = 0; i < 12; ++i) {
-    CallerCall call = Completion(fleet.Callers(i % 2),
-                                 "flood " + std::to_string(i), 1500, 400, true);
+    ClientRequest call =
+        Completion(fleet.CallersAddress(i % 2), "flood " + std::to_string(i),
+                   1500, 400, true);
     answers.push_back(
         std::async(std::launch::async, [call] { return Call(call); }));
   }
   int answered = 0;
   int refused = 0;
   for (auto& future : answers) {
-    const CallerAnswer answer = future.get();
+    const ClientResponse answer = future.get();
     answered += answer.end_event == "done" ? 1 : 0;
     refused +=
         answer.Outcome() == "not_run" && answer.Code() == "overloaded" ? 1 : 0;
@@ -275,14 +283,15 @@
   REQUIRE(fleet.WaitReady());
   json account = fleet.Document()["accounts"]["tinta"];
   account["tokens_per_second"] = 10;
-  REQUIRE(fleet.Change(
+  REQUIRE(fleet.PlanAndPublish(
               "entry-0",
               {{"put_account", {{"id", "tinta"}, {"account", account}}}}) == 2);
   REQUIRE(WaitUntil(
       [&] { return fleet.Dump("entry-0")["configuration"]["revision"] == 2; }));
-  const CallerCall call = Completion(fleet.Callers(0), "limit", 1000, 4, false);
+  const ClientRequest call =
+      Completion(fleet.CallersAddress(0), "limit", 1000, 4, false);
   CHECK(Call(call).status == 200);
-  const CallerAnswer refused = Call(call);
+  const ClientResponse refused = Call(call);
   CHECK(refused.Code() == "account_limit");
   CHECK(refused.Outcome() == "not_run");
   CHECK_FALSE(refused.retry_after.empty());
@@ -292,16 +301,18 @@
   FleetOptions options;
   options.models_loaded = false;
   options.weight_store = true;
-  options.weight_store_at_once = 1;
+  options.max_concurrent_weight_loads = 1;
   options.policy = {{"weight_loads_at_once", 1}};
   Fleet fleet(options);
   REQUIRE(fleet.WaitReady());
   for (int i = 0; i < kEngines; ++i) {
     CHECK(WaitUntil([&] {
-      return Get(fleet.Engine(i), "/v1/account")["models"].contains(kModel);
+      return Get(fleet.EngineAddress(i), "/v1/account")["models"].contains(
+          kModel);
     }));
   }
-  const CallerCall call = Completion(fleet.Callers(0), "loaded", 50, 4, false);
+  const ClientRequest call =
+      Completion(fleet.CallersAddress(0), "loaded", 50, 4, false);
   CHECK(WaitUntil([&] { return Call(call).status == 200; }));
 }
 
@@ -310,20 +321,23 @@
   REQUIRE(fleet.WaitReady());
   json model = fleet.Document()["models"][kModel];
   model["adapters"] = {{"tagalog", {{"version", "1"}}}};
-  REQUIRE(fleet.Change("entry-0", {{"put_model",
-                                    {{"id", kModel}, {"model", model}}}}) == 2);
+  REQUIRE(fleet.PlanAndPublish(
+              "entry-0", {{"put_model", {{"id", kModel}, {"model", model}}}}) ==
+          2);
   model["adapters"]["tagalog"]["version"] = "2";
   REQUIRE(WaitUntil(
       [&] { return fleet.Dump("entry-0")["configuration"]["revision"] == 2; }));
-  REQUIRE(fleet.Change("entry-0", {{"put_model",
-                                    {{"id", kModel}, {"model", model}}}}) == 3);
+  REQUIRE(fleet.PlanAndPublish(
+              "entry-0", {{"put_model", {{"id", kModel}, {"model", model}}}}) ==
+          3);
   for (int i = 0; i < kEngines; ++i) {
     CHECK(WaitUntil([&] {
-      const json held = Get(fleet.Engine(i), "/v1/account")["models"][kModel];
+      const json held =
+          Get(fleet.EngineAddress(i), "/v1/account")["models"][kModel];
       return held["adapters"].value("tagalog", "") == "2";
     }));
     int last = 0;
-    for (const json& order : Get(fleet.Engine(i), "/control/orders")) {
+    for (const json& order : Get(fleet.EngineAddress(i), "/control/orders")) {
       CHECK(order["fence"].get<int>() >= last);
       last = order["fence"].get<int>();
     }
@@ -335,7 +349,7 @@
   REQUIRE(fleet.WaitReady());
   const auto order = [&](int fence) {
     HttpCall call;
-    call.address = fleet.Engine(0);
+    call.address = fleet.EngineAddress(0);
     call.method = "POST";
     call.path = "/v1/orders";
     call.body =
