--- a/include/harecrank/core/account_limiter.h
+++ b/include/harecrank/core/account_limiter.h
@@ -2,10 +2,10 @@
 //
 // Each entry host admits an equal part of an account's limit. With N entry
 // hosts and a limit of L tokens per second, the fleet admits at most L tokens
-// per second, plus one burst per host. A burst is the larger of one second's
-// part and one request. An account whose calls reach only some of the entry
-// hosts gets only the parts of those: it may be limited too early, never too
-// late.
+// per second, plus one burst per host. A burst is the larger of the host's part
+// for one second and the cost of one request. An account whose calls reach only
+// some of the entry hosts can use only the parts of these hosts: it may be
+// limited too early, never too late.
 
 #ifndef HARECRANK_CORE_ACCOUNT_LIMITER_H_
 #define HARECRANK_CORE_ACCOUNT_LIMITER_H_
@@ -18,8 +18,9 @@
 
 namespace harecrank {
 
-// One entry host's parts of the account limits. Each account has a token bucket
-// whose level may become negative by one request.
+// Admits or rejects the calls at one entry host, so that this host keeps to its
+// part of each account's limit. Each account has a token bucket whose level may
+// become negative by the cost of one request.
 //
 // Not thread-safe; the owner serialises calls.
 class AccountLimiter {
@@ -40,8 +41,12 @@
   std::size_t Count() const { return buckets_.size(); }
 
  private:
+  // The token bucket of one account.
   struct Bucket {
+    // Tokens that the account may spend; negative after a request that cost
+    // more than the bucket held.
     double level = 0;
+    // Time of the last refill.
     TimePoint filled;
   };
 
--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -18,33 +18,39 @@
 
 namespace harecrank {
 
-// The charge of one request against its account's share.
+// One request's demand for engine time, which counts toward its account's fair
+// share.
 struct ShareClaim {
   AccountId account;
   FractionalMillis engine_time{0};
-  // Zero is the most urgent. Each step doubles the charge: an account of
-  // priority 1 has half the share of one of priority 0.
+  // Priority of the request; zero is the most urgent. Each step doubles the
+  // charge: an account of priority 1 has half the share of one of priority 0.
   int priority = 0;
 };
 
-// How a claim ranks against the claims that wait.
+// Whether a new request goes before or after the waiting ones, by its account's
+// fair share of engine time.
 enum class ShareRank {
-  // No claims wait, or either none or all of the accounts are over their
-  // shares.
+  // Fair shares make no difference: no request waits, no account is over its
+  // share, or all accounts are.
   kEqual,
-  // The account of the claim is not over its share, and a waiting one is.
+  // The account of the new request is not over its share, and an account with
+  // waiting requests is.
   kBefore,
-  // The account of the claim is over its share, and a waiting one is not.
+  // The account of the new request is over its share, and an account with
+  // waiting requests is not.
   kAfter,
 };
 
-// Orders waiting accounts by max-min fairness over recently granted engine
-// time.
+// Orders the accounts with waiting requests by max-min fairness over recently
+// granted engine time.
 //
-// The fair level is the amount of engine time at which the demands of all
-// waiting accounts, each capped at the level, add up to the engine time that
-// they were recently granted. An account is over its share if its grants reach
-// about that level and its demand exceeds it; all other accounts go before it.
+// An account's demand is the engine time that it was recently granted plus the
+// engine time for which its requests wait. The fair level is the amount of
+// engine time at which the demands of all waiting accounts, each capped at the
+// level, add up to the engine time that they were recently granted. An account
+// is over its share if its grants reach about the fair level and its demand
+// exceeds the fair level; accounts that are not over their shares go before it.
 // The shares only order the accounts: an account that waits alone is never held
 // back.
 //
@@ -55,8 +61,8 @@
 
   // Charges engine time that was granted to a request.
   void OnGranted(const ShareClaim& claim);
-  // Records a waiting claim. Each call must be matched by a call of OnDequeued
-  // with an equal claim once it no longer waits.
+  // Records that a request waits. The caller must call OnDequeued with an equal
+  // claim once the request no longer waits.
   void OnQueued(const ShareClaim& claim);
   void OnDequeued(const ShareClaim& claim);
 
@@ -64,34 +70,35 @@
   // the others.
   std::set<AccountId> AccountsOverShare() const;
 
-  // Returns the rank that `claim`, which does not wait yet, would have if it
-  // did.
+  // Returns how a new request with `claim` ranks against the waiting requests.
   ShareRank ShareRankOf(const ShareClaim& claim) const;
 
-  // Clears all grants. Waiting claims stay.
+  // Clears the granted engine time of all accounts. Waiting claims stay.
   void ForgetGrants();
 
   std::size_t WaitingAccounts() const;
   std::size_t Count() const { return accounts_.size(); }
 
   // Time constant of the exponential decay of grants: after this time a grant
-  // counts for 1/e. It covers several of the largest prompts, and still does
-  // not hold an account to a burst that it sent a minute ago.
+  // counts for 1/e. Long enough to cover several of the largest prompts, and
+  // short enough that a burst of a minute ago no longer counts against its
+  // account.
   static constexpr Millis kWindow{10000};
-  // Beyond this number the account with the smallest grants among those that do
-  // not wait is evicted.
+  // Maximum number of accounts with state. Above it, the account with the
+  // smallest grants is evicted among those without waiting requests.
   static constexpr std::size_t kMaxAccounts = 512;
-  // An account is over its share if its grants reach this part of the fair
-  // level, so that accounts that are about even do not change places whenever a
-  // prompt starts.
+  // Fraction of the fair level that an account's grants must reach for the
+  // account to be over its share. It is below 1 so that accounts with nearly
+  // equal grants do not change places whenever a prompt starts.
   static constexpr double kOverShareFrom = 0.8;
-  // In addition, its demand (grants plus waiting claims) must exceed this
-  // multiple of the fair level. A shorter queue soon empties, and holding back
-  // a prompt in it costs that account more than it helps the others.
+  // Multiple of the fair level that an account's demand must exceed for the
+  // account to be over its share. The queue of an account with less demand soon
+  // empties, and delaying a prompt in it costs that account more than it helps
+  // the others.
   static constexpr double kMinDemand = 1.2;
 
  private:
-  // Engine times are weighted by priority.
+  // Granted and waiting engine time of one account, weighted by priority.
   struct Account {
     // Decayed sum of the grants as of `granted_at`.
     FractionalMillis granted{0};
@@ -100,7 +107,7 @@
     FractionalMillis waiting{0};
     int claims = 0;
   };
-  // A waiting account.
+  // An account with waiting requests, as it enters the fair level.
   struct Competitor {
     AccountId account;
     FractionalMillis granted{0};
--- a/include/harecrank/core/admission_control.h
+++ b/include/harecrank/core/admission_control.h
@@ -3,10 +3,10 @@
 // When more prompts arrive than the engines can prefill, each prompt without a
 // placement is either queued or rejected. Prompts that can meet their latency
 // target wait in queue order. Prompts that will miss it, but will still finish
-// before their caller gives up, wait for the capacity that the others leave
-// unused. All others are rejected at once. A rejection guarantees that the
-// prompt has not run. It names the time at which capacity is forecast, and the
-// caller's retry has that capacity reserved.
+// before their caller gives up, wait for the capacity that prompts in time
+// leave unused. All others are rejected at once. A rejection guarantees that
+// the prompt has not run. It states when capacity is forecast to be free, and
+// this capacity is reserved for the caller's retry.
 
 #ifndef HARECRANK_CORE_ADMISSION_CONTROL_H_
 #define HARECRANK_CORE_ADMISSION_CONTROL_H_
@@ -40,7 +40,8 @@
   // The request is in the wait queue. A waiting request is rejected only if the
   // forecast leaves no doubt.
   bool waits = false;
-  // The request was rejected earlier and has returned at the time it was given.
+  // The request is the retry of a rejected one, sent at the time that the
+  // rejection stated, and has redeemed the capacity reserved for it.
   bool has_reservation = false;
   // Number of usable engines of the service.
   std::size_t engines = 0;
@@ -48,7 +49,8 @@
 
 // The work of the requests that are ahead in the queue.
 struct WorkAhead {
-  // Work of those that can meet their latency target, and of the others.
+  // Work of the requests that can still meet their latency target (`in_time`),
+  // and of those that cannot (`late`).
   FractionalMillis in_time{0};
   FractionalMillis late{0};
   // Least work among waiting requests that can no longer meet their target. A
@@ -57,7 +59,7 @@
   std::optional<FractionalMillis> least_late;
 };
 
-// Counts of reservations since the process started.
+// Numbers of reservations for retries since the process started.
 struct ReservationCounts {
   std::uint64_t made = 0;
   // Retries with a reservation that got a placement, and those that were
@@ -89,21 +91,22 @@
   // Records whether any prompt of `kind` waits.
   void OnWaiting(PromptKind kind, bool any) { ForecastOf(kind).OnWaiting(any); }
 
-  // Returns whether `request`, which waits behind `ahead`, may start at `now`.
-  // A long prompt that has missed its latency target and has no reservation
-  // leaves capacity to prompts that can meet theirs, both those in the queue
-  // and those that are expected to arrive. For short prompts the placement
-  // policy reserves that capacity on each engine instead.
+  // Returns whether `request`, which waits behind the work `ahead`, may start
+  // at `now`. A long prompt that can no longer meet its latency target and has
+  // no reservation leaves capacity to prompts that can meet theirs, both those
+  // in the queue and those that are expected to arrive. For short prompts the
+  // placement policy reserves that capacity on each engine instead.
   bool MayStart(const WaitingRequest& request, PromptKind kind, TimePoint now,
                 const WorkAhead& ahead) const;
 
   // Returns the time from which a candidate with a reservation goes before all
-  // others: one latency target before the last moment at which it can start
-  // and still finish.
+  // others: one latency target before the last moment at which it can start and
+  // still finish before its caller gives up.
   TimePoint UrgentFrom(const AdmissionCandidate& candidate) const;
 
-  // Returns nothing if `candidate` should wait. Otherwise makes a reservation
-  // for its retry and returns the rejection. CanDecide(candidate) must be true.
+  // Decides whether `candidate` waits or is rejected. Returns nothing if it
+  // waits. Otherwise makes a reservation for its retry and returns the
+  // rejection. CanDecide(candidate) must be true.
   std::optional<QueryRejected> RejectionOf(const AdmissionCandidate& candidate,
                                            const WorkAhead& ahead);
 
@@ -112,7 +115,7 @@
   std::size_t ReservationCount() const { return reservations_.Count(); }
   const ReservationCounts& Counts() const { return counts_; }
 
-  // Shortest time after which a rejected caller is told to return.
+  // Shortest retry delay that a rejection states.
   static constexpr Millis kMinRetryAfter{100};
 
  private:
--- a/include/harecrank/core/attempt_timeout.h
+++ b/include/harecrank/core/attempt_timeout.h
@@ -1,8 +1,8 @@
 // Time-outs after which a request is sent to another endpoint.
 //
-// Endpoints may stop responding, be slow, or stall because a helper has died.
-// The request must move to another endpoint before the caller gives up on a
-// silent stream.
+// Endpoints may stop responding, be slow, or stall because a helper has died:
+// another endpoint that prefills a part of the prompt for them. The request
+// must move to another endpoint before the caller gives up on a silent stream.
 
 #ifndef HARECRANK_CORE_ATTEMPT_TIMEOUT_H_
 #define HARECRANK_CORE_ATTEMPT_TIMEOUT_H_
@@ -19,6 +19,7 @@
   TimePoint last_bytes_at{};
   // Predicted time from sending to the first event.
   FractionalMillis predicted{0};
+  // Other endpoints prefill parts of the prompt.
   bool has_helpers = false;
   bool first_event_seen = false;
   // Bytes of other requests have arrived from the endpoint since
@@ -26,13 +27,13 @@
   bool endpoint_is_alive = false;
 };
 
-// Returns when the response to a request on `route` becomes overdue. The limit
-// applies to the time since the last bytes of a stream, and to the total time
-// of any other response.
+// Returns when the response to a request on `route` becomes overdue. A stream
+// is overdue when it has been silent for too long since its last bytes, any
+// other response when too much time has passed since the request was sent.
 TimePoint OverdueAt(const RouteRule& route, const AttemptProgress& progress);
 
-// Returns how long a stream on `route` may be silent so that it can still be
-// resumed before the caller's time-out.
+// Returns the longest silence of a stream on `route` after which another
+// endpoint can still resume it before the caller gives up.
 Millis UsableCallerTimeout(const RouteRule& route);
 
 }  // namespace harecrank
--- a/include/harecrank/core/capacity_forecast.h
+++ b/include/harecrank/core/capacity_forecast.h
@@ -31,54 +31,61 @@
   double min_spare_share = 0;
 };
 
-// Long prompts start one at a time on many engines, so a rate can only be told
-// over a few seconds.
+// Long prompts start one at a time on many engines, so their rate can only be
+// estimated over a few seconds.
 constexpr CapacityForecastOptions kLongPromptForecast{Millis(3000), 0.5, 0};
-// Short prompts start by the dozen. A burst of them is over within a second if
-// the engines suffice, and no prompt is rejected in that time.
+// Dozens of short prompts start at a time. A burst of them ends within a second
+// if the engines have enough capacity, and no prompt is rejected in that time.
 constexpr CapacityForecastOptions kShortPromptForecast{Millis(1000), 1, 0.1};
 
-// Forecasts capacity for one kind of prompt. Work is measured in engine time:
-// the prefill time of a prompt on a single engine. `engines` is the number of
-// usable engines at the time of the call. Not thread-safe.
+// Forecasts from recent arrivals and starts when waiting prompts of one kind
+// start. Work is measured in engine time: the prefill time of a prompt on a
+// single engine. `engines` is the number of usable engines at the time of the
+// call. Not thread-safe.
 class CapacityForecast {
  public:
   CapacityForecast(MonotonicClock clock,
                    const CapacityForecastOptions& options);
 
-  // Records a prompt of `work` that arrived, or that got a placement.
+  // Records that a prompt of `work` arrived (OnArrival) or got a placement
+  // (OnStarted).
   void OnArrival(FractionalMillis work, std::size_t engines);
   void OnStarted(FractionalMillis work, std::size_t engines);
 
   // Records whether any prompt waits.
   void OnWaiting(bool any);
 
-  // Returns the time until a prompt starts that has `ahead` before it.
+  // Returns the forecast time until a prompt starts that has work of `ahead`
+  // before it in the queue.
   FractionalMillis TimeUntilStart(FractionalMillis ahead,
                                   std::size_t engines) const;
 
-  // Returns whether arrivals use less than the capacity, so that a prompt past
-  // its latency target may start without making others miss theirs.
+  // Returns whether recent arrivals use less than the capacity, so that a
+  // prompt past its latency target may start without making others miss theirs.
   bool HasSpareCapacity() const;
 
-  // Returns the time until a prompt of `work` that has `ahead` before it starts
-  // on capacity that new prompts leave unused. Assumes that new prompts, all of
-  // which go before it, keep arriving at the recent rate. Returns the maximum
-  // if they leave none.
+  // Returns the forecast time until a prompt of `work`, with work of `ahead`
+  // before it in the queue, starts on capacity that new prompts leave unused.
+  // Assumes that new prompts, all of which go before it, keep arriving at the
+  // recent rate. Returns the largest value of the type if new prompts leave no
+  // capacity unused.
   FractionalMillis TimeUntilSpareCapacity(FractionalMillis ahead,
                                           FractionalMillis work,
                                           std::size_t engines) const;
 
  private:
+  // One prompt that arrived or started.
   struct Sample {
     TimePoint at;
-    // Work divided by the number of usable engines at that time.
+    // The prompt's work divided by the number of engines that were usable at
+    // `at`.
     FractionalMillis per_engine{0};
   };
   using Samples = std::deque<Sample>;
 
   void AddSample(FractionalMillis work, std::size_t engines, Samples* samples);
-  // Returns the share of an engine's time that `samples` took in the window.
+  // Returns the share of each engine's time, averaged over the window, that the
+  // prompts in `samples` take.
   double UsedShare(const Samples& samples) const;
   // Returns the share of an engine's time that is available to this kind of
   // prompt.
@@ -88,6 +95,7 @@
   CapacityForecastOptions options_;
   Samples arrivals_;
   Samples starts_;
+  // Since when at least one prompt has been waiting; unset while none waits.
   std::optional<TimePoint> waiting_since_;
 };
 
--- a/include/harecrank/core/cold_limit.h
+++ b/include/harecrank/core/cold_limit.h
@@ -5,11 +5,14 @@
 
 namespace harecrank {
 
-// All hosts together may send a cold endpoint, in any second, `overage` times
-// the rate that its service declares for cold endpoints, plus `slack` requests.
+// Limit on the requests that all hosts together may send in any second to a
+// cold endpoint, one that has recently started or has reported that it is cold
+// again: `overage` times the rate that its service declares for cold endpoints,
+// plus `slack`.
 struct ColdLimit {
-  // Zero means no limit.
+  // Factor on the declared rate. Zero disables the limit.
   double overage = 0;
+  // Number of requests that are allowed in addition.
   double slack = 0;
 };
 
--- a/include/harecrank/core/drained_data_centres.h
+++ b/include/harecrank/core/drained_data_centres.h
@@ -1,9 +1,9 @@
 // Data centres that an operator has drained: their endpoints receive no new
 // work, and requests in progress complete.
 //
-// A drain order stays in force until it is revoked. Orders are ordered by their
-// store revisions, so that delayed or duplicate messages from a host with older
-// data have no effect.
+// A drain order stays active until it is revoked. The order with the higher
+// store revision counts, so that delayed or duplicate messages from a host with
+// older data have no effect.
 
 #ifndef HARECRANK_CORE_DRAINED_DATA_CENTRES_H_
 #define HARECRANK_CORE_DRAINED_DATA_CENTRES_H_
@@ -28,37 +28,40 @@
   }
 };
 
-// What a listing changed.
+// Data centres whose state a complete list of drain orders has changed.
 struct DrainChange {
   std::vector<DrainedDataCentre> drained;
-  // With the revision at which the order was known to be revoked.
+  // Data centres whose drain has ended, each with the revision at which its
+  // drain order was known to be revoked.
   std::vector<DrainedDataCentre> restored;
 };
 
-// Holds the drain orders. Not thread-safe.
+// Holds the active drain orders, and decides which endpoints of a restored data
+// centre may be chosen again. Not thread-safe.
 class DrainedDataCentres {
  public:
   explicit DrainedDataCentres(MonotonicClock clock);
 
-  // Applies an order. Returns whether this changed the state.
+  // Applies a drain order. Returns whether this changed the state.
   bool Drain(const DrainedDataCentre& order);
 
-  // Notes that the order for `id` was revoked at `revision`. Returns whether
-  // this changed the state.
+  // Records that the drain order for `id` was revoked at `revision`. Returns
+  // whether this changed the state.
   bool Restore(const DataCentreId& id, StoreRevision revision);
 
-  // Replaces all orders by those in force at `at`. Orders that are not listed
-  // and not newer than `at` are revoked.
+  // Replaces all drain orders by `orders`, the complete list as of store
+  // revision `at`. Orders that are not listed and not newer than `at` are
+  // revoked.
   DrainChange ReplaceAll(const std::vector<DrainedDataCentre>& orders,
                          StoreRevision at);
 
   bool IsDrained(const DataCentreId& id) const;
 
-  // Returns whether `endpoint` of the restored data centre `id` is not yet to
-  // be chosen. After a drain the endpoints have empty caches and may be slow,
-  // and all waiting requests would reach them at once. The endpoints are
-  // therefore put back into use one after the other, in an order that is the
-  // same on all hosts.
+  // Returns whether `endpoint` of the restored data centre `id` must not be
+  // chosen yet. After a drain the endpoints have empty caches and may be slow,
+  // and all waiting requests would reach them at once. The endpoints therefore
+  // return to use one after the other, in an order that is the same on all
+  // hosts.
   bool IsRampingUp(const DataCentreId& id, const EndpointId& endpoint) const;
 
   // Returns whether any data centre is ramping up.
@@ -66,12 +69,13 @@
 
   std::size_t Count() const;
 
-  // Time within which all endpoints of a restored data centre are put back into
-  // use; several times the differences between hosts in when they learn of the
-  // restore.
+  // Time within which all endpoints of a restored data centre return to use.
+  // Hosts learn of a restore at slightly different times; this is several times
+  // the difference.
   static constexpr Millis kRampUpTime{2000};
 
  private:
+  // Drain state of one data centre.
   struct State {
     bool is_drained = false;
     StoreRevision revision;
@@ -84,8 +88,8 @@
   bool IsRampingUpNow(const State& state) const;
 
   MonotonicClock clock_;
-  // Revoked orders are kept until a listing replaces them, so that a delayed
-  // message does not drain the data centre again.
+  // Revoked drain orders are kept until a listing replaces them, so that a
+  // delayed message does not drain the data centre again.
   std::map<DataCentreId, State> states_;
 };
 
--- a/include/harecrank/core/endpoint_backoffs.h
+++ b/include/harecrank/core/endpoint_backoffs.h
@@ -23,25 +23,27 @@
 
 namespace harecrank {
 
-// The back-offs that endpoints have asked this host for. Not thread-safe.
+// Keeps the back-offs that endpoints have asked this host for, and limits the
+// requests that this host starts at these endpoints. Not thread-safe.
 class EndpointBackoffs {
  public:
   explicit EndpointBackoffs(MonotonicClock clock);
 
-  // Processes the back-off hint in a response of `incarnation`. A back-off in
-  // progress that ends later stays in force. Returns whether a back-off has
-  // begun or been extended.
+  // Processes the back-off hint in a response of `incarnation`. A back-off of
+  // the same incarnation that ends later stays active. Returns whether a
+  // back-off has begun or been extended.
   bool OnAnswer(const EndpointId& id,
                 const std::optional<EndpointIncarnation>& incarnation,
                 const BackoffHint& hint);
 
-  // Notes that the endpoint runs as `incarnation`; a back-off of another
-  // incarnation is removed.
+  // Records that the endpoint runs as `incarnation`, and removes a back-off
+  // that another incarnation has asked for.
   void OnIncarnation(const EndpointId& id,
                      const std::optional<EndpointIncarnation>& incarnation);
 
   // Returns the limit on this host's starts at `id`, or nothing if there is
-  // none. During ramp-up the limit applies to all hosts together.
+  // none. During the back-off no request may start. During the ramp-up that
+  // follows, the limit applies to all hosts together.
   std::optional<StartLimit> StartLimitOf(const EndpointId& id) const;
 
   // Returns the remaining back-off of `id`, or nothing if there is none.
@@ -50,27 +52,31 @@
   // Returns the endpoints that are backed off or ramping up.
   std::vector<EndpointId> LimitedEndpoints() const;
 
-  // Removes entries whose ramp-up has ended and returns their endpoints.
+  // Removes the back-offs whose ramp-up has ended and returns their endpoints.
   std::vector<EndpointId> TakeEnded();
 
   // Returns the number of endpoints that are backed off.
   std::size_t Count() const;
 
-  // Back-off for a hint that cannot be parsed, since the endpoint did ask for
-  // one.
+  // Back-off for a hint that cannot be parsed: the endpoint has asked for a
+  // back-off of unknown length.
   static constexpr Millis kUnreadableBackoff{1000};
-  // Starts of all hosts together in kRampUpWindow at the end of a back-off;
-  // about what one engine starts in normal operation.
+  // Maximum number of requests that all hosts together start within
+  // kRampUpWindow at the end of a back-off: about as many as one engine starts
+  // in normal operation.
   static constexpr double kMaxStartsAfterBackoff = 16;
   static constexpr Millis kRampUpWindow{1000};
-  // Interval in which that limit doubles; a response arrives sooner.
+  // Interval in which the limit doubles after a back-off. It is longer than a
+  // response takes to arrive.
   static constexpr Millis kDoublingPeriod{500};
   // Number of doublings after which the limit is removed.
   static constexpr int kMaxDoublings = 4;
 
  private:
+  // The latest back-off that one endpoint has asked for.
   struct Entry {
     std::optional<EndpointIncarnation> incarnation;
+    // End of the back-off and start of the ramp-up.
     TimePoint until{};
   };
 
--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -1,13 +1,13 @@
-// The endpoints that the platform publishes, and which of them may be used.
+// Directory of the endpoints that the platform publishes in its store. It
+// decides which of them may receive work.
 //
 // An entry is normally removed from the store because its endpoint has left,
 // and a request that reaches the endpoint after that is lost. Entries of
 // running endpoints are removed too when the store is down for longer than
 // their leases; the endpoints write them again soon after the store has
-// recovered. The directory therefore keeps a removed entry only if the host's
-// own polling has failed for long enough that the lease may have lapsed. The
-// grace period starts when the host learns of the removal and is never
-// extended.
+// recovered. The directory therefore keeps a removed entry for a grace period
+// only if the host's own polls of the store have failed for so long that the
+// lease may have lapsed. The grace period is never extended.
 
 #ifndef HARECRANK_CORE_ENDPOINT_DIRECTORY_H_
 #define HARECRANK_CORE_ENDPOINT_DIRECTORY_H_
@@ -31,7 +31,7 @@
 using EndpointIncarnation =
     StrongNumber<struct EndpointIncarnationTag, std::int64_t>;
 
-// One incarnation of an endpoint, as published.
+// One incarnation of an endpoint, as published in the store.
 struct EndpointRecord {
   EndpointId id;
   // Unset on platforms that do not publish it; each id then has one
@@ -75,7 +75,8 @@
   Millis kept{0};
 };
 
-// Holds the endpoint records and their state. Not thread-safe.
+// Holds the published endpoints and decides which of them may receive new work.
+// Not thread-safe.
 class EndpointDirectory {
  public:
   // `leave_limit` is the longest time after an endpoint has left within which a
@@ -84,14 +85,14 @@
                              Millis leave_limit = kDefaultLeaveLimit);
 
   // Stores a record unless a newer revision is known. An incarnation that has
-  // announced that it leaves stays marked as leaving, whatever later or delayed
-  // records of it contain. Returns whether anything relevant to routing
-  // changed.
+  // announced its departure stays marked as leaving, even if other records of
+  // the same incarnation describe it as ready. Returns whether anything
+  // relevant to routing changed.
   bool Upsert(const EndpointRecord& record);
 
-  // Notes that `incarnation` of the endpoint has itself announced that it
-  // leaves. Returns false if that was known. The store may still publish the
-  // endpoint as ready; only a new incarnation receives work again.
+  // Records that `incarnation` of the endpoint has itself announced that it
+  // leaves. Returns false if the announcement was known. The store may still
+  // publish the endpoint as ready; only a new incarnation receives work again.
   bool MarkLeaving(const EndpointId& id,
                    const std::optional<EndpointIncarnation>& incarnation);
 
@@ -103,28 +104,28 @@
   // Returns the known endpoints that are leaving.
   std::vector<EndpointId> Leaving() const;
 
-  // Notes that the entry has not described a valid endpoint since `revision`.
-  // Returns whether a record was removed.
+  // Records that the store's entry for `id` has not described a valid endpoint
+  // since `revision`. Returns whether a record was removed.
   bool Withdraw(const EndpointId& id, StoreRevision revision);
 
-  // Notes that the entry was removed from the store at `revision`.
+  // Records that the entry of `id` was removed from the store at `revision`.
   RemovalResult Remove(const EndpointId& id, StoreRevision revision);
 
-  // Stores a complete listing. Known entries that are not in `records` and not
-  // newer than `at` count as removed.
+  // Stores the complete list of the store's entries as of revision `at`. Known
+  // entries that are not in `records` and not newer than `at` count as removed.
   ListingChange ReplaceAll(const std::vector<EndpointRecord>& records,
                            StoreRevision at);
 
-  // Notes that this host's own poll of the store failed and that its data,
-  // direct or from other hosts, is `unreachable_for` old. Not to be called if
-  // merely no other host has sent updates, since the store may be available.
+  // Records that this host's own poll of the store failed, and that its data,
+  // direct or from other hosts, is `unreachable_for` old. Must not be called
+  // merely because no other host has sent updates, since the store may be
+  // available.
   void OnStoreUnreachable(Millis unreachable_for = Millis(0));
 
-  // Notes that the directory's data is complete as of `age` ago, when the store
-  // was at revision `at`. To be called before the changes up to `at` are
-  // applied. Entries removed at a later revision have left; entries removed
-  // earlier may have lapsed if the store was unreachable for at least
-  // kMinOutageForLapse.
+  // Records that the directory matched the store, at revision `at`, `age` ago.
+  // Must be called before the changes up to `at` are applied. Entries removed
+  // at a later revision have left; entries removed earlier may have lapsed if
+  // the store was unreachable for at least kMinOutageForLapse.
   void OnStoreSynced(StoreRevision at, Millis age = Millis(0));
 
   // Removes missing entries whose grace period has expired and returns them.
@@ -137,7 +138,8 @@
   // Ends the drain of a data centre. Returns whether this changed its state.
   bool RestoreDataCentre(const DataCentreId& id, StoreRevision revision);
 
-  // Replaces all drain orders by those in force at `at`. Returns what changed.
+  // Replaces all drain orders by `orders`, the complete list as of store
+  // revision `at`. Returns the data centres whose state changed.
   DrainChange ReplaceDrained(const std::vector<DrainedDataCentre>& orders,
                              StoreRevision at);
 
@@ -147,9 +149,9 @@
   std::vector<EndpointId> In(const DataCentreId& data_centre) const;
 
   // Returns the endpoints of `service` that accept new work, ordered by id.
-  // Endpoints of a data centre that is ramping up are left out until their
-  // turn, unless the service has no others. The reference and the pointers are
-  // valid until the next change or call.
+  // Endpoints of a data centre that is ramping up are left out until they
+  // return to use, unless the service has no other endpoints. The reference and
+  // the pointers are valid until the next change or call.
   const std::vector<const EndpointRecord*>& UsableOf(
       const ServiceName& service) const;
 
@@ -157,13 +159,13 @@
   const EndpointRecord* Find(const EndpointId& id) const;
 
   // Returns the record of `id` if it accepts new work of `service`, or null.
-  // Validates an endpoint that another host has chosen; that host may have
-  // older or newer data. Accepts endpoints of a data centre that is ramping up.
+  // Used to validate an endpoint that another host has chosen from older or
+  // newer data. Accepts endpoints of a data centre that is ramping up.
   const EndpointRecord* FindUsable(const EndpointId& id,
                                    const ServiceName& service) const;
 
   // Returns how long the entry of `id` has been missing from the store; nothing
-  // if it is listed or unknown.
+  // if the store lists it or the endpoint is unknown.
   std::optional<Millis> MissingFor(const EndpointId& id) const;
 
   // Returns the number of kept entries that are missing from the store.
@@ -177,37 +179,41 @@
   // there: connection set-up of at most 250 ms, the 100 ms interval at which
   // expired entries are removed, and delays of the event loop on a busy host.
   static constexpr Millis kMaxDispatchTime{500};
-  // Default of the longest time after an endpoint has left within which a
-  // request may still arrive there; the platform's usual limit.
+  // Default of the constructor's `leave_limit`: the platform's usual limit.
   static constexpr Millis kDefaultLeaveLimit{2000};
-  // How long an entry that may have lapsed is kept under the default limit.
-  // Endpoints rewrite their entries every 1.2 s: after a store outage of 3 to
-  // 4 s, entries of running endpoints reappear within 0.7 s of the notice of
-  // their removal.
+  // Grace period of an entry whose lease may have lapsed, under the default
+  // leave limit. Endpoints rewrite their entries every 1.2 s: after a store
+  // outage of 3 to 4 s, entries of running endpoints reappear within 0.7 s of
+  // the notice of their removal.
   static constexpr Millis kLapseGracePeriod =
       kDefaultLeaveLimit - kMaxDispatchTime;
   // Shortest store outage in which a lease can lapse. A lease lapses three
   // heartbeat intervals of 1.2 s after its last heartbeat, which may have been
   // sent one interval before the outage began.
   static constexpr Millis kMinOutageForLapse{2400};
-  // Time after an outage during which removed entries may have lapsed in the
-  // outage: three heartbeats.
+  // Time after a store outage within which a removed entry is assumed to have
+  // lapsed because of the outage: three heartbeat intervals.
   static constexpr Millis kPostOutageWindow{3600};
-  // How long an announced leave is remembered once the entry is no longer in
-  // the directory; longer than any message of that incarnation can be delayed.
+  // How long the directory remembers that an incarnation has announced its
+  // departure, once the entry is no longer in the directory. It is longer than
+  // any message about that incarnation can be delayed.
   static constexpr Millis kLeavingRetention{60000};
 
  private:
+  // Absence of an entry from the store.
   struct Missing {
     TimePoint since;
+    // End of the grace period.
     TimePoint use_until;
   };
+  // A published endpoint.
   struct Entry {
     EndpointRecord record;
     // Set while the entry is missing from the store.
     std::optional<Missing> missing;
   };
 
+  // An incarnation that has announced that it leaves.
   struct LeavingIncarnation {
     std::optional<EndpointIncarnation> incarnation;
     // The time of the announcement, or the last time the entry was in the
@@ -215,15 +221,16 @@
     TimePoint last_seen;
   };
 
-  // Returns false if the leave was already recorded.
+  // Records an announced departure. Returns false if it was already recorded.
   bool RecordLeave(const EndpointId& id,
                    const std::optional<EndpointIncarnation>& incarnation);
-  // Removes recorded leaves older than kLeavingRetention.
+  // Removes announced departures that are older than kLeavingRetention.
   void RemoveOldLeaves(TimePoint now);
   // Returns whether the lease of an entry that is missing at `now` may have
   // lapsed during a store outage.
   bool MayHaveLapsed(TimePoint now) const;
-  // Keeps the entry until `use_until` if that is set, and removes it otherwise.
+  // Marks the entry as missing and keeps it until `use_until`, or removes it at
+  // once if `use_until` is unset.
   RemovalResult RemoveOrRetain(const EndpointId& id,
                                std::optional<TimePoint> use_until);
   bool TakesWork(const EndpointRecord& record) const;
@@ -240,13 +247,16 @@
   // revision at that time.
   std::optional<TimePoint> store_recovered_at_;
   StoreRevision recovery_revision_;
-  // Times of the last sync and of the sync before it.
+  // Latest time at which this directory was known to match the store, and the
+  // value of `synced_at_` before the last call of OnStoreSynced.
   TimePoint synced_at_{};
   TimePoint previous_sync_at_{};
+  // Whether `usable_` must be rebuilt before its next use.
   mutable bool stale_index_ = true;
-  // When the index is to be rebuilt because further endpoints of a restored
-  // data centre may be chosen.
+  // When to rebuild `usable_`, because further endpoints of a restored data
+  // centre may then be chosen.
   mutable TimePoint rebuild_at_ = TimePoint::max();
+  // Index of the endpoints that accept new work, by service.
   mutable std::unordered_map<ServiceName, std::vector<const EndpointRecord*>>
       usable_;
 };
--- a/src/core/account_limiter.cc
+++ b/src/core/account_limiter.cc
@@ -30,8 +30,9 @@
   const std::chrono::duration<double> elapsed = now - bucket.filled;
   bucket.level = std::min(depth, bucket.level + rate * elapsed.count());
   bucket.filled = now;
-  // One request may make the level negative. Otherwise a host's part that is
-  // smaller than a single prompt would reject that prompt forever.
+  // A request is admitted at any positive level and may make it negative.
+  // Otherwise a host whose part is smaller than the cost of a prompt would
+  // reject that prompt forever.
   if (bucket.level <= 0) {
     const double wait = (1.0 - bucket.level) / rate * kMillisPerSecond;
     return Millis(static_cast<std::int64_t>(std::ceil(wait)));
--- a/src/core/account_shares.cc
+++ b/src/core/account_shares.cc
@@ -7,8 +7,8 @@
 namespace harecrank {
 
 FractionalMillis AccountShares::Weighted(const ShareClaim& claim) {
-  // Lower priorities count as this one, so that no account has less than 1/128
-  // of the share of the most urgent.
+  // Less urgent priorities are charged like this one, so that no account has
+  // less than 1/128 of the share of an account of priority 0.
   constexpr int kLowestPriority = 7;
   return claim.engine_time *
          std::exp2(std::clamp(claim.priority, 0, kLowestPriority));
@@ -61,7 +61,8 @@
   account->waiting -= Weighted(claim);
   --account->claims;
   if (account->claims <= 0) {
-    // Discards the accumulated rounding error.
+    // Without waiting claims the sum is zero; this discards the accumulated
+    // rounding error.
     account->waiting = FractionalMillis(0);
     account->claims = 0;
   }
--- a/src/core/admission_control.cc
+++ b/src/core/admission_control.cc
@@ -5,13 +5,13 @@
 namespace harecrank {
 namespace {
 
-// Factor on the forecast wait of a waiting request: it is rejected only if
-// twice the forecast capacity would not suffice, since the time it has waited
-// is lost if it is rejected.
+// Factor on the forecast wait of a request that is already in the queue. Such a
+// request is rejected only if twice the forecast capacity would not suffice,
+// since a rejection would waste the time that it has waited.
 constexpr double kWaitingFactor = 0.5;
 // A new request counts as in time only if its forecast wait is within this
-// share of the time it has left. With a queue as long as the latency target,
-// the smallest error makes all requests in it late.
+// share of the time it has left. If the forecast wait could fill all of the
+// time left, the smallest forecast error would make all queued requests late.
 constexpr double kMaxWaitShare = 0.6;
 
 bool HasFingerprint(const PlacementRequest& request) {
--- a/src/core/attempt_timeout.cc
+++ b/src/core/attempt_timeout.cc
@@ -5,25 +5,28 @@
 namespace harecrank {
 namespace {
 
-// Before its first event, a stream is overdue after kFirstEventFactor times the
-// prediction plus this margin.
+// Before its first event, a stream is overdue after a silence of
+// kFirstEventFactor times the predicted time to the first event, plus this
+// margin.
 constexpr Millis kFirstEventMargin{500};
 constexpr double kFirstEventFactor = 3;
-// Margin for an endpoint with helpers. An engine whose helper has died stalls
-// for 1.5 s before it reports the helper; a shorter time-out would discard that
-// report.
+// Margin instead of kFirstEventMargin for an endpoint with helpers, which
+// prefill parts of the prompt. An engine whose helper has died stalls for 1.5 s
+// before it reports the helper; a shorter time-out would discard that report.
 constexpr Millis kHelperStallMargin{1700};
 // A non-streaming response is overdue after this multiple of its target
 // latency.
 constexpr int kPlainTimeoutFactor = 2;
-// A started stream is stalled after this multiple of its target gap, but not
-// before kMinStall. Callers give up after eight gaps and at least two seconds;
-// the rest of that time is left for resuming the stream elsewhere.
+// After its first event, a stream is overdue after a silence of this multiple
+// of its target inter-token gap, but not before kMinStall. Callers give up
+// after eight target gaps and at least two seconds; the difference leaves time
+// for another endpoint to resume the stream.
 constexpr int kStallFactor = 3;
 constexpr Millis kMinStall{1300};
 // Callers give up on a stream that has been silent for the longest of a fixed
-// time, a multiple of the target latency and a multiple of the target gap. A
-// slow but live endpoint may use kUsablePercent of that time.
+// time, a multiple of the target latency and a multiple of the target
+// inter-token gap. A slow but live endpoint may use kUsablePercent of that
+// time.
 constexpr Millis kCallerMinTimeout{2000};
 constexpr int kCallerTimeoutTargets = 4;
 constexpr int kCallerTimeoutGaps = 8;
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -8,10 +8,11 @@
 namespace harecrank {
 namespace {
 
-// If more than one entry in this many is missing from a listing, the entries
-// are assumed to have lapsed, since endpoints leave one at a time.
+// If more than one third of the known entries is missing from a listing, their
+// leases are assumed to have lapsed, since endpoints leave one at a time.
 constexpr std::size_t kLapseDivisor = 3;
-// Interval at which the index is rebuilt while a restored data centre ramps up.
+// Interval at which the index of usable endpoints is rebuilt while a restored
+// data centre ramps up.
 constexpr Millis kRampUpRebuildInterval{50};
 
 }  // namespace
@@ -128,7 +129,8 @@
   if (MayHaveLapsed(now)) {
     use_until = now + lapse_grace_period_;
   } else if (missing.size() * kLapseDivisor > entries_.size()) {
-    // They may have been removed at any time since the previous sync.
+    // The entries may have been removed at any time since the directory last
+    // matched the store, so the grace period starts then.
     use_until = previous_sync_at_ + lapse_grace_period_;
   }
   ListingChange change;
@@ -165,8 +167,9 @@
   const TimePoint now = clock_();
   for (auto it = entries_.begin(); it != entries_.end();) {
     const auto& missing = it->second.missing;
-    // Independent of the state of the store: otherwise endpoints that have left
-    // would stay in use for as long as the store is unreachable or flapping.
+    // Expired entries are removed even while the store is unreachable.
+    // Otherwise endpoints that have left would stay in use for as long as the
+    // store is unreachable or flapping.
     if (missing.has_value() && now >= missing->use_until) {
       expired.push_back(ExpiredEndpoint{
           it->first, std::chrono::duration_cast<Millis>(now - missing->since)});
@@ -270,8 +273,8 @@
 
 bool EndpointDirectory::MayHaveLapsed(TimePoint now) const {
   // A host that received no updates for a moment, and gets an answer from the
-  // store at its first poll, has missed no lapse. Treating it as an outage
-  // would keep endpoints that have left in use for up to 3 s.
+  // store at its first poll, has missed no lapsed lease. Treating the moment as
+  // a store outage would keep endpoints that have left in use for up to 3 s.
   if (store_unreachable_since_.has_value() &&
       now - *store_unreachable_since_ >= kMinOutageForLapse) {
     return true;
@@ -313,7 +316,7 @@
       (is_ramping_up ? ramping_up : usable_)[record.service].push_back(&record);
     }
   }
-  // Services without other endpoints use these at once.
+  // A service that has no other endpoints uses those that are still ramping up.
   for (auto& [service, endpoints] : ramping_up) {
     if (usable_.count(service) == 0) {
       usable_[service] = std::move(endpoints);
