--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -12,52 +12,55 @@
 
 namespace harecrank {
 
-// An endpoint that is avoided, and the remaining time.
+// An endpoint that this host avoids, and how much longer it avoids it.
 struct AvoidedEndpoint {
   EndpointId id;
   Millis left{0};
 };
 
-// A circuit breaker per endpoint. Consecutive failures open the circuit for a
-// time that doubles with each further failure. An endpoint with a high failure
-// ratio is used only if there is no other. Not thread-safe.
+// A circuit breaker per endpoint. Consecutive failures open the circuit, so
+// that requests go to other endpoints if possible, for a time that doubles with
+// each further failure. An endpoint with a high failure ratio is used only if
+// there is no other. Not thread-safe.
 class EndpointHealth {
  public:
   explicit EndpointHealth(MonotonicClock clock);
 
-  // Notes a response or first event. `slowdown` is the ratio of the observed to
-  // the expected response time.
+  // Records a response or the first event of a stream. `slowdown` is the ratio
+  // of the observed to the expected response time.
   void OnSuccess(const EndpointId& id, double slowdown);
 
-  // Notes that bytes arrived from the endpoint: it is alive, if slow.
+  // Records that bytes arrived from the endpoint, which is alive even if it is
+  // slow.
   void OnBytesReceived(const EndpointId& id);
 
-  // Notes that a request is overdue that has received nothing since `since`.
-  // Counts as a failure only if nothing else was received from the endpoint
-  // either.
+  // Records that a request is overdue that has received nothing since `since`.
+  // This counts as a failure unless ReceivedBytesAfter(id, since) is true.
   void OnOverdue(const EndpointId& id, TimePoint since);
 
-  // Notes a response that arrived in time but reported a failure.
+  // Records a response that arrived in time but reported a failure. It raises
+  // the failure ratio but does not open the circuit.
   void OnErrorAnswer(const EndpointId& id);
 
-  // Notes that the endpoint could not be reached, stopped sending, or closed
+  // Records that the endpoint could not be reached, stopped sending, or closed
   // the connection early.
   void OnUnreachable(const EndpointId& id);
 
-  // Notes that another endpoint reported this one as the cause of a failed
+  // Records that another endpoint reported this one as the cause of a failed
   // request: it is leaving, gone, or accepts no more work. Successful responses
-  // do not reset this, since a leaving endpoint still completes requests in
-  // progress.
+  // do not clear the report, since a leaving endpoint still completes requests
+  // in progress.
   void OnReportedAtFault(const EndpointId& id);
 
-  // Notes that another host avoids the endpoint for `left` more.
+  // Records that another host avoids the endpoint for another `left`.
   void OnAvoidedByPeer(const EndpointId& id, Millis left);
 
   // Returns the endpoints that this host avoids because of its own
   // observations, without those reported by other hosts.
   std::vector<AvoidedEndpoint> Avoided() const;
 
-  // Returns whether bytes arrived at least kAliveMargin after `time`.
+  // Returns whether bytes arrived from the endpoint at least kAliveMargin after
+  // `time`.
   bool ReceivedBytesAfter(const EndpointId& id, TimePoint time) const;
 
   // Returns whether requests should go to another endpoint if possible.
@@ -70,14 +73,15 @@
   // Removes the state of an endpoint.
   void Forget(const EndpointId& id) { states_.erase(id); }
 
-  // Time for which the first failure opens the circuit. The time until missing
-  // heartbeats show a host to be dead would be too long, and the time of a
-  // connection set-up too short.
+  // Time for which the first failure opens the circuit. It lies between the
+  // time of a connection set-up, which would be too short, and the time until
+  // missing heartbeats show that a host is dead, which would be too long.
   static constexpr Millis kInitialOpenTime{700};
   static constexpr Millis kMaxOpenTime{5600};
-  // How long an endpoint is avoided after another endpoint has reported it. A
-  // leaving endpoint is gone or published as leaving after about this time.
-  // While the store is unavailable it is reported again, once per host.
+  // How long an endpoint is avoided after another endpoint has reported it.
+  // After about this time a leaving endpoint is gone or published as leaving.
+  // While the store is unavailable, further requests cause new reports, one per
+  // host.
   static constexpr Millis kReportedOpenTime{3000};
   // Failure ratio above which an endpoint is used only if there is no other.
   // Plain services fail one request in seven in normal operation, and avoiding
@@ -88,8 +92,8 @@
   // avoided. Without this limit it would receive no requests while others are
   // healthy, and could never recover.
   static constexpr Millis kProbeDelay{1400};
-  // An endpoint from which bytes arrived this long after a request's last byte
-  // counts as slow, not as silent.
+  // An endpoint from which bytes of any request arrived at least this long
+  // after the last byte of an overdue request counts as slow, not as silent.
   static constexpr Millis kAliveMargin{300};
 
  private:
@@ -100,7 +104,7 @@
     int failures_in_a_row = 0;
     TimePoint open_until{};
     TimePoint reported_until{};
-    // As reported by other hosts.
+    // Until when another host avoids the endpoint.
     TimePoint peer_avoids_until{};
     TimePoint last_bytes_at{};
     double failure_ratio = 0;
--- a/include/harecrank/core/endpoint_response.h
+++ b/include/harecrank/core/endpoint_response.h
@@ -14,9 +14,10 @@
 namespace harecrank {
 
 struct NoBackoff {};
-// The value is not a valid time.
+// The value in the response is not a valid time.
 struct UnreadableBackoff {};
-// When this host may send requests again, as stated in a rejection.
+// How long this host must not send requests to the endpoint, as stated in a
+// rejection.
 using BackoffHint = std::variant<NoBackoff, Millis, UnreadableBackoff>;
 
 // Whether the endpoint announces that it is about to shut down.
@@ -31,8 +32,8 @@
 // The decoded head of a response.
 struct EndpointResponse {
   unsigned status = 0;
-  // The response carries the endpoint's own mark, so callers can verify its
-  // body.
+  // The response carries the endpoint's own signature header, so callers can
+  // verify its body.
   bool is_signed = false;
   // The endpoint has not run the request and will not.
   bool not_run = false;
@@ -41,9 +42,11 @@
   std::string at_fault;
   // Requests per second that the endpoint accepts from all hosts together.
   RateLimitHint limit;
-  // How long this host is to send nothing. Only rejections contain it.
+  // How long this host must not send requests to the endpoint. Set only in
+  // rejections.
   BackoffHint backoff;
-  // Applies until the endpoint restarts.
+  // Whether the endpoint announces its shutdown. Remains valid until the
+  // endpoint restarts.
   LeavingHint leaving = LeavingHint::kNone;
 
   bool IsSuccess() const { return status / 100 == 2; }
--- a/include/harecrank/core/endpoint_scheduler.h
+++ b/include/harecrank/core/endpoint_scheduler.h
@@ -15,7 +15,8 @@
 
 namespace harecrank {
 
-// Reasons for rejecting a request. A rejected request has not run.
+// Reasons for which EndpointScheduler rejects a request. A rejected request has
+// not run.
 struct QueueFull {
   Millis retry_after;
 };
@@ -30,7 +31,8 @@
 using SubmitError = std::variant<QueueFull, WouldStartTooLate, LargerThanEngine,
                                  EndpointDraining, DeadlinePassed>;
 
-// Returns the error code that callers see. The codes are stable.
+// Returns the error code that callers see for `error`. The codes do not change
+// between versions.
 const char* SubmitErrorCode(const SubmitError& error);
 
 // Returns the time after which a retry may succeed, or nothing if a retry at
@@ -59,23 +61,26 @@
   // Replaces the options, including the memory that the engine reports.
   void Reconfigure(const SchedulerOptions& options);
 
-  // Queues a request. Fails with SubmitError; the request then never starts.
+  // Queues a request, or fails with SubmitError; a request that fails never
+  // starts.
   boost::leaf::result<void> Submit(const QueuedRequest& request);
 
-  // Returns the keys of the requests to start now and leases their memory until
-  // `start_by` plus kLeaseGrace. Each key is returned once.
+  // Returns the keys of the requests that the owner must start now, and leases
+  // memory for each until its `start_by` plus kLeaseGrace. Each key is returned
+  // once.
   std::vector<std::uint64_t> TakeStarts();
 
   // Removes a request from the queue. Returns true if it had not started; it
   // then never will.
   bool Revoke(std::uint64_t key);
 
-  // Releases the memory of a started request or of a reservation.
+  // Releases the memory of a started request or of a reservation that has
+  // ended.
   void Finish(std::uint64_t key);
 
-  // Reserves memory under `key` for a part of a prompt that a group of
-  // endpoints prefills. Does not wait for free memory: fails with LeaseError
-  // OutOfMemory.
+  // Reserves memory under `key` for the part of a long prompt that this
+  // endpoint prefills as a member of a group of endpoints. Does not wait for
+  // free memory: fails with LeaseError OutOfMemory.
   boost::leaf::result<void> Reserve(std::uint64_t key, Tokens amount,
                                     Millis duration);
 
@@ -83,8 +88,8 @@
   // UnknownLease if the lease has expired; the holder must then stop its work.
   boost::leaf::result<void> Renew(std::uint64_t key, Millis duration);
 
-  // Removes and returns the requests whose latest start has passed. They have
-  // not run.
+  // Removes and returns the queued requests whose latest start time has passed.
+  // They have not run.
   std::vector<QueuedRequest> DropOverdue();
 
   // Removes and returns the keys whose leases have expired. The caller must
@@ -100,11 +105,13 @@
   std::size_t QueueSize() const { return queue_.Size(); }
   std::size_t LeaseCount() const { return leases_.Count(); }
 
-  // How long a running request keeps its memory past its deadline, so that the
-  // engine has completed the cancellation before the memory counts as free.
+  // How long a started request keeps its memory after its `start_by`, unless
+  // the lease is renewed. The engine completes a cancellation within this time,
+  // before the memory counts as free.
   static constexpr Millis kLeaseGrace{2000};
 
  private:
+  // A started request, or a reservation for a part of a prompt.
   struct Running {
     LeaseId lease;
     LengthClass length = LengthClass::kShort;
@@ -122,9 +129,12 @@
   FairQueue queue_;
   LeaseTable leases_;
   std::unordered_map<std::uint64_t, Running> running_;
-  // Estimated throughput in tokens per second. Zero until the first estimate.
+  // Estimated throughput of the endpoint in tokens per second. Zero until the
+  // first estimate.
   double rate_ = 0;
   TimePoint rate_window_start_{};
+  // Total cost, in tokens, of the requests that have finished since
+  // `rate_window_start_`.
   double rate_window_tokens_ = 0;
   bool draining_ = false;
 };
--- a/include/harecrank/core/fair_queue.h
+++ b/include/harecrank/core/fair_queue.h
@@ -26,17 +26,19 @@
   // Unique within one queue.
   std::uint64_t key = 0;
   AccountId account;
-  // The weight of the account relative to other accounts. At least 1.
+  // Weight of the account relative to other accounts, at least 1. An account of
+  // weight 2 gets twice the tokens of one of weight 1.
   int account_weight = 1;
   LengthClass length = LengthClass::kShort;
   // Prompt tokens plus answer tokens.
   Tokens cost;
-  // Latest start. A request that has not started by then is reported as not
-  // run.
+  // Latest time at which the request may start. A request that has not started
+  // by this time is reported as not run.
   TimePoint start_by;
 };
 
-// Start-time fair queueing (SFQ). A flow is the requests of one account in one
+// Decides in which order an endpoint starts its waiting requests, by start-time
+// fair queueing (SFQ). A flow consists of the requests of one account in one
 // length class.
 //
 // Each flow gets service in proportion to its weight, measured in tokens, so a
@@ -51,8 +53,8 @@
   // Changes the weight of long requests that are added after this call.
   void SetLongWeightPercent(int percent);
 
-  // Changes how many requests the queue holds. Requests in excess of a smaller
-  // limit stay.
+  // Changes the maximum number of requests in the queue. If the queue already
+  // holds more, they stay.
   void SetLimit(std::size_t limit) { limit_ = limit; }
 
   // Adds a request. Returns false and adds nothing if the queue is full.
@@ -61,28 +63,35 @@
   // Removes and returns the first request for which `fits` returns true, or
   // nothing if there is none.
   //
-  // A request that does not fit may be bypassed kMaxBypasses times. After that
-  // no request behind it is returned before it, so that a stream of small
-  // requests cannot starve a large one.
+  // A request that does not fit may be bypassed kMaxBypasses times. A request
+  // that has been bypassed so often blocks all requests behind it, so that a
+  // stream of small requests cannot starve a large one.
   std::optional<QueuedRequest> PopFirst(
       const std::function<bool(const QueuedRequest&)>& fits);
 
   // Removes a request. Returns false if it is not in the queue.
   bool Remove(std::uint64_t key);
 
-  // Removes and returns the requests whose latest start has passed at `now`.
+  // Removes and returns the requests whose latest start time has passed at
+  // `now`.
   std::vector<QueuedRequest> DropOverdue(TimePoint now);
 
   std::size_t Size() const { return waiting_.size(); }
-  // Returns the total cost of the waiting requests of one class.
+  // Returns the total cost of the waiting requests of one length class.
   Tokens Backlog(LengthClass length) const;
 
+  // How many requests may start before a waiting request that does not fit and
+  // precedes them in the queue.
   static constexpr int kMaxBypasses = 16;
 
  private:
+  // A waiting request and its position in the queue.
   struct Waiting {
     QueuedRequest request;
+    // Virtual time, in tokens divided by weight, at which the request starts
+    // under SFQ.
     double start_tag = 0;
+    // How many requests behind this one have been returned before it.
     int bypasses = 0;
   };
   struct FlowKey {
@@ -95,9 +104,12 @@
 
   std::size_t limit_;
   int long_weight_percent_;
+  // Virtual time of SFQ: the largest start tag of any request that was returned
+  // since the queue was last idle.
   double virtual_time_ = 0;
   // Ordered by start tag, then by arrival.
   std::list<Waiting> waiting_;
+  // Virtual time at which the last request of each flow ends.
   std::map<FlowKey, double> finish_tags_;
 };
 
--- a/include/harecrank/core/http_status.h
+++ b/include/harecrank/core/http_status.h
@@ -15,10 +15,11 @@
 constexpr int kMethodNotAllowed = 405;
 constexpr int kConflict = 409;
 constexpr int kTooLarge = 413;
-// The endpoint is not the intended one and has not run the request.
+// The request reached another endpoint than the intended one, which has not run
+// it.
 constexpr int kMisdirected = 421;
 constexpr int kFailedDependency = 424;
-// The request needs a ticket.
+// The request needs a ticket for at-most-once execution and carries none.
 constexpr int kPreconditionRequired = 428;
 constexpr int kTooManyRequests = 429;
 // Non-standard, for logs: the caller has disconnected.
--- a/include/harecrank/core/lease_table.h
+++ b/include/harecrank/core/lease_table.h
@@ -18,10 +18,10 @@
 
 namespace harecrank {
 
-// Identifies one lease. Not reused within one incarnation of a process.
+// Identifies one lease. Ids are not reused until the process restarts.
 using LeaseId = StrongNumber<struct LeaseTag, std::uint64_t>;
 
-// Reasons for a failed operation.
+// Reasons for which an operation of LeaseTable fails.
 struct OutOfMemory {
   Tokens available;
 };
@@ -30,16 +30,16 @@
 };
 using LeaseError = std::variant<OutOfMemory, UnknownLease>;
 
-// Accounts for the memory of one engine. Not thread-safe; the owner serialises
-// calls.
+// Grants time-limited leases on the KV memory of one engine and keeps account
+// of the free memory. Not thread-safe; the owner serialises calls.
 class LeaseTable {
  public:
   // `capacity` must not be negative. `clock` is called on every operation.
   LeaseTable(Tokens capacity, MonotonicClock clock);
 
-  // Leases `amount` for `duration`, unless the lease is renewed or released
-  // before. Fails with OutOfMemory and leases nothing if less than `headroom`
-  // would then remain free.
+  // Leases `amount` for `duration`; the lease may be renewed or released before
+  // it expires. Fails with OutOfMemory and leases nothing if less than
+  // `headroom` would then remain free.
   boost::leaf::result<LeaseId> Acquire(Tokens amount, Millis duration,
                                        Tokens headroom = Tokens{0});
 
@@ -50,7 +50,8 @@
   // Releases a lease. Does nothing if it has expired.
   void Release(LeaseId id);
 
-  // Removes the expired leases and returns their ids.
+  // Removes the expired leases that are still in the table and returns their
+  // ids. Other operations also remove expired leases.
   std::vector<LeaseId> DropExpired();
 
   // Returns whether a lease is in the table. Expired leases are included until
@@ -73,6 +74,7 @@
   };
 
   Tokens capacity_;
+  // Sum of the amounts of all leases in the table.
   Tokens held_;
   MonotonicClock clock_;
   std::uint64_t next_id_ = 1;
--- a/include/harecrank/core/outcome.h
+++ b/include/harecrank/core/outcome.h
@@ -1,4 +1,4 @@
-// What a caller may be told about a request that received no complete response.
+// What callers learn about a request that received no complete response.
 
 #ifndef HARECRANK_CORE_OUTCOME_H_
 #define HARECRANK_CORE_OUTCOME_H_
@@ -12,35 +12,36 @@
 
 // How far a failed request may have progressed.
 enum class Outcome {
-  // It has not run and will not run. Reported only if proven.
+  // The request has not run and will not run. Reported only if this is proven.
   kNotRun,
-  // It ran or started to run, and failed.
+  // The request ran or started to run, and failed.
   kFailed,
-  // It may have run, or may still run.
+  // The request may have run, or may still run.
   kUnknown,
 };
 
 // Returns the name that callers see: "not_run", "failed" or "unknown".
 const char* OutcomeName(Outcome outcome);
 
-// Returns the outcome with the given name. Unknown names give kUnknown, the
-// weakest claim.
+// Returns the outcome with the given name. Unknown names give kUnknown, which
+// asserts the least.
 Outcome OutcomeFromName(const std::string& name);
 
 // A final response other than success, as callers see it.
 struct Refusal {
   int http_status = 500;
-  // A stable code, such as "overloaded".
+  // Error code that does not change between versions, such as "overloaded".
   std::string code;
-  // One sentence for people.
+  // Explanation in one sentence for human readers.
   std::string message;
   Outcome outcome = Outcome::kUnknown;
-  // When to retry; unset if a retry is of no use.
+  // Time after which the caller should retry; unset if a retry is of no use.
   std::optional<Millis> retry_after;
 };
 
 // What an entry host knows about one attempt at an endpoint. Facts are only
-// added, never revoked; Conclude derives the strongest outcome that they prove.
+// added, never revoked, and Conclude derives from them the strongest outcome
+// that they prove.
 class AttemptEvidence {
  public:
   // The request was handed to the connection and may run from now on.
--- a/include/harecrank/core/repeat_budget.h
+++ b/include/harecrank/core/repeat_budget.h
@@ -1,8 +1,10 @@
 // Limit on repeated requests to a service.
 //
-// The limit applies to all hosts together, and no host counts the requests of
-// all. So each host keeps to a part of its own: the configured ratio of its own
-// requests in the last window, plus an equal part of the fixed allowance.
+// A repeat is another attempt of a request that was sent before. The limit
+// applies to all hosts together, but no host can count the requests of all
+// hosts. So each host keeps to its own part of the limit: the configured ratio
+// of its own requests in the last window, plus an equal part of the fixed
+// allowance.
 
 #ifndef HARECRANK_CORE_REPEAT_BUDGET_H_
 #define HARECRANK_CORE_REPEAT_BUDGET_H_
@@ -23,7 +25,8 @@
   Millis window{10000};
 };
 
-// One host's part of the limit for one service. Not thread-safe.
+// Decides whether this host may repeat a request to one service, within the
+// host's part of the limit. Not thread-safe.
 class RepeatBudget {
  public:
   RepeatBudget(RepeatLimit limit, MonotonicClock clock);
@@ -31,22 +34,26 @@
   // Records that a request was sent for the first time.
   void OnFirstAttempt();
 
-  // Spends one repeat, where `hosts` hosts (at least 1) share the allowance.
-  // Returns false and spends nothing if that would exceed this host's part.
+  // Counts one repeat against this host's part of the limit, with the allowance
+  // divided by `hosts` (at least 1). Returns false and counts nothing if the
+  // repeat would exceed this part.
   bool TryRepeat(int hosts);
 
-  // Share of the limit that is used. The rest is a margin: the windows of
-  // different hosts are not aligned, and a change in the number of hosts
-  // becomes known late.
+  // Fraction of the limit that hosts use. The rest is a margin, because the
+  // windows of different hosts are not aligned, and a change in the number of
+  // hosts becomes known late.
   static constexpr double kUsedShare = 0.7;
 
  private:
+  // Counts of one slice of the sliding window.
   struct Slice {
     TimePoint start;
     int first_attempts = 0;
     int repeats = 0;
   };
 
+  // Drops the slices that are older than the window and returns the slice for
+  // the present time.
   Slice* Current();
 
   RepeatLimit limit_;
--- a/include/harecrank/core/request_fingerprint.h
+++ b/include/harecrank/core/request_fingerprint.h
@@ -1,7 +1,8 @@
 // Identifies repeated requests.
 //
-// Each attempt of a caller has its own id and may reach any host. The account,
-// the method, the target and the body stay the same.
+// When a caller repeats a request, each attempt has its own id and may reach
+// any host. Its account, method, target and body stay the same, so they
+// identify the request.
 
 #ifndef HARECRANK_CORE_REQUEST_FINGERPRINT_H_
 #define HARECRANK_CORE_REQUEST_FINGERPRINT_H_
@@ -36,7 +37,7 @@
   }
 };
 
-// The input of a fingerprint.
+// The properties of a request from which its fingerprint is computed.
 struct FingerprintParts {
   AccountId account;
   std::string_view method;
@@ -45,11 +46,13 @@
   std::string_view body;
 };
 
-// Unseeded, so the fingerprint is the same on every host. Takes 3 microseconds
-// for a body of 40 KB and 75 for one of a megabyte, on one core.
+// Computes the fingerprint of a request. The hash is unseeded, so the
+// fingerprint is the same on every host. On one core it takes 3 microseconds
+// for a body of 40 KB and 75 microseconds for a body of 1 MB.
 RequestFingerprint FingerprintOf(const FingerprintParts& parts);
 
-// Returns 16 hexadecimal digits that identify the request in logs.
+// Returns the name of the request in logs: 16 hexadecimal digits of its
+// fingerprint.
 std::string LogName(const RequestFingerprint& request);
 
 }  // namespace harecrank
--- a/include/harecrank/core/request_origin.h
+++ b/include/harecrank/core/request_origin.h
@@ -7,11 +7,13 @@
 
 namespace harecrank {
 
-// Determines which caller is served first when requests compete for capacity.
+// Identifies a request, its client account and its priority. Determines which
+// request is served first when requests compete for capacity.
 struct RequestOrigin {
-  // Includes the client account, which is empty on routes that need none.
+  // Includes the client account, which is empty on routes that need no API key.
   RequestFingerprint request;
-  // The account's priority, or else that of its route. Zero is the most urgent.
+  // Priority of the account, or of the route if the account has none. Zero is
+  // the most urgent.
   int priority = 0;
 };
 
--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -5,13 +5,14 @@
 // there; one such request per second can keep a fleet of 18 engines out of
 // service for as long as it is sent.
 //
-// A crash interrupts dozens of requests, and all but one of them are harmless.
-// A request that any endpoint has answered completely is not the cause, so all
-// crashes counted against it are cleared. A quarantined request is retried in a
-// trial, alone, after the endpoints of an outage are back; thus many crashes at
-// once do not lock out a request that half of all callers send. Trials of
-// different requests run one after the other: on the same endpoint as the
-// actual cause, a harmless request would fail its trial too.
+// A crash interrupts dozens of requests, of which only one is the cause. A
+// request that any endpoint has answered completely is not the cause of a
+// crash, so all crashes counted against it are cleared. A quarantined request
+// is retried alone, in a trial, once the endpoints of an outage are in service
+// again. So many crashes at once do not lock out a request that half of all
+// callers send. Trials of different requests run one after the other, because a
+// harmless request would fail its trial too if it ran on the same endpoint as
+// the request that causes the crashes.
 //
 // State is merged between hosts by set union and by maximum time, so lost,
 // duplicate or delayed messages do not count a crash twice. Nothing is
@@ -35,8 +36,8 @@
 
 namespace harecrank {
 
-// The crash of one incarnation of an endpoint. It is the same crash however
-// many hosts and requests observed it.
+// The crash of one incarnation of an endpoint. Equal values denote the same
+// crash, however many hosts and requests observed it.
 struct EndpointCrash {
   EndpointId endpoint;
   // Zero on platforms that do not publish incarnations.
@@ -52,8 +53,8 @@
   }
 };
 
-// What one host reports to another about a request. Times are sent as ages
-// because hosts do not share a clock.
+// The crashes and trials of one request, as one host reports them to another.
+// Times are sent as ages because hosts do not share a clock.
 struct CrashReport {
   RequestFingerprint request;
   // Endpoints that crashed while they were starting the request.
@@ -71,8 +72,8 @@
   Millis quarantined_for{0};
 };
 
-// Decides which requests may be sent, from the crashes that were counted
-// against them. Not thread-safe.
+// Decides which requests this host may send to endpoints, from the endpoint
+// crashes that were counted against each request. Not thread-safe.
 class RequestQuarantine {
  public:
   explicit RequestQuarantine(MonotonicClock clock);
@@ -81,18 +82,19 @@
   // whether the crash was not known before.
   bool OnCrash(const RequestFingerprint& request, const EndpointCrash& crash);
 
-  // Notes that an endpoint answered `request` completely and clears its
-  // crashes. Returns whether there were any.
+  // Notes that an endpoint answered `request` completely, and clears the
+  // crashes that were counted against the request. Returns whether there were
+  // any.
   bool OnCompleted(const RequestFingerprint& request);
 
   // Returns whether `request` must not be sent to any endpoint now.
   bool IsQuarantined(const RequestFingerprint& request) const;
 
-  // To be called before each attempt. Returns false if the request is
-  // quarantined. If a request over the crash threshold is admitted, the attempt
-  // is a trial: it starts a new trial interval for this request, and trials of
-  // other requests wait for kTrialSpacing. Sets `is_trial`, if not null, to
-  // whether the attempt is a trial.
+  // Must be called before each attempt. Returns false if the request is
+  // quarantined. If a request with at least kCrashThreshold crashes is
+  // admitted, the attempt is a trial: it starts a new trial interval for this
+  // request, and trials of other requests wait for kTrialSpacing. Sets
+  // `is_trial`, if not null, to whether the attempt is a trial.
   bool TryAdmit(const RequestFingerprint& request, bool* is_trial = nullptr);
 
   // Reverts a trial that reached no endpoint.
@@ -111,13 +113,13 @@
   // Returns the number of endpoint crashes counted against `request`.
   std::size_t CrashCount(const RequestFingerprint& request) const;
 
-  // Returns the reports for hosts that have missed messages: requests with at
-  // least kMinSharedCrashes crashes, those with the most first, at most
-  // kMaxSharedReports.
+  // Returns the reports to send to hosts that have missed messages: those on
+  // requests with at least kMinSharedCrashes crashes, those with the most
+  // crashes first, at most kMaxSharedReports.
   std::vector<CrashReport> SharedReports() const;
 
   // Returns a digest of the shared reports without their times. Hosts with
-  // equal digests have nothing to send each other. Zero if there are no shared
+  // equal digests need not exchange their reports. Zero if there are no shared
   // reports.
   std::uint64_t SharedDigest() const;
 
@@ -132,17 +134,17 @@
   // A harmless request that was interrupted by two crashes is still served.
   static constexpr std::size_t kCrashThreshold = 3;
   // Time from the quarantine to the first trial, and between trials that did
-  // not crash an endpoint. With 2 s fewer harmless requests are rejected than
-  // with 5 s: about 1% of them against 1.6% while two fatal requests are being
-  // sent and hosts are suspended.
+  // not crash an endpoint. A shorter interval rejects fewer harmless requests:
+  // while callers send two requests that crash endpoints and hosts are
+  // suspended, about 1% of the harmless requests with 2 s and 1.6% with 5 s.
   static constexpr Millis kTrialInterval{2000};
-  // Time to the next trial once a trial has crashed an endpoint. One failed
-  // trial may still be a coincidence: if one of 18 endpoints crashes each
-  // second for other reasons, about one trial of 0.3 s in 60 coincides with a
-  // crash.
+  // Time to the next trial after a trial has crashed an endpoint. The next
+  // trial is needed since one failed trial may be a coincidence: if one of 18
+  // endpoints crashes each second for other reasons, about one trial of 0.3 s
+  // in 60 coincides with a crash.
   static constexpr Millis kIntervalAfterFailedTrial{60000};
-  // Minimum time between trials of different requests; several times what an
-  // engine takes to crash on a request and what hosts take to inform each
+  // Minimum time between trials of different requests; several times as long as
+  // an engine takes to crash on a request, and as hosts take to inform each
   // other.
   static constexpr Millis kTrialSpacing{500};
   // Number of failed trials after which the request is not tried again.
@@ -150,30 +152,32 @@
   // Maximum number of trials of a request: the platform's limit on how often a
   // request that is known to crash endpoints may reach one.
   static constexpr int kMaxTrials = 3;
-  // How long crashes are counted. With three crashes in this time and three
-  // seconds to restart an endpoint, one such request costs the fleet one engine
-  // for 1.5% of the time.
+  // How long after its last crash a request's crashes are counted. A request
+  // that crashes three endpoints in this time, each of which takes three
+  // seconds to restart, costs the fleet one engine for 1.5% of the time.
   static constexpr Millis kCrashRetention{600000};
-  // How long a request is retained that has crashed more endpoints than
-  // kCrashThreshold. Callers who have fixed their request wait no longer than
-  // this.
+  // How long after its last crash a request's crashes are counted if there are
+  // more than kCrashThreshold of them. Callers who have fixed their request
+  // wait no longer than this.
   static constexpr Millis kProvenRetention{3600000};
-  // Maximum number of records, of 290 bytes each with one crash. Each crash
-  // adds as many records as the endpoint had requests in progress, which is
-  // some dozens.
+  // Maximum number of requests with a record. A record with one crash takes 290
+  // bytes. Each crash adds as many records as the endpoint had requests in
+  // progress, which is some dozens.
   static constexpr std::size_t kMaxRecords = 4096;
   // Number of cleared crashes per request above which they are all discarded,
-  // so that a report fits into a datagram. Only a report of a discarded crash
-  // that is delayed by minutes would be counted again.
+  // so that a report fits into a datagram. A discarded crash would be counted
+  // again only if a report of it arrived minutes late.
   static constexpr std::size_t kMaxCleared = 64;
-  // Number of crashes from which hosts share a request with hosts that have
-  // missed messages. A single crash says little, and many requests have one.
+  // Minimum number of crashes of a request whose report is sent to hosts that
+  // have missed messages. A single crash says little about a request, and many
+  // requests have one.
   static constexpr std::size_t kMinSharedCrashes = 2;
-  // Reports that fit into a datagram of 16 KB.
+  // Maximum number of shared reports: they must fit into a datagram of 16 KB.
   static constexpr std::size_t kMaxSharedReports = 96;
 
  private:
-  struct Record {
+  // Crashes and trials of one request.
+  struct CrashHistory {
     std::set<EndpointCrash> crashes;
     std::set<EndpointCrash> cleared;
     int trials = 0;
@@ -181,30 +185,31 @@
     TimePoint last_crash{};
     TimePoint quarantined_until{};
   };
-  using Records = std::map<RequestFingerprint, Record>;
+  using CrashHistories = std::map<RequestFingerprint, CrashHistory>;
 
-  static bool IsExpired(const Record& record, TimePoint now);
+  static bool IsExpired(const CrashHistory& record, TimePoint now);
   // Returns whether a trial of any request started within kTrialSpacing.
   bool IsTrialRunning(TimePoint now) const;
-  // Drops the record's crashes and trials.
-  static void ClearCrashes(Record* record);
+  // Drops the crashes that count against the request, and its trials.
+  static void ClearCrashes(CrashHistory* record);
   // Returns the record of `request`, or null if it is new and there is no space
   // for it.
-  Record* FindOrCreate(const RequestFingerprint& request);
-  // Removes expired records, and the older half of the records with fewer than
-  // kMinSharedCrashes crashes.
+  CrashHistory* FindOrCreate(const RequestFingerprint& request);
+  // Removes expired records, and the older half of the other records with fewer
+  // than kMinSharedCrashes crashes.
   void EvictOldRecords();
-  CrashReport MakeReport(const Records::value_type& entry) const;
-  std::vector<const Records::value_type*> SharedRecords() const;
+  CrashReport MakeReport(const CrashHistories::value_type& entry) const;
+  std::vector<const CrashHistories::value_type*> SharedRecords() const;
 
-  // To be called whenever a record changes.
+  // Must be called whenever a record changes.
   void InvalidateDigest() { digest_.reset(); }
 
   MonotonicClock clock_;
-  Records records_;
+  CrashHistories records_;
   // Start of the last trial of any request, on this host or another.
   std::optional<TimePoint> last_trial_;
-  // Cached, since hosts send the digest with every message.
+  // Cached result of SharedDigest, since hosts send the digest with every
+  // message; unset if it must be computed again.
   mutable std::optional<std::uint64_t> digest_;
 };
 
--- a/include/harecrank/core/retry_budget.h
+++ b/include/harecrank/core/retry_budget.h
@@ -8,7 +8,8 @@
 
 namespace harecrank {
 
-// Limits retries to a fixed percentage of first attempts.
+// Limits the retries of this host to a configured percentage of its first
+// attempts.
 //
 // Each first attempt earns `percent` hundredths of a retry, and each retry
 // costs a whole one. An initial reserve allows a host with little traffic to
@@ -17,10 +18,10 @@
  public:
   explicit RetryBudget(int percent);
 
-  // Changes the percentage for later attempts.
+  // Changes the percentage that later first attempts earn.
   void SetPercent(int percent);
 
-  // Records a first attempt.
+  // Records the first attempt of a request, which earns a part of a retry.
   void OnFirstAttempt();
 
   // Returns how many retries are left.
@@ -31,6 +32,7 @@
 
  private:
   std::atomic<std::int64_t> percent_;
+  // Balance in hundredths of a retry.
   std::atomic<std::int64_t> hundredths_;
 };
 
--- a/include/harecrank/core/retry_policy.h
+++ b/include/harecrank/core/retry_policy.h
@@ -13,7 +13,7 @@
 
 namespace harecrank {
 
-// The ways in which an attempt ends without a complete response.
+// The ways in which one attempt of a request ends without a complete response.
 struct AttemptRejected {
   std::string code;
   std::string message;
@@ -31,7 +31,8 @@
 using AttemptEnd = std::variant<AttemptRejected, AttemptFailed, AttemptLost,
                                 AttemptTimedOut, CallerDisconnected>;
 
-// The decision after such an attempt.
+// What to do after an attempt without a complete response: try another
+// endpoint, or send `refusal` to the caller.
 struct TryElsewhere {};
 struct GiveUp {
   Refusal refusal;
@@ -49,15 +50,17 @@
   kNever,
 };
 
-// Tracks the attempts of one request. Not thread-safe.
+// Decides after each failed attempt of one request whether it is retried at
+// another endpoint, within the retry mode, the deadline, the retry budget and
+// kMaxAttempts. Not thread-safe.
 class RetryPolicy {
  public:
   // `budget` is shared by all requests and must outlive this object.
   RetryPolicy(RetryMode mode, TimePoint deadline, MonotonicClock clock,
               RetryBudget* budget);
 
-  // Returns the step after an attempt that ended with `end`, given the evidence
-  // on that attempt.
+  // Returns what to do after an attempt that ended with `end`. `evidence` tells
+  // how far this attempt progressed.
   AttemptStep Next(const AttemptEnd& end, const AttemptEvidence& evidence);
 
   // Returns the response for the caller if no endpoint is found for the next
@@ -76,7 +79,8 @@
   MonotonicClock clock_;
   RetryBudget* budget_;
   int attempts_ = 1;
-  // The weakest outcome that has been proven for any attempt.
+  // The weakest outcome of any attempt so far; kUnknown is the weakest, kNotRun
+  // the strongest.
   Outcome weakest_outcome_ = Outcome::kNotRun;
   std::optional<Refusal> last_refusal_;
 };
--- a/include/harecrank/core/start_limit.h
+++ b/include/harecrank/core/start_limit.h
@@ -10,30 +10,33 @@
 
 namespace harecrank {
 
-// What a request is started for at an endpoint.
+// Why a host starts a request at an endpoint.
 enum class StartKind {
   // The endpoint answers the request.
   kRequest,
-  // The endpoint prefills a part of the prompt for another endpoint.
+  // The endpoint prefills a part of a long prompt for the endpoint that answers
+  // the request.
   kPrefillPart
 };
 
-// All hosts together keep to `max_starts` and `per_second`, each scaled by
-// `multiplier`.
+// Limit on the requests that all hosts together start at one endpoint.
+// `max_starts` and `per_second` are each multiplied by `multiplier`.
 struct StartLimit {
   // Maximum number of starts within `window`.
   double max_starts = 0;
-  // Two starts that are decided on at least this far apart do not count
-  // together.
+  // Length of the sliding window in which starts are counted, by the time at
+  // which a host decides on them.
   Millis window{0};
-  // Long-term rate of starts per second; unset if only `max_starts` applies.
+  // Maximum long-term rate in starts per second; unset if only `max_starts`
+  // applies.
   std::optional<double> per_second;
-  // Factor by which the limit is raised: 1 while its cause lasts, growing
-  // afterwards until the limit is lifted.
+  // Factor by which the limit is raised: 1 while the cause of the limit lasts,
+  // then growing until the limit is lifted.
   double multiplier = 1;
-  // Time at which the limit came into force.
+  // Time from which the limit has applied.
   TimePoint since{};
-  // No request starts before this time. Unset if the limit admits some at once.
+  // No request starts before this time. The default, a time in the past, means
+  // that requests may start at once.
   TimePoint not_before{};
 };
 
--- a/include/harecrank/core/start_quotas.h
+++ b/include/harecrank/core/start_quotas.h
@@ -1,22 +1,23 @@
 // Limits the requests that all hosts together start at an endpoint.
 //
-// An endpoint that has just started, or has turned cold while it served, takes
-// only a few requests per second and fails above that. An overloaded endpoint
-// names the rate that it takes. No host sees what all hosts send: links fail,
-// two planners may each take themselves for the only one, and a new planner
-// does not know which placements its predecessor made. So each host keeps to a
-// quota of its own, no matter who chose the endpoint, and the quotas add up to
-// at most the limit:
+// A cold endpoint, one that has recently started or has reported that it is
+// cold again, accepts only a few requests per second and fails above this rate.
+// An overloaded endpoint advertises the rate that it accepts. No host sees what
+// all hosts send: links fail, two planners may each act as the only one, and a
+// new planner does not know which placements its predecessor made. So each host
+// keeps to its own quota, whether it or a planner chose the endpoint, and the
+// quotas add up to at most the limit:
 //
 //   limit of 53 requests per second, 24 hosts: 2 from each, 48 in all
 //   limit of 53, 300 hosts: 1 from each of about 27 hosts, which are chosen by
 //   a hash of host and endpoint
 //
 // The planner applies the same rule to the placements that it makes for each
-// host, so that a host seldom has to refuse one.
+// host, so that a host seldom has to refuse a placement.
 //
 // A back-off hint from an endpoint applies only to the host that received it,
-// and limits the return of that host in the same way.
+// and limits the requests that this host starts after the back-off in the same
+// way.
 
 #ifndef HARECRANK_CORE_START_QUOTAS_H_
 #define HARECRANK_CORE_START_QUOTAS_H_
@@ -43,7 +44,8 @@
 
 namespace harecrank {
 
-// Recent request starts by host and endpoint. Not thread-safe.
+// Remembers when each host recently started requests at each endpoint. Not
+// thread-safe.
 class StartHistory {
  public:
   explicit StartHistory(MonotonicClock clock);
@@ -61,13 +63,13 @@
                                      const EndpointId& endpoint,
                                      std::size_t n) const;
 
-  // All starts within this time are remembered. It is the longest window of any
-  // limit.
+  // How long every start is remembered: the longest window of any start limit.
   static constexpr Millis kWindow = EndpointRateLimits::kWindow;
-  // The latest start of a host at an endpoint is remembered for this long.
+  // How long the latest start of a host at an endpoint is remembered.
   static constexpr Millis kLastRemembered{60000};
 
  private:
+  // The host that started requests, and the endpoint at which it did.
   using Key = std::pair<HostAddress, EndpointId>;
 
   // Drops the starts that no longer need to be remembered.
@@ -75,30 +77,31 @@
 
   MonotonicClock clock_;
   TimePoint last_sweep_;
-  // Oldest first.
+  // Times of the remembered starts, oldest first.
   std::map<Key, std::deque<TimePoint>> starts_;
 };
 
-// When and how fast a host may start requests of a service.
+// When and how fast a host may start requests at a set of endpoints of a
+// service.
 struct StartAvailability {
   // Earliest time at which any of the endpoints admits a request; not in the
   // future if one admits it at once.
   TimePoint next{};
   // Requests per second, summed over the endpoints.
   double per_second = 0;
-  // Time until which all endpoints have asked the host to back off; in the past
-  // if one of them has not.
+  // Time until which all of the endpoints have asked the host to back off; in
+  // the past if at least one endpoint has not asked for a back-off.
   TimePoint backoff_until{};
 };
 
-// The back-off hints that one host has received.
+// The back-offs that endpoints have asked one host for.
 struct HostBackoffs {
   HostAddress host;
   const EndpointBackoffs* backoffs = nullptr;
 };
 
-// Computes each host's quotas under the limits of all endpoints. Not
-// thread-safe.
+// Decides when each host may start requests at the endpoints that have a start
+// limit, so that all hosts together keep to the limit. Not thread-safe.
 class StartQuotas {
  public:
   // `cold_endpoints`, `rate_limits` and the `backoffs` of `own_backoffs`, which
@@ -109,9 +112,9 @@
               std::function<std::optional<int>()> hosts, MonotonicClock clock);
 
   // Returns the smallest quota of `host` under the limits that apply at
-  // `endpoint`: the number of requests that it may start within the window of
-  // that limit. It is a whole number unless the limit is being lifted. Returns
-  // nothing if no limit applies now.
+  // `endpoint`: the number of requests that the host may start within the
+  // window of the limit with the smallest quota. The quota is a whole number
+  // unless the limit is being lifted. Returns nothing if no limit applies now.
   std::optional<double> QuotaOf(const HostAddress& host,
                                 const EndpointId& endpoint,
                                 const ServiceProfile& service) const;
@@ -120,7 +123,7 @@
   // The starts are spread evenly over time, with a different phase for each
   // host: if all hosts used their quotas at the start of a window, the endpoint
   // would get a burst and then nothing. If the quota is zero, returns the time
-  // at which to check again.
+  // at which the caller should check again.
   TimePoint NextStart(const StartHistory& starts, const HostAddress& host,
                       const EndpointId& endpoint, const ServiceProfile& service,
                       StartKind kind = StartKind::kRequest) const;
@@ -130,16 +133,19 @@
                 const EndpointId& endpoint, const ServiceProfile& service,
                 StartKind kind = StartKind::kRequest) const;
 
-  // Likewise for all parts of `placement`, including those at its helpers.
+  // Returns whether `host` may start all requests of `placement` now: the one
+  // at its endpoint, and the prefill of prompt parts at its helpers.
   bool MayStart(const StartHistory& starts, const HostAddress& host,
                 const Placement& placement,
                 const ServiceProfile& service) const;
 
-  // Adds the parts of `placement` that count toward a limit to `starts`.
+  // Records in `starts` that `host` starts `placement`: the start at its
+  // endpoint and those at its helpers, as far as they count toward a limit.
   void Add(const Placement& placement, const ServiceProfile& service,
            const HostAddress& host, StartHistory* starts) const;
 
-  // Returns the endpoints at which `host` may not start a request now.
+  // Returns the endpoints with a start limit at which `host` may not start a
+  // request now.
   std::set<EndpointId> Withheld(const StartHistory& starts,
                                 const HostAddress& host,
                                 const ServiceProfile& service) const;
@@ -163,8 +169,13 @@
     TimePoint first{};
   };
 
+  // Returns the start limit of a cold or recently cold endpoint, or nothing if
+  // there is none.
   std::optional<StartLimit> ColdLimitOf(const EndpointId& endpoint,
                                         const ServiceProfile& service) const;
+  // Returns the start limit from a back-off that `endpoint` has asked `host`
+  // for. Returns nothing if there is none, or if `host` is not the host of
+  // `own_backoffs_`.
   std::optional<StartLimit> BackoffLimitOf(const HostAddress& host,
                                            const EndpointId& endpoint) const;
   // Returns the limits that apply to the starts of `host` at `endpoint`.
@@ -182,7 +193,7 @@
   TimePoint NextStartUnder(const StartLimit& limit, const StartHistory& starts,
                            const HostAddress& host,
                            const EndpointId& endpoint) const;
-  // Returns whether cold endpoints of `service` have a limit.
+  // Returns whether cold endpoints of `service` have a start limit.
   bool LimitsColdStarts(const ServiceProfile& service) const;
   // Returns whether starts at `endpoint` count toward a limit that applies now
   // or may apply soon.
@@ -193,6 +204,8 @@
   const ColdEndpoints* cold_endpoints_;
   const EndpointRateLimits* rate_limits_;
   HostBackoffs own_backoffs_;
+  // Returns the largest number of hosts that the fleet may have, or nothing
+  // while that is unknown.
   std::function<std::optional<int>()> hosts_;
   MonotonicClock clock_;
 };
--- a/include/harecrank/core/ticket_registry.h
+++ b/include/harecrank/core/ticket_registry.h
@@ -1,9 +1,10 @@
 // Tickets give at-most-once execution to requests that must not be repeated.
 //
 // A ticket names one endpoint and one incarnation of its sidecar. Only the
-// memory of that process records whether it has been spent, so it can be spent
-// at most once: a restarted sidecar has a new incarnation and grants none of
-// the tickets of earlier ones. docs/DESIGN.md compares the alternatives.
+// memory of that sidecar process records whether the ticket has been spent, so
+// it can be spent at most once: a restarted sidecar has a new incarnation and
+// does not accept tickets of earlier incarnations. docs/DESIGN.md compares the
+// alternatives.
 
 #ifndef HARECRANK_CORE_TICKET_REGISTRY_H_
 #define HARECRANK_CORE_TICKET_REGISTRY_H_
@@ -33,7 +34,7 @@
 // Parses the output of FormatTicket. Returns nothing if `text` is not a ticket.
 std::optional<Ticket> ParseTicket(const std::string& text);
 
-// Result of redeeming or revoking a ticket.
+// Result of redeeming (spending) or revoking a ticket.
 enum class Redemption {
   // This call has spent the ticket. The holder may run the request.
   kGranted,
@@ -43,12 +44,13 @@
   // run.
   kEndedUnspent,
   // The ticket belongs to another incarnation, endpoint or account, or its
-  // record has been dropped. Whether the request has run is not known here.
+  // record has been dropped. This sidecar does not know whether the request has
+  // run.
   kUnknownTicket,
 };
 
-// The tickets that one incarnation of a sidecar has issued. Not thread-safe;
-// the owner serialises calls.
+// Issues the tickets of one incarnation of a sidecar, and ensures that each is
+// spent at most once. Not thread-safe; the owner serialises calls.
 class TicketRegistry {
  public:
   // Holds at most `limit` tickets.
@@ -56,11 +58,11 @@
                  std::size_t limit, MonotonicClock clock, RandomSource random);
 
   // Issues a ticket that `account` may spend within `ttl`. Returns nothing if
-  // the registry is full. Records of expired tickets are dropped here.
+  // the registry is full. Also drops, from time to time, the records of tickets
+  // that expired more than one `ttl` ago.
   std::optional<Ticket> Issue(const AccountId& account, Millis ttl);
 
-  // Spends a ticket. A ticket is granted at most once, whatever other calls are
-  // made.
+  // Spends a ticket. Returns kGranted at most once per ticket.
   Redemption Redeem(const Ticket& ticket, const AccountId& account);
 
   // Revokes an unspent ticket. Returns kEndedUnspent if the request certainly
@@ -72,6 +74,7 @@
 
  private:
   enum class State { kUnspent, kSpent, kEnded };
+  // An issued ticket.
   struct Entry {
     AccountId account;
     State state = State::kUnspent;
--- a/include/harecrank/core/wait_queue.h
+++ b/include/harecrank/core/wait_queue.h
@@ -17,8 +17,9 @@
 namespace harecrank {
 
 // Sort key of waiting requests, smallest first. For a request that can still
-// meet its latency target this is its slack: the time left before its prefill
-// must begin. Requests that cannot meet it have larger values than any slack.
+// meet its latency target, the urgency is the slack: the time left before its
+// prefill must begin. Requests that cannot meet it have larger values than any
+// slack.
 using Urgency = FractionalMillis;
 
 // Identifies one request in a WaitQueue.
@@ -32,14 +33,15 @@
   FractionalMillis prefill_time{0};
   // Prefill time of the prompt on a single engine.
   FractionalMillis work{0};
-  // The request was rejected earlier and has returned at the time it was given.
-  // Among requests past their target it goes before those without a
-  // reservation.
+  // The request is the retry of a rejected one, for which capacity was
+  // reserved. Among requests that can no longer meet their latency target, it
+  // goes before those without a reservation.
   bool has_reservation = false;
   // From this time on the request goes before all others: one latency target
-  // later it would be too late to serve it at all.
+  // later it could no longer finish before its caller gives up.
   TimePoint urgent_from = TimePoint::max();
-  // The engine time that is charged to the account's fair share.
+  // The account and the engine time that the request counts for in the
+  // account's fair share.
   ShareClaim claim{};
 };
 
@@ -50,18 +52,18 @@
 // Returns the urgency of `request` at `now`.
 Urgency UrgencyOf(const WaitingRequest& request, TimePoint now);
 
-// Orders for requests that can still meet their latency targets.
+// Queue orders for requests that can still meet their latency targets.
 //
-// Least slack first. Best while the engines can serve all requests within their
-// targets.
+// Serves the request with the least slack first. Best while the engines can
+// serve all requests within their targets.
 struct LeastSlackFirst {};
-// Most slack first; of requests with equal targets this is the newest. Under
-// overload the request with the least slack misses its target at the smallest
-// prediction error.
+// Serves the request with the most slack first; among requests with equal
+// latency targets this is the newest. Suited to overload, where a request with
+// the least slack would miss its target at the smallest prediction error.
 struct MostSlackFirst {};
-// Least engine time first. The attention cost of a prompt grows with the square
-// of its length, so under overload this serves more of the smaller prompts and
-// fewer of the largest.
+// Serves the request with the least engine time first. The attention cost of a
+// prompt grows with the square of its length, so under overload this serves
+// more of the smaller prompts and fewer of the largest.
 struct LeastWorkFirst {};
 using QueueOrder =
     std::variant<LeastSlackFirst, MostSlackFirst, LeastWorkFirst>;
@@ -86,17 +88,18 @@
   // here.
   void OnGranted(const ShareClaim& claim);
 
-  // Returns the rank of a claim that is not in the queue against those that
-  // are. Always kEqual without `shares_by_account`.
+  // Returns how a new request with `claim` ranks against the requests in the
+  // queue. Always kEqual without `shares_by_account`.
   ShareRank ShareRankOf(const ShareClaim& claim) const;
 
-  // Number of accounts with waiting requests, and of those among them that are
-  // over their fair share. Both are zero without `shares_by_account`.
+  // Return the number of accounts with waiting requests, and how many of these
+  // accounts are over their fair share. Both are zero without
+  // `shares_by_account`.
   std::size_t WaitingAccounts() const;
   std::size_t OverShareAccounts() const;
 
-  // Clears the record of granted engine time. Called when another host has made
-  // the placements meanwhile, so that the local record is out of date.
+  // Clears the record of granted engine time. Must be called when another host
+  // has made placements for a time, since the local record is then out of date.
   void ForgetGrants();
 
   // Returns the first `limit` requests in queue order, or all if there are
@@ -108,8 +111,8 @@
     return requests_.at(id);
   }
 
-  // Returns the total work of the requests that can still meet their latency
-  // targets, and of those that cannot.
+  // Return the total work of the requests that can still meet their latency
+  // targets (WorkInTime), and of those that cannot (LateWork).
   FractionalMillis WorkInTime() const;
   FractionalMillis LateWork() const;
 
--- a/src/core/endpoint_health.cc
+++ b/src/core/endpoint_health.cc
@@ -8,7 +8,8 @@
 
 // Weight of the latest sample in the exponential moving averages.
 constexpr double kSmoothingFactor = 0.15;
-// Upper limit on a single sample, so that one outlier cannot dominate the mean.
+// Upper limit on a single slowdown sample, so that one outlier cannot dominate
+// the mean.
 constexpr double kMaxSlowdown = 10;
 
 void UpdateMean(double* mean, double newest) {
--- a/src/core/endpoint_scheduler.cc
+++ b/src/core/endpoint_scheduler.cc
@@ -12,7 +12,7 @@
 constexpr double kMillisPerSecond = 1000.0;
 constexpr Millis kRetryAfterFull{1000};
 constexpr Millis kRateWindow{500};
-// Weight of a new measurement that is below the estimated rate.
+// Weight of a new throughput measurement that is below the estimate.
 constexpr double kRateDecay = 0.05;
 
 struct CodeOf {
@@ -110,7 +110,8 @@
       break;
     }
     if (running_.empty()) {
-      // Idle time does not count toward the throughput estimate.
+      // Restarts the measurement, since idle time must not lower the throughput
+      // estimate.
       rate_window_start_ = now;
       rate_window_tokens_ = 0;
     }
@@ -163,8 +164,8 @@
   std::vector<std::uint64_t> ended;
   leases_.DropExpired();
   for (auto run = running_.begin(); run != running_.end();) {
-    // Other LeaseTable operations also drop expired leases, so the return value
-    // of DropExpired is not complete.
+    // Checks every lease instead of using the return value of DropExpired,
+    // because other LeaseTable operations also drop expired leases.
     if (leases_.Holds(run->second.lease)) {
       ++run;
       continue;
@@ -220,9 +221,9 @@
   const double measured = rate_window_tokens_ / window.count();
   // The measured throughput underestimates the capacity of the endpoint when it
   // has little work. So the estimate rises at once and falls slowly. An
-  // estimate that is too low rejects work that could have been done, which is
-  // the worse error: work that cannot be done in time is still dropped at its
-  // deadline.
+  // estimate that is too low is worse than one that is too high: it rejects
+  // requests that could have been served, whereas a request that cannot start
+  // in time is still dropped at its deadline.
   rate_ = measured > rate_ ? measured : rate_ + kRateDecay * (measured - rate_);
   rate_window_tokens_ = 0;
   rate_window_start_ = now;
--- a/src/core/fair_queue.cc
+++ b/src/core/fair_queue.cc
@@ -101,8 +101,9 @@
   if (!waiting_.empty()) {
     return;
   }
-  // Clears the tags of an idle queue, so that a flow that was served while no
-  // other waited is not delayed for it when others arrive.
+  // Clears the tags of an empty queue. Otherwise a flow that was served while
+  // no other flow waited would be delayed for this service when other flows
+  // arrive.
   finish_tags_.clear();
   virtual_time_ = 0;
 }
--- a/src/core/lease_table.cc
+++ b/src/core/lease_table.cc
@@ -20,8 +20,8 @@
 }
 
 boost::leaf::result<void> LeaseTable::Renew(LeaseId id, Millis duration) {
-  // A holder that was suspended past the end of its lease must learn so here,
-  // before it uses the memory.
+  // Expired leases must not be renewed: a holder that was suspended past the
+  // end of its lease must get an error here, before it uses the memory.
   DropExpired();
   const auto found = leases_.find(id);
   if (found == leases_.end()) {
--- a/src/core/outcome.cc
+++ b/src/core/outcome.cc
@@ -25,8 +25,9 @@
 }
 
 Outcome AttemptEvidence::Conclude() const {
-  // A reported start outweighs a later report that the request was not started:
-  // in doubt the weaker claim is made.
+  // A report that the request started outweighs a report that it did not: if
+  // reports contradict each other, the request must not be described as not
+  // run.
   if (run_failed_) {
     return Outcome::kFailed;
   }
--- a/src/core/repeat_budget.cc
+++ b/src/core/repeat_budget.cc
@@ -5,7 +5,8 @@
 namespace harecrank {
 namespace {
 
-// Number of slices in which a window is counted.
+// Number of slices into which the sliding window is divided. The window moves
+// on by whole slices.
 constexpr int kSlicesPerWindow = 20;
 
 }  // namespace
--- a/src/core/request_fingerprint.cc
+++ b/src/core/request_fingerprint.cc
@@ -13,7 +13,8 @@
   void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
 };
 
-// Hashes the length first, so that "ab" and "c" differ from "a" and "bc".
+// Adds `text` to the hash, preceded by its length, so that the texts "ab" and
+// "c" hash differently from "a" and "bc".
 void Add(XXH3_state_t* state, std::string_view text) {
   const std::uint64_t size = text.size();
   XXH3_128bits_update(state, &size, sizeof(size));
--- a/src/core/request_quarantine.cc
+++ b/src/core/request_quarantine.cc
@@ -37,7 +37,7 @@
 
 bool RequestQuarantine::OnCrash(const RequestFingerprint& request,
                                 const EndpointCrash& crash) {
-  Record* record = FindOrCreate(request);
+  CrashHistory* record = FindOrCreate(request);
   const bool is_new = record != nullptr && record->cleared.count(crash) == 0 &&
                       record->crashes.insert(crash).second;
   if (is_new) {
@@ -60,7 +60,7 @@
     return false;
   }
   InvalidateDigest();
-  Record& record = found->second;
+  CrashHistory& record = found->second;
   if (record.cleared.size() > kMaxCleared) {
     record.cleared.clear();
   }
@@ -69,7 +69,7 @@
   return true;
 }
 
-void RequestQuarantine::ClearCrashes(Record* record) {
+void RequestQuarantine::ClearCrashes(CrashHistory* record) {
   record->crashes.clear();
   record->trials = 0;
   record->failed_trials = 0;
@@ -80,7 +80,7 @@
   if (found == records_.end()) {
     return false;
   }
-  const Record& record = found->second;
+  const CrashHistory& record = found->second;
   const TimePoint now = clock_();
   if (record.crashes.size() < kCrashThreshold || IsExpired(record, now)) {
     return false;
@@ -129,7 +129,7 @@
   if (report.crashes.empty() && report.cleared.empty()) {
     return false;
   }
-  Record* record = FindOrCreate(report.request);
+  CrashHistory* record = FindOrCreate(report.request);
   if (record == nullptr) {
     return false;
   }
@@ -164,7 +164,7 @@
   if (found == records_.end()) {
     return false;
   }
-  const Record& record = found->second;
+  const CrashHistory& record = found->second;
   return !Contains(report.cleared, record.cleared) ||
          !Contains(report.crashes, record.crashes) ||
          report.trials < record.trials ||
@@ -181,9 +181,9 @@
 }
 
 CrashReport RequestQuarantine::MakeReport(
-    const Records::value_type& entry) const {
+    const CrashHistories::value_type& entry) const {
   const TimePoint now = clock_();
-  const Record& record = entry.second;
+  const CrashHistory& record = entry.second;
   return CrashReport{entry.first,
                      record.crashes,
                      record.cleared,
@@ -199,16 +199,16 @@
   return found == records_.end() ? 0 : found->second.crashes.size();
 }
 
-std::vector<const RequestQuarantine::Records::value_type*>
+std::vector<const RequestQuarantine::CrashHistories::value_type*>
 RequestQuarantine::SharedRecords() const {
-  std::vector<const Records::value_type*> shared;
-  for (const Records::value_type& entry : records_) {
+  std::vector<const CrashHistories::value_type*> shared;
+  for (const CrashHistories::value_type& entry : records_) {
     if (entry.second.crashes.size() >= kMinSharedCrashes) {
       shared.push_back(&entry);
     }
   }
-  // Records with equal counts stay in fingerprint order, so that hosts with the
-  // same data select the same records.
+  // Records with equal numbers of crashes stay in fingerprint order, so that
+  // hosts with the same data select the same records.
   std::stable_sort(shared.begin(), shared.end(),
                    [](const auto* a, const auto* b) {
                      return a->second.crashes.size() > b->second.crashes.size();
@@ -221,7 +221,7 @@
 
 std::vector<CrashReport> RequestQuarantine::SharedReports() const {
   std::vector<CrashReport> reports;
-  for (const Records::value_type* entry : SharedRecords()) {
+  for (const CrashHistories::value_type* entry : SharedRecords()) {
     reports.push_back(MakeReport(*entry));
   }
   return reports;
@@ -232,14 +232,14 @@
     return *digest_;
   }
   std::uint64_t digest = 0;
-  for (const Records::value_type* entry : SharedRecords()) {
+  for (const CrashHistories::value_type* entry : SharedRecords()) {
     const auto& [request, record] = *entry;
     std::string text =
         request.account.value + "\n" + std::to_string(request.high) + "\n" +
         std::to_string(request.low) + "\n" + std::to_string(record.trials) +
         "\n" + std::to_string(record.failed_trials) + "\n";
     AppendTo(&text, record.crashes);
-    // Combined with XOR, since the order of the records does not matter.
+    // XOR makes the digest independent of the order of the records.
     digest ^= XXH3_64bits(text.data(), text.size());
   }
   digest_ = digest;
@@ -249,12 +249,12 @@
 std::size_t RequestQuarantine::QuarantinedCount() const {
   return static_cast<std::size_t>(
       std::count_if(records_.begin(), records_.end(),
-                    [this](const Records::value_type& entry) {
+                    [this](const CrashHistories::value_type& entry) {
                       return IsQuarantined(entry.first);
                     }));
 }
 
-bool RequestQuarantine::IsExpired(const Record& record, TimePoint now) {
+bool RequestQuarantine::IsExpired(const CrashHistory& record, TimePoint now) {
   const Millis retention = record.crashes.size() > kCrashThreshold
                                ? kProvenRetention
                                : kCrashRetention;
@@ -269,13 +269,13 @@
   }
 }
 
-RequestQuarantine::Record* RequestQuarantine::FindOrCreate(
+RequestQuarantine::CrashHistory* RequestQuarantine::FindOrCreate(
     const RequestFingerprint& request) {
   const auto found = records_.find(request);
   if (found != records_.end()) {
     if (IsExpired(found->second, clock_())) {
       InvalidateDigest();
-      found->second = Record{};
+      found->second = CrashHistory{};
     }
     return &found->second;
   }
--- a/src/core/retry_budget.cc
+++ b/src/core/retry_budget.cc
@@ -4,9 +4,10 @@
 namespace {
 
 constexpr std::int64_t kOneRetry = 100;
-// Initial balance, which a host may spend before its first attempts have earned
-// any.
+// Initial balance: ten retries, which a host may spend before its first
+// attempts have earned any.
 constexpr std::int64_t kInitialBalance = 10 * kOneRetry;
+// First attempts add nothing to a balance of at least this value.
 constexpr std::int64_t kMaxBalance = 100 * kOneRetry;
 
 }  // namespace
--- a/src/core/retry_policy.cc
+++ b/src/core/retry_policy.cc
@@ -74,7 +74,8 @@
   bool operator()(const CallerDisconnected&) const { return false; }
 };
 
-// Returns the weaker of two claims.
+// Returns the outcome that asserts less: kUnknown before kFailed before
+// kNotRun.
 Outcome Weaker(Outcome a, Outcome b) {
   if (a == Outcome::kUnknown || b == Outcome::kUnknown) {
     return Outcome::kUnknown;
--- a/src/core/start_quotas.cc
+++ b/src/core/start_quotas.cc
@@ -9,14 +9,16 @@
 namespace harecrank {
 namespace {
 
-// The number of hosts that the hash chooses may exceed its mean by this many
-// standard deviations without exceeding the limit.
+// If a limit is too small for all hosts, a hash chooses the hosts that may
+// start requests. The number of chosen hosts varies; it may exceed its mean by
+// this many standard deviations before the limit is exceeded.
 constexpr double kDeviations = 5;
-// At intervals shorter than this, all starts of this time may come as one
-// burst. Requests do not arrive evenly, and one that is held back has to wait
-// or go to another endpoint.
+// A host may use all starts of this period in one burst if its interval between
+// starts is shorter. Requests do not arrive evenly, and a delayed request has
+// to wait or go to another endpoint.
 constexpr FractionalMillis kBurstTime{100};
-// The previous start must still be remembered when the next one is due.
+// Longest interval between two starts of a host. The previous start must still
+// be remembered when the next one is due.
 constexpr FractionalMillis kMaxInterval{StartHistory::kLastRemembered};
 constexpr double kMillisPerSecond = 1000;
 
@@ -138,7 +140,7 @@
                                               const ServiceProfile& service,
                                               StartKind kind) const {
   std::vector<StartLimit> limits;
-  // The limit of a cold endpoint does not count the parts of prompts that it
+  // The start limit of a cold endpoint does not apply to prompt parts that it
   // prefills for other endpoints.
   if (kind == StartKind::kRequest) {
     if (const auto cold = ColdLimitOf(endpoint, service)) {
@@ -256,8 +258,8 @@
                                     const EndpointId& endpoint,
                                     const ServiceProfile& service,
                                     StartKind kind) const {
-  // An endpoint may turn cold before this host learns of it, so starts count
-  // even while it is not known to be cold.
+  // An endpoint may turn cold before this host learns of it, so starts at
+  // endpoints that are not known to be cold count too.
   const bool may_turn_cold =
       kind == StartKind::kRequest && LimitsColdStarts(service);
   return may_turn_cold || rate_limits_->StartLimitOf(endpoint).has_value() ||
--- a/src/core/ticket_registry.cc
+++ b/src/core/ticket_registry.cc
@@ -75,7 +75,7 @@
     nonce = random_();
   }
   // The record is kept for a second `ttl` after the ticket expires, so that a
-  // late caller still learns what became of the ticket.
+  // caller who asks late still learns whether the ticket was spent.
   entries_.emplace(nonce,
                    Entry{account, State::kUnspent, now + ttl, now + ttl + ttl});
   return Ticket{endpoint_, incarnation_, nonce};
--- a/src/core/wait_queue.cc
+++ b/src/core/wait_queue.cc
@@ -13,15 +13,15 @@
   return Urgency(request.first_event_due - now) - request.prefill_time;
 }
 
-// Sort key under a QueueOrder, smallest first: the value that defines the
-// order, then the urgency.
+// Sort key of a request under a QueueOrder, smallest first: the value that the
+// order compares, then a tie-breaker.
 using SortKey = std::pair<FractionalMillis, Urgency>;
 
-// Sorts before the SortKey: whether the request is late, and whether its
-// account is over its share. Equal for all requests while no account is over
-// its share.
+// Compared before the SortKey, smallest first: whether the request can no
+// longer meet its latency target, and whether its account is over its fair
+// share. All requests have the same rank while no account is over its share.
 using Rank = std::pair<bool, bool>;
-// Smaller than any other key.
+// Sort key of requests past their `urgent_from`; smaller than any other key.
 constexpr SortKey kFirst{-1e9, -1e9};
 
 struct KeyOf {
@@ -50,8 +50,9 @@
 }
 
 Urgency UrgencyOf(const WaitingRequest& request, TimePoint now) {
-  // Larger than any slack, so that requests that cannot meet their target sort
-  // last, shortest prefill time first.
+  // Urgencies of late requests, with and without a reservation, to which the
+  // prefill time is added. They exceed any slack, so late requests sort last,
+  // shortest prefill time first within each group.
   constexpr Urgency kLateReserved{1e7};
   constexpr Urgency kLateUnreserved{2e7};
   const Urgency slack = SlackOf(request, now);
