--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -107,7 +107,8 @@
     FractionalMillis waiting{0};
     int claims = 0;
   };
-  // An account with waiting requests, as it enters the fair level.
+  // An account with waiting requests, as input to the computation of the fair
+  // level.
   struct Competitor {
     AccountId account;
     FractionalMillis granted{0};
--- a/include/harecrank/core/admission_control.h
+++ b/include/harecrank/core/admission_control.h
@@ -3,10 +3,10 @@
 // When more prompts arrive than the engines can prefill, each prompt without a
 // placement is either queued or rejected. Prompts that can meet their latency
 // target wait in queue order. Prompts that will miss it, but will still finish
-// before their caller gives up, wait for the capacity that prompts in time
-// leave unused. All others are rejected at once. A rejection guarantees that
-// the prompt has not run. It states when capacity is forecast to be free, and
-// this capacity is reserved for the caller's retry.
+// before their caller gives up, wait for the capacity that prompts within their
+// targets leave unused. All others are rejected at once. A rejection guarantees
+// that the prompt has not run. It states when capacity is forecast to be free,
+// and this capacity is reserved for the caller's retry.
 
 #ifndef HARECRANK_CORE_ADMISSION_CONTROL_H_
 #define HARECRANK_CORE_ADMISSION_CONTROL_H_
--- a/include/harecrank/core/capacity_forecast.h
+++ b/include/harecrank/core/capacity_forecast.h
@@ -105,7 +105,9 @@
   FractionalMillis until_late{0};
   // Time left until the caller gives the request up.
   FractionalMillis until_abandoned{0};
-  // Prefill time with all helpers.
+  // Prefill time of the prompt; that of a long prompt assumes the maximum
+  // number of helpers, which are other engines that prefill parts of the
+  // prompt.
   FractionalMillis prefill{0};
   // Decode time of the whole answer.
   FractionalMillis decode{0};
--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -6,8 +6,11 @@
 // running endpoints are removed too when the store is down for longer than
 // their leases; the endpoints write them again soon after the store has
 // recovered. The directory therefore keeps a removed entry for a grace period
-// only if the host's own polls of the store have failed for so long that the
-// lease may have lapsed. The grace period is never extended.
+// only if its lease may have lapsed: the host's own polls of the store have
+// failed for long enough, or a listing lacks more than a third of the known
+// entries. The grace period starts when the host learns of the removal, or in
+// the latter case when the directory previously matched the store. It is never
+// extended.
 
 #ifndef HARECRANK_CORE_ENDPOINT_DIRECTORY_H_
 #define HARECRANK_CORE_ENDPOINT_DIRECTORY_H_
--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -35,7 +35,8 @@
   void OnBytesReceived(const EndpointId& id);
 
   // Records that a request is overdue that has received nothing since `since`.
-  // This counts as a failure unless ReceivedBytesAfter(id, since) is true.
+  // This counts as a failure unless bytes of other requests have arrived from
+  // the endpoint, as determined by ReceivedBytesAfter(id, since).
   void OnOverdue(const EndpointId& id, TimePoint since);
 
   // Records a response that arrived in time but reported a failure. It raises
@@ -100,9 +101,13 @@
   struct State;
   void RecordFailure(State* state);
 
+  // Recent results of requests to one endpoint, and reports about it from other
+  // endpoints and hosts.
   struct State {
     int failures_in_a_row = 0;
+    // Until when this host's own failures open the circuit.
     TimePoint open_until{};
+    // Until when the endpoint is avoided because another endpoint reported it.
     TimePoint reported_until{};
     // Until when another host avoids the endpoint.
     TimePoint peer_avoids_until{};
--- a/include/harecrank/core/endpoint_scheduler.h
+++ b/include/harecrank/core/endpoint_scheduler.h
@@ -42,7 +42,8 @@
 struct SchedulerOptions {
   // KV memory of the engine.
   Tokens memory;
-  // Maximum number of waiting requests, and of running ones.
+  // Maximum number of waiting requests (`queue_limit`), and of running requests
+  // (`max_running`).
   std::size_t queue_limit = 512;
   std::size_t max_running = 64;
   // Weight of long requests relative to short ones, 1 to 100.
--- a/include/harecrank/core/http_status.h
+++ b/include/harecrank/core/http_status.h
@@ -19,7 +19,7 @@
 // it.
 constexpr int kMisdirected = 421;
 constexpr int kFailedDependency = 424;
-// The request needs a ticket for at-most-once execution and carries none.
+// The request needs a ticket, which ensures that it is executed at most once.
 constexpr int kPreconditionRequired = 428;
 constexpr int kTooManyRequests = 429;
 // Non-standard, for logs: the caller has disconnected.
--- a/include/harecrank/core/lease_table.h
+++ b/include/harecrank/core/lease_table.h
@@ -70,6 +70,7 @@
  private:
   struct Lease {
     Tokens amount;
+    // When the lease expires.
     TimePoint end;
   };
 
--- a/src/core/endpoint_directory.cc
+++ b/src/core/endpoint_directory.cc
@@ -8,8 +8,9 @@
 namespace harecrank {
 namespace {
 
-// If more than one third of the known entries is missing from a listing, their
-// leases are assumed to have lapsed, since endpoints leave one at a time.
+// If more than one in kLapseDivisor of the known entries is missing from a
+// listing, their leases are assumed to have lapsed, since endpoints leave one
+// at a time.
 constexpr std::size_t kLapseDivisor = 3;
 // Interval at which the index of usable endpoints is rebuilt while a restored
 // data centre ramps up.
