--- a/include/harecrank/core/active_config.h
+++ b/include/harecrank/core/active_config.h
@@ -1,4 +1,4 @@
-// The configuration in force in this process. Its revision never decreases.
+// Keeps the active configuration of this process. Its revision never decreases.
 
 #ifndef HARECRANK_CORE_ACTIVE_CONFIG_H_
 #define HARECRANK_CORE_ACTIVE_CONFIG_H_
@@ -26,26 +26,27 @@
 
 // The outcome of an offered configuration.
 enum class OfferResult {
-  // The configuration is now in force.
+  // Accepted: the offered configuration is now active.
   kAdopted,
-  // The configuration was in force already.
+  // No effect: the offered configuration is already active.
   kAlreadyInForce,
-  // Rejected: the revision is lower than the one in force.
+  // Rejected: the offered revision is lower than the active one.
   kOlder,
-  // Rejected and reported: the revision is the one in force, but the content
-  // differs.
+  // Rejected and reported: the offered configuration has the same revision as
+  // the active one but other content.
   kConflict,
-  // Rejected as a whole: the document or the change is invalid.
+  // Rejected: the document, or the result of the change, is invalid. No part of
+  // it is used.
   kInvalid,
-  // Rejected: the base of the change is not in force. The whole document is
-  // needed.
+  // Rejected: the active configuration is not the base of the change. The
+  // offering process has to send the whole document.
   kMissingBase,
 };
 
 // Returns the name of `outcome` in logs and metrics.
 const char* OfferResultName(OfferResult outcome);
 
-// Status of ActiveConfig for operators.
+// Status of an ActiveConfig, reported to operators.
 struct ActiveConfigState {
   Revision revision;
   Digest digest;
@@ -60,54 +61,56 @@
   std::string last_fault;
 };
 
-// Holds the valid configuration with the highest revision that this process has
-// been offered.
+// Holds the active configuration: the valid one with the highest revision that
+// this process has been offered.
 //
 // Thread-safe. InForce() is wait-free; offers are serialised.
 class ActiveConfig {
  public:
   ActiveConfig();
 
-  // Offers a whole document, which comes into force if it is valid and has a
-  // higher revision.
+  // Offers a whole document. It becomes active if it is valid and has a higher
+  // revision than the active configuration.
   OfferResult OfferDocument(const std::string& document_json,
                             ConfigSource source);
 
-  // Offers a change, which comes into force if its base is in force and its
-  // result is valid.
+  // Offers a change. Its result becomes active if the active configuration is
+  // the base of the change and the result is valid.
   OfferResult OfferChange(const v1::Change& change, ConfigSource source);
 
-  // Returns the configuration in force, or null if there is none yet.
+  // Returns the active configuration, or null if there is none yet.
   std::shared_ptr<const Configuration> InForce() const;
 
-  // Returns the changes that lead from `have` to the configuration in force, or
-  // nothing if some of them are no longer stored. Empty if `have` is in force.
+  // Returns the changes that lead from the configuration with the digest `have`
+  // to the active one, or nothing if some of them are no longer stored. The log
+  // is empty if `have` is the digest of the active configuration.
   std::optional<v1::ChangeLog> ChangesSince(const Digest& have) const;
 
   // Returns the stored changes, oldest first.
   v1::ChangeLog RecentChanges() const;
 
-  // Returns the change that led to the configuration in force, or nothing if it
-  // was offered as a whole document.
+  // Returns the change that produced the active configuration, or nothing if
+  // that configuration was offered as a whole document.
   std::optional<v1::Change> LatestChange() const;
 
   ActiveConfigState State() const;
 
-  // The most changes that are stored, for peers that lag by a few revisions.
+  // Maximum number of stored changes. Peers that lag by at most as many
+  // revisions receive changes instead of the whole document.
   static constexpr std::size_t kMaxRecentChanges = 64;
 
  private:
+  // The active configuration, or null, and its origin.
   struct Current {
     std::shared_ptr<const Configuration> configuration;
     ConfigSource source = ConfigSource::kNone;
   };
 
-  // Compares an offer with the configuration in force. Returns kAdopted if the
+  // Compares an offer with the active configuration. Returns kAdopted if the
   // offered revision is higher, otherwise why the offer is rejected. A conflict
-  // is recorded in state_. Requires mutex_ to be held, as the next two
-  // functions do.
+  // is recorded in state_. Requires mutex_ to be held.
   OfferResult CompareWithCurrent(Revision revision, const Digest& digest);
-  // Counts `outcome` in state_ and returns it.
+  // Counts `outcome` in state_ and returns it. Requires mutex_ to be held.
   OfferResult Count(OfferResult outcome);
   void Adopt(std::shared_ptr<const Configuration> next, ConfigSource source);
 
@@ -115,8 +118,8 @@
   RcuCell<Current> current_;
   // Oldest first.
   std::deque<v1::Change> recent_changes_;
-  // Digests of documents that a change failed to produce, so that the same
-  // invalid change from another peer is rejected without another validation.
+  // Digests stated by changes that failed to apply. If another peer offers the
+  // same invalid change, it is rejected without being validated again.
   std::set<std::string> invalid_digests_;
   ActiveConfigState state_;
 };
--- a/include/harecrank/core/answer_assembler.h
+++ b/include/harecrank/core/answer_assembler.h
@@ -1,4 +1,4 @@
-// Assembles one answer from the tokens of one or several attempts.
+// Assembles one answer from the tokens of one or several attempts at a request.
 
 #ifndef HARECRANK_CORE_ANSWER_ASSEMBLER_H_
 #define HARECRANK_CORE_ANSWER_ASSEMBLER_H_
@@ -16,17 +16,18 @@
   std::string text;
 };
 
-// Delivers each position exactly once and in order, although attempts may
-// repeat, reorder or skip ahead of positions. Not thread-safe.
+// Merges the tokens of all attempts at one request into one answer. Delivers
+// the token of each position exactly once and in order, although an attempt may
+// repeat positions, send them out of order or skip some. Not thread-safe.
 class AnswerAssembler {
  public:
   // Accepts a token and returns all tokens that can now be delivered, in order.
-  // Ignores positions that have been delivered. Buffers positions ahead of
-  // NextPosition() up to a fixed number and drops the others.
+  // Ignores tokens whose position has been delivered. Buffers tokens ahead of
+  // NextPosition() and drops them if the buffer is full.
   std::vector<AnswerToken> Accept(AnswerToken token);
 
-  // Returns the first position that has not been delivered, which is where
-  // another attempt must resume.
+  // Returns the first position that has not been delivered, at which another
+  // attempt must resume.
   std::int64_t NextPosition() const { return next_; }
 
  private:
--- a/include/harecrank/core/change_planner.h
+++ b/include/harecrank/core/change_planner.h
@@ -1,5 +1,5 @@
-// Plans changes of the configuration for operators. Planning has no effect: the
-// operator publishes the planned values.
+// Plans changes of the configuration for operators. Planning does not change
+// the active configuration: the operator publishes the planned values.
 
 #ifndef HARECRANK_CORE_CHANGE_PLANNER_H_
 #define HARECRANK_CORE_CHANGE_PLANNER_H_
@@ -13,19 +13,19 @@
 
 namespace harecrank {
 
-// The base of the request is no longer in force.
+// Planning failed: the active configuration is not the base of the request.
 struct StaleBase {
   Revision requested;
   Revision in_force;
 };
-// The request names no change, or a change without effect.
+// Planning failed: the request names no change, or a change without effect.
 struct EmptyChange {};
-// The object to remove does not exist.
+// Planning failed: the object to remove does not exist.
 struct UnknownObject {
   std::string kind;
   std::string id;
 };
-// The planned document is invalid.
+// Planning failed: the planned document is invalid.
 struct InvalidPlan {
   std::vector<ConfigProblem> problems;
 };
@@ -35,15 +35,17 @@
 // Returns a description of `error` for operators.
 std::string Describe(const PlanError& error);
 
-// Returns the values to publish so that `request` comes into force on top of
-// `base`. `recent` are the changes up to `base`, oldest first. `base`
-// may be null only if `request` replaces the whole document. Fails with
-// PlanError, or with ConfigError if the planned document cannot be parsed.
+// Returns the values that the operator must publish to apply `request` to
+// `base`. `recent` are the changes up to `base`, oldest first. `base` may be
+// null only if `request` replaces the whole document. Fails with PlanError, or
+// with ConfigError if the planned document cannot be parsed.
 boost::leaf::result<v1::PlanResponse> PlanChange(
     const Configuration* base, const v1::ChangeLog& recent,
     const v1::PlanRequest& request);
 
-// The most changes that are published along with the document.
+// Maximum number of changes that are published along with the document: the
+// planned change and the latest earlier ones. A host that lags too far to apply
+// them reads the whole document.
 constexpr int kMaxPublishedChanges = 8;
 
 }  // namespace harecrank
--- a/include/harecrank/core/configuration.h
+++ b/include/harecrank/core/configuration.h
@@ -19,16 +19,16 @@
 // XXH3 128-bit digest of the canonical form of a document, in hexadecimal.
 using Digest = StrongString<struct DigestTag>;
 
-// The text is not a JSON document that matches the schema.
+// Loading failed: the text is not a JSON document that matches the schema.
 struct UnreadableDocument {
   std::string reason;
 };
-// The document has faults that ValidateDocument reports.
+// Loading failed: ValidateDocument reports faults of the document.
 struct InvalidDocument {
   std::vector<ConfigProblem> problems;
 };
-// The change has another base or another result than it states, or its patch
-// fails.
+// Applying a change failed: its base is another document, its patch fails, or
+// the result has another digest or revision than the change states.
 struct ChangeDoesNotApply {
   std::string reason;
 };
@@ -82,8 +82,8 @@
   // divided among them.
   int EntryCount() const;
 
-  // Returns the largest KV memory of the engines that serve `model`, or zero if
-  // there are none.
+  // Returns the KV memory of the largest engine that serves `model`, in tokens,
+  // or zero if no engine serves it.
   Tokens LargestEngine(const ModelId& model) const;
 
  private:
--- a/include/harecrank/core/configuration_parse_scheduler.h
+++ b/include/harecrank/core/configuration_parse_scheduler.h
@@ -1,7 +1,7 @@
 // Schedules the parsing of published configurations in time slices.
 //
-// A host has a single thread for parsing and for its traffic. Parsing a large
-// configuration in one go would stall the streams that the host relays.
+// A host parses configurations on the thread that relays its streams. Parsing a
+// large configuration without interruption would stall these streams.
 
 #ifndef HARECRANK_CORE_CONFIGURATION_PARSE_SCHEDULER_H_
 #define HARECRANK_CORE_CONFIGURATION_PARSE_SCHEDULER_H_
@@ -16,39 +16,44 @@
 
 namespace harecrank {
 
+// Limits of the time that parsing takes from the relaying of streams.
 struct ParseSchedulePolicy {
-  // The longest time for which a slice may occupy the thread. This is 1/40 of
-  // the shortest inter-token gap that is still within a latency target, which
-  // leaves time for other work in the same gap.
+  // Maximum time that a slice may occupy the thread. This is 1/40 of the
+  // shortest inter-token gap that the latency targets allow, so that other work
+  // fits into the same gap.
   Millis max_slice_time{6};
-  // The fraction of time that is spent on parsing unless parsing is urgent.
+  // Fraction of the thread's time that parsing takes while it is not urgent.
   double parse_share = 0.25;
-  // A version that arrives within this time after the oldest version that is
-  // not in force replaces the one that is being parsed; a later one waits.
-  // Without this limit, no version would come into force while new ones arrive
-  // faster than one can be parsed.
+  // A new version replaces the one being parsed only within this time after the
+  // arrival of the oldest version that is not yet active. A version that
+  // arrives later waits until the parsing ends. Without this limit, no version
+  // would become active while new versions arrive faster than one can be
+  // parsed.
   Millis replace_window{300};
-  // Parsing is urgent, with no pauses between slices, if the oldest version
-  // that is not in force is expected to become older than this. The value is
-  // about a third of the time that operators allow for a version to come into
-  // force; the rest is for its delivery to this host.
+  // Parsing is urgent, and slices follow each other without a pause, if the
+  // oldest version that is not yet active is expected to become older than this
+  // before it has been parsed. The value is about a third of the time that
+  // operators allow between the publication of a version and its activation;
+  // delivery to this host takes the rest.
   Millis max_age{900};
 };
 
-// The next slice: parsing work of `cost` after a pause.
+// The next slice: the owner pauses for `pause`, then parses for `cost`
+// (nanoseconds of work on a whole core).
 struct ParseSlice {
   std::chrono::nanoseconds pause{0};
   std::size_t cost = 0;
 };
 
-// Decides which version is parsed, in slices of which size and with which
-// pauses between them. The owner does the parsing and reports its progress.
+// Decides which version of the configuration a host parses next, how large each
+// slice is and how long to pause before it. The owner does the parsing and
+// reports its progress.
 //
 // The cost of work is the time in nanoseconds that it takes on a whole core.
 // Not thread-safe.
 class ConfigurationParseScheduler {
  public:
-  // `cpu_share` is the share of a core that the host has.
+  // `cpu_share` is the fraction of one core that this host may use.
   ConfigurationParseScheduler(CpuShare cpu_share, ParseSchedulePolicy policy);
 
   // Call when a version newer than all earlier ones has arrived. Returns
@@ -65,38 +70,43 @@
   // `elapsed`. If `cost` is 0, `elapsed` is not used to estimate the speed.
   void OnSliceDone(std::size_t cost, std::chrono::nanoseconds elapsed);
 
-  // Call when the version being parsed is in force or has been discarded.
+  // Call when the version being parsed has become active or has been discarded.
   // Returns whether to parse the pending version now.
   bool OnVersionDone();
 
-  // Call when the version being parsed is unusable and an older one, which it
-  // had replaced, is parsed instead.
+  // Call when the version being parsed turns out to be unusable and the owner
+  // parses the older version that it had replaced. The first slice then follows
+  // without a pause.
   void OnFallbackStarted() { last_slice_time_ = std::chrono::nanoseconds(0); }
 
-  // Returns whether a version is pending until the one being parsed is done.
+  // Returns whether a version waits until the one being parsed is done.
   bool HasPending() const { return pending_since_.has_value(); }
   bool IsParsing() const { return oldest_since_.has_value(); }
 
-  // Returns the time since the arrival of the oldest version that is not in
-  // force, or zero if there is none.
+  // Returns the time since the arrival of the oldest version that is not yet
+  // active, or zero if none is being parsed.
   std::chrono::nanoseconds BacklogAge(TimePoint now) const;
 
  private:
-  // Returns the time that this host takes for a nanosecond of work on a whole
-  // core, in nanoseconds, as follows from its share of a core.
+  // Returns the slowdown expected from the CPU share: how many nanoseconds this
+  // host takes for work that takes 1 ns on a whole core.
   double NominalSlowdown() const;
 
   CpuShare cpu_share_;
   ParseSchedulePolicy policy_;
-  // The slowdown estimated from the slices so far, as a moving average.
+  // Estimated slowdown: nanoseconds that this host takes for work that takes 1
+  // ns on a whole core. Moving average over the slices so far.
   double slowdown_;
   std::chrono::nanoseconds last_slice_time_{0};
-  // Until the first version is in force the host has no traffic that parsing
-  // could delay, while callers wait for it, so parsing is urgent.
+  // Whether the parsing of any version has ended. The first version is urgent:
+  // callers wait for it, and the host has no traffic yet that parsing could
+  // delay.
   bool has_parsed_any_ = false;
-  // Arrival of the oldest version that is not in force.
+  // Arrival time of the oldest version that is not yet active; unset if none is
+  // being parsed.
   std::optional<TimePoint> oldest_since_;
-  // Arrival of the first version that became pending after that.
+  // Arrival time of the first version that had to wait for the end of the
+  // current parsing; unset if no version is pending.
   std::optional<TimePoint> pending_since_;
 };
 
--- a/include/harecrank/core/document_validator.h
+++ b/include/harecrank/core/document_validator.h
@@ -1,5 +1,5 @@
-// Validation of published configurations. All processes use the same rules, so
-// that they accept the same documents.
+// Validation of published configurations. All processes use these rules, so
+// they accept the same documents.
 
 #ifndef HARECRANK_CORE_DOCUMENT_VALIDATOR_H_
 #define HARECRANK_CORE_DOCUMENT_VALIDATOR_H_
--- a/include/harecrank/core/event_scanner.h
+++ b/include/harecrank/core/event_scanner.h
@@ -12,7 +12,8 @@
 
 namespace harecrank {
 
-// Buffers the bytes of a body until they form complete events. Not thread-safe.
+// Splits the bytes of one event stream into complete events and buffers the
+// incomplete rest. Not thread-safe.
 class EventScanner {
  public:
   // Appends bytes of the body. Returns the bytes of all events that these bytes
--- a/include/harecrank/core/model_orders.h
+++ b/include/harecrank/core/model_orders.h
@@ -1,4 +1,5 @@
-// Reconciles the models of an engine with the configuration.
+// Computes the commands that make an engine load the models that the
+// configuration assigns to it.
 
 #ifndef HARECRANK_CORE_MODEL_ORDERS_H_
 #define HARECRANK_CORE_MODEL_ORDERS_H_
@@ -19,8 +20,9 @@
   std::map<std::string, std::string> adapters;
 };
 
-// Commands to an engine. The sender adds the configuration revision from which
-// a command follows as its fencing token.
+// Commands to an engine. The sender adds the revision of the configuration that
+// a command is based on as a fencing token, so that the engine can reject
+// outdated commands.
 struct LoadModel {
   ModelId model;
   std::string version;
--- a/include/harecrank/core/rcu_cell.h
+++ b/include/harecrank/core/rcu_cell.h
@@ -33,7 +33,7 @@
     return value;
   }
 
-  // Replaces the value. Returns when no reader can obtain the previous value
+  // Replaces the value. Blocks until no reader can obtain the previous value
   // any more.
   void Store(std::shared_ptr<const T> value) {
     Holder* next = new Holder(std::move(value));
--- a/include/harecrank/core/router.h
+++ b/include/harecrank/core/router.h
@@ -18,15 +18,15 @@
 
 namespace harecrank {
 
-// The load of an endpoint as its sidecar reports it at intervals, so it lags
-// behind the actual load.
+// The load of an endpoint. The sidecar reports it periodically, so the values
+// lag behind the actual load.
 struct LoadReport {
-  // Work that is queued or running, by length class.
+  // Queued and running work by length class, in tokens.
   Tokens short_backlog;
   Tokens long_backlog;
-  // KV memory that is not leased.
+  // KV memory that is not leased to a request.
   Tokens free_memory;
-  // All KV memory of the endpoint.
+  // Total KV memory of the endpoint.
   Tokens memory;
   // Number of running requests.
   int running = 0;
@@ -36,10 +36,11 @@
 struct EndpointView {
   EndpointId id;
   LoadReport load;
-  // Work that this host has sent since the last load report.
+  // Work that this host has sent to the endpoint since its last load report.
   Tokens unreported;
-  // Rank of the endpoint by rendezvous hashing of the prompt's prefix: 1 for
-  // the endpoint whose prefix cache is expected to be warm, 0 for no rank.
+  // Rank of the endpoint by rendezvous hashing of the prompt's prefix. The
+  // endpoint with rank 1 probably has the prefix in its cache; 0 means that the
+  // endpoint is not ranked.
   int affinity_rank = 0;
 };
 
@@ -47,7 +48,7 @@
 struct RouteRequest {
   LengthClass length = LengthClass::kShort;
   Tokens prompt;
-  // The longest answer that the request allows.
+  // Maximum length of the answer that the request allows.
   Tokens answer;
 };
 
@@ -57,11 +58,13 @@
 // Selects the endpoint with the least work, regardless of length classes.
 struct LeastLoadedPolicy {};
 
-// Selects the endpoint with the least work that delays a request of this length
-// class, and prefers a warm prefix cache while its endpoint is not overloaded.
+// Selects the endpoint with the least work that would delay a request of this
+// length class. Prefers the endpoint that probably has the prompt's prefix in
+// its cache, unless its score is too far above the mean.
 struct LengthAwarePolicy {
-  // 0 to 100; see Policy.long_weight_percent in schema/harecrank.proto. At 100
-  // long work does not count for a short request; at 0 it counts in full.
+  // 0 to 100; see Policy.long_weight_percent in schema/harecrank.proto. At 100,
+  // the score of an endpoint for a short request ignores its long work; at 0,
+  // long work counts in full.
   int long_weight_percent = 50;
 };
 
@@ -80,9 +83,9 @@
                                  const std::vector<EndpointView>& endpoints,
                                  const RandomSource& random);
 
-// Returns into how many parts to split the prefill of a long prompt if
+// Returns into how many parts a long prompt is split for its prefill if
 // `endpoints` endpoints are available: one part for each endpoint, but no part
-// smaller than kMinPrefillPart, and at least one part.
+// smaller than kMinPrefillPart unless the whole prompt is.
 std::size_t PrefillPartCount(Tokens prompt, std::size_t endpoints);
 constexpr Tokens kMinPrefillPart{8000};
 
--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -18,7 +18,7 @@
 // Version of a published routing table. Higher is newer; zero means none.
 using RoutingVersion = StrongNumber<struct RoutingVersionTag, std::uint64_t>;
 
-// How often a request may be executed.
+// Whether a request may be executed more than once.
 enum class RequestKind {
   // Idempotent: may be executed any number of times.
   kSafe,
@@ -33,11 +33,11 @@
 // works in passes: each pass prefills the prompts that arrived before it began
 // and runs some decoding steps for the whole batch.
 struct EngineProfile {
-  // The most requests that run at once.
+  // Maximum number of requests that run concurrently.
   int slots = 1;
   // Capacity of the KV memory.
   Tokens memory;
-  // Fixed duration of a decoding step, without its sequences.
+  // Fixed part of the duration of a decoding step, independent of the batch.
   double step_ms = 0;
   // Duration that each sequence of the batch adds to a step.
   double step_ms_per_sequence = 0;
@@ -45,8 +45,8 @@
   double step_ms_per_thousand_context = 0;
   // Prompt tokens that are prefilled in a millisecond.
   double prefill_tokens_per_ms = 1;
-  // Attention cost of the prefill: duration for a million pairs of a prompt
-  // token and an earlier token of the prompt.
+  // Attention cost of the prefill: milliseconds for a million pairs of a prompt
+  // token and an earlier token of the same prompt.
   double prefill_ms_per_million_pairs = 0;
   // Decoding steps that one pass runs for the whole batch.
   int steps_per_pass = 1;
@@ -55,14 +55,16 @@
 // A service and the limits for the use of its endpoints.
 struct ServiceProfile {
   ServiceName name;
-  // The most connections that an endpoint accepts in total, from all hosts.
+  // Maximum number of connections that one endpoint accepts from all hosts
+  // together.
   int max_connections = 0;
   // Set for model engines, absent for plain services.
   std::optional<EngineProfile> engine;
-  // Time after its start for which an endpoint counts as cold.
+  // An endpoint is cold, and may accept fewer requests, for this time after its
+  // start.
   Millis cold_period{0};
-  // The most requests that a cold endpoint accepts in a second; zero means that
-  // a cold endpoint has no limit of its own.
+  // Maximum number of requests per second that a cold endpoint accepts. Zero
+  // means that there is no limit for cold endpoints.
   double cold_requests_per_s = 0;
 };
 
@@ -81,8 +83,8 @@
   // Begins and ends with a slash.
   std::string path_prefix;
   RequestKind kind = RequestKind::kUnsafe;
-  // The longest time from the arrival of a request to its deadline. A caller
-  // may ask for less.
+  // Maximum time from the arrival of a request to its deadline. A caller may
+  // request a shorter time.
   Millis timeout{0};
   // Latency target for the whole answer, or for the first event of a stream.
   Millis target_latency{0};
@@ -92,11 +94,11 @@
   // Zero is the highest priority.
   int priority = 0;
   std::vector<WeightedService> services;
-  // The most times that a request may be sent to an endpoint.
+  // Maximum number of times that a request may be sent to any endpoint.
   int max_attempts = 1;
-  // Requests need no API key.
+  // Whether requests are accepted without an API key.
   bool is_public = false;
-  // An interrupted stream may be resumed at another endpoint.
+  // Whether an interrupted stream may be resumed at another endpoint.
   bool resumable = false;
 
   // Returns whether a request may be executed more than once.
@@ -110,7 +112,7 @@
 struct AccountEntry {
   AccountId id;
   std::vector<std::string> keys;
-  // Overrides the priority of the route.
+  // Overrides the priority of the route if set.
   std::optional<int> priority;
 };
 
@@ -125,7 +127,7 @@
 // A published routing configuration, before it is indexed.
 struct RoutingDocument {
   RoutingVersion version;
-  // A route that does not change is shared with earlier versions.
+  // Versions of the document share the routes that are the same in both.
   std::vector<std::shared_ptr<const RouteRule>> routes;
   std::vector<ServiceProfile> services;
   // If absent, no request needs an API key.
@@ -163,18 +165,18 @@
   const AccountEntry* FindAccountByKey(const std::string& key) const;
 
  private:
-  // The keys point into document_.
+  // Routes of one host name by path prefix. The keys point into document_.
   using RoutesByPrefix = std::unordered_map<std::string_view, const RouteRule*>;
 
   void IndexRoutes();
 
   RoutingDocument document_;
-  // By host name in lower case, without a port.
+  // Routes by host name, in lower case and without a port.
   std::unordered_map<std::string, RoutesByPrefix> routes_;
-  // Indexes into document_.services.
+  // Indexes into document_.services, by name.
   std::unordered_map<ServiceName, std::size_t> services_;
   std::unordered_map<ServiceName, Millis> tightest_gaps_;
-  // Indexes into document_.accounts.
+  // Indexes into document_.accounts, by API key.
   std::unordered_map<std::string, std::size_t> account_by_key_;
 };
 
--- a/include/harecrank/core/strong_types.h
+++ b/include/harecrank/core/strong_types.h
@@ -77,7 +77,8 @@
 using Revision = StrongNumber<struct RevisionTag, std::uint32_t>;
 
 using Millis = std::chrono::milliseconds;
-// Milliseconds with fractions, since an engine step may take less than 1 ms.
+// Milliseconds with a fractional part, because an engine step may take less
+// than 1 ms.
 using FractionalMillis = std::chrono::duration<double, std::milli>;
 
 }  // namespace harecrank
--- a/src/core/active_config.cc
+++ b/src/core/active_config.cc
@@ -7,10 +7,11 @@
 
 namespace leaf = boost::leaf;
 
-// Limit of the stored digests of invalid documents.
+// Maximum number of stored digests of invalid changes.
 constexpr std::size_t kMaxInvalidDigests = 256;
 
-// A configuration, or null and a description of the fault.
+// The result of loading a configuration: the configuration, or null and a
+// description of the fault.
 struct LoadResult {
   std::shared_ptr<const Configuration> configuration;
   std::string fault;
--- a/src/core/answer_assembler.cc
+++ b/src/core/answer_assembler.cc
@@ -5,8 +5,8 @@
 namespace harecrank {
 namespace {
 
-// Limit of buffered out-of-order tokens. A peer that sends positions far ahead
-// must not exhaust the memory of this process.
+// Maximum number of buffered out-of-order tokens. Without a limit, a peer that
+// skips a position could exhaust the memory of this process.
 constexpr std::size_t kMaxOutOfOrder = 4096;
 
 }  // namespace
--- a/src/core/change_planner.cc
+++ b/src/core/change_planner.cc
@@ -90,9 +90,9 @@
   return leaf::new_error(PlanError{EmptyChange{}});
 }
 
-// Adds a sentence to the response for each kind of object whose number changes,
-// for each endpoint that starts or stops leaving, and for a change of the
-// policy.
+// Adds one sentence to the response for each kind of object whose number
+// changes, for each endpoint whose leaving mark is set or cleared, and for a
+// change of the policy.
 void DescribeEffects(const v1::Document& before, const v1::Document& after,
                      v1::PlanResponse* response) {
   const auto add_count = [&](const std::string& kind, std::size_t old_count,
@@ -123,8 +123,8 @@
   }
 }
 
-// Returns `change` and the latest of the `recent` changes as JSON, as many as
-// are published.
+// Returns as JSON the latest of the `recent` changes followed by `change`, at
+// most kMaxPublishedChanges in total.
 std::string PublishedChangesJson(const v1::ChangeLog& recent,
                                  const v1::Change& change) {
   v1::ChangeLog log;
--- a/src/core/configuration.cc
+++ b/src/core/configuration.cc
@@ -112,9 +112,10 @@
   } catch (const json::exception& error) {
     return leaf::new_error(ConfigError{ChangeDoesNotApply{error.what()}});
   }
-  // A matching digest shows that the result is the canonical text from the
-  // change planner. Computing the canonical text again would take about half of
-  // the time to apply a change to a configuration of the target size.
+  // If the digest matches, the patched text is the canonical text that the
+  // change planner produced, so it need not be computed again. That would take
+  // about half of the time to apply a change to a configuration of the target
+  // size.
   if (DigestOf(next_json).value != change.digest()) {
     return leaf::new_error(ConfigError{
         ChangeDoesNotApply{"its result has another digest than it states"}});
--- a/src/core/configuration_parse_scheduler.cc
+++ b/src/core/configuration_parse_scheduler.cc
@@ -8,16 +8,18 @@
 using std::chrono::duration;
 using std::chrono::nanoseconds;
 
-// Lower bound of the CPU share, in case the setting is missing or wrong.
+// Lower bound of the CPU share (fraction of one core), used if the setting is
+// missing or too small.
 constexpr double kMinCpuShare = 0.01;
 // Weight of a new slice in the moving average of the slowdown.
 constexpr double kSmoothing = 0.25;
-// Limits of the slowdown of a slice, as factors of the nominal slowdown. A
-// suspended process or a coarse clock would give values far outside.
+// Bounds for the measured slowdown of one slice, as multiples of the nominal
+// slowdown. A suspension of the process or a coarse clock would otherwise
+// distort the moving average.
 constexpr double kMinSlowdownFactor = 0.5;
 constexpr double kMaxSlowdownFactor = 4;
-// The smallest cost of a slice, 20 us on a whole core. The overhead of starting
-// a smaller slice would exceed its work.
+// Minimum cost of a slice, in nanoseconds on a whole core (20 us). Starting a
+// smaller slice would cost more than its work.
 constexpr std::size_t kMinSliceCost = 20000;
 
 }  // namespace
--- a/src/core/model_orders.cc
+++ b/src/core/model_orders.cc
@@ -5,8 +5,8 @@
 namespace harecrank {
 namespace {
 
-// Adds orders to load the adapters of `wanted` that are missing from `loaded`
-// or have another version.
+// Appends commands to load those adapters of the model `name` that `loaded`
+// lacks or has in another version than `wanted`.
 void AddAdapterOrders(const std::string& name, const v1::Model& wanted,
                       const LoadedModel& loaded,
                       std::vector<EngineOrder>* orders) {
--- a/src/core/router.cc
+++ b/src/core/router.cc
@@ -7,11 +7,12 @@
 namespace {
 
 constexpr double kPercent = 100.0;
-// The endpoint with the warm cache is used while its score is at most the mean
-// score times this factor, plus the slack below.
+// The endpoint that has probably cached the prompt's prefix is preferred while
+// its score is at most the mean score x kMaxAffinityFactor +
+// kAffinitySlackTokens.
 constexpr double kMaxAffinityFactor = 1.25;
-// About one prompt. Without slack, affinity would be lost on an idle fleet,
-// where the mean score is close to zero.
+// Roughly the length of one prompt. Without this term the preference would
+// never apply on an idle fleet, where the mean score is close to zero.
 constexpr double kAffinitySlackTokens = 4096.0;
 
 double TotalWork(const EndpointView& view) {
@@ -21,8 +22,8 @@
 }
 
 // Returns the index of the endpoint with the lowest score. The search starts at
-// a random index, so that hosts with the same load reports do not all choose
-// the same one of several endpoints with equal scores.
+// a random index, so that hosts that have received the same load reports
+// distribute their requests over endpoints with equal scores.
 template <typename Score>
 std::size_t FindLowestScore(const std::vector<EndpointView>& endpoints,
                             const RandomSource& random, Score score) {
@@ -40,7 +41,7 @@
   return best;
 }
 
-// Visitor that selects an endpoint by a policy.
+// Visitor of RoutingPolicy: selects one of `endpoints` for `request`.
 struct PolicyVisitor {
   const RouteRequest& request;
   const std::vector<EndpointView>& endpoints;
@@ -72,7 +73,8 @@
       score += long_work;
     } else {
       // The engine prefills short prompts first, so long work delays a short
-      // request only by longer steps. The policy sets its weight.
+      // request only by lengthening the engine's steps. The policy sets the
+      // weight of long work.
       const double long_work_weight =
           1.0 - policy.long_weight_percent / kPercent;
       score += long_work_weight * long_work;
@@ -84,8 +86,9 @@
     return score;
   }
 
-  // Returns the index of the endpoint with the warm cache unless its score is
-  // too high compared with the mean.
+  // Returns the index of the endpoint that probably has the prompt's prefix in
+  // its cache, or nothing if there is none or if its score is too far above the
+  // mean score.
   template <typename ScoreFn>
   std::optional<std::size_t> FindWarmEndpoint(const ScoreFn& score) const {
     double total = 0;
--- a/src/core/text_edits.cc
+++ b/src/core/text_edits.cc
@@ -14,9 +14,9 @@
   return brace == std::string::npos ? text.size() : brace + 1;
 }
 
-// Finds chunks of a base text. Most chunks of the new text are in the same
-// order as in the base text, so the expected position is tried first. The index
-// is built when that fails for the first time.
+// Finds chunks of the new text in a base text. Most chunks have the same order
+// in both texts, so Find tries the expected position first. The index of the
+// base text is built when Find fails there for the first time.
 class ChunkFinder {
  public:
   explicit ChunkFinder(const std::string& base) : base_(base) {}
