--- a/src/adapters/event_log.h
+++ b/src/adapters/event_log.h
@@ -17,17 +17,18 @@
 
 namespace harecrank {
 
-// Whether a line is subject to the rate limit of its kind.
+// Whether the number of lines per second is limited for the kind of the line.
 enum class LogRateLimit { kLimited, kExempt };
 
-// Thread-compatible: one thread writes.
+// Writes the structured event log of one process. Not thread-safe: only one
+// thread may call Write.
 class EventLog {
  public:
   // `node` is the name of this process; every line contains it.
   EventLog(std::string node, MonotonicClock clock);
 
-  // Writes a line with the event name `kind` and the given fields. Adds the
-  // node, the time of day and the monotonic time.
+  // Writes a line that consists of `fields`, the event name `kind`, the node,
+  // the time of day and the monotonic time.
   void Write(const char* kind, nlohmann::json fields,
              LogRateLimit rate_limit = LogRateLimit::kLimited);
 
@@ -36,31 +37,33 @@
   std::uint64_t Dropped() const { return dropped_; }
 
   // Maximum number of lines of one kind per second; further lines are only
-  // counted. The CPU share of a host is sufficient for a few hundred requests
-  // per second at most. Failures are logged as kExempt.
+  // counted. A host handles a few hundred requests per second at most because
+  // of its CPU share. Failures are logged as kExempt.
   static constexpr int kMaxLinesPerSecond = 300;
 
  private:
-  // Rate limit state of one kind of line.
+  // State of the rate limit for one kind of line.
   struct Rate {
     // Start of the current period of one second.
     TimePoint period_start{};
-    // Lines in the current period, written or not.
+    // Number of lines in the current period, including suppressed ones.
     int lines = 0;
-    // Lines suppressed by the limit since the last line that was written.
+    // Number of lines that the limit has suppressed since the last line that it
+    // allowed.
     std::uint64_t left_out = 0;
   };
 
-  // Returns whether the rate limit allows the line. If it does, adds the number
-  // of suppressed lines before it to `fields`.
+  // Returns whether the rate limit allows the line. If it does, adds to
+  // `fields` the number of lines of this kind that were suppressed since the
+  // last allowed one.
   bool Admit(const char* kind, LogRateLimit rate_limit, nlohmann::json* fields);
 
   std::string node_;
   MonotonicClock clock_;
   std::unordered_map<std::string, Rate> rates_;
   std::uint64_t dropped_ = 0;
-  // Lines dropped because the buffer was full since the last line that was
-  // buffered.
+  // Number of consecutive lines, up to the latest one, that were dropped
+  // because the buffer was full.
   std::uint64_t dropped_since_append_ = 0;
   LineWriter writer_;
 };
--- a/src/adapters/http.cc
+++ b/src/adapters/http.cc
@@ -23,12 +23,13 @@
 using Poco::Net::HTTPRequest;
 using Poco::Net::HTTPResponse;
 
-// Length of the listen queue.
+// Maximum number of connections that the kernel queues until they are accepted.
 constexpr int kBacklog = 512;
 constexpr std::size_t kReadChunk = 16384;
 constexpr int kKeepAliveSeconds = 5;
 constexpr std::int64_t kMicrosPerMilli = 1000;
-// Threads of the pool in addition to those that handle connections.
+// Number of threads that the pool has in addition to
+// HttpServerOptions::threads.
 constexpr int kSpareThreads = 2;
 
 struct Describer {
@@ -49,8 +50,8 @@
       static_cast<Poco::Timespan::TimeDiff>(time.count() * kMicrosPerMilli)};
 }
 
-// Appends all of `from` to `to`. Returns false if `to` would exceed `limit`
-// bytes.
+// Appends the rest of `source` to `to`. Returns false if `to` would exceed
+// `limit` bytes.
 bool ReadAll(std::istream& source, std::size_t limit, std::string* to) {
   std::array<char, kReadChunk> chunk{};
   while (source.good()) {
@@ -98,6 +99,7 @@
   }
 }
 
+// Adapts an HttpHandler to POCO's interface for one request.
 class FunctionHandler : public Poco::Net::HTTPRequestHandler {
  public:
   explicit FunctionHandler(const HttpHandler& handler) : handler_(handler) {}
@@ -121,6 +123,7 @@
   const HttpHandler& handler_;
 };
 
+// Makes a FunctionHandler for each request that the server receives.
 class FunctionHandlerFactory : public Poco::Net::HTTPRequestHandlerFactory {
  public:
   explicit FunctionHandlerFactory(HttpHandler handler)
@@ -154,7 +157,8 @@
     if (!ReadAll(body, max_bytes, &http_response.body)) {
       return leaf::new_error(HttpError{ResponseTooLarge{max_bytes}});
     }
-    // POCO reports the end of a truncated body like that of a complete one.
+    // POCO does not report a truncated body as an error, so the length is
+    // compared with Content-Length.
     if (response.hasContentLength() &&
         static_cast<Poco::Int64>(http_response.body.size()) <
             response.getContentLength64()) {
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -21,15 +21,16 @@
 
 namespace harecrank {
 
-// No connection could be opened, so nothing was sent.
+// The call failed because no connection could be opened. Nothing was sent.
 struct Unreachable {
   std::string reason;
 };
-// The call failed after the connection was opened. The server may or may not
-// have processed the request.
+// The call failed after the connection had been opened. The server may have
+// processed the request.
 struct NoResponse {
   std::string reason;
 };
+// The call failed because the response body exceeds the limit.
 struct ResponseTooLarge {
   // In bytes.
   std::size_t limit = 0;
@@ -45,9 +46,9 @@
   std::string value;
 };
 
-// A request from a client.
+// A request that this process sends to an HTTP server.
 struct HttpCall {
-  // IP address and port.
+  // IP address and port of the server.
   std::string address;
   std::string method = "GET";
   std::string path = "/";
@@ -55,11 +56,12 @@
   std::string content_type = "application/json";
   // Additional header fields.
   std::vector<HttpHeader> fields;
-  // Time-out of the connection set-up, and of each read.
+  // Time-out for opening the connection, and for each read.
   Millis timeout{2000};
 };
 
-// A response to a call. The status is zero if there was no response.
+// A response to a call. `status` is the HTTP status code, or zero if there was
+// no response.
 struct HttpResponse {
   int status = 0;
   std::string content_type;
@@ -74,7 +76,7 @@
     const HttpCall& call, std::size_t max_bytes = 64U << 20U);
 
 // Sends `call` and passes the response body to `read` as a stream. `read` is
-// called once for any response, also for one with an error status.
+// called once for each response, including responses with an error status.
 boost::leaf::result<void> StreamHttp(
     const HttpCall& call,
     const std::function<void(int status, std::istream& body)>& read);
@@ -88,12 +90,12 @@
   std::string address;
   // Maximum number of connections that are handled concurrently.
   int threads = 8;
-  // Maximum number of connections that wait for a thread.
+  // Maximum number of accepted connections that wait for a thread.
   int queued = 64;
 };
 
 // A server that passes each request to one handler. It listens from its
-// construction until StopListening or Stop.
+// construction until StopListening or Stop is called.
 class HttpServer {
  public:
   // Throws Poco::Exception if the address cannot be bound.
@@ -126,9 +128,9 @@
 bool ReadBody(Poco::Net::HTTPServerRequest& request, std::size_t limit,
               std::string* body);
 
-// Reads and discards the rest of a request body, up to `limit` bytes. A caller
-// that is still sending can lose a response that is sent before its whole body
-// has been read.
+// Reads and discards the rest of a request body, up to `limit` bytes. Call this
+// before an early response: a caller that is still sending its body may
+// otherwise not receive the response.
 void DiscardBody(Poco::Net::HTTPServerRequest& request, std::size_t limit);
 
 // Returns whether the caller's side of the connection is still open. Does not
--- a/src/adapters/line_writer.cc
+++ b/src/adapters/line_writer.cc
@@ -34,9 +34,9 @@
 bool LineWriter::Append(const std::string& line) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    // The batch that is being written counts too. Otherwise a stalled writer
-    // with a full batch would allow a second full buffer: 512 kB instead of 256
-    // kB.
+    // The batch that is being written counts towards the limit. Otherwise a
+    // full buffer could build up behind a full batch that the thread cannot
+    // write: 512 kB in total instead of 256 kB.
     if (batch_bytes_ + buffered_.size() + line.size() >= kMaxBufferedBytes) {
       return false;
     }
@@ -78,7 +78,8 @@
     if (result > 0) {
       written += static_cast<std::size_t>(result);
     } else if (errno != EINTR && errno != EAGAIN) {
-      // The reader is gone, and the error cannot be reported elsewhere.
+      // The reader has closed the descriptor, and there is no other place to
+      // report the error.
       return;
     }
   }
--- a/src/adapters/line_writer.h
+++ b/src/adapters/line_writer.h
@@ -1,5 +1,6 @@
-// Writes lines to a descriptor on a separate thread, so that a slow reader does
-// not block the caller, and delays the shutdown only by a limited time.
+// Writes lines to a file descriptor on a separate thread. A slow reader does
+// not block the caller, and delays the exit of the process by at most
+// kFlushLimit.
 //
 // log4cxx's asynchronous appender is not suitable: it stops only after its last
 // line has been written, so a process whose reader has stalled could not exit,
@@ -19,7 +20,8 @@
 
 namespace harecrank {
 
-// Thread-safe.
+// Buffers lines and writes them to a file descriptor on its own thread. Drops
+// lines if the reader is too slow. Thread-safe.
 class LineWriter {
  public:
   // `descriptor` must stay open for the lifetime of this object.
@@ -33,10 +35,10 @@
   // line if the buffer is full.
   bool Append(const std::string& line);
 
-  // Maximum number of bytes that are buffered or being written. Sufficient for
-  // about 500 log lines of requests.
+  // Maximum number of bytes that are buffered or being written. The buffer
+  // holds about 500 log lines of requests.
   static constexpr std::size_t kMaxBufferedBytes = 256U << 10U;
-  // How long a process that exits waits for a slow reader.
+  // Flush time: maximum time that the destructor waits for a slow reader.
   static constexpr Millis kFlushLimit{300};
 
  private:
--- a/src/adapters/link_client.h
+++ b/src/adapters/link_client.h
@@ -1,4 +1,5 @@
-// The entry host's side of the links to sidecars.
+// The entry host's side of the links to sidecars. A link is a websocket
+// connection between an entry host and a sidecar.
 
 #ifndef HARECRANK_SRC_ADAPTERS_LINK_CLIENT_H_
 #define HARECRANK_SRC_ADAPTERS_LINK_CLIENT_H_
@@ -16,14 +17,16 @@
 // reused.
 using DialId = StrongNumber<struct DialTag, std::uint64_t>;
 
-// Opens links and transfers messages over them. Sending is thread-safe; the
-// handlers are called on the client's own thread and must not block.
+// Opens links to sidecars, and sends and receives messages over them. Sending
+// is thread-safe. The handlers are called on the client's own thread and must
+// not block.
 class LinkClient {
  public:
+  // Functions that the client calls on events of its links.
   struct Handlers {
     std::function<void(DialId)> on_open;
     std::function<void(DialId, wire::Message)> on_message;
-    // The link was closed or could not be opened. Called once per Dial.
+    // The link was closed or could not be opened. Called once for each Dial.
     std::function<void(DialId)> on_close;
   };
 
--- a/src/adapters/logging.h
+++ b/src/adapters/logging.h
@@ -1,5 +1,5 @@
-// Text logs for changes of state. Frequent events are counted by metrics
-// instead.
+// Text logs, meant for rare events such as changes of state. Frequent events
+// are counted by metrics instead.
 
 #ifndef HARECRANK_SRC_ADAPTERS_LOGGING_H_
 #define HARECRANK_SRC_ADAPTERS_LOGGING_H_
@@ -14,7 +14,7 @@
 // standard error. Must be called once, before other threads are started.
 void ConfigureLogging(const std::string& level);
 
-// Returns the logger of one module.
+// Returns the logger of the module called `module`.
 log4cxx::LoggerPtr GetLog(const std::string& module);
 
 }  // namespace harecrank
--- a/src/adapters/metrics.cc
+++ b/src/adapters/metrics.cc
@@ -13,7 +13,8 @@
 namespace bh = boost::histogram;
 
 constexpr unsigned kBuckets = 40;
-// Sufficient for a time of day in milliseconds.
+// Number of significant digits of a printed gauge. Sufficient for a time of day
+// in milliseconds.
 constexpr int kGaugeDigits = 15;
 constexpr double kMinMillis = 0.1;
 constexpr double kMaxMillis = 1e6;
--- a/src/adapters/metrics.h
+++ b/src/adapters/metrics.h
@@ -49,9 +49,9 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// The metrics of one process by name. Returned pointers stay valid for the
-// lifetime of this object. Thread-safe. Look-ups take a lock, so frequent users
-// should keep the pointer.
+// Holds the metrics of one process by name. Returned pointers stay valid for
+// the lifetime of this object. Thread-safe. Look-ups take a lock, so frequent
+// users should store the returned pointer.
 class Metrics {
  public:
   // Returns the counter `name` with `labels`, such as `a="b",c="d"`. Creates it
@@ -63,14 +63,16 @@
   DurationHistogram* GetHistogram(const std::string& name,
                                   const std::string& labels = "");
 
-  // Adds or replaces a gauge whose value is obtained by `read` for each call of
-  // Text. `read` is called with the lock held and must not use this object.
+  // Adds or replaces the gauge `name`. Each call of Text calls `read` to get
+  // its value. `read` must not use this object, because it is called with the
+  // lock held.
   void AddGauge(const std::string& name, std::function<double()> read);
 
   // Returns all metrics in Prometheus's text format.
   std::string Text() const;
 
  private:
+  // Identifies one counter or histogram.
   struct Key {
     std::string name;
     std::string labels;
--- a/src/adapters/settings.cc
+++ b/src/adapters/settings.cc
@@ -12,7 +12,8 @@
 namespace leaf = boost::leaf;
 using nlohmann::json;
 
-// Limits of the values in a settings file. The maximum duration is one day.
+// Upper limits of the values in a settings file. The maximum duration is one
+// day.
 constexpr std::int64_t kMaxMillis = 24LL * 3600 * 1000;
 constexpr std::int64_t kMaxThreads = 4096;
 constexpr std::int64_t kMaxQueue = 1000000;
@@ -36,10 +37,11 @@
   }
 };
 
-// Whether a settings key must be present.
+// Whether a key must be present in the settings.
 enum class Presence { kRequired, kOptional };
 
-// Reads the values of a JSON object and collects all problems.
+// Reads the values of one JSON object of the settings and collects all
+// problems.
 class SettingsReader {
  public:
   explicit SettingsReader(const json& object) : object_(object) {}
@@ -271,13 +273,13 @@
 }
 
 void ReadPlacement(SettingsReader* reader, PlacementPolicy* policy) {
-  // Limit of shares of a gap or a latency target. With a larger share, no
-  // request would be within its target.
+  // Upper limit of settings that are a share of an inter-token gap or of a
+  // latency target. With a larger share, no request would meet its target.
   constexpr double kMaxShare = 4;
-  // Limit of numbers of requests on one engine, of numbers of engines, and of
-  // factors.
+  // Upper limit of settings that are a number of requests on one engine, a
+  // number of engines, or a factor.
   constexpr int kMaxPerEngine = 64;
-  // Limit of the caller time-out, in milliseconds.
+  // Upper limit of patience_ms, in milliseconds.
   constexpr double kMaxCallerTimeoutMs = 600000;
   reader->ReadNumber("short_share_of_gap", 0, kMaxShare,
                      &policy->short_share_of_gap);
--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -1,5 +1,5 @@
-// The settings of a process, which are read from a JSON file and validated at
-// the start.
+// The settings of a process. They are read from a JSON file and validated when
+// the process starts.
 
 #ifndef HARECRANK_SRC_ADAPTERS_SETTINGS_H_
 #define HARECRANK_SRC_ADAPTERS_SETTINGS_H_
@@ -18,7 +18,7 @@
 
 namespace harecrank {
 
-// Settings that entry hosts and sidecars have in common.
+// Settings that entry hosts and sidecars share.
 struct NodeSettings {
   NodeId node_id;
   DataCentreId data_centre;
@@ -29,7 +29,8 @@
   std::string config_service;
   // Address of the host list service. Empty if there is none.
   std::string host_list;
-  // Operations addresses of peers to query while no configuration is known.
+  // Operations addresses of peers that this node queries while it has no
+  // configuration.
   std::vector<std::string> seed_peers;
   // SHA-256 hashes of the keys that authorise administration calls.
   std::vector<std::string> operator_keys_sha256;
@@ -49,7 +50,8 @@
   int max_requests = 512;
   std::size_t max_body_bytes = 16U << 20U;
   std::string routing_policy = "length_aware";
-  // Maximum time that a drain waits for active requests.
+  // Maximum time that the drain before the process stops waits for active
+  // requests.
   Millis drain_limit{600000};
 };
 
@@ -66,13 +68,14 @@
   int max_running = 64;
   // Interval between two heartbeats to an entry host.
   Millis pulse_interval{1000};
-  // Interval at which the holdings that the engine reports are compared with
-  // the leases.
+  // Interval at which the sidecar reads the status of its engine, releases
+  // memory that no request uses and sends the next command for loading models.
   Millis reconcile_interval{2000};
   // Approximate time to load the weights of one model from the weight
   // store.
   Millis weight_load_time{10000};
-  // Maximum time that a drain waits for active requests.
+  // Maximum time that the drain before the process stops waits for active
+  // requests.
   Millis drain_limit{600000};
 };
 
@@ -94,30 +97,32 @@
   // Address of the store, the platform's service that publishes routes and
   // endpoints.
   std::string directory_service;
-  // Operations addresses of some other hosts. They may be out of date.
+  // Operations addresses of some other hosts. Some of them may be outdated.
   std::vector<std::string> seed_peers;
   // Limit on repeated requests, for all hosts together.
   RepeatLimit repeat_limit;
   // Time between the platform's stop signal and its kill signal.
   Millis stop_limit{8000};
-  // Maximum time after an endpoint has left within which a request may still
-  // arrive there.
+  // Maximum time for which requests may still arrive at an endpoint after it
+  // has left.
   Millis leave_limit = EndpointDirectory::kDefaultLeaveLimit;
   // Maximum number of file descriptors that this process may have open.
   std::size_t descriptors = 1024;
-  // CPU share of this host, in cores. Hosts with a greater share are preferred
-  // as the planner.
+  // CPU share: number of cores that this host may use. Hosts with a larger
+  // share are preferred in the choice of the planner.
   double power = 1;
-  // Limit on requests to cold endpoints, for all hosts together.
+  // Limit on requests to cold (recently started) endpoints, for all hosts
+  // together.
   ColdLimit cold_limit;
   PlacementPolicy placement;
 };
 
-// The text is not a JSON object.
+// The settings were rejected because the text is not a JSON object.
 struct UnreadableSettings {
   std::string reason;
 };
-// Keys are missing or unknown, or values are not allowed.
+// The settings were rejected because keys are missing or unknown, or values are
+// not allowed.
 struct InvalidSettings {
   std::vector<ConfigProblem> problems;
 };
@@ -127,8 +132,8 @@
 // Returns the problems, one per line.
 std::string Describe(const SettingsError& error);
 
-// Parse and validate the text of a settings file. All problems are reported,
-// not only the first one.
+// Parses and validates the text of a settings file. Fails with SettingsError,
+// which lists all problems, not only the first one.
 boost::leaf::result<EntrySettings> ParseEntrySettings(const std::string& text);
 boost::leaf::result<SidecarSettings> ParseSidecarSettings(
     const std::string& text);
--- a/src/adapters/system_sources.h
+++ b/src/adapters/system_sources.h
@@ -9,7 +9,8 @@
 
 namespace harecrank {
 
-// Returns the system's monotonic clock, which includes time in suspend.
+// Returns the system's monotonic clock, which also advances while the system is
+// suspended.
 MonotonicClock SystemClock();
 
 // Returns a thread-safe random source that is seeded by the system.
--- a/src/adapters/wire.cc
+++ b/src/adapters/wire.cc
@@ -41,8 +41,8 @@
 
 using nlohmann::json;
 
-// A load report is part of each heartbeat, so it is encoded without field
-// names.
+// A load report is part of each heartbeat, so it is encoded without field names
+// to save space.
 void to_json(json& to, const LoadReport& from) {
   to = json::array({from.short_backlog.value, from.long_backlog.value,
                     from.free_memory.value, from.memory.value, from.running});
@@ -115,7 +115,7 @@
 }
 
 // Most messages are Output, so it is encoded without field names. Its items are
-// bytes because the response of a service need not be text.
+// encoded as bytes, because the response of a service need not be text.
 void to_json(json& to, const Output& from) {
   json tokens = json::array();
   for (const std::string& token : from.tokens) {
@@ -150,8 +150,9 @@
   }
 };
 
-// Decodes the fields of the message type with the number `type`, which is the
-// index of its alternative in Message. Tests the alternatives from kIndex on.
+// Decodes the fields of a message with the type number `type`, which is the
+// index of an alternative of Message. Tests the alternatives one by one,
+// starting at kIndex.
 template <std::size_t kIndex = 0>
 leaf::result<Message> DecodeFields(int type, const json& fields) {
   if constexpr (kIndex == std::variant_size_v<Message>) {
--- a/src/adapters/wire.h
+++ b/src/adapters/wire.h
@@ -2,8 +2,8 @@
 //
 // A message is encoded as an array of its type number and its fields. The
 // fields are an object, or an array for messages that are sent often. Receivers
-// check the protocol version once, in Hello and Welcome, and check all sizes
-// before they store anything.
+// check the protocol version only in Hello and Welcome, which open a link, and
+// check all sizes before they store anything.
 
 #ifndef HARECRANK_SRC_ADAPTERS_WIRE_H_
 #define HARECRANK_SRC_ADAPTERS_WIRE_H_
@@ -29,14 +29,18 @@
 // Maximum body size of one request that a sidecar accepts.
 constexpr std::size_t kMaxBodyBytes = 64U << 20U;
 
-// Entry host to sidecar: the first message of a link.
+// Opens a link. The entry host sends it as the first message, and the sidecar
+// answers with Welcome. The messages up to Reserve go from the entry host to
+// the sidecar.
 struct Hello {
   int version = kProtocolVersion;
   NodeId node;
   Incarnation incarnation;
 };
 
-// Refers to a part of a group's prompt whose KV data an engine holds.
+// Refers to a segment: the KV data of one part of a long prompt, held by the
+// engine that prefilled this part. The engines that prefill the parts of one
+// prompt form a group.
 struct SegmentRef {
   // Address of the engine that holds the segment and exports it.
   std::string engine_address;
@@ -47,7 +51,8 @@
 enum class Work {
   // Generates tokens with a model.
   kGenerate,
-  // Prefills one part of a group's prompt, under a reservation.
+  // Prefills one part of a group's prompt. Uses the memory that Reserve has
+  // reserved.
   kSegment,
   // Makes one call to a service that is not a model.
   kCall,
@@ -65,7 +70,8 @@
   Tokens prompt;
   // Maximum length of the answer.
   Tokens answer;
-  // Position in the answer from which the output is to be sent.
+  // Position in the answer at which the output starts. The sidecar does not
+  // send earlier tokens.
   std::int64_t resume_from = 0;
   // Deadline on the receiver's clock. The request must not start after it.
   RemoteMillis deadline;
@@ -74,15 +80,17 @@
   std::string ticket;
   // Number of tokens that the sidecar may send before it receives Credit.
   std::int64_t window = 0;
-  // For kGenerate in a group: the parts of the prompt, in order.
+  // For kGenerate in a group: the segments of the prompt, in the order of the
+  // prompt.
   std::vector<SegmentRef> segments;
-  // Stream whose reservation the request uses. Zero for none.
+  // Stream for which Reserve reserved the memory that this request uses. Zero
+  // if the request uses no reservation.
   StreamId reservation;
-  // For kCall.
+  // Method, path and content type of the HTTP request; used for kCall only.
   std::string method;
   std::string path;
   std::string content_type;
-  // Total size of the body that follows.
+  // Total size in bytes of the body, which follows in BodyChunk messages.
   std::size_t body_bytes = 0;
 };
 
@@ -110,7 +118,8 @@
   std::int64_t tokens = 0;
 };
 
-// Requests a ticket. The sidecar answers with TicketAnswer.
+// Requests a ticket, which allows one request to start at most once. The
+// sidecar answers with TicketAnswer.
 struct TicketRequest {
   StreamId call;
   AccountId account;
@@ -123,9 +132,9 @@
   std::string ticket;
 };
 
-// Reserves KV memory for a part of a group's prompt. The sidecar answers at
-// once with Reserved or Refused. A repeated message for the same stream renews
-// the reservation.
+// Reserves KV memory for a part of a group's prompt. The sidecar answers
+// immediately with Reserved or Refused. A repeated message for the same stream
+// renews the reservation.
 struct Reserve {
   StreamId stream;
   ModelId model;
@@ -133,7 +142,8 @@
   Millis ttl{0};
 };
 
-// Sidecar to entry host: the answer to Hello.
+// Answers Hello. This message and all that follow go from the sidecar to the
+// entry host.
 struct Welcome {
   int version = kProtocolVersion;
   NodeId node;
@@ -143,47 +153,49 @@
   Millis pulse_interval{1000};
 };
 
-// The sidecar's clock and load. Sent to all links at `pulse_interval`, and up
-// to five times as often to links with active requests while the load changes.
-// Settings and metrics call this message a pulse.
+// Reports the sidecar's clock and load. Sent over all links every
+// `pulse_interval`, and up to five times as often over links with active
+// requests while the load changes. Settings and metrics call this message a
+// pulse.
 struct SidecarHeartbeat {
   RemoteMillis clock;
   LoadReport load;
   bool draining = false;
 };
 
-// The submission has been received completely and is queued.
+// Reports that the sidecar has received the whole submission and queued it.
 struct Accepted {
   StreamId stream;
 };
 
-// The request is being passed to the endpoint.
+// Reports that the sidecar is passing the request to the endpoint.
 struct Started {
   StreamId stream;
 };
 
-// Part of the answer, starting at `position`: tokens, or for kCall chunks of
-// bytes.
+// Transfers the part of the answer that starts at `position`: tokens, or chunks
+// of bytes for kCall.
 struct Output {
   StreamId stream;
   std::int64_t position = 0;
   std::vector<std::string> tokens;
 };
 
-// The answer is complete.
+// Reports that the answer is complete.
 struct Finished {
   StreamId stream;
   // Number of tokens or chunks in the whole answer.
   std::int64_t length = 0;
   std::string reason;
-  // For kCall.
+  // Status and content type of the HTTP response; set for kCall only.
   int status = 0;
   std::string content_type;
-  // For kSegment.
+  // The prefilled segment; set for kSegment only.
   SegmentRef segment;
 };
 
-// The request was rejected. It has not started and will not start.
+// Reports that the sidecar has rejected the request, which has not started and
+// will not start.
 struct Refused {
   StreamId stream;
   std::string code;
@@ -192,27 +204,28 @@
   Millis retry_after{-1};
 };
 
-// The request failed after it was, or may have been, started. No more output
-// follows.
+// Reports that the request failed after it had started or may have started. No
+// more output follows.
 struct Failed {
   StreamId stream;
   std::string code;
   std::string message;
-  // Whether the request is known to have ended ("failed"). Otherwise it may
+  // True if the request is known to have ended ("failed"), false if it may
   // still be running ("unknown").
   bool ended = false;
 };
 
-// The response to TicketRequest and TicketRevoke.
+// Answers TicketRequest and TicketRevoke.
 struct TicketAnswer {
   StreamId call;
-  // Empty if none was issued.
+  // The issued ticket; empty if none was issued.
   std::string ticket;
-  // Result of a revocation: the OutcomeName of the ticket's request.
+  // Result of a revocation: OutcomeName of the outcome of the request that has
+  // the ticket.
   std::string outcome;
 };
 
-// Confirms a reservation.
+// Confirms the reservation that Reserve requested.
 struct Reserved {
   StreamId stream;
 };
