--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -8,7 +8,7 @@
 
 namespace harecrank {
 
-// Exit codes of the process.
+// Exit codes of the process. kExitOk: the command succeeded.
 constexpr int kExitOk = 0;
 // The command ran, but a check failed or a call was rejected.
 constexpr int kExitFailure = 1;
@@ -23,8 +23,8 @@
     "exit codes: 0 done, 1 refused or failed, 2 wrong command line, 3 "
     "unusable settings or files, 4 not reachable";
 
-// Each function adds one subcommand to `app`. The subcommand runs when it is
-// parsed, and sets `exit_code`.
+// Each function adds one subcommand to `app`. The subcommand runs while `app`
+// parses the command line, and sets `exit_code`.
 void AddEntryCommand(CLI::App* app, int* exit_code);
 void AddSidecarCommand(CLI::App* app, int* exit_code);
 void AddAdminCommand(CLI::App* app, int* exit_code);
--- a/src/cli/explain.cc
+++ b/src/cli/explain.cc
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-// Names of events that report a change of a host's state, which may explain its
-// decisions.
+// Names of the events that report a change of a host's state. Such a change may
+// explain how the host handled a request.
 const std::set<std::string>& StateChangeEvents() {
   static const std::set<std::string> kEvents = {
       "start",          "stop",        "reload",          "drain",
@@ -20,7 +20,7 @@
   return kEvents;
 }
 
-// Fields that are not repeated among the details of a line.
+// Fields that FormatDetails omits.
 const std::set<std::string>& CommonFields() {
   static const std::set<std::string> kFields = {"event", "node", "request",
                                                 "time_ms", "steady_ms"};
@@ -77,9 +77,9 @@
       last = std::max(last, time);
     }
   }
-  // State changes up to this long before the request's first line may have
-  // influenced its handling, such as an outage of the store and its
-  // consequences.
+  // State changes are kept from this long before the first line of the request
+  // on, because an earlier event, such as an outage of the store, may still
+  // have influenced the request.
   constexpr std::int64_t kMaxLeadMs = 5000;
   auto& lines = timeline->lines;
   lines.erase(
--- a/src/cli/explain.h
+++ b/src/cli/explain.h
@@ -13,11 +13,11 @@
 
 // The log lines that concern one request.
 struct RequestTimeline {
-  // The lines of the request, and the lines on state changes of its hosts
-  // around that time. Sorted by time of day after FinalizeTimeline.
+  // Log lines of the request, and of state changes of the hosts that handled
+  // it. FinalizeTimeline sorts them by time of day.
   std::vector<nlohmann::json> lines;
-  // Number of lines that are no event, because they are truncated or come from
-  // another program.
+  // Number of lines that could not be read as an event, because they are
+  // truncated or come from another program.
   std::size_t unreadable = 0;
   // Number of lines that the processes report as suppressed by their rate
   // limit.
@@ -29,8 +29,9 @@
 void ReadTimeline(std::istream* input, const std::string& request,
                   RequestTimeline* timeline);
 
-// Sorts the lines by time. Removes state changes of hosts that have no line of
-// the request, and state changes that are too early or too late to concern it.
+// Sorts the lines by time of day. Removes state changes of hosts that did not
+// log the request, and state changes that are too early or too late to have
+// influenced it.
 void FinalizeTimeline(const std::string& request, RequestTimeline* timeline);
 
 // Returns the timeline as text, one line per event.
--- a/src/cli/load_run.cc
+++ b/src/cli/load_run.cc
@@ -37,7 +37,7 @@
   double share = 0;
 };
 
-// One request to send.
+// One request and the time at which it must be sent.
 struct Arrival {
   Clock::time_point due;
   // Length of the prompt.
@@ -46,7 +46,7 @@
   std::string target;
 };
 
-// The result of one request.
+// The measurements of one request.
 struct Sample {
   // Length of the prompt.
   std::int64_t tokens = 0;
@@ -54,11 +54,11 @@
   bool answered = false;
   int status = 0;
   std::string error;
-  // Time from the due time to the first part of the answer.
+  // Time from the due time to the first token event of the answer.
   double first_ms = 0;
   // Time from the due time to the end of the answer.
   double total_ms = 0;
-  // Longest time between two parts of the answer.
+  // Longest time between two consecutive token events of the answer.
   double worst_gap_ms = 0;
 };
 
@@ -144,7 +144,7 @@
   return call;
 }
 
-// Reads one answer and measures the times of its parts.
+// Reads the answer to one request and measures the times of its token events.
 class AnswerReader {
  public:
   AnswerReader(Clock::time_point start, bool is_direct, Sample* sample)
@@ -214,8 +214,8 @@
   Sample sample;
   sample.tokens = arrival.tokens;
   const HttpCall call = MakeCall(plan, arrival);
-  // Times are measured from the due time, so that the delay of a generator that
-  // falls behind is included.
+  // Times are measured from the due time, so that they include the delay if the
+  // load generator falls behind its schedule.
   AnswerReader reader(arrival.due, !plan.engine_address.empty(), &sample);
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
--- a/src/cli/load_run.h
+++ b/src/cli/load_run.h
@@ -9,17 +9,18 @@
 
 namespace harecrank {
 
-// The requests to send.
+// Parameters of a load run: where to send requests, which and how many.
 struct LoadPlan {
   // Addresses of entry hosts. Each request goes to a random one.
   std::vector<std::string> targets;
-  // Key of the client account.
+  // API key of the client account.
   std::string key;
   std::string model;
   // Requests per second.
   double rate = 10;
   double seconds = 10;
-  // Prompt lengths and their shares of the requests, each as "TOKENS:SHARE".
+  // Prompt lengths in tokens and their shares of the requests, each as
+  // "TOKENS:SHARE".
   std::vector<std::string> mix{"1000:1"};
   std::int64_t answer_tokens = 32;
   std::int64_t time_limit_ms = 30000;
@@ -27,10 +28,11 @@
   std::uint64_t seed = 1;
   // Maximum number of concurrent requests.
   int threads = 512;
-  // Whether to send one request immediately instead of a load.
+  // Whether to send a single request immediately instead of generating a load.
   bool single_request = false;
   // If not empty, the address of an engine stand-in, to which the requests are
-  // sent directly. This gives the baseline without entry host and sidecar.
+  // sent directly. Such a run measures the baseline without entry host and
+  // sidecar.
   std::string engine_address;
 };
 
@@ -44,7 +46,7 @@
 
 // Sends the requests of `plan`, waits for all answers and returns the results.
 // Requests are sent at their arrival times without waiting for earlier answers,
-// so a slow system receives the same load as in production.
+// so slow answers do not reduce the load.
 LoadRunReport RunLoad(const LoadPlan& plan);
 
 }  // namespace harecrank
--- a/src/node/administration.cc
+++ b/src/node/administration.cc
@@ -27,7 +27,7 @@
 constexpr Millis kLocateTimeout{1000};
 constexpr std::size_t kLocateThreads = 16;
 
-// Passes the failure of a call to the caller of the service.
+// Stores the error that a method of the service reports, for the HTTP response.
 class Controller : public pb::RpcController {
  public:
   void Reset() override { reason_.clear(); }
@@ -55,8 +55,8 @@
   call.method = "POST";
   call.path = "/peer/compare";
   call.content_type = "application/cbor";
-  // Claims to have the newest versions, so that the peer sends only its state
-  // and no update.
+  // Reports the highest possible versions as its own, so that the peer answers
+  // with its state only and sends no update.
   PeerState query = own_state;
   query.revision = UINT32_MAX;
   query.host_version = UINT64_MAX;
--- a/src/node/administration.h
+++ b/src/node/administration.h
@@ -10,7 +10,8 @@
 
 namespace harecrank {
 
-// Implements the schema's Administration service on one node.
+// Answers the calls of operators on one node. Implements the schema's
+// Administration service.
 class AdministrationService : public v1::Administration {
  public:
   // Both pointers must outlive the service.
@@ -36,15 +37,15 @@
   ConfigFeed* feed_;
 };
 
-// HTTP response to an RPC.
+// HTTP status code and JSON body of the response to an RPC.
 struct RpcResponse {
   int status = 0;
   std::string body;
 };
 
-// Calls `method` of `service` with a JSON request. The method is found by
-// reflection on the generated service, so a method that is added to the schema
-// needs no change here.
+// Calls `method` of `service` with a JSON request. Finds the method by
+// reflection on the generated service, so a new method in the schema needs no
+// change here.
 RpcResponse CallRpc(google::protobuf::Service* service,
                     const std::string& method, const std::string& request_json);
 
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -19,20 +19,22 @@
 
 constexpr char kDocumentKey[] = "document";
 constexpr char kChangesKey[] = "changes";
-// Maximum duration of one watch. Stop waits for the current watch to return,
-// and a watcher reads the host list between two watches. The resulting call
-// rate is far below the service's rate limit.
+// Maximum duration of one watch. It limits how long Stop waits for the current
+// watch, and how old the host list of a watcher becomes, which is read between
+// two watches. The resulting call rate is far below the rate limit of the
+// configuration service.
 constexpr Millis kWatchWait{2000};
 constexpr Millis kMinBackoff{250};
 constexpr Millis kMaxBackoff{8000};
 constexpr Millis kPeerTimeout{800};
 constexpr int kBootstrapRounds = 4;
-// Number of consecutive failed comparisons after which a node polls the service
-// itself, because its data centre may have lost all its watchers.
+// Number of consecutive unanswered comparisons after which a node counts as
+// isolated and polls the configuration service more often: its data centre may
+// have lost all its watchers.
 constexpr int kFailuresBeforePoll = 5;
-// Poll interval of a node that is isolated from its peers. It is long enough
-// that all nodes of a fleet of the planned size stay within the service's rate
-// limit, even if all are isolated at once.
+// Maximum poll interval of an isolated node. It is long enough that a fleet of
+// the planned size stays within the rate limit of the configuration service
+// even if all nodes are isolated at the same time.
 constexpr Millis kIsolatedPollInterval{5000};
 constexpr std::size_t kBootstrapPeers = 3;
 constexpr Millis kBootstrapPause{250};
@@ -254,8 +256,8 @@
   }
   OfferResult latest = OfferResult::kAlreadyInForce;
   for (const v1::Change& change : log.changes()) {
-    // Skips changes that are already applied. The last one is offered in any
-    // case.
+    // Skips changes whose revision is already active or older. The last change
+    // is offered even then.
     if (change.revision() <= ports_.active_config->State().revision.value &&
         &change != &*log.changes().rbegin()) {
       continue;
@@ -288,8 +290,9 @@
 }
 
 void ConfigFeed::Bootstrap() {
-  // The service may return an outdated document without an error, so a new node
-  // compares with its peers before it reports ready.
+  // The configuration service may return an outdated document without an error,
+  // so a new node compares its revision with its peers before it reports that
+  // it is ready.
   for (int round = 0; round < kBootstrapRounds && !stopping_; ++round) {
     int answered = 0;
     const std::vector<std::string> peers = BootstrapPeers();
@@ -363,8 +366,8 @@
 }
 
 void ConfigFeed::PushTo(const std::string& address) {
-  // The peer's revision is not known. The latest change is nearly always what
-  // it lacks, and its reply contains its revision in any case.
+  // The revision of the peer is unknown. In nearly all cases the peer lacks
+  // only the latest change, and its reply tells its revision.
   const auto theirs = SendUpdate(address, LatestChangeUpdate());
   if (theirs && theirs->revision < MyState().revision) {
     SendUpdate(address, UpdateFor(*theirs));
@@ -387,8 +390,8 @@
 }
 
 PeerUpdate ConfigFeed::LatestChangeUpdate() const {
-  // Builds the update for a peer with the same revision but without a host
-  // list.
+  // UpdateFor returns only the host list for a peer with the same revision and
+  // no host list.
   PeerState same_revision = MyState();
   same_revision.host_version = 0;
   PeerUpdate update = UpdateFor(same_revision);
@@ -448,7 +451,7 @@
   if (listener_) {
     listener_();
   }
-  // Parsing a document temporarily takes many times its size in memory.
+  // Parsing a document temporarily needs many times its size in memory.
   // malloc_trim returns that memory to the operating system, so that it does
   // not permanently count towards the node's memory use.
   malloc_trim(0);
@@ -480,8 +483,8 @@
 }
 
 Millis ConfigFeed::Jittered(Millis time) const {
-  // Between 75% and 125% of `time`, so that nodes that started together do not
-  // stay synchronised.
+  // Returns 75% to 125% of `time`. Without jitter, nodes that start together
+  // would call the service at the same times.
   constexpr std::int64_t kQuarters = 4;
   const auto span = static_cast<std::uint64_t>(time.count() / 2 + 1);
   return time - time / kQuarters +
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -1,5 +1,5 @@
-// Distributes configuration and the host list between the platform and the
-// nodes.
+// Receives the configuration and the host list from the platform and from
+// peers, and passes them on to peers.
 
 #ifndef HARECRANK_SRC_NODE_CONFIG_FEED_H_
 #define HARECRANK_SRC_NODE_CONFIG_FEED_H_
@@ -37,13 +37,14 @@
   RandomSource random;
 };
 
-// Keeps the active configuration at the highest revision that the configuration
-// service or any reachable peer has.
+// Keeps the active configuration of this node at the highest revision that the
+// configuration service or any reachable peer has, and likewise the host list.
 //
-// One thread reads the service: a watcher waits for changes there, and any
-// other node polls it at long intervals. One thread compares revisions with a
-// random peer periodically. One thread pushes new revisions to this node's
-// children in the dissemination tree. Thread-safe.
+// One thread reads the configuration service: a node that the dissemination
+// plan makes a watcher waits there for changes; all other nodes poll the
+// service at long intervals. One thread compares revisions with a random peer
+// periodically. One thread pushes new revisions to this node's children in the
+// dissemination tree. Thread-safe.
 class ConfigFeed {
  public:
   ConfigFeed(const NodeSettings& settings, ConfigFeedPorts ports);
@@ -54,11 +55,12 @@
   void Start();
   void Stop();
 
-  // Returns whether this node has a configuration and has compared it with its
-  // peers. The node must not accept work before that.
+  // Returns whether this node has a configuration and has tried to compare it
+  // with its peers. Until then the node must not accept requests.
   bool IsReady() const { return ready_.load(); }
 
-  // Handles a peer's comparison. Returns what the peer lacks.
+  // Handles the comparison request of a peer whose versions are `theirs`.
+  // Returns the update that the peer needs.
   PeerUpdate OnCompare(const PeerState& theirs);
 
   // Applies an update that a peer pushed, and returns the state of this node
@@ -67,8 +69,9 @@
 
   PeerState MyState() const;
 
-  // Calls `listener` after each revision that comes into force, on the thread
-  // that received it. Must be called before Start.
+  // Sets the function that is called whenever a revision becomes active or a
+  // host list is adopted, on the thread that received it. Must be called before
+  // Start.
   void SetListener(std::function<void()> listener) {
     listener_ = std::move(listener);
   }
@@ -78,14 +81,14 @@
   void RunCompare();
   void RunPush();
   void ReadDocument();
-  // Applies a JSON ChangeLog. Reads the whole document if the service has
-  // changes whose base revision is missing here.
+  // Applies a JSON ChangeLog. Reads the whole document if the changes come from
+  // the service and the base of the latest one is not active here.
   void ApplyChanges(const std::string& changes_json, ConfigSource source);
   void WatchOnce();
-  // Waits for the poll interval, and reads the changes once.
+  // Waits for the poll interval, then reads the changes once.
   void PollOnce();
-  // Waits for `interval`, or less while the node is isolated from its peers.
-  // Returns false on Stop.
+  // Waits for `interval`, or for at most kIsolatedPollInterval while no peer
+  // answers this node. Returns false if Stop is called.
   bool WaitForPoll(Millis interval);
   void ReadHosts();
   void Bootstrap();
@@ -94,11 +97,12 @@
   void PushTo(const std::string& address);
   std::optional<PeerState> SendUpdate(const std::string& address,
                                       const PeerUpdate& update);
-  // Returns an update with the latest change and the host list only.
+  // Returns an update that contains only the latest change, if it is stored,
+  // and the host list.
   PeerUpdate LatestChangeUpdate() const;
   void OfferDocument(const std::string& document, ConfigSource source);
-  // Counts the result of an offer. If a revision or host list was adopted,
-  // calls the listener and schedules a push.
+  // Counts the result of an offered configuration or host list. If it was
+  // adopted, calls the listener and schedules a push to the node's children.
   void HandleOfferResult(OfferResult offer);
   std::shared_ptr<const DisseminationPlan> Plan();
   std::vector<std::string> BootstrapPeers();
@@ -111,7 +115,8 @@
   ConfigFeedPorts ports_;
   std::function<void()> listener_;
   std::atomic<bool> ready_{false};
-  // Milliseconds on this process's monotonic clock.
+  // When this node last adopted a configuration or a host list, in milliseconds
+  // of the monotonic clock.
   std::atomic<std::int64_t> in_force_since_{0};
   std::atomic<bool> stopping_{false};
   // Number of consecutive comparisons without an answer.
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
-// The parts that are common to all processes: configuration, the host list,
-// metrics, and the operations server.
+// The components that entry hosts and sidecars share: the configuration, the
+// host list, metrics and the operations server.
 
 #ifndef HARECRANK_SRC_NODE_NODE_H_
 #define HARECRANK_SRC_NODE_NODE_H_
@@ -20,19 +20,21 @@
 
 namespace harecrank {
 
-// Functions that a process's role adds to its node.
+// Functions by which the role of a process (entry host or sidecar) extends its
+// node.
 struct NodeRole {
   std::string name;
-  // Returns whether the role is ready. Called only once the configuration is
-  // ready.
+  // Returns whether the role is ready. Called only after the configuration feed
+  // is ready.
   std::function<bool()> is_ready;
-  // Adds the role's section to a dump.
+  // Adds the section of the role to a state dump.
   std::function<void(nlohmann::json*)> dump;
-  // Called after each revision that comes into force.
+  // Called whenever a revision becomes active or a host list is adopted.
   std::function<void()> on_configuration;
 };
 
-// Runs the common parts of one process. Thread-safe.
+// Runs the configuration feed, the host list, the metrics and the operations
+// server of one entry host or sidecar. Thread-safe.
 class Node {
  public:
   Node(const NodeSettings& settings, Incarnation incarnation,
@@ -41,8 +43,8 @@
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  // Starts the operations server and the configuration feed. `role` may use
-  // this node.
+  // Starts the operations server and the configuration feed. The functions of
+  // `role` may use this node.
   void Start(NodeRole role);
   void Stop();
 
@@ -50,7 +52,8 @@
     return active_config_.InForce();
   }
   bool IsReady() const;
-  // Returns whether the configuration in force has been compared with peers.
+  // Returns whether this node has a configuration and has tried to compare it
+  // with its peers.
   bool IsConfigured() const { return feed_.IsReady(); }
   bool IsLeaving(const NodeId& node) const { return hosts_.IsLeaving(node); }
   Metrics* GetMetrics() { return &metrics_; }
--- a/src/node/peer_messages.h
+++ b/src/node/peer_messages.h
@@ -22,7 +22,7 @@
   bool ready = false;
 };
 
-// Update that a node sends to a peer with older versions.
+// Update that a node sends to a peer whose configuration or host list is older.
 struct PeerUpdate {
   PeerState state;
   // Changes that the peer lacks, as a JSON ChangeLog; empty if none are sent.
@@ -30,8 +30,8 @@
   // The whole document, sent if the changes are no longer available; empty
   // otherwise.
   std::string document_json;
-  // Whether the sender's host list is newer, and the hosts that are leaving in
-  // that list.
+  // Whether the update contains the sender's host list, because it is newer. If
+  // so, `leaving` lists the hosts that are leaving.
   bool has_hosts = false;
   std::vector<std::string> leaving;
 };
--- a/src/node/platform.cc
+++ b/src/node/platform.cc
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 constexpr Millis kReadTimeout{2000};
-// Time-out of a watch beyond its own waiting time.
+// Added to the waiting time of a watch to give the time-out of its HTTP call.
 constexpr Millis kWatchMargin{2000};
 
 struct Describer {
--- a/src/node/platform.h
+++ b/src/node/platform.h
@@ -14,7 +14,8 @@
 
 namespace harecrank {
 
-// Reasons why a call to the platform failed.
+// Reasons why a call to the platform failed: no response, an error status, or a
+// response that cannot be parsed.
 struct PlatformUnreachable {
   std::string reason;
 };
@@ -27,7 +28,7 @@
 using PlatformError = std::variant<PlatformUnreachable, PlatformRejected,
                                    PlatformResponseMalformed>;
 
-// Returns a human-readable description.
+// Returns a description of `error` for logs and operators.
 std::string Describe(const PlatformError& error);
 
 // A published value and the version that the service assigned to it.
@@ -36,8 +37,8 @@
   std::string value;
 };
 
-// Interface of the configuration service. Each platform needs its own
-// implementation.
+// Reads published values from the configuration service of the platform. Each
+// platform needs its own implementation.
 class ConfigServicePort {
  public:
   virtual ~ConfigServicePort() = default;
@@ -45,21 +46,23 @@
   // Reads one value. Values are at most 1 MB.
   virtual boost::leaf::result<PublishedValue> Read(const std::string& key) = 0;
 
-  // Waits up to `wait` for a version other than `known`. Returns the value, or
-  // nullopt if no other version appeared. Counts as one call to the service.
+  // Waits up to `wait` until the value of `key` has a version other than
+  // `known`. Returns that value, or nullopt if the version is still `known`.
+  // Counts as one call towards the rate limit of the service.
   virtual boost::leaf::result<std::optional<PublishedValue>> Watch(
       const std::string& key, std::uint64_t known, Millis wait) = 0;
 };
 
-// Interface of the host list.
+// Reads the platform's list of hosts that are leaving.
 class HostListPort {
  public:
   virtual ~HostListPort() = default;
   virtual boost::leaf::result<HostListVersion> Read() = 0;
 };
 
-// The configuration service over HTTP: GET /v1/values/KEY, with after=VERSION
-// and wait_ms=N to watch. The status is 304 if no other version appeared.
+// Calls the configuration service over HTTP: GET /v1/values/KEY to read, with
+// the parameters after=VERSION and wait_ms=N to watch. The service answers a
+// watch with status 304 if no other version has appeared.
 class HttpConfigService : public ConfigServicePort {
  public:
   explicit HttpConfigService(std::string address);
@@ -71,7 +74,7 @@
   std::string address_;
 };
 
-// The host list over HTTP: GET /v1/hosts.
+// Reads the host list over HTTP: GET /v1/hosts.
 class HttpHostList : public HostListPort {
  public:
   explicit HttpHostList(std::string address);
