--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -8,7 +8,7 @@
 
 namespace harecrank {
 
-// Exit codes of the process. kExitOk: the command succeeded.
+// Exit codes of the process.
 constexpr int kExitOk = 0;
 // The command ran, but a check failed or a call was rejected.
 constexpr int kExitFailure = 1;
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -484,7 +484,7 @@
 
 Millis ConfigFeed::Jittered(Millis time) const {
   // Returns 75% to 125% of `time`. Without jitter, nodes that start together
-  // would call the service at the same times.
+  // would call the service and their peers at the same times.
   constexpr std::int64_t kQuarters = 4;
   const auto span = static_cast<std::uint64_t>(time.count() / 2 + 1);
   return time - time / kQuarters +
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -38,7 +38,8 @@
 };
 
 // Keeps the active configuration of this node at the highest revision that the
-// configuration service or any reachable peer has, and likewise the host list.
+// configuration service or any reachable peer has, and keeps the newest host
+// list.
 //
 // One thread reads the configuration service: a node that the dissemination
 // plan makes a watcher waits there for changes; all other nodes poll the
