--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -29,8 +29,8 @@
   std::string config_service;
   // Address of the host list service. Empty if there is none.
   std::string host_list;
-  // Operations addresses of peers that this node queries while it has no
-  // configuration.
+  // Operations addresses of peers with which this node compares its
+  // configuration when it starts.
   std::vector<std::string> seed_peers;
   // SHA-256 hashes of the keys that authorise administration calls.
   std::vector<std::string> operator_keys_sha256;
@@ -99,7 +99,8 @@
   std::string directory_service;
   // Operations addresses of some other hosts. Some of them may be outdated.
   std::vector<std::string> seed_peers;
-  // Limit on repeated requests, for all hosts together.
+  // Limit on further attempts at requests after the first attempt, for all
+  // hosts together.
   RepeatLimit repeat_limit;
   // Time between the platform's stop signal and its kill signal.
   Millis stop_limit{8000};
@@ -132,8 +133,8 @@
 // Returns the problems, one per line.
 std::string Describe(const SettingsError& error);
 
-// Parses and validates the text of a settings file. Fails with SettingsError,
-// which lists all problems, not only the first one.
+// Parses and validates the text of a settings file. Fails with SettingsError;
+// InvalidSettings lists all problems, not only the first one.
 boost::leaf::result<EntrySettings> ParseEntrySettings(const std::string& text);
 boost::leaf::result<SidecarSettings> ParseSidecarSettings(
     const std::string& text);
