--- a/src/entry/answer_sink.h
+++ b/src/entry/answer_sink.h
@@ -7,8 +7,8 @@
 
 namespace harecrank {
 
-// Receives the parts of one answer in order. All methods are called on the
-// request's own thread.
+// Receives the parts of one answer in order; a part is the text of one token.
+// All methods are called on the thread that runs the request.
 class AnswerSink {
  public:
   virtual ~AnswerSink() = default;
--- a/src/entry/answer_writer.cc
+++ b/src/entry/answer_writer.cc
@@ -11,8 +11,9 @@
 
 using nlohmann::json;
 
-// Interval of keep-alive comments: well below the shortest idle time-outs of
-// common load balancers and proxies.
+// How long a stream may be silent before a keep-alive comment is sent. It is
+// well below the shortest idle time-outs of common load balancers and proxies,
+// which would otherwise close the connection.
 constexpr Millis kPingAfter{5000};
 constexpr std::int64_t kMillisPerSecond = 1000;
 
@@ -35,8 +36,8 @@
 void WriteRefusal(Poco::Net::HTTPServerResponse& response,
                   const Refusal& refusal) {
   if (refusal.retry_after) {
-    // The header is in whole seconds. Rounding up ensures that a caller does
-    // not retry too early.
+    // Retry-After has whole seconds. The delay is rounded up so that a caller
+    // does not retry too early.
     const std::int64_t seconds =
         (refusal.retry_after->count() + kMillisPerSecond - 1) /
         kMillisPerSecond;
--- a/src/entry/answer_writer.h
+++ b/src/entry/answer_writer.h
@@ -23,8 +23,8 @@
   Poco::Net::HTTPServerRequest* request = nullptr;
   Poco::Net::HTTPServerResponse* response = nullptr;
   MonotonicClock clock;
-  // Histograms of the time from the creation of the writer to the first part,
-  // and of the time between parts.
+  // `first_part` records the time from the creation of the writer to the first
+  // part of the answer, `between_parts` the time between consecutive parts.
   DurationHistogram* first_part = nullptr;
   DurationHistogram* between_parts = nullptr;
 };
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -6,15 +6,17 @@
 namespace harecrank {
 namespace {
 
-// How often a waiting request checks whether its caller is still connected.
+// Interval at which a request that waits for its answer checks whether its
+// caller is still connected.
 constexpr Millis kCallerCheckInterval{100};
 // How long before the deadline a request that has not started is withdrawn.
 // This leaves time for the sidecar's reply to arrive before the deadline.
 constexpr Millis kWithdrawMargin{150};
 constexpr Millis kWithdrawTimeout{300};
-// A stream that has started but delivers no output for this long is stuck. The
-// limit is far above the time between two tokens. A stream can get stuck if
-// packet loss in one direction holds back its credit messages.
+// Maximum time between two outputs of a stream. A stream without output for
+// longer is considered stuck, and its attempt ends. A stream can get stuck if
+// packet loss in one direction holds back its credit messages. The limit is far
+// above the normal time between two tokens.
 constexpr Millis kMaxStall{3000};
 
 AttemptEnd ToEnd(const wire::Refused& refused) {
@@ -129,7 +131,8 @@
     return AttemptEnd{AttemptFailed{failed->code, failed->message}};
   } else if (const auto* finished = std::get_if<wire::Finished>(message)) {
     ended_ = true;
-    // The answer is incomplete if its end arrives before all of its parts.
+    // `length` is the number of tokens in the whole answer. If fewer have
+    // arrived before the end, the answer is incomplete.
     if (finished->length > ports_.assembler->NextPosition()) {
       return AttemptEnd{AttemptFailed{"answer_cut", "parts are missing"}};
     }
@@ -151,8 +154,8 @@
   if (caller_disconnected_) {
     return AttemptEnd{CallerDisconnected{}};
   }
-  // Credit is granted for what the caller has consumed, so a slow caller delays
-  // only its own stream.
+  // The sidecar gets new credit only for tokens that have been written to the
+  // caller. A slow caller therefore delays its own stream and no others.
   credit_owed_ += static_cast<std::int64_t>(output.tokens.size());
   if (credit_owed_ >= kWindow / 2) {
     ports_.links->Send(link_, wire::Credit{stream_, credit_owed_});
@@ -173,8 +176,8 @@
     return Withdraw(evidence,
                     AttemptEnd{AttemptLost{"the sidecar gave no word"}});
   }
-  // A request that cannot run elsewhere keeps waiting, because its answer may
-  // still arrive.
+  // A request without an acknowledge time-out cannot run at another endpoint.
+  // It keeps waiting on a silent link, because its answer may still arrive.
   if (times_.acknowledge_timeout.count() > 0 && link_->IsSilent()) {
     return Withdraw(evidence,
                     AttemptEnd{AttemptLost{"the link to the endpoint is "
@@ -195,8 +198,9 @@
   while (auto event = inbox_->Take(until)) {
     const auto result = Handle(*event, evidence);
     if (!result) {
-      // The request has started, but the attempt still ends because its time is
-      // up.
+      // The event does not end the request; for example, the request has just
+      // started. The attempt ends nevertheless, unless the answer completes
+      // before `until`.
       continue;
     }
     if (std::holds_alternative<wire::Finished>(*result)) {
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -1,4 +1,5 @@
-// Runs one attempt of a request at one endpoint.
+// Runs one attempt of a request: sends the request to one endpoint over its
+// link and receives the answer.
 
 #ifndef HARECRANK_SRC_ENTRY_ATTEMPT_H_
 #define HARECRANK_SRC_ENTRY_ATTEMPT_H_
@@ -25,16 +26,16 @@
 // Deadlines and time-outs of an attempt.
 struct AttemptTimes {
   TimePoint deadline;
-  // How long to wait for the sidecar to acknowledge the request. Zero waits
-  // until the deadline; it is used for a request that cannot be sent to another
-  // endpoint.
+  // How long to wait for the sidecar to acknowledge the request. Zero means to
+  // wait until the deadline. Zero is used for a request with a ticket, which
+  // cannot be sent to another endpoint.
   Millis acknowledge_timeout{1500};
 };
 
 using AttemptResult = std::variant<wire::Finished, AttemptEnd>;
 
-// Runs one attempt on the calling thread. An object can be used for one attempt
-// only.
+// Sends a request to one endpoint and forwards the answer to an AnswerSink.
+// Runs on the calling thread. An object can be used for one attempt only.
 class Attempt {
  public:
   Attempt(AttemptPorts ports, std::shared_ptr<Link> link, AttemptTimes times);
@@ -43,14 +44,15 @@
   Attempt& operator=(const Attempt&) = delete;
 
   // Submits the request with `body`, forwards the parts of the answer to the
-  // sink, and returns the result. The fields `stream`, `deadline`, `window` and
-  // `body_bytes` of `submit` are set here. Updates `evidence` with what is
-  // known about the execution of the request.
+  // AnswerSink, and returns the result. Sets the fields `stream`, `deadline`,
+  // `window` and `body_bytes` of `submit`; the caller sets the others. Records
+  // in `evidence` whether the request was submitted and started, which decides
+  // whether it may be retried.
   AttemptResult Run(wire::Submit submit, const std::string& body,
                     AttemptEvidence* evidence);
 
-  // Flow-control window: the number of tokens that a sidecar may send before it
-  // needs more credit.
+  // Size of the flow-control window: number of tokens that a sidecar may send
+  // before this host must grant it more credit.
   static constexpr std::int64_t kWindow = 64;
 
  private:
@@ -63,8 +65,9 @@
   std::optional<AttemptResult> OnOutput(const wire::Output& output);
   std::optional<AttemptResult> CheckTimeouts(TimePoint now,
                                              AttemptEvidence* evidence);
-  // Asks the sidecar to revoke the request, and waits briefly for its reply.
-  // Returns the answer if it completed in the meantime, and `end` otherwise.
+  // Asks the sidecar to revoke the request, and waits up to kWithdrawTimeout
+  // for its reply. Returns the answer if the request completed in the meantime,
+  // and `end` otherwise.
   AttemptResult Withdraw(AttemptEvidence* evidence, const AttemptEnd& end);
   void Forward(const AnswerToken& token);
 
--- a/src/entry/caller_request.cc
+++ b/src/entry/caller_request.cc
@@ -31,7 +31,8 @@
   return parsed;
 }
 
-// Returns the value of one field, or `otherwise` if it is absent or null.
+// Returns the value of one field of a JSON object, or `otherwise` if the field
+// is absent or null.
 template <typename T>
 leaf::result<T> Field(const json& body, const char* name, T otherwise) {
   const auto found = body.find(name);
@@ -134,8 +135,9 @@
         http_status::kNotFound, "unknown_service",
         "there is no service called '" + request->service.value + "'");
   }
-  // A call with any other method may have side effects, so it is not repeated
-  // once it may have run, even without a header that says so.
+  // A call with any method but GET and HEAD may have side effects. Once it may
+  // have run, it is not repeated, even if the caller did not send the header
+  // that forbids repeating it.
   if (headers.method != "GET" && headers.method != "HEAD") {
     request->retry_mode = RetryMode::kOnlyIfNotRun;
   }
--- a/src/entry/caller_request.h
+++ b/src/entry/caller_request.h
@@ -12,7 +12,8 @@
 
 namespace harecrank {
 
-// API form of a request, which determines the form of its response.
+// The API that a caller used: completions, chat completions or a call of a
+// plain service. It determines the format of the response.
 enum class AnswerForm { kCompletion, kChat, kService };
 
 // A validated request.
@@ -28,7 +29,8 @@
   Tokens answer_tokens;
   bool stream = false;
   Millis time_limit{0};
-  // Set only for a request that must run at most once; empty otherwise.
+  // Ticket that permits the one execution of a request that must run at most
+  // once; empty for any other request.
   std::string ticket;
   RetryMode retry_mode = RetryMode::kAllowed;
   // The following fields are set only for kService.
@@ -38,7 +40,7 @@
   std::string content_type;
 };
 
-// The parts of the HTTP request other than its body.
+// The parts of a caller's HTTP request other than its body.
 struct CallerHeaders {
   std::string method;
   std::string path;
@@ -51,8 +53,8 @@
   std::string content_type;
 };
 
-// Parses and validates a request. Fails with a Refusal whose outcome is
-// kNotRun. The API is documented in docs/API.md.
+// Parses and validates a caller's request against `configuration`. Fails with a
+// Refusal whose outcome is kNotRun. The API is documented in docs/API.md.
 boost::leaf::result<CallerRequest> ReadCallerRequest(
     const Configuration& configuration, const CallerHeaders& headers,
     std::string body);
@@ -62,8 +64,8 @@
 boost::leaf::result<AccountId> Authenticate(const Configuration& configuration,
                                             const std::string& authorization);
 
-// Returns an estimate of the number of tokens in `bytes` of text, rounded up.
-// It is used until an engine has counted them.
+// Returns an estimate of the number of tokens in a text of `bytes` bytes,
+// rounded up. The estimate is used until an engine has counted the tokens.
 Tokens EstimateTokens(std::size_t bytes);
 
 // Number of bytes per token assumed by EstimateTokens.
--- a/src/entry/caller_server.cc
+++ b/src/entry/caller_server.cc
@@ -16,11 +16,11 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-// Threads reserved for rejections, tickets and health probes while all request
-// slots are in use.
+// Number of threads in addition to one for each request slot. They serve
+// rejections, tickets and health probes while all request slots are in use.
 constexpr int kSpareThreads = 32;
-// Maximum number of bytes to read from a body that is too large. Reading it
-// allows the caller to receive the error response.
+// Maximum number of bytes that are read and discarded from a body that is too
+// large. A caller may not read the error response until it has sent its body.
 constexpr std::size_t kMaxDiscardedBytes = 256U << 20U;
 constexpr Millis kFullRetryDelay{1000};
 constexpr Millis kDrainRetryDelay{1000};
@@ -56,7 +56,8 @@
   return path == "/v1/completions" || path == "/v1/chat/completions";
 }
 
-// Checks that the model or service of a ticket is published.
+// Checks that the model or service for which a caller requests a ticket has
+// endpoints in the configuration.
 leaf::result<void> CheckTarget(const Configuration& configuration,
                                const ModelId& model,
                                const ServiceName& service) {
@@ -165,7 +166,7 @@
                             kFullRetryDelay));
     return;
   }
-  // Releases the slot on every path out of this function.
+  // Releases the request slot when this function returns or throws.
   const std::shared_ptr<void> slot(nullptr,
                                    [this](void*) { in_flight_.fetch_sub(1); });
   if (StartsWith(path, kTickets)) {
--- a/src/entry/caller_server.h
+++ b/src/entry/caller_server.h
@@ -1,4 +1,4 @@
-// HTTP server for callers.
+// HTTP server that receives the callers' requests.
 
 #ifndef HARECRANK_SRC_ENTRY_CALLER_SERVER_H_
 #define HARECRANK_SRC_ENTRY_CALLER_SERVER_H_
@@ -14,7 +14,8 @@
 
 namespace harecrank {
 
-// Serves callers on one address.
+// Receives callers' HTTP requests on one address, has the Dispatcher run them,
+// and writes the answers.
 //
 // Each request in flight occupies a thread. The number of requests in flight is
 // limited; additional threads are reserved so that requests over the limit are
@@ -28,7 +29,7 @@
   // Starts to listen.
   void Start();
 
-  // Rejects every later request with outcome kNotRun.
+  // Makes the server reject every later request with outcome kNotRun.
   void Drain() { draining_ = true; }
 
   // Returns the number of requests in flight.
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -18,8 +18,9 @@
 constexpr Millis kLinkPollInterval{10};
 constexpr Millis kTicketTimeout{1000};
 constexpr Millis kRetryAfter{1000};
-// Length of the prompt's beginning that is used as its prefix for cache
-// affinity.
+// Number of bytes at the beginning of a prompt that form its prefix. Prompts
+// with equal prefixes prefer the same endpoint, whose cache may have the
+// prefix.
 constexpr std::size_t kPrefixBytes = 2048;
 constexpr int kMaxTicketAttempts = 3;
 constexpr char kLengthAware[] = "length_aware";
@@ -169,7 +170,8 @@
   AttemptPorts ports{ports_.links, ports_.clock, &assembler, sink};
   RetryPolicy policy(context->request.retry_mode, context->deadline,
                      ports_.clock, &budget_);
-  // Zero for a request that a single engine serves.
+  // Minimum number of engines in the group that serves the request; zero if a
+  // single engine serves it.
   const std::size_t members = GroupSize(*context);
   while (true) {
     AttemptEvidence evidence;
@@ -380,8 +382,8 @@
     if (auto link = Choose(context)) {
       return link;
     }
-    // After an attempt on another endpoint there is no reason to wait for a
-    // link.
+    // A retry does not wait: an earlier attempt shows that links to endpoints
+    // were available.
     if (!context.tried_endpoints.empty() || ports_.clock() >= until ||
         (sink != nullptr && !sink->OnIdle())) {
       return nullptr;
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -1,4 +1,5 @@
-// Runs validated requests: rate limits, routing, attempts and retries.
+// Runs validated requests: checks rate limits, selects endpoints, and makes
+// attempts and retries.
 
 #ifndef HARECRANK_SRC_ENTRY_DISPATCHER_H_
 #define HARECRANK_SRC_ENTRY_DISPATCHER_H_
@@ -31,7 +32,7 @@
   // needed.
   EndpointId endpoint;
   int attempts = 1;
-  // Number of engines that held a part of the prompt.
+  // Number of engines over which the prompt was distributed.
   int members = 1;
 };
 using DispatchResult = std::variant<Answered, Refusal>;
@@ -50,17 +51,20 @@
   RandomSource random;
 };
 
-// Runs each request on the calling thread. Thread-safe.
+// Runs callers' requests: checks the account's rate limit, selects an endpoint
+// or a group of engines, and retries failed attempts. Each request runs on the
+// calling thread. Thread-safe.
 class Dispatcher {
  public:
   // `policy_name` must be a name that RoutingPolicyFromName accepts.
   Dispatcher(DispatcherPorts ports, std::string policy_name);
 
-  // Adopts a new configuration revision. The endpoint table is replaced
-  // atomically.
+  // Builds the endpoint table for the active configuration if its revision has
+  // changed. Requests in progress keep the previous table.
   void OnConfiguration();
 
-  // Maintains links to all endpoints in the table. Must be called periodically.
+  // Opens, reopens and closes links, so that there is one to each endpoint in
+  // the endpoint table. Must be called periodically.
   void Maintain();
 
   // Returns the number of retries that the retry budget permits at present.
@@ -90,8 +94,9 @@
     std::shared_ptr<const EndpointTable> table;
     TimePoint deadline;
     LengthClass length = LengthClass::kShort;
-    // Key of the prompt's prefix for cache-affine routing; empty if the prefix
-    // has not been seen recently, so that no cache can contain it.
+    // The model, the adapter and the beginning of the prompt, if a recent
+    // request had the same ones; empty otherwise. Requests with equal prefixes
+    // prefer the same endpoint, since its cache may contain the prefix.
     std::string warm_prefix{};
     std::set<EndpointId> tried_endpoints{};
   };
@@ -107,11 +112,11 @@
                                  AttemptPorts ports, AttemptEvidence* evidence);
   wire::Submit MakeSubmit(const Context& context,
                           const AnswerAssembler& assembler) const;
-  // Returns the minimum number of engines to spread the request over, or zero
-  // if one engine serves it.
+  // Returns the minimum number of engines over which to distribute the prompt,
+  // or zero if a single engine serves the request.
   std::size_t GroupSize(const Context& context) const;
-  // Records the prefix of the prompt as seen. Sets `warm_prefix` if it was seen
-  // recently.
+  // Records the prefix of the prompt in `prefixes_`. Sets `warm_prefix` if a
+  // recent request had the same prefix.
   void RecordPrefix(Context* context);
   const std::vector<SubsetEndpoint>& Subset(const Context& context) const;
   // Returns the link to the endpoint that the routing policy selects, or null
@@ -119,8 +124,9 @@
   // only if no local one is available.
   std::shared_ptr<Link> Choose(const Context& context);
   std::shared_ptr<Link> ChooseAmong(const Context& context, bool far);
-  // Waits until an endpoint is available, and returns the link to it. Returns
-  // null on a time-out, if an attempt was made already, or if the caller has
+  // Returns the link to an available endpoint. If there is none, waits for one
+  // before the first attempt of a request. Returns null if the wait times out,
+  // if none is available for a later attempt, or if the caller has
   // disconnected.
   std::shared_ptr<Link> WaitForLink(const Context& context, AnswerSink* sink);
   // Waits until the link to `endpoint` is usable, and returns it. Returns null
--- a/src/entry/endpoint_table.cc
+++ b/src/entry/endpoint_table.cc
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t kMaxGroupCandidates = 32;
-// Minimum number of endpoints of other data centres in each subset, so that a
-// model remains available if all its local endpoints are lost.
+// Minimum number of endpoints of other data centres in the subset of each model
+// or service. They keep it available if all local endpoints are lost.
 constexpr std::size_t kRemoteReserve = 2;
 
 const std::vector<SubsetEndpoint>& EmptySubset() {
@@ -19,8 +19,8 @@
   return kNone;
 }
 
-// IDs of the endpoints that accept new work, divided into those of the local
-// data centre and all others.
+// IDs of the endpoints that are not marked as leaving: `near` has those in the
+// local data centre, `far` those in other data centres.
 struct PartitionedIds {
   std::vector<std::string> near;
   std::vector<std::string> far;
--- a/src/entry/endpoint_table.h
+++ b/src/entry/endpoint_table.h
@@ -14,14 +14,15 @@
 
 namespace harecrank {
 
-// An endpoint in a subset.
+// An endpoint to which an entry host may send requests.
 struct SubsetEndpoint {
   EndpointId id;
   std::string link_address;
-  // Configured memory of the engine; zero for a plain service.
+  // Configured memory of the engine in tokens; zero for a plain service, which
+  // has no engine.
   Tokens memory;
-  // Whether the endpoint is in another data centre. Such endpoints are used
-  // only while no local endpoint is available.
+  // Whether the endpoint is in another data centre than the entry host. Such an
+  // endpoint is used only while no local endpoint is available.
   bool far = false;
 };
 
@@ -41,8 +42,9 @@
   EndpointTable(const Configuration& configuration, const NodeId& self,
                 const DataCentreId& data_centre);
 
-  // Returns the endpoints to route among; empty for an unknown name. Endpoints
-  // that are marked as leaving are excluded.
+  // Returns the endpoints among which requests for a model or service are
+  // distributed; empty for an unknown name. Endpoints that the configuration
+  // marks as leaving are excluded.
   const std::vector<SubsetEndpoint>& ForModel(const ModelId& model) const;
   const std::vector<SubsetEndpoint>& ForService(
       const ServiceName& service) const;
