--- a/src/entry/answer_sink.h
+++ b/src/entry/answer_sink.h
@@ -7,8 +7,9 @@
 
 namespace harecrank {
 
-// Receives the parts of one answer in order; a part is the text of one token.
-// All methods are called on the thread that runs the request.
+// Receives the parts of one answer in order. A part is the text of one token,
+// or a chunk of the response of a plain service. All methods are called on the
+// thread that runs the request.
 class AnswerSink {
  public:
   virtual ~AnswerSink() = default;
--- a/src/entry/caller_server.cc
+++ b/src/entry/caller_server.cc
@@ -20,7 +20,7 @@
 // rejections, tickets and health probes while all request slots are in use.
 constexpr int kSpareThreads = 32;
 // Maximum number of bytes that are read and discarded from a body that is too
-// large. A caller may not read the error response until it has sent its body.
+// large. Reading the body allows the caller to receive the error response.
 constexpr std::size_t kMaxDiscardedBytes = 256U << 20U;
 constexpr Millis kFullRetryDelay{1000};
 constexpr Millis kDrainRetryDelay{1000};
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -382,8 +382,8 @@
     if (auto link = Choose(context)) {
       return link;
     }
-    // A retry does not wait: an earlier attempt shows that links to endpoints
-    // were available.
+    // Only the first attempt waits for a link to become usable. After an
+    // attempt at another endpoint there is no reason to wait.
     if (!context.tried_endpoints.empty() || ports_.clock() >= until ||
         (sink != nullptr && !sink->OnIdle())) {
       return nullptr;
--- a/src/entry/entry_node.h
+++ b/src/entry/entry_node.h
@@ -15,7 +15,8 @@
 
 namespace harecrank {
 
-// Accepts callers' requests and returns their answers.
+// Runs the parts of an entry host: the server that accepts callers' requests,
+// the dispatcher that runs them, and the links to the sidecars.
 class EntryNode {
  public:
   EntryNode(const EntrySettings& settings, const MonotonicClock& clock,
@@ -27,8 +28,8 @@
   // Starts all servers and threads, and returns.
   void Start();
 
-  // Rejects new requests, waits up to the drain limit for requests in flight,
-  // and stops.
+  // Rejects new requests, waits for the requests in flight, but no longer than
+  // `drain_limit` of the settings, and stops all servers and threads.
   void DrainAndStop();
 
  private:
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -64,9 +64,10 @@
         std::any_of(members_.begin(), members_.end(),
                     [](const Member& member) { return member.lost; });
     if (!any_lost) {
-      // An engine has lost its segment although its sidecar still runs. It is
-      // not known which one, so the dispatcher retries with a new group;
-      // engines without their segment are then found during prefill.
+      // All reservations were renewed, so an engine has lost its segment while
+      // its sidecar still runs. It is not known which engine this is, so the
+      // dispatcher retries with a new group. Failing engines are then found
+      // during prefill.
       return result;
     }
   }
@@ -90,8 +91,8 @@
 }
 
 Tokens GroupRunner::WithoutHeadroom(Tokens free, Tokens memory) const {
-  // The sidecar rejects reservations that would use the headroom for short
-  // requests.
+  // The headroom for short requests does not count as free, since the sidecar
+  // rejects reservations that would use it.
   return free - Tokens{memory.value * ports_.short_headroom_percent / kPercent};
 }
 
@@ -102,8 +103,8 @@
         PlanSegments(request_.prompt_tokens, request_.answer_tokens,
                      Candidates(), ports_.min_members);
     if (!plan) {
-      // Load reports are delayed, so an engine that appears full may have free
-      // memory in its next report.
+      // The candidates' latest load reports have too little free memory. The
+      // reports are delayed, so an engine may have more in its next one.
       if (!ports_.attempt.sink->OnIdle()) {
         *end_reason = CallerDisconnected{};
         return false;
@@ -158,8 +159,9 @@
     step = reserved ? reservation->OnReserved(member->segment.member)
                     : reservation->OnRefused(member->segment.member);
   }
-  // A member that did not reply in time counts as having rejected. If it still
-  // makes the reservation, the reservation is cancelled with the others.
+  // A member that has not replied in time counts as having rejected its
+  // reservation. If it makes the reservation later, ReleaseAll cancels it
+  // together with those of the other members.
   for (const Member& member : members_) {
     if (std::holds_alternative<WaitForMembers>(step)) {
       step = reservation->OnRefused(member.segment.member);
@@ -280,8 +282,8 @@
 }
 
 bool GroupRunner::Replace(Member* member) {
-  // Load reports are delayed, so one check is not enough to conclude that no
-  // endpoint has free memory.
+  // The search for a replacement is repeated until a time-out. Load reports are
+  // delayed, so one search cannot show that no endpoint has free memory.
   const TimePoint until =
       std::min(deadline_, ports_.attempt.clock() + kReplaceTimeout);
   constexpr bool kReuseMembers = true;
@@ -381,9 +383,9 @@
 }
 
 void GroupRunner::MarkLostMembers() {
-  // A failed generation does not always identify the member that failed. Each
-  // member is asked to renew its reservation; a member that does not confirm is
-  // lost.
+  // A failed generation does not always identify the member that failed, so
+  // each member is asked to renew its reservation. A member that does not
+  // confirm the renewal is lost.
   next_renewal_ = TimePoint{};
   RenewAll();
   std::set<std::uint64_t> renewed;
--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -23,17 +23,19 @@
   // Returns whether an endpoint accepts new work.
   std::function<bool(const EndpointId&)> is_available;
   int short_headroom_percent = 0;
-  // Minimum number of engines to spread the prompt over, even if fewer could
-  // hold it. Halved after each round in which the reservation fails.
+  // Minimum number of engines over which the prompt is distributed, even if
+  // fewer have enough memory for it. Halved each time that the group could not
+  // reserve memory on all members.
   std::size_t min_members = 1;
   // Counter of segments that were prefilled again.
   Counter* segments_redone = nullptr;
 };
 
-// Coordinates one group on the calling thread. It reserves memory on all
-// members or on none, has each member prefill its segment, and has the last
-// member generate the answer from all segments. If a member is lost, it is
-// replaced and only its segment is prefilled again.
+// Coordinates the engines (members) of one group on the calling thread.
+// Reserves memory on all members or on none, makes each member prefill its
+// segment of the prompt, and makes the last member generate the answer from all
+// segments. If a member is lost, it is replaced and only its segment is
+// prefilled again.
 class GroupRunner {
  public:
   GroupRunner(GroupPorts ports, const CallerRequest& request,
@@ -45,13 +47,14 @@
   // Runs the request to completion.
   AttemptResult Run(AttemptEvidence* evidence);
 
-  // Returns the member that runs decode, and the number of members. The result
-  // is an empty ID or 0 before Run has reserved the members.
+  // Return the endpoint of the member that generates the answer, and the number
+  // of members. Before Run has reserved memory on all members, the results are
+  // an empty ID and 0.
   EndpointId DecodeEndpoint() const;
   int MemberCount() const { return static_cast<int>(members_.size()); }
 
  private:
-  // An engine in the group.
+  // An engine in the group, with its segment of the prompt and its progress.
   struct Member {
     Segment segment;
     std::shared_ptr<Link> link;
@@ -63,9 +66,11 @@
     wire::SegmentRef segment_ref;
   };
 
-  // Returns whether the prompt would fit if all candidates were idle.
+  // Returns whether the candidates would have enough memory for the prompt if
+  // all of them were idle.
   bool FitsWhenIdle() const;
-  // Returns `free` minus the headroom that is reserved for short requests.
+  // Returns `free`, the free memory of an engine with `memory` in total, minus
+  // the part of its memory that is reserved for short requests.
   Tokens WithoutHeadroom(Tokens free, Tokens memory) const;
   bool ReserveAll(AttemptEnd* end_reason);
   GroupStep ReserveMembers(GroupReservation* reservation,
@@ -76,13 +81,14 @@
   void OnEvent(const StreamEvent& event, AttemptEvidence* evidence);
   bool ReplaceLost(AttemptEnd* end_reason);
   bool Replace(Member* member);
-  // Tries to reserve the segment of a lost member on another candidate. If
-  // `reuse_members` is set, engines that are members already are candidates,
-  // too.
+  // Tries to reserve memory for the segment of a lost member on another
+  // candidate. If `reuse_members` is set, other members of the group may take
+  // the segment in addition to their own.
   bool TryReplace(Member* member, bool reuse_members);
   bool TryReserve(const EndpointId& id, Member* member);
   AttemptResult Generate(AttemptEvidence* evidence);
-  // Marks all members that do not confirm a renewal of their reservation.
+  // Marks all members as lost that do not confirm in time that their
+  // reservation was renewed.
   void MarkLostMembers();
   void RenewAll();
   void Release(Member* member);
--- a/src/entry/link_pool.cc
+++ b/src/entry/link_pool.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Millis kRedialBackoff{500};
-// A link without streams is closed when it has not been used for this long.
+// How long a link without streams may be unused before it is closed.
 constexpr Millis kIdleTimeout{30000};
 
 // Returns the ID of the stream that a message from a sidecar belongs to, or
@@ -138,7 +138,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     auto& current = links_[endpoint];
-    // A link is replaced if its endpoint's address has changed.
+    // There is no link yet, or the endpoint's address has changed.
     if (current == nullptr || current->Address() != address) {
       current = std::make_shared<Link>(endpoint, address, clock_);
       is_new = true;
@@ -265,7 +265,7 @@
       inbox = found->second;
     }
   }
-  // A message for a closed stream is dropped.
+  // A message of a stream that has been closed is dropped.
   if (inbox != nullptr) {
     inbox->Put(std::move(message));
   }
@@ -300,8 +300,8 @@
 }
 
 void LinkPool::DialLink(const std::shared_ptr<Link>& link) {
-  // The lock is held while dialling, so that no handler of this dial runs
-  // before the link is registered under its dial ID.
+  // The lock is held while dialling. The handlers of this dial look the link up
+  // under the same lock, so they cannot run before it is in `by_dial_`.
   const std::lock_guard<std::mutex> lock(mutex_);
   const DialId dial = client_->Dial(link->Address());
   by_dial_.emplace(dial.value, link);
--- a/src/entry/link_pool.h
+++ b/src/entry/link_pool.h
@@ -1,4 +1,5 @@
-// Links from one entry host to the sidecars that it uses.
+// Links from one entry host to the sidecars that it uses. A link is a
+// connection that carries the streams of many requests.
 
 #ifndef HARECRANK_SRC_ENTRY_LINK_POOL_H_
 #define HARECRANK_SRC_ENTRY_LINK_POOL_H_
@@ -23,7 +24,8 @@
 
 namespace harecrank {
 
-// Event of a stream whose link was closed.
+// Event that tells a request that the link of its stream was closed, so that no
+// more messages will arrive.
 struct LinkLost {
   StreamId stream;
 };
@@ -50,7 +52,9 @@
   std::deque<StreamEvent> events_;
 };
 
-// A link to one sidecar, open or being opened. Thread-safe.
+// A link to one sidecar, with the state that the sidecar reported last. The
+// link is open, being opened, or waiting to be reopened by LinkPool.
+// Thread-safe.
 class Link {
  public:
   Link(EndpointId endpoint, std::string address, MonotonicClock clock);
@@ -70,20 +74,21 @@
   // Returns whether the sidecar has announced that it accepts no new work.
   bool IsDraining() const;
 
-  // Returns the endpoint's load as routing sees it.
+  // Returns the input of routing: the endpoint's latest load report, and the
+  // work submitted since then.
   EndpointView View() const;
 
   // Returns `deadline` on the sidecar's clock, or nullopt while the offset of
   // that clock is unknown.
   std::optional<RemoteMillis> Convert(TimePoint deadline) const;
 
-  // Adds submitted work that the sidecar's latest load report does not include.
-  // Reset by the next heartbeat.
+  // Adds work that this host has submitted and that the sidecar's latest load
+  // report does not include. The sum returns to zero at the next heartbeat.
   void AddUnreported(Tokens tokens);
 
-  // Number of heartbeat intervals without a message after which a link counts
-  // as silent, and after which it is closed and all its streams receive
-  // LinkLost.
+  // Limits in heartbeat intervals without a message. After kMissedBeforeSilent,
+  // a link is considered silent. After kMissedBeforeClose, it is closed, and
+  // all its streams receive LinkLost.
   static constexpr int kMissedBeforeSilent = 3;
   static constexpr int kMissedBeforeClose = 8;
 
@@ -107,7 +112,8 @@
   std::unordered_map<std::uint64_t, std::shared_ptr<StreamInbox>> streams_;
 };
 
-// All links of one process. Thread-safe.
+// Opens, keeps and closes all links of one entry host, and passes the messages
+// that arrive on them to the streams' inboxes. Thread-safe.
 class LinkPool {
  public:
   LinkPool(NodeId self, Incarnation incarnation, MonotonicClock clock,
--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -20,7 +20,7 @@
 
 namespace harecrank {
 
-// Reasons why a call to an engine failed.
+// The following types are the reasons why a call to an engine failed.
 //
 // The engine rejected the request; nothing ran.
 struct EngineRejected {
@@ -35,7 +35,8 @@
 struct EngineOutcomeUnknown {
   std::string reason;
 };
-// The fencing token of the order is older than one that the engine has seen.
+// The engine rejected an order because its fencing token is older than one that
+// the engine has seen: the order is based on an outdated configuration.
 struct EngineFenceOutdated {};
 using EngineError = std::variant<EngineRejected, EngineUnreachable,
                                  EngineOutcomeUnknown, EngineFenceOutdated>;
@@ -43,36 +44,38 @@
 // Returns a human-readable description.
 std::string Describe(const EngineError& error);
 
-// Identifies memory that an engine has allocated for this process.
+// Identifies memory that an engine has allocated for a sidecar process.
 using AllocationId = StrongString<struct AllocationTag>;
 
-// A prompt segment whose KV cache is in another engine.
+// A segment of a prompt that another engine has prefilled and whose KV cache is
+// stored there.
 struct RemoteSegment {
   std::string engine_address;
   AllocationId segment;
 };
 
-// A request to generate an answer or to prefill one segment.
+// A request that an engine generates an answer or prefills one prompt segment.
 struct EngineRequest {
   AllocationId id;
-  // The process that owns the allocation. It allows a later process to
-  // recognise orphaned allocations.
+  // The sidecar process that owns the allocation. After a restart of the
+  // sidecar, the new process recognises the allocations of the old one by it.
   Incarnation owner;
   ModelId model;
   AdapterName adapter;
   std::string prompt;
   Tokens answer;
   std::int64_t resume_from = 0;
-  // Requests with a larger value are scheduled first.
+  // Scheduling priority; the engine schedules requests with a larger value
+  // first.
   int priority = 0;
   // Maximum number of tokens of this prompt that one forward pass may prefill.
   Tokens chunk;
   std::vector<RemoteSegment> segments;
-  // Time-out of the engine call.
+  // Time-out of the call to the engine.
   Millis timeout{0};
 };
 
-// Memory that an engine has allocated.
+// One allocation of memory that an engine reports.
 struct EngineAllocation {
   AllocationId id;
   Incarnation owner;
@@ -87,12 +90,14 @@
   std::map<std::string, LoadedModel> models;
 };
 
-// Client of one engine. Thread-safe.
+// Sends requests, cancellations and orders of a sidecar to its engine.
+// Thread-safe.
 class EnginePort {
  public:
-  // Called when the engine has accepted the request.
+  // Callback of Generate for when the engine has accepted the request.
   using OnAccepted = std::function<void()>;
-  // Called with each token. Returns false to stop the generation.
+  // Callback of Generate for each token. It returns false to stop the
+  // generation.
   using OnToken = std::function<bool(std::int64_t position, std::string token)>;
 
   virtual ~EnginePort() = default;
@@ -103,7 +108,8 @@
       const EngineRequest& request, const OnAccepted& on_accepted,
       const OnToken& on_token) = 0;
 
-  // Prefills one segment and keeps it until it is cancelled.
+  // Prefills one prompt segment. The engine keeps the segment until Cancel is
+  // called with the ID of the request.
   virtual boost::leaf::result<void> Prefill(const EngineRequest& request) = 0;
 
   // Cancels a request or releases a segment. Does nothing for an unknown ID.
@@ -111,8 +117,9 @@
 
   virtual boost::leaf::result<EngineStatus> GetStatus() = 0;
 
-  // Sends an order with the fencing token `fence`. Fails if the engine has seen
-  // a newer token.
+  // Sends an order to load or unload a model or an adapter. `fence` is a
+  // fencing token; the call fails with EngineFenceOutdated if the engine has
+  // seen a newer one.
   virtual boost::leaf::result<void> Order(const EngineOrder& order,
                                           Revision fence) = 0;
 };
--- a/src/sidecar/engine_reconciler.cc
+++ b/src/sidecar/engine_reconciler.cc
@@ -11,8 +11,9 @@
 
 namespace leaf = boost::leaf;
 
-// Maximum age of a decision that may still be acted on. An older decision was
-// delayed by a pause of the process and may be outdated.
+// Maximum time between the beginning of a reconciliation and the sending of its
+// order. If more time has passed, for example because the process was paused,
+// the order may be outdated and is not sent.
 constexpr Millis kMaxDecisionAge{500};
 
 struct OrderName {
@@ -28,7 +29,8 @@
   }
 };
 
-// Returns the names of the endpoints that load the same weights as an order.
+// Returns the names of the endpoints that must load the weights which an order
+// loads; none for an order to unload.
 struct LoadersOf {
   const Configuration& configuration;
 
@@ -115,7 +117,8 @@
 }
 
 void EngineReconciler::Reconcile() {
-  // A plain service must not receive calls that are intended for an engine.
+  // An endpoint without an engine is a plain service, which must not receive
+  // calls that are intended for an engine.
   if (!HasEngine()) {
     return;
   }
@@ -136,8 +139,8 @@
         return {};
       },
       [] {
-        // No handling needed: requests to an engine that is down fail and
-        // report it.
+        // Nothing is reported here if the engine does not respond: the requests
+        // to it fail and report it.
       });
 }
 
@@ -177,8 +180,8 @@
     if (!IsDue(order, *configuration)) {
       continue;
     }
-    // Only one order is sent per status report. The next report shows its
-    // effect.
+    // Only one order is sent for each status report, because the next report
+    // shows whether it took effect.
     if (SendOrder(order, configuration->GetRevision())) {
       Wake();
     }
--- a/src/sidecar/engine_reconciler.h
+++ b/src/sidecar/engine_reconciler.h
@@ -28,7 +28,8 @@
   MonotonicClock clock;
   // Returns the IDs of the allocations that this process still uses.
   std::function<std::set<std::string>()> live_allocations;
-  // Called with the memory size that the engine reports.
+  // Called with the total memory of the engine, in tokens, at each status
+  // report.
   std::function<void(Tokens)> on_memory;
 };
 
@@ -50,7 +51,8 @@
   void Start();
   void Stop();
 
-  // Triggers a reconciliation immediately instead of at the next interval.
+  // Makes the next reconciliation start immediately instead of after the
+  // configured interval.
   void Wake();
 
   // Returns whether all allocations of earlier processes have been released.
@@ -65,12 +67,16 @@
   bool HasEngine() const;
   void Reconcile();
   void ReleaseOrphans(const EngineStatus& status);
-  // Sends the first due order, if there is one.
+  // Sends the first order that the configuration requires and that is due, if
+  // there is one.
   void SendNextOrder(const EngineStatus& status);
-  // Returns whether the delay that staggers weight loads has passed.
+  // Returns whether `order` may be sent now. Endpoints that load the same
+  // weights send their orders after different delays, so that only a limited
+  // number load at once.
   bool IsDue(const EngineOrder& order, const Configuration& configuration);
-  // Sends an order. Returns false if it failed, and true if it was accepted or
-  // withheld after a pause of the process.
+  // Sends an order. Returns false if it failed, and true if the engine accepted
+  // it or if it was not sent because it may be outdated after a pause of the
+  // process.
   bool SendOrder(const EngineOrder& order, Revision fence);
 
   SidecarSettings settings_;
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -14,7 +14,8 @@
 using nlohmann::json;
 
 constexpr Millis kShortTimeout{2000};
-// The engine responds to an order to load weights only when they are loaded.
+// Time-out of an order. It is long because an engine responds to an order to
+// load weights only once they are loaded.
 constexpr Millis kOrderTimeout{120000};
 
 struct Describer {
--- a/src/sidecar/http_engine.h
+++ b/src/sidecar/http_engine.h
@@ -9,7 +9,8 @@
 
 namespace harecrank {
 
-// Calls the engine at one address. Generated tokens arrive as lines of JSON.
+// Calls the engine at one address by HTTP requests. The engine sends each
+// generated token as a line of JSON.
 class HttpEngine : public EnginePort {
  public:
   explicit HttpEngine(std::string address);
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -21,14 +21,16 @@
 constexpr std::size_t kMaxTickets = 20000;
 constexpr std::size_t kMaxAnswerLogs = 2000;
 constexpr Millis kTimerInterval{20};
-// Additional threads of the pool. A request with a ticket needs a second thread
-// to replay its log to the caller; segments and later replays also run beside
-// the scheduled requests.
+// Number of threads of the pool in addition to one for each request that the
+// scheduler may run. A request with a ticket needs a second thread, which sends
+// its answer log to the caller. The prefill of group segments and later replays
+// of logs also run in addition to the scheduled requests.
 constexpr int kSpareThreads = 64;
-// Number of load updates per heartbeat interval on connections that carry
-// requests, while the load changes.
+// Maximum number of load updates in one heartbeat interval. They are sent while
+// the load changes, and only on connections that carry requests.
 constexpr int kLoadUpdatesPerHeartbeat = 5;
-// Capacity of a plain service, counted in calls.
+// Capacity of a plain service in the scheduler, which counts each call as one
+// token of memory.
 constexpr std::int64_t kServiceMemory = 1 << 20;
 constexpr Millis kDrainPollInterval{20};
 constexpr Millis kMaxReservationTtl{30000};
@@ -43,8 +45,8 @@
 
 }  // namespace
 
-// Runs one stream on a thread of the pool. Deletes itself at the end of the
-// run.
+// Runs one request, or one replay of its answer log, on a thread of the pool.
+// Deletes itself at the end.
 class SidecarNode::RunTask : public Poco::Runnable {
  public:
   RunTask(SidecarNode* node, StreamPtr stream, bool replay,
@@ -349,8 +351,8 @@
     return;
   }
   if (!node_.IsReady()) {
-    // Work cannot be accepted without a configuration, or while the engine
-    // still holds allocations of an earlier process.
+    // The sidecar accepts no requests while it has no configuration or while
+    // the engine still has allocations of an earlier sidecar process.
     Reject(stream, wire::Refused{stream->submit.stream, "not_ready",
                                  "the sidecar has just begun", Millis(500)});
     return;
@@ -442,7 +444,8 @@
     }
     return true;
   }
-  // Removes the request from the queue before it can be started.
+  // The ticket does not permit a run, so the request leaves the queue before
+  // StartQueued can start it.
   scheduler_.Revoke(stream->key);
   if (redemption == Redemption::kAlreadySpent) {
     AttachToLog(stream, *ticket);
@@ -547,8 +550,8 @@
 }
 
 void SidecarNode::Detach(const StreamPtr& stream) {
-  // A request with a ticket continues without its caller, who may request its
-  // answer again with the same ticket.
+  // A running request with a ticket continues without its caller, because the
+  // caller may request the answer again with the same ticket.
   if (stream->log == nullptr || stream->state != StreamState::kRunning) {
     Abandon(stream);
     return;
@@ -602,13 +605,14 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!replay) {
     scheduler_.Finish(stream->key);
-    // An incomplete request may still have memory allocated on the engine.
+    // A request that ended before its answer was complete may still have memory
+    // allocated on the engine.
     if (stream->cancelled || clock_() >= stream->deadline) {
       QueueCancel(runner_.AllocationIdFor(stream->key));
     }
   }
-  // For a request with a ticket, the entry host waits for the end of the
-  // replay.
+  // The stream of a request with a ticket is removed at the end of the replay,
+  // from which the entry host receives the answer.
   if (replay || stream->log == nullptr) {
     RemoveStream(stream);
   } else {
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -49,6 +49,8 @@
   void DrainAndStop();
 
  private:
+  // Identifies a stream among those of all connections: each entry host numbers
+  // its streams itself.
   struct StreamKey {
     ConnectionId connection;
     StreamId stream;
@@ -76,32 +78,35 @@
     links_->Close(connection);
   }
 
-  // The following methods require that mutex_ is held, up to Find.
+  // The callers of the following methods, up to Find, must hold `mutex_`.
 
-  // Validates a request whose body is complete, and starts it under its
-  // reservation or enqueues it.
+  // Handles a request whose body has arrived completely. Starts it if it has a
+  // reservation; otherwise rejects it or enqueues it.
   void OnBodyComplete(const StreamPtr& stream);
   void Enqueue(const StreamPtr& stream);
   // Starts a group member's request immediately in its reserved memory, and
   // renews the reservation up to the deadline, within kMaxReservationTtl.
   void RunUnderReservation(const StreamPtr& stream);
-  // Redeems the ticket of an enqueued request. Returns true if the request may
-  // run or has no ticket. Otherwise the stream is removed from the queue, and
-  // it either receives the stored answer or an error.
+  // Redeems the ticket of an enqueued request. Returns true if the request has
+  // no ticket or its ticket has not been used before, so that it may run.
+  // Otherwise removes the request from the queue and sends its caller the
+  // stored answer or an error.
   bool RedeemTicket(const StreamPtr& stream);
   void AttachToLog(const StreamPtr& stream, const Ticket& ticket);
-  // Starts the requests that the scheduler admits.
+  // Starts the queued requests that the scheduler permits to start now.
   void StartQueued();
-  // Runs the request, or the replay of its log, on a thread of the pool.
+  // Runs the request on a thread of the pool or, if `replay` is set, sends the
+  // tokens of its answer log to the caller.
   void StartThread(const StreamPtr& stream, bool replay);
   // Rejects queued requests whose deadline has passed.
   void DropOverdue();
   // Cancels requests and reservations whose lease has expired.
   void CancelExpiredLeases();
-  // Cancels the requests that use a group reservation, and removes it.
+  // Removes the group reservation with key `reservation`, and cancels the
+  // requests that use its memory.
   void CancelMember(std::uint64_t reservation);
-  // Handles a caller that has disconnected. A running request with a ticket
-  // continues; any other request is abandoned.
+  // Handles a request whose caller has disconnected. A running request with a
+  // ticket continues; any other request is cancelled.
   void Detach(const StreamPtr& stream);
   // Cancels a request and, if it is running, its allocation on the engine.
   void Abandon(const StreamPtr& stream);
@@ -137,11 +142,12 @@
   TicketRegistry tickets_;
   std::map<StreamKey, StreamPtr> streams_;
   std::unordered_map<std::uint64_t, StreamPtr> by_key_;
-  // Keys of group reservations, by the stream that made them.
+  // Scheduler keys of the group reservations, by the stream on which an entry
+  // host made the reservation.
   std::map<StreamKey, std::uint64_t> reservations_;
   std::unordered_map<std::uint64_t, std::shared_ptr<AnswerLog>> logs_;
-  // Ticket nonces in the order in which their logs were created, for evicting
-  // the oldest log first.
+  // The keys of `logs_` (ticket nonces) in the order in which the logs were
+  // created. The oldest log is evicted first.
   std::deque<std::uint64_t> log_order_;
   std::set<ConnectionId> connections_;
   std::deque<AllocationId> to_cancel_;
--- a/src/sidecar/sidecar_stream.h
+++ b/src/sidecar/sidecar_stream.h
@@ -17,14 +17,14 @@
 
 namespace harecrank {
 
-// Credit-based flow control of one stream: the sender waits until the receiver
-// grants credit. Thread-safe.
+// Credit-based flow control of one stream: the sidecar sends a token only if
+// the entry host has granted credit for it. Thread-safe.
 class FlowWindow {
  public:
   explicit FlowWindow(std::int64_t credit) : credit_(credit) {}
 
-  // Waits for credit and uses one unit of it. Returns false once the window is
-  // closed or `until` has passed.
+  // Waits for credit and uses one unit, which permits one message. Returns
+  // false if the window is closed or `until` has passed.
   bool Take(TimePoint until);
 
   void Add(std::int64_t credit);
@@ -46,7 +46,8 @@
  public:
   void Append(std::string token);
 
-  // Ends the log with the message that ended the execution.
+  // Marks the answer as complete. `end` is the message that ended the
+  // execution.
   void End(wire::Message end);
 
   // Waits for the token at `position`. Returns nullopt if the log ends before
@@ -66,8 +67,8 @@
 // Processing state of a request.
 enum class StreamState { kReceiving, kQueued, kRunning };
 
-// One request. The node's mutex guards all members except the atomics and the
-// window.
+// A request that a sidecar has received, from its first message to its end. The
+// mutex of SidecarNode guards all members except the atomics and `window`.
 struct SidecarStream {
   SidecarStream(std::uint64_t stream_key, ConnectionId from,
                 wire::Submit submission)
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -13,8 +13,9 @@
 
 constexpr int kShortPriority = 10;
 constexpr int kLongPriority = 1;
-// Prefill chunk sizes in tokens. The chunk of a long prompt grows from
-// kMinLongChunk to kMaxChunk with long_weight_percent.
+// Prefill chunk sizes in tokens. Short prompts use kMaxChunk. For long prompts
+// the size grows from kMinLongChunk, at a long_weight_percent of 0, to
+// kMaxChunk at 100.
 constexpr std::int64_t kMinLongChunk = 512;
 constexpr std::int64_t kMaxChunk = 4096;
 constexpr std::int64_t kPercent = 100;
@@ -23,7 +24,7 @@
 constexpr std::size_t kMaxServiceResponseBytes = 16U << 20U;
 
 // Converts an engine error to a message to the entry host. The message is
-// Refused only if nothing can have run.
+// Refused only if the request cannot have run.
 struct EngineErrorToMessage {
   StreamId stream;
 
@@ -66,8 +67,8 @@
                      const PrefillPolicy& policy) {
   const StreamId id = stream->submit.stream;
   wire::Message end = wire::Refused{id, "cancelled", "withdrawn"};
-  // The deadline is checked again here, because the thread may have waited, or
-  // the process may have been suspended, since the decision to start.
+  // The deadline is checked again because the thread may have waited, or the
+  // process may have been suspended, since the request was selected to start.
   if (ports_.clock() >= stream->deadline) {
     end = wire::Refused{id, "deadline_exceeded", "it could not start in time"};
   } else if (!stream->cancelled) {
@@ -118,8 +119,8 @@
                              "the time limit passed before the end", false});
     return;
   }
-  // The end message in the log has the stream ID of the first caller and must
-  // get that of this stream.
+  // The end message in the log has the stream ID of the first caller's request.
+  // It is replaced by the ID of the stream to which the log is replayed.
   wire::Message end_message = *end;
   std::visit(
       [&](auto& typed) {
@@ -175,8 +176,8 @@
 wire::Message WorkRunner::PrefillSegment(SidecarStream* stream,
                                          const PrefillPolicy& policy) {
   EngineRequest request = MakeRequest(*stream, policy);
-  // The segment belongs to the reservation and is kept until the reservation
-  // ends.
+  // The engine allocation has the ID of the group reservation, not that of the
+  // prefill request, so that the segment is kept until the reservation ends.
   request.id = AllocationIdFor(stream->reservation_key);
   const StreamId id = stream->submit.stream;
   return leaf::try_handle_all(
--- a/src/sidecar/work_runner.h
+++ b/src/sidecar/work_runner.h
@@ -24,12 +24,17 @@
   std::function<bool(ConnectionId, const wire::Message&)> send;
 };
 
-// Prefill parameters from the configured policy.
+// The parameters of the configured policy that determine how prompts are
+// prefilled.
 struct PrefillPolicy {
+  // Size of the prefill chunks of long prompts: 0 selects the smallest size and
+  // 100 the largest.
   int long_weight_percent = 50;
 };
 
-// Runs requests on the calling thread, one per call. Thread-safe.
+// Sends started requests to the engine or the plain service, and the results to
+// the entry host. Each call runs one request on the calling thread.
+// Thread-safe.
 class WorkRunner {
  public:
   explicit WorkRunner(WorkRunnerPorts ports);
