--- a/src/entry/answer_sink.h
+++ b/src/entry/answer_sink.h
@@ -17,8 +17,8 @@
   // Handles the next part. Returns false if the caller has disconnected.
   virtual bool OnPart(const std::string& part) = 0;
 
-  // Called repeatedly while no part arrives, so that the sink can send
-  // keep-alives and check the connection. Returns false if the caller has
+  // Called repeatedly while no part arrives, so that the implementation can
+  // send keep-alives and check the connection. Returns false if the caller has
   // disconnected.
   virtual bool OnIdle() = 0;
 };
--- a/src/entry/caller_request.h
+++ b/src/entry/caller_request.h
@@ -16,7 +16,7 @@
 // plain service. It determines the format of the response.
 enum class AnswerForm { kCompletion, kChat, kService };
 
-// A validated request.
+// A caller's request after it has been parsed and validated.
 struct CallerRequest {
   AnswerForm form = AnswerForm::kCompletion;
   AccountId account;
--- a/src/entry/endpoint_table.cc
+++ b/src/entry/endpoint_table.cc
@@ -19,8 +19,8 @@
   return kNone;
 }
 
-// IDs of the endpoints that are not marked as leaving: `near` has those in the
-// local data centre, `far` those in other data centres.
+// IDs of the endpoints that are not marked as leaving: `near` has the endpoints
+// of the local data centre, `far` the endpoints of other data centres.
 struct PartitionedIds {
   std::vector<std::string> near;
   std::vector<std::string> far;
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -49,8 +49,8 @@
   void DrainAndStop();
 
  private:
-  // Identifies a stream among those of all connections: each entry host numbers
-  // its streams itself.
+  // Identifies a stream of this sidecar. A stream ID alone does not, since each
+  // entry host numbers its streams itself.
   struct StreamKey {
     ConnectionId connection;
     StreamId stream;
@@ -120,7 +120,8 @@
   void ApplyConfiguration();
   void RunTimer();
   void RunCanceller();
-  // Sends heartbeats to all connections, or only to those with streams.
+  // Sends a heartbeat with the current load on all connections or, if `all` is
+  // false, only on connections that have streams.
   void SendHeartbeats(bool all);
   void Dump(nlohmann::json* dump);
   SchedulerOptions OptionsFrom(const Configuration& configuration);
