--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -21,10 +21,10 @@
 constexpr std::size_t kMaxTickets = 20000;
 constexpr std::size_t kMaxAnswerLogs = 2000;
 constexpr Millis kTimerInterval{20};
-// Number of threads of the pool in addition to one for each request that the
-// scheduler may run. A request with a ticket needs a second thread, which sends
-// its answer log to the caller. The prefill of group segments and later replays
-// of logs also run in addition to the scheduled requests.
+// Number of threads of the pool in addition to two for each request that may
+// run. The second thread of a request sends its answer log to the caller if it
+// has a ticket. The additional threads run the requests of group members and
+// later replays of answer logs, which run beside the scheduled requests.
 constexpr int kSpareThreads = 64;
 // Maximum number of load updates in one heartbeat interval. They are sent while
 // the load changes, and only on connections that carry requests.
