--- a/src/entry/answer_sink.h
+++ b/src/entry/answer_sink.h
@@ -7,8 +7,9 @@
 
 namespace harecrank {
 
-// Receives the parts of one answer in order. All methods are called on the
-// request's own thread.
+// Receives the parts of one answer in order. A part is the text of one token,
+// or a chunk of the response of a plain service. All methods are called on the
+// thread that runs the request.
 class AnswerSink {
  public:
   virtual ~AnswerSink() = default;
@@ -16,8 +17,8 @@
   // Handles the next part. Returns false if the caller has disconnected.
   virtual bool OnPart(const std::string& part) = 0;
 
-  // Called repeatedly while no part arrives, so that the sink can send
-  // keep-alives and check the connection. Returns false if the caller has
+  // Called repeatedly while no part arrives, so that the implementation can
+  // send keep-alives and check the connection. Returns false if the caller has
   // disconnected.
   virtual bool OnIdle() = 0;
 };
