--- a/include/harecrank/core/clock.h
+++ b/include/harecrank/core/clock.h
@@ -11,8 +11,8 @@
 
 // A monotonic clock that continues while the process is stopped and while the
 // machine is suspended. std::chrono::steady_clock does not count the time of a
-// suspension: after one, a host would take outdated data for fresh and grant
-// endpoints more time than their callers have left.
+// suspension: after one, a host would use outdated data as if they were fresh,
+// and would give endpoints more time for a request than its caller still waits.
 struct BootClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -20,9 +20,9 @@
   using time_point = std::chrono::time_point<BootClock>;
   static constexpr bool is_steady = true;
 
-  // For timers and adapters only: decision logic is given a MonotonicClock. The
-  // standard's requirements for clocks prescribe the name.
-  // NOLINTNEXTLINE(readability-identifier-naming)
+  // Only timers and adapters call this function; decision logic receives a
+  // MonotonicClock instead. The C++ standard's requirements for clocks
+  // prescribe the name. NOLINTNEXTLINE(readability-identifier-naming)
   static time_point now() noexcept;
 };
 
--- a/include/harecrank/core/dissemination.h
+++ b/include/harecrank/core/dissemination.h
@@ -1,11 +1,12 @@
-// Which nodes watch the configuration service, and to which nodes each node
-// pushes a new revision.
+// Determines which nodes watch the configuration service, and to which nodes
+// each node pushes a new configuration revision.
 //
-// Every node derives the same order of its data centre's nodes from the
-// configuration in use. The first few nodes watch the service; all others form
-// a tree below them. A node that misses a revision because a node above it has
-// failed or is suspended gets it by comparing revisions with a random peer from
-// time to time.
+// Every node sorts the nodes of its data centre in the same order, which
+// depends only on the active configuration. The first kWatchers nodes of this
+// order watch the configuration service; all others form a tree below them. If
+// a node misses a revision because a node above it in the tree has failed or is
+// suspended, it receives the revision later: nodes periodically compare
+// revisions with a random peer.
 
 #ifndef HARECRANK_CORE_DISSEMINATION_H_
 #define HARECRANK_CORE_DISSEMINATION_H_
@@ -22,11 +23,12 @@
 struct NodeAddress {
   NodeId id;
   DataCentreId data_centre;
-  // IP address and port of its operations server.
+  // IP address and port of the node's server for operators and other nodes.
   std::string operations;
 };
 
-// A node's position in the dissemination tree. Immutable.
+// This node's position in the dissemination tree: whether it watches the
+// configuration service, and its children. Immutable.
 class DisseminationPlan {
  public:
   // `nodes` are all nodes of the system, in any order.
@@ -39,20 +41,21 @@
   // Returns the nodes to which this node pushes a new revision.
   const std::vector<NodeAddress>& Children() const { return children_; }
 
-  // Returns a random other node to compare revisions with, most often one of
-  // the same data centre. Returns null if there is no other node.
+  // Returns a random other node with which this node compares configuration
+  // revisions, usually one in the same data centre. Returns null if there is no
+  // other node.
   const NodeAddress* PickPeer(const RandomSource& random) const;
 
   // Returns the interval at which a node that is not a watcher polls the
-  // service itself. It grows with the number of nodes, so that the rate of all
-  // these polls together is bounded.
+  // configuration service itself. The interval grows with the number of nodes,
+  // which bounds the total rate of these polls.
   Millis FallbackPollInterval() const;
 
   std::size_t NodeCount() const { return local_.size() + remote_.size() + 1; }
 
-  // Number of nodes of a data centre that watch the service.
+  // Number of nodes in each data centre that watch the configuration service.
   static constexpr std::size_t kWatchers = 3;
-  // Number of children of a node.
+  // Maximum number of children of a node in the dissemination tree.
   static constexpr std::size_t kFanOut = 4;
 
  private:
--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -1,7 +1,8 @@
-// Work in progress at each endpoint.
+// Tracks the work in progress at each endpoint.
 //
-// A host tracks its own requests, a planner those of all hosts. The endpoints'
-// own load reports are not used: they are older and cost a call each.
+// A host tracks the work of its own requests; the planner tracks the work of
+// all hosts. Load reports of the endpoints are not used: they are less recent,
+// and each one costs a call.
 
 #ifndef HARECRANK_CORE_ENDPOINT_LOADS_H_
 #define HARECRANK_CORE_ENDPOINT_LOADS_H_
@@ -24,52 +25,60 @@
 // Identifies one piece of work at one endpoint.
 using WorkId = StrongNumber<struct WorkTag, std::uint64_t>;
 
-// Kind of work, by its effect on other requests of the engine: a request with a
-// short prompt or a tight gap, any other request, or a part that is prefilled
-// for a request on another engine.
+// Kind of work, by its effect on other requests on the same engine. kShort: a
+// request with a short prompt or a tight inter-token gap. kLong: any other
+// request. kHelper: a part of a prompt that is prefilled here for a request
+// that another engine decodes.
 enum class WorkClass { kShort, kLong, kHelper };
 
-// Work in progress at one endpoint.
+// The total of the work in progress at one endpoint.
 struct EndpointLoad {
-  // Time until all prompts sent to the endpoint are prefilled, if it does
-  // nothing else.
+  // Predicted time until all prompts that were sent to the endpoint are
+  // prefilled, if the endpoint does nothing else.
   FractionalMillis prefill_backlog{0};
-  // Prompts or parts of at least kLongPart whose first event has not come. They
-  // still count if the predicted backlog has run out, since predictions may be
-  // too short.
+  // Number of prompts and prompt parts with a prefill time of at least
+  // kLongPart whose prefill has not been reported as done. They count even
+  // after their predicted end, since predictions may be too short.
   int pending_prefills = 0;
-  // Requests in prefill or decode, by class. Helper parts are not counted.
+  // Number of requests in prefill or decode, by work class. Work of class
+  // kHelper is not counted.
   int short_requests = 0;
   int long_requests = 0;
-  // KV memory that the requests need at their expected ends.
+  // KV memory, in tokens, that the work at the endpoint needs when it reaches
+  // its expected end.
   Tokens memory;
-  // Shortest gap of the active streams; zero if there are none.
+  // Shortest inter-token gap that is allowed by the targets of the active
+  // streams; zero if there are no streams.
   FractionalMillis tightest_gap{0};
 
-  // Number of active requests. On an engine they share each pass.
+  // Returns the number of active requests. All of them take part in each
+  // forward pass of the engine.
   int BatchSize() const { return short_requests + long_requests; }
 };
 
-// Work of one request at one endpoint.
+// The work that one request causes at one endpoint: the whole request, or one
+// part of its prompt.
 struct WorkPart {
   EndpointId endpoint;
   WorkClass work_class = WorkClass::kShort;
-  // Prefill time of the prompt or part.
+  // Prefill time of the prompt, or of the prompt part that this endpoint
+  // prefills.
   FractionalMillis prefill_time{0};
-  // KV memory held until the work ends.
+  // KV memory, in tokens, that is held until the work ends.
   Tokens memory;
-  // Longest pause within the target of its stream; zero if it has no stream
-  // here.
+  // Longest pause between two events that the target of the request's stream
+  // allows; zero if the stream is decoded by another endpoint.
   Millis gap{0};
 };
 
-// Tracks the loads of all endpoints. Not thread-safe.
+// Adds up the work in progress at each endpoint, so that new requests can be
+// placed where they meet their targets. Not thread-safe.
 class EndpointLoads {
  public:
   explicit EndpointLoads(MonotonicClock clock);
 
-  // Adds work that was sent to its endpoint. `first_event_due` is the time from
-  // which its first event is late, if known.
+  // Adds work that was sent to its endpoint. `first_event_due` is the time
+  // after which the request's first event is late, if known.
   WorkId Begin(const WorkPart& part,
                std::optional<TimePoint> first_event_due = std::nullopt);
 
@@ -82,42 +91,46 @@
   // Returns the current load of one endpoint.
   EndpointLoad Of(const EndpointId& endpoint) const;
 
-  // Returns the pass forecast for a prompt that is sent to `endpoint` now.
-  // `decode_pass` is the duration of a pass without prefill.
+  // Returns the forecast of the engine's forward passes for a prompt that is
+  // sent to `endpoint` now. `decode_pass` is the duration of a pass without
+  // prefill.
   PassForecast ForecastOf(const EndpointId& endpoint,
                           FractionalMillis decode_pass) const;
 
   // Returns the number of short requests at all endpoints.
   int ShortRequests() const { return short_requests_; }
 
-  // Returns the rate at which prefill work for short requests is started, in
-  // engines: 1 keeps one engine busy.
+  // Returns the prefill time of the short requests that were started within
+  // kRateWindow, divided by kRateWindow. A value of 1 keeps one engine busy.
   double ShortPrefillRate() const;
 
-  // Window of ShortPrefillRate(). It is short, so that a burst shows in the
-  // rate while it arrives.
+  // Window over which ShortPrefillRate() is measured. It is short so that the
+  // rate rises while a burst is still arriving.
   static constexpr Millis kRateWindow{200};
-  // Prefill time from which work counts as a pending prefill. Parts of long
-  // prompts usually take about this long.
+  // Minimum prefill time of work that counts in EndpointLoad::pending_prefills.
+  // Parts of long prompts usually take about this long.
   static constexpr FractionalMillis kLongPart{100};
 
  private:
+  // One piece of work between Begin() and End().
   struct Work {
     WorkPart part;
     EnginePasses::Prompt prompt;
     bool prefill_done = false;
   };
+  // The work in progress at one endpoint, with what is needed to update its
+  // load.
   struct EndpointState {
     EndpointLoad load;
     // Predicted end of the prefill of all work sent so far.
     TimePoint prefill_until{};
-    // Work whose prefill is not done.
+    // Number of pieces of work whose prefill is not done.
     int pending = 0;
-    // Gaps of the active streams.
+    // Inter-token gaps that the targets of the active streams allow.
     std::multiset<Millis> gaps;
     EnginePasses passes;
   };
-  // Prefill work started for a short request.
+  // The prefill of one short request, as ShortPrefillRate() needs it.
   struct ShortPrefill {
     TimePoint started_at;
     FractionalMillis prefill_time{0};
@@ -133,8 +146,8 @@
   // Endpoints with work in progress.
   std::unordered_map<EndpointId, EndpointState> endpoints_;
   int short_requests_ = 0;
-  // Entries of the last kRateWindow. Older ones are removed when a new short
-  // request is added.
+  // Prefills of short requests that were started within kRateWindow, oldest
+  // first. Older entries are removed only when a new short request is added.
   std::deque<ShortPrefill> short_prefills_;
 };
 
--- a/include/harecrank/core/engine_estimate.h
+++ b/include/harecrank/core/engine_estimate.h
@@ -1,5 +1,5 @@
-// Estimates of engine time, from the cost parameters that the operator
-// publishes.
+// Estimates how long engines take to prefill and decode, from the cost
+// parameters in the engine profile that the operator publishes.
 
 #ifndef HARECRANK_CORE_ENGINE_ESTIMATE_H_
 #define HARECRANK_CORE_ENGINE_ESTIMATE_H_
@@ -9,18 +9,19 @@
 
 namespace harecrank {
 
-// Returns the time that one engine needs to prefill `prompt` tokens. Attention
-// over token pairs makes it grow quadratically for long prompts.
+// Returns the time that one engine needs to prefill `prompt` tokens. Because
+// attention is computed over pairs of tokens, this time grows quadratically for
+// long prompts.
 FractionalMillis PrefillTime(const EngineProfile& engine, Tokens prompt);
 
-// Returns the duration of one forward pass without prefill over a batch of
-// `members` requests that hold `context` tokens in total.
+// Returns the duration of one forward pass without prefill, for a batch of
+// `members` requests that hold `context` tokens of KV memory in total.
 FractionalMillis PassTime(const EngineProfile& engine, int members,
                           Tokens context);
 
-// Returns the engine time that decoding one answer adds to the passes it takes
-// part in. The fixed cost of a pass is excluded, since all requests of the
-// batch share it.
+// Returns the engine time that decoding the answer of one request adds to the
+// forward passes in which the request takes part. The fixed cost of a pass is
+// excluded, since all requests of the batch share it.
 FractionalMillis DecodeTime(const EngineProfile& engine, Tokens prompt,
                             Tokens answer);
 
--- a/include/harecrank/core/expiry_queue.h
+++ b/include/harecrank/core/expiry_queue.h
@@ -1,5 +1,5 @@
-// A set of keys with expiry times. Expired keys are found without a scan of the
-// others.
+// A set of keys with expiry times, from which expired keys are removed without
+// scanning the other keys.
 
 #ifndef HARECRANK_CORE_EXPIRY_QUEUE_H_
 #define HARECRANK_CORE_EXPIRY_QUEUE_H_
@@ -15,7 +15,7 @@
 
 namespace harecrank {
 
-// Not thread-safe.
+// Holds keys until their expiry times, which can be extended. Not thread-safe.
 template <typename Key>
 class ExpiryQueue {
  public:
@@ -32,9 +32,9 @@
   }
 
   // Removes the keys whose expiry time is before `now` and calls `on_expired`
-  // with each. Each key is in the queue once, so the cost is that of the
-  // expired keys and of those whose expiry time was extended since they were
-  // queued.
+  // with each. Each key has one entry in the priority queue, so a call visits
+  // only the expired keys and the keys whose expiry time was extended after
+  // they were queued.
   template <typename OnExpired>
   void Expire(TimePoint now, const OnExpired& on_expired) {
     while (!queue_.empty() && queue_.top().first < now) {
@@ -57,7 +57,8 @@
   std::size_t Count() const { return expiries_.size(); }
 
  private:
-  // Expiry time at which the key was queued; it may have been extended since.
+  // A key and the expiry time that it had when it was queued. The current
+  // expiry time in `expiries_` may be later.
   using Due = std::pair<TimePoint, Key>;
 
   std::map<Key, TimePoint> expiries_;
--- a/include/harecrank/core/fleet_message_kinds.h
+++ b/include/harecrank/core/fleet_message_kinds.h
@@ -6,8 +6,9 @@
 
 namespace harecrank {
 
-// The first element of each message. A small number, to keep messages short: a
-// query is sent for each request.
+// Wire number of a FleetMessage's alternative; the first element of its
+// encoding. The numbers are small to keep messages short, since a query is sent
+// for each request.
 enum class MessageKind {
   kHeartbeat = 1,
   kQuery = 2,
@@ -17,7 +18,8 @@
   kCrashes = 6
 };
 
-// The first element of a placement decision.
+// Wire number of a PlacementDecision's alternative; the first element of its
+// encoding.
 enum class DecisionKind {
   kPlaced = 1,
   kQueued = 2,
--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -1,10 +1,10 @@
-// Messages that hosts of a fleet send each other as datagrams.
+// Messages that the hosts of a fleet send to each other as datagrams.
 //
 // One host of the fleet, the planner, places the prompts of all hosts. The
-// others send it a query for each prompt and report its progress. Their
-// heartbeats, a few times a second, list all their requests in progress, so
-// that a new planner learns its state from the hosts. Any message may be lost
-// or duplicated.
+// other hosts send the planner a query for each prompt and report the progress
+// of each request. Their heartbeats, sent a few times a second, list all their
+// requests in progress, from which a new planner rebuilds its state. Any
+// message may be lost or duplicated.
 
 #ifndef HARECRANK_CORE_FLEET_MESSAGES_H_
 #define HARECRANK_CORE_FLEET_MESSAGES_H_
@@ -33,26 +33,27 @@
 // Identifies one placement query. Unique within one incarnation of a host.
 using QueryId = StrongNumber<struct QueryTag, std::uint64_t>;
 
-// CPU share of a host, in cores. Hosts with a greater share are preferred as
-// the planner.
+// CPU share: the number of cores, possibly a fraction, that a host may use.
+// Hosts with a greater share are preferred as the planner.
 using CpuShare = StrongNumber<struct CpuShareTag, double>;
 
-// A host that another host knows.
+// A member of the fleet, as one host names it to another in a heartbeat.
 struct KnownHost {
   HostAddress address;
   CpuShare cpu_share;
 };
 
-// The work in progress for one query.
+// The work in progress of the request for which a query was sent.
 struct QueryWork {
   QueryId id;
-  // The first event has been received.
+  // Whether the first event of the request has been received.
   bool prefill_done = false;
-  // The part at the endpoint first, then those at its helpers.
+  // The work at the endpoint that decodes comes first, then the prompt parts at
+  // its helpers.
   std::vector<WorkPart> parts;
 };
 
-// State of a host's own polling of the store.
+// State of a host's own polling of the store, as its heartbeats report it.
 enum class PollState {
   // The host does not poll.
   kNone,
@@ -69,54 +70,59 @@
   HostAddress address;
   Incarnation incarnation;
   CpuShare cpu_share;
-  // The routing table that it uses.
+  // Version of the routing table that the sender uses.
   RoutingVersion routing;
-  // The store revision up to which it knows all changes.
+  // The store revision up to which the sender knows all changes.
   StoreRevision known_up_to;
-  // Its data of the store are fresh, whether from its own polls or from another
-  // host.
+  // Whether the sender's data from the store are fresh, from its own polls or
+  // from another host.
   bool store_data_fresh = false;
-  // Time since the store gave the answer from which its data come, to whichever
-  // host.
+  // Age of the sender's data from the store: the time since the store sent the
+  // answer that contained them, to this or to another host.
   Millis store_data_age{0};
   PollState poll_state = PollState::kNone;
   // Set by the planner only: whether the receiver is one of the hosts that poll
   // the store for the fleet.
   std::optional<bool> should_poll;
-  // The receiver's rank among those hosts: zero polls continuously, the others
-  // stand by in this order.
+  // The receiver's rank among the hosts that poll the store for the fleet. Rank
+  // zero polls continuously; the others are standby hosts, which start to poll
+  // in the order of their ranks.
   int poll_rank = 0;
-  // The host that it takes for the planner, which may be itself. Empty if it
-  // knows none.
+  // The host that the sender regards as the planner, possibly itself. Empty if
+  // it knows no planner.
   HostAddress planner;
-  // It is about to stop and is no longer available as the planner.
+  // Whether the sender is about to stop and therefore no longer available as
+  // the planner.
   bool leaving = false;
   bool wants_reply = false;
-  // Number of alive hosts that it observes, including itself.
+  // Number of alive hosts that the sender observes, including itself.
   int alive_hosts = 1;
-  // Some of the alive hosts that it knows.
+  // Some of the alive hosts that the sender knows.
   std::vector<KnownHost> hosts;
-  // Endpoints that it avoids because of failures that it has seen itself.
+  // Endpoints that the sender avoids because of failures that it has observed
+  // itself.
   std::vector<AvoidedEndpoint> avoided;
-  // All its work in progress; unset if this heartbeat does not report it.
+  // All work in progress of the sender's requests; unset if this heartbeat does
+  // not report it.
   std::optional<std::vector<QueryWork>> work;
-  // Digest of its reports of requests that crash endpoints; zero if it has
-  // none.
+  // Digest of the sender's reports about requests that crash endpoints; zero if
+  // it has no such reports.
   std::uint64_t crash_digest = 0;
-  // Largest number of hosts, including itself, that it has observed over a long
-  // time; zero if the sender does not report it.
+  // Largest number of hosts, including itself, that the sender has observed
+  // (FleetSize::PeakObserved); zero if it does not report this number.
   int peak_hosts = 0;
-  // Rate limits that endpoints have announced, as far as it knows.
+  // Rate limits announced by endpoints, as far as the sender knows them.
   std::vector<RateLimitReport> limits;
 };
 
-// Asks the planner for a placement.
+// Asks the planner to place one request.
 struct PlacementQuery {
   HostAddress host;
   Incarnation incarnation;
   QueryId id;
   ServiceName service;
-  // Targets for the time to the first event and for the inter-token gap.
+  // Latency target for the first event, and the longest inter-token gap that is
+  // within the target.
   Millis target_latency{0};
   Millis target_gap{0};
   // Length of the prompt and expected length of the answer.
@@ -124,12 +130,12 @@
   Tokens answer;
   // Time left until the first event is late; negative once it is late.
   FractionalMillis until_late{0};
-  // An endpoint may have run the request already: it is not rejected while it
-  // waits.
+  // Whether an endpoint may already have run the request. Such a request is not
+  // rejected while it waits.
   bool may_have_run = false;
-  // Endpoints that were tried already.
+  // Endpoints to which the request was sent before. They are not chosen again.
   std::set<EndpointId> tried;
-  // Time left until the caller or the route gives the request up.
+  // Time left until the caller or the route gives up the request.
   FractionalMillis until_deadline{0};
   RequestOrigin origin;
   // Endpoints at which the host may not start a request now, because its share
@@ -137,7 +143,8 @@
   std::set<EndpointId> withheld;
 };
 
-// A helper endpoint and the part of the prompt's KV cache that it holds.
+// A helper endpoint and the number of tokens of the request's KV memory that it
+// holds.
 struct PlannedHelper {
   EndpointId endpoint;
   Tokens held;
@@ -148,29 +155,31 @@
   EndpointId endpoint;
   std::vector<PlannedHelper> helpers;
   WorkClass work_class = WorkClass::kShort;
-  // Predicted duration of the prefill, and predicted time until the first
-  // event.
+  // Predicted prefill time of each prompt part, and predicted time until the
+  // first event.
   FractionalMillis prefill_time{0};
   FractionalMillis first_event{0};
   // Number of endpoints that were considered.
   std::size_t candidates = 0;
 };
 
-// The query waits in the planner's queue. A second reply follows with the
-// placement.
+// The query waits in the planner's queue. A second reply with the final
+// decision, a placement or a rejection, follows.
 struct QueryQueued {};
 // The request is rejected because no endpoint would become free in time for it.
 struct QueryRejected {
-  // When the caller should retry; unset if the planner cannot tell.
+  // Time after which the caller should retry; unset if the planner cannot
+  // predict it.
   std::optional<Millis> retry_after;
 };
 // No endpoint of the service is usable.
 struct NoEndpoint {};
-// The receiver of the query is not the planner. Names the host that it takes
-// for the planner; empty if it knows none.
+// The host that received the query is not the planner. `planner` is the host
+// that it regards as the planner; empty if it knows none.
 struct NotPlanner {
   HostAddress planner;
 };
+// The planner's decision about one query.
 using PlacementDecision = std::variant<PlannedPlacement, QueryQueued,
                                        QueryRejected, NoEndpoint, NotPlanner>;
 
@@ -182,13 +191,13 @@
   PlacementDecision decision;
 };
 
-// The first event of a request was received.
+// Reports that the first event of a request was received.
 struct PrefillDone {
   QueryId id;
   // Measured time to the first event divided by the predicted time.
   double pace = 1;
 };
-// A request has ended, with or without success.
+// Reports that a request has ended, with or without success.
 struct RequestDone {
   QueryId id;
   // Its endpoint answered with a failure or broke the connection.
@@ -207,11 +216,11 @@
 // Changes of the store since a revision, sent by the planner.
 struct PublishedChanges {
   HostAddress from;
-  // In the format of the feed that polled the store.
+  // The changes, in the format of the feed that polled the store.
   std::string changes;
 };
 
-// What a host knows of requests that crash endpoints.
+// A host's reports about requests that crash endpoints.
 struct CrashReports {
   HostAddress from;
   std::vector<CrashReport> reports;
--- a/include/harecrank/core/fleet_size.h
+++ b/include/harecrank/core/fleet_size.h
@@ -1,10 +1,12 @@
 // Estimates how many hosts the fleet has, including hosts that are not
 // reachable.
 //
-// Fleet-wide limits are enforced by shares: each host uses its part of the
-// limit. If hosts divided the limit by the number of hosts that they hear now,
-// a network partition would make both parts together exceed it. The limit is
-// therefore divided by the largest number of hosts seen over a long time.
+// Fleet-wide limits are enforced by shares: each host may use its fraction of
+// the limit. If each host divided the limit by the number of hosts from which
+// it currently receives messages, the two sides of a network partition would
+// together exceed the limit. The limit is therefore divided by the largest
+// number of hosts observed within the last 10 to 20 minutes
+// (WindowedMax::kWindow).
 
 #ifndef HARECRANK_CORE_FLEET_SIZE_H_
 #define HARECRANK_CORE_FLEET_SIZE_H_
@@ -23,28 +25,30 @@
 
   void Add(int value);
 
-  // Returns zero if no value was added recently.
+  // Returns the maximum, or zero if no value was added recently.
   int Value() const;
 
-  // A value counts for at least this time and at most twice that: longer than a
-  // network partition or a restart of the fleet lasts.
+  // A value counts towards the maximum for at least kWindow and at most twice
+  // kWindow: longer than a network partition or a restart of the fleet lasts.
   static constexpr Millis kWindow{600000};
 
  private:
   MonotonicClock clock_;
   TimePoint window_began_at_;
-  // Maximum of the current window and of the one before it.
+  // Maximum of the values in the current window, and in the window before it.
   int current_max_ = 0;
   int previous_max_ = 0;
 };
 
-// Not thread-safe.
+// Estimates the number of hosts among which fleet-wide limits are divided. Not
+// thread-safe.
 class FleetSize {
  public:
   explicit FleetSize(MonotonicClock clock);
 
-  // Sets whether this host has seeds other than itself. With seeds it knows the
-  // size only after it has heard of another host; without, it is alone.
+  // Sets whether this host has seeds other than itself. If it has, the size is
+  // unknown until this host has heard of another host; if not, this host may be
+  // the whole fleet.
   void SetHasOtherSeeds(bool has_other_seeds) {
     has_other_seeds_ = has_other_seeds;
   }
@@ -53,20 +57,21 @@
   // itself.
   void OnObserved(int hosts);
 
-  // Records a number of hosts that another host reports.
+  // Records the number of alive hosts that another host has reported.
   void OnReported(int hosts);
 
-  // Returns the largest number that this host has observed itself, which its
-  // heartbeats report. Numbers reported by others are not passed on: an
-  // outdated number would circulate for ever.
+  // Returns the largest number of hosts that this host has recently observed
+  // itself. Its heartbeats report this number. Numbers reported by other hosts
+  // are not included, since an outdated number would then circulate for ever.
   int PeakObserved() const;
 
-  // Returns the largest number of hosts that the fleet may have; nothing if
-  // this host has just started or has not heard of any other.
+  // Returns the largest number of hosts that the fleet may have. Returns
+  // nothing if this host started less than kStartupGrace ago, or has other
+  // seeds but has not heard of another host.
   std::optional<int> MaxHosts() const;
 
-  // How long after its start a host does not know the size: hosts that start
-  // together have not observed each other yet.
+  // Time after the start of a host during which MaxHosts() returns nothing,
+  // since hosts that start together have not observed each other yet.
   static constexpr Millis kStartupGrace{2000};
 
  private:
--- a/include/harecrank/core/group_reservation.h
+++ b/include/harecrank/core/group_reservation.h
@@ -1,10 +1,12 @@
-// All-or-nothing reservation of memory on a group of engines.
+// Reserves memory on all engines of a group, or on none of them.
 //
-// All members are asked at once. A member without capacity refuses at once, and
-// all reservations of the round are then released before the next round begins.
-// No reservation is held while the group waits for another, so groups cannot
-// deadlock. Random pauses separate the rounds of groups that compete. The
-// reservations of a coordinator that fails end with their leases.
+// In each round the coordinator asks all members in parallel. A member without
+// capacity refuses immediately instead of waiting. If any member refuses, the
+// coordinator releases all reservations of the round before it begins the next
+// one. Groups cannot deadlock, because no reservation is held while waiting for
+// memory that another group has reserved. Random pauses before each further
+// round keep competing groups from colliding again. If a coordinator fails, its
+// reservations end when their leases expire.
 
 #ifndef HARECRANK_CORE_GROUP_RESERVATION_H_
 #define HARECRANK_CORE_GROUP_RESERVATION_H_
@@ -19,21 +21,24 @@
 
 namespace harecrank {
 
-// Ask each member to reserve its segment.
+// Next step: the coordinator asks each member of the group to reserve memory
+// for its segment of the prompt.
 struct ReserveMembers {
   std::vector<Segment> segments;
 };
-// Wait for further replies of this round.
+// Next step: the coordinator waits for the remaining replies of this round.
 struct WaitForMembers {};
-// Release these reservations, pause, and begin the next round.
+// Next step: the coordinator releases the reservations of `members`, pauses,
+// and begins another round.
 struct ReleaseMembers {
   std::vector<EndpointId> members;
   // Time to wait before the next round.
   Millis pause;
 };
-// All members have reserved their segments.
+// Final step: all members have reserved memory, so the request may start.
 struct GroupReserved {};
-// The deadline leaves no time for another round. Release these reservations.
+// Final step: the coordinator releases the reservations of the members in
+// `release` and gives up, since the deadline leaves no time for another round.
 struct GroupRefused {
   std::vector<EndpointId> release;
 };
@@ -41,24 +46,25 @@
 using GroupStep = std::variant<ReserveMembers, WaitForMembers, ReleaseMembers,
                                GroupReserved, GroupRefused>;
 
-// State machine of one group's reservation: takes events and returns the next
-// step. Not thread-safe.
+// State machine for the reservation of one group: each function records an
+// event and returns the coordinator's next step. Not thread-safe.
 class GroupReservation {
  public:
-  // No round is begun that could not start before `deadline`.
+  // No further round is begun at or after `deadline`.
   GroupReservation(TimePoint deadline, MonotonicClock clock,
                    RandomSource random);
 
   // Begins a round with the given segments.
   GroupStep Begin(std::vector<Segment> segments);
 
-  // `member` has reserved its segment.
+  // Records that `member` has reserved memory for its segment.
   GroupStep OnReserved(const EndpointId& member);
 
-  // `member` has refused, or the connection to it was lost.
+  // Records that `member` has refused, or that the connection to it was lost.
   GroupStep OnRefused(const EndpointId& member);
 
  private:
+  // A member's reply in the current round.
   enum class Reply { kPending, kReserved, kRefused };
 
   GroupStep FinishRound();
