--- a/include/harecrank/core/host_list_cache.h
+++ b/include/harecrank/core/host_list_cache.h
@@ -1,4 +1,5 @@
-// The part of the platform's host list that routing uses.
+// Caches the part of the platform's host list that routing uses: which nodes
+// are leaving.
 
 #ifndef HARECRANK_CORE_HOST_LIST_CACHE_H_
 #define HARECRANK_CORE_HOST_LIST_CACHE_H_
@@ -13,14 +14,15 @@
 
 namespace harecrank {
 
-// One version of the list. Version numbers only increase.
+// One version of the platform's host list. Newer versions have higher version
+// numbers.
 struct HostListVersion {
   std::uint64_t version = 0;
-  // Nodes that are leaving or are no longer listed as live.
+  // Nodes that the platform lists as leaving, or no longer lists as live.
   std::set<NodeId> leaving;
 };
 
-// Holds the newest version of the list that this process has received.
+// Holds the newest version of the host list that this process has received.
 // Thread-safe; reads are wait-free.
 class HostListCache {
  public:
--- a/include/harecrank/core/host_ranking.h
+++ b/include/harecrank/core/host_ranking.h
@@ -1,6 +1,7 @@
-// Indexes over the hosts that were heard recently, one for each criterion by
-// which a host is chosen. They are updated when a host changes, so that no
-// choice scans all hosts.
+// Sorted indexes of the hosts from which a message was received recently, one
+// for each criterion by which a host is chosen. The indexes are updated when
+// the entry of a host changes, so that choosing a host requires no scan of all
+// hosts.
 
 #ifndef HARECRANK_CORE_HOST_RANKING_H_
 #define HARECRANK_CORE_HOST_RANKING_H_
@@ -16,26 +17,27 @@
 
 namespace harecrank {
 
-// CPU share, then a hash of the address. The host with the greatest rank is the
-// preferred planner.
+// Rank of a host: its CPU share, then a hash of its address, which breaks ties.
+// The host with the greatest rank is the preferred planner.
 using HostRank = std::pair<double, std::uint64_t>;
 
 // The attributes by which a host is chosen.
 struct HostRankingEntry {
   HostRank rank;
-  // The host declares itself the planner.
+  // Whether the host declares itself the planner.
   bool claims_planner = false;
   RoutingVersion routing;
   // The store revision up to which the host knows all changes.
   StoreRevision known_up_to;
-  // The host's data of the store are fresh.
+  // Whether the host's data from the store are fresh.
   bool store_data_fresh = false;
-  // The store answers the host's own polls.
+  // Whether the store answers the host's own polls.
   bool answered_by_store = false;
   // Number of alive hosts that the host reports.
   int alive_hosts = 0;
-  // Orders hosts that are equally up to date. Not part of the comparison: it
-  // depends on the address alone.
+  // Hash of the address. Determines the sort order of hosts that are equally up
+  // to date. Not compared by operator==, since it never changes for a given
+  // address.
   std::uint64_t tie_break_hash = 0;
 
   friend bool operator==(const HostRankingEntry& a, const HostRankingEntry& b) {
@@ -58,15 +60,16 @@
 // Hosts by rank, highest first.
 using HostsByRank = std::set<std::pair<HostRank, HostAddress>, std::greater<>>;
 
-// Not thread-safe.
+// Finds the hosts of highest rank, the declared planners and the most
+// up-to-date hosts for Membership. Not thread-safe.
 class HostRanking {
  public:
   // Adds `host` or replaces its entry.
   void Set(const HostAddress& host, const HostRankingEntry& entry);
   void Remove(const HostAddress& host);
 
-  // All hosts, those that declare themselves the planner, and those whose own
-  // polls the store answers.
+  // Return, in this order: all hosts, the hosts that declare themselves the
+  // planner, and the hosts whose own polls the store answers.
   const HostsByRank& ByRank() const { return by_rank_; }
   const HostsByRank& PlannerClaimants() const { return planner_claimants_; }
   const HostsByRank& AnsweredByStore() const { return answered_by_store_; }
@@ -80,16 +83,17 @@
                                               std::uint64_t random) const;
 
   // Returns the largest number of alive hosts that any host reports; zero if
-  // there is none.
+  // there are no hosts.
   int MaxReportedAliveHosts() const;
 
  private:
-  // Store revision, then CPU share: a snapshot can be about 100 kB, which hosts
-  // with a small CPU share send slowly.
+  // Sort key: store revision, then CPU share. The CPU share counts because a
+  // snapshot can be about 100 kB, which hosts with a small CPU share send
+  // slowly.
   using RevisionKey = std::pair<std::uint64_t, double>;
-  // The same, then the tie-break hash and the address.
+  // Sort key: RevisionKey, then the tie-break hash and the address.
   using FreshnessKey = std::tuple<RevisionKey, std::uint64_t, HostAddress>;
-  // Routing table version in use, then the same.
+  // Sort key: version of the routing table in use, then FreshnessKey.
   using RoutingKey = std::pair<std::uint64_t, FreshnessKey>;
 
   static FreshnessKey FreshnessKeyOf(const HostAddress& host,
--- a/include/harecrank/core/membership.h
+++ b/include/harecrank/core/membership.h
@@ -1,10 +1,11 @@
-// The hosts that this host knows, and which of them is the planner.
+// Tracks the hosts that this host knows, and determines which of them is the
+// planner.
 //
 // Every host derives the planner from the heartbeats that it has received: the
 // host of highest rank among those that declare themselves the planner, or, if
 // there is none, the host of highest rank among those that are alive. Hosts
 // with different views of the membership may follow different planners for a
-// while. That makes placements worse until the views agree, but has no other
+// while. Until the views agree, placements are worse, but there is no other
 // effect.
 
 #ifndef HARECRANK_CORE_MEMBERSHIP_H_
@@ -22,30 +23,35 @@
 
 namespace harecrank {
 
-// Gossip-based membership of the fleet. Not thread-safe.
+// Gossip-based membership of the fleet: which hosts are alive, which one is the
+// planner, which hosts poll the store, and to which hosts this host sends
+// heartbeats. Not thread-safe.
 class Membership {
  public:
-  // `seeds` are the hosts to contact first; some may no longer exist.
+  // `seeds` are the hosts that this host contacts after its start to find the
+  // fleet; some of them may no longer exist.
   Membership(KnownHost self, std::vector<HostAddress> seeds,
              MonotonicClock clock, RandomSource random);
 
   void SetSeeds(std::vector<HostAddress> seeds);
 
-  // Records a heartbeat. Returns whether its sender was not known to be alive.
+  // Records a heartbeat. Returns true if no message of its sender had arrived
+  // within kHeartbeatTimeout before.
   bool OnHeartbeat(const Heartbeat& heartbeat);
 
   // Records that a message other than a heartbeat came from `host`.
   void OnMessageReceived(const HostAddress& host);
 
-  // Records that `host` has not answered queries within their time-out. It is
-  // not taken for the planner for kSuspectFor, or until it is heard again.
+  // Records that `host` has not answered queries within their time-out. For
+  // kSuspectFor, or until a message from it arrives, `host` is suspect and
+  // cannot be the planner.
   void OnUnresponsive(const HostAddress& host);
 
-  // Records that `host` has answered that it is not the planner and follows
-  // `planner`.
+  // Records that `host` has answered a query with NotPlanner and regards
+  // `planner` as the planner.
   void OnRedirect(const HostAddress& host, const HostAddress& planner);
 
-  // Records that this host is about to stop: it is no longer available as the
+  // Records that this host is about to stop and is no longer available as the
   // planner.
   void Leave();
   bool IsLeaving() const { return leaving_; }
@@ -55,111 +61,118 @@
 
   bool IsPlanner() { return Planner() == self_.address; }
 
-  // Returns the hosts other than the planner that are sent a heartbeat now: all
-  // seeds while no other host is known, then one random host or seed per call.
-  // The random targets let two parts of a fleet that follow different planners
-  // find each other.
+  // Returns the hosts to which this host sends a heartbeat now, in addition to
+  // the planner: all seeds while no other host is known, afterwards one random
+  // host or seed per call. If two parts of a fleet follow different planners,
+  // these random heartbeats let them find each other.
   std::vector<HostAddress> GossipTargets() const;
 
   std::vector<HostAddress> OtherAliveHosts() const;
 
-  // Returns the members to name in a heartbeat to `recipient`: those of highest
-  // rank and a few random ones. A host that may become the next planner is sent
-  // as many members as fit, and the following ones at the next call, so that it
-  // soon knows all.
+  // Returns the members that a heartbeat to `recipient` names: the members of
+  // highest rank and a few random ones. If `recipient` may become the next
+  // planner, the heartbeat names as many members as fit into it; successive
+  // calls cycle through all members, so that `recipient` soon knows all of
+  // them.
   std::vector<KnownHost> PartialViewFor(const HostAddress& recipient);
 
-  // Returns the hosts beside the planner that should poll the store, as the
-  // planner sees it: first those that the store answers, then those of highest
-  // rank. Leaves out hosts whose poll failed less than kFailedPollerCooldown
-  // ago.
+  // Called on the planner: returns the other hosts that should poll the store
+  // for the fleet. Hosts whose polls the store answers come first, then the
+  // hosts of highest rank. Of the latter, hosts whose poll failed less than
+  // kFailedPollerCooldown ago are excluded.
   std::vector<HostAddress> StorePollers() const;
 
-  // Returns a host that was heard within kHeartbeatTimeout and has a newer
-  // store revision than `known_up_to` or a newer routing table than `routing`:
-  // one of the most up-to-date hosts, or nothing if there is none.
+  // Returns one of the most up-to-date hosts among those whose last message
+  // arrived within kHeartbeatTimeout. Returns nothing if none of them has a
+  // newer store revision than `known_up_to` or a newer routing table than
+  // `routing`.
   std::optional<HostAddress> FindMoreUpToDate(RoutingVersion routing,
                                               StoreRevision known_up_to) const;
 
   // Returns the CPU share of `host`, or zero if it is not known.
   CpuShare CpuShareOf(const HostAddress& host) const;
 
-  // Returns the number of hosts that share the polls of the store: one if no
-  // other host was heard within kIsolatedAfter.
+  // Returns the number of hosts among which the polls of the store are divided:
+  // AliveHosts(), or one if no message from another host arrived within
+  // kIsolatedAfter.
   int PollingHosts() const;
 
-  // Returns the number of alive hosts, including this one, by the heartbeats
-  // that this host has received itself. This is the number that its own
-  // heartbeats report.
+  // Returns the number of alive hosts, including this one: hosts from which a
+  // message arrived, or which a received heartbeat named, within
+  // kHeartbeatTimeout. The heartbeats of this host report this number.
   int ObservedHosts() const;
 
-  // Returns the largest of ObservedHosts and the numbers that alive hosts
-  // report.
+  // Returns the maximum of ObservedHosts() and of the numbers of alive hosts
+  // that other hosts report.
   int AliveHosts() const;
 
   // Returns the number of hosts among which a fleet-wide limit is divided. It
-  // includes hosts that are not reachable now: if the fleet is partitioned,
-  // both parts together must not exceed the limit.
+  // includes hosts that are currently unreachable: if the fleet is partitioned,
+  // the hosts on both sides together must not exceed the limit.
   int HostsSharingLimits() const;
 
-  // Records ObservedHosts for Size. To be called a few times a second.
+  // Records ObservedHosts() for Size(). Must be called a few times a second.
   void RecordFleetSize();
 
   // Returns the estimate of the size of the fleet.
   const FleetSize& Size() const { return size_; }
 
-  // How long a host counts as alive after its last heartbeat: many times the
-  // interval between two heartbeats.
+  // How long a host counts as alive after its last message, or after a
+  // heartbeat last named it: many times the interval between two heartbeats.
   static constexpr Millis kHeartbeatTimeout{3000};
-  // A host that has heard no other host for this long is isolated: it has
-  // missed every heartbeat of that time.
+  // A host that has received no message from any other host for this long
+  // regards itself as isolated, since it has missed every heartbeat of that
+  // time.
   static constexpr Millis kIsolatedAfter{1000};
-  // How long an unresponsive host is not taken for the planner, unless it is
-  // heard again.
+  // How long an unresponsive host cannot be the planner, unless a message from
+  // it arrives earlier.
   static constexpr Millis kSuspectFor{2000};
   // How long a host that has just started waits for the heartbeat of a planner
   // before it chooses a planner by rank: many times the time in which a seed
-  // answers. A host that starts later finds the existing planner within this
+  // answers. If a planner exists, the starting host learns of it within this
   // time.
   static constexpr Millis kStartupGrace{100};
-  // The same for a host that has seeds and hears no other host; it then becomes
-  // its own planner. With a shorter time, hosts that restart one after the
-  // other would each plan for themselves and place prompts on the same engines.
+  // How long a host that has just started waits before it chooses a planner by
+  // rank, if it has other seeds but knows no other host. It then becomes its
+  // own planner. With a shorter time, hosts that restart one after the other
+  // would each plan for themselves and place prompts on the same engines.
   static constexpr Millis kIsolatedStartupGrace{1500};
-  // Number of hosts that may become the next planner. Every host knows them, so
-  // that it finds the next planner without a search if up to so many hosts fail
-  // together.
+  // Number of hosts that may become the next planner. Every host knows them and
+  // therefore finds the next planner without a search if up to kSuccessors
+  // hosts fail together.
   static constexpr std::size_t kSuccessors = 3;
-  // Number of hosts that poll the store beside the planner. Each call has a
-  // cost; with three pollers in all, the store may reject two of them and the
-  // third still keeps the fleet up to date.
+  // Number of hosts that poll the store in addition to the planner. Each call
+  // to the store has a cost, so there are only a few. With three pollers in
+  // total, one is enough to keep the fleet up to date if the store rejects the
+  // other two.
   static constexpr std::size_t kPollersBesidePlanner = 2;
-  // How long a host whose poll failed is not chosen as a poller.
+  // How long a host is not chosen as a poller after its poll has failed.
   static constexpr Millis kFailedPollerCooldown{5000};
-  // Number of random members that a heartbeat names beside those of highest
-  // rank.
+  // Number of random members that a heartbeat names in addition to the members
+  // of highest rank.
   static constexpr std::size_t kRandomMembersPerHeartbeat = 4;
-  // Number of members that a heartbeat names to a possible next planner: as
-  // many as fit into a datagram. Within kHeartbeatTimeout it is told of ten
-  // times as many.
+  // Maximum number of members that a heartbeat names to a possible next
+  // planner: as many as fit into a datagram. The heartbeats of
+  // kHeartbeatTimeout together name ten times as many.
   static constexpr std::size_t kMaxMembersPerHeartbeat = 400;
 
  private:
+  // What this host knows about another host.
   struct Host {
     CpuShare cpu_share;
     HostRankingEntry ranking_entry;
-    // It has announced that it is about to stop.
+    // Whether it has announced that it is about to stop.
     bool leaving = false;
-    // The host that it takes for the planner.
+    // The host that it regards as the planner.
     HostAddress planner;
     // When it last reported that its own poll of the store had failed; the
-    // epoch if never.
+    // clock's epoch if it never has.
     TimePoint poll_failed_at{};
     // When its last message arrived.
     TimePoint last_heard_at{};
     // When another host last named it as alive.
     TimePoint last_reported_at{};
-    // Until when it is not taken for the planner.
+    // It cannot be the planner before this time.
     TimePoint suspect_until{};
     // Its index in `addresses_`.
     std::size_t address_index = 0;
@@ -168,33 +181,37 @@
 
   static HostRank RankOf(const HostAddress& address, CpuShare cpu_share);
 
-  // Returns the host with `address`, added if it was not known, and updates its
-  // CPU share.
+  // Returns the entry of the host with `address`, which is added if necessary,
+  // and updates its CPU share.
   Hosts::value_type* FindOrAdd(const HostAddress& address, CpuShare cpu_share);
-  // Records that `host` was heard now: it is alive and no longer suspect.
+  // Records that a message from `host` has arrived: it is alive and not
+  // suspect.
   void RecordHeard(Hosts::value_type* host);
-  // Updates the ranking with the current state of `host`, which was heard
-  // within kHeartbeatTimeout.
+  // Updates the ranking with the current state of `host`, from which a message
+  // must have arrived within kHeartbeatTimeout.
   void UpdateRanking(Hosts::value_type* host);
   // Removes expired hosts from the ranking and from the alive hosts.
   void Expire() const;
-  // Returns whether a planner may be chosen by rank.
+  // Returns whether this host has waited long enough after its start to choose
+  // a planner by rank.
   bool IsPastStartupGrace() const;
-  // Returns whether `host` may be taken for the planner: not leaving and not
+  // Returns whether `host` can be the planner: it is neither leaving nor
   // suspect.
   bool IsEligible(const Host& host) const;
-  // Returns the eligible host of highest rank in `hosts`, among them this host
-  // if `self_eligible`; nothing if there is none.
+  // Returns the eligible host of highest rank among `hosts` and, if
+  // `self_eligible`, this host; nothing if there is none.
   std::optional<HostAddress> BestPlanner(const HostsByRank& hosts,
                                          bool self_eligible) const;
-  // Returns at most `limit` eligible hosts that were heard within
-  // kHeartbeatTimeout, highest rank first, among them this host unless it is
+  // Returns up to `limit` eligible hosts, highest rank first: hosts from which
+  // a message arrived within kHeartbeatTimeout, and this host unless it is
   // leaving.
   std::vector<KnownHost> TopAliveByRank(std::size_t limit) const;
-  // Adds those of the next `limit` hosts in `addresses_` to `view` that were
-  // heard within kHeartbeatTimeout. Successive calls cycle through all hosts.
+  // Visits the next `limit` hosts in `addresses_` and adds those to `view` from
+  // which a message arrived within kHeartbeatTimeout. Successive calls cycle
+  // through all hosts.
   void AddNextHosts(std::size_t limit, std::vector<KnownHost>* view);
-  // Removes hosts that have not been heard or named for a long time.
+  // Removes hosts from which no message has arrived, and which no heartbeat has
+  // named, for ten minutes.
   void ForgetSilentHosts();
   void Forget(Hosts::iterator host);
 
@@ -206,20 +223,23 @@
   TimePoint last_forget_at_{};
   FleetSize size_;
   bool leaving_ = false;
-  // This host is the planner unless a host of higher rank declares itself.
+  // Whether this host declares itself the planner. It stops if a host of higher
+  // rank declares itself the planner.
   bool claims_planner_ = false;
-  // Others take this host for the planner: it was the planner before it
-  // restarted.
+  // Whether another host has reported that it regards this host as the planner,
+  // as happens if this host was the planner before a restart. This host then
+  // need not wait for the startup grace period.
   bool expected_to_plan_ = false;
   // When the last message of any host arrived.
   TimePoint last_heard_any_at_{};
   Hosts hosts_;
   // The keys of `hosts_`, for random access.
   std::vector<HostAddress> addresses_;
-  // Index in `addresses_` of the host that AddNextHosts added last.
-  std::size_t next_named_ = 0;
-  // Hosts that were heard within kHeartbeatTimeout, and hosts that were heard
-  // or named within it. Expired entries are removed before each use.
+  // Index in `addresses_` of the host that AddNextHosts visited last.
+  std::size_t last_visited_index_ = 0;
+  // Hosts from which a message arrived within kHeartbeatTimeout; and hosts from
+  // which a message arrived, or which a received heartbeat named, within that
+  // time. Expired entries are removed before each use.
   mutable ExpiryQueue<HostAddress> heard_hosts_;
   mutable ExpiryQueue<HostAddress> alive_hosts_;
   mutable HostRanking ranking_;
--- a/include/harecrank/core/oversize_wait.h
+++ b/include/harecrank/core/oversize_wait.h
@@ -1,5 +1,5 @@
-// Computes how long a prompt that is larger than any engine's memory waits for
-// several idle engines.
+// Computes how long a prompt that is larger than the memory of any engine waits
+// until several engines are idle.
 //
 // If such a prompt were rejected after a fraction of its latency target, its
 // retry would meet the same busy engines and would be lost. If it waited until
@@ -12,11 +12,11 @@
 
 namespace harecrank {
 
-// Returns the end of the wait of `request`, which must not fit into one
-// engine's memory. This is `PlacementPolicy::oversize_wait_share` latency
-// targets after the request's arrival, but early enough that its prompt can
-// still be prefilled before `deadline`. `first_event_due` is the time from
-// which its first event is late.
+// Returns the time until which `request` may wait; the request must be too
+// large for the memory of a single engine. The wait ends when the request has
+// waited for `PlacementPolicy::oversize_wait_share` times its latency target,
+// or earlier if its prompt could otherwise not be prefilled before `deadline`.
+// `first_event_due` is the time after which its first event is late.
 TimePoint OversizeWaitEnd(const PlacementRequest& request,
                           const PlacementPolicy& policy,
                           TimePoint first_event_due, TimePoint deadline);
--- a/include/harecrank/core/pause_guard.h
+++ b/include/harecrank/core/pause_guard.h
@@ -1,4 +1,5 @@
-// Keeps a process that was suspended from acting on an outdated decision.
+// Prevents a process that was suspended from acting on a decision that has
+// become outdated.
 
 #ifndef HARECRANK_CORE_PAUSE_GUARD_H_
 #define HARECRANK_CORE_PAUSE_GUARD_H_
@@ -10,18 +11,19 @@
 
 namespace harecrank {
 
-// Limits the time between a decision and the action that follows from it.
+// Limits the time between a decision and the action that it permits.
 //
-// MayAct is called just before the action. A suspension between that call and
-// the action, a few instructions and one system call, is not detected; only a
-// fencing token that the receiver checks closes this window. Not thread-safe.
+// MayAct is called just before the action. A suspension between the call of
+// MayAct and the action, which are a few instructions and one system call
+// apart, is not detected. Only a fencing token that the receiver of the action
+// checks would prevent this. Not thread-safe.
 class PauseGuard {
  public:
   // A decision older than `max_age` must not be acted on.
   PauseGuard(Millis max_age, MonotonicClock clock)
       : max_age_(max_age), clock_(std::move(clock)) {}
 
-  // Records that a decision is made now, on data read now.
+  // Records that a decision is made now, from data that were read now.
   void OnDecision() { decided_ = clock_(); }
 
   // Returns whether the last decision may still be acted on.
--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -2,10 +2,10 @@
 //
 // Short prompts are packed onto as few engines as can meet their latency
 // target, starting at the front of an engine order that all hosts share. Long
-// prompts are split into parts that several engines prefill in parallel. A part
-// is no larger than the streams on its engine tolerate (prefill_group.h); a
-// long prompt waits while too few engines are available. docs/DECISIONS.md
-// explains the values.
+// prompts are split into parts that several engines prefill in parallel. The
+// size of each part is limited so that the streams on its engine do not pause
+// for too long (prefill_group.h). A long prompt waits while too few engines are
+// available. docs/DECISIONS.md explains the values.
 
 #ifndef HARECRANK_CORE_PLACEMENT_H_
 #define HARECRANK_CORE_PLACEMENT_H_
@@ -30,25 +30,25 @@
 
 namespace harecrank {
 
-// Short requests that are expected within a period.
+// The short requests that are expected to arrive within a period.
 struct ShortDemand {
   double requests = 0;
-  // Time that one engine needs to prefill all of them.
+  // Time that one engine needs to prefill all these requests.
   FractionalMillis prefill_time{0};
 };
 
-// Input of a placement decision.
+// A request to be placed, as Placer::Choose needs it.
 struct PlacementRequest {
   const ServiceProfile* service = nullptr;
-  // Latency target of the first event, and the longest gap between events that
-  // is still within the target.
+  // Latency target of the first event, and the longest inter-token gap that is
+  // within the target.
   Millis target_latency{0};
   Millis target_gap{0};
-  // Zero if the request does not state its token count.
+  // Length of the prompt; zero if the request does not state it.
   Tokens prompt;
   // Expected length of the answer.
   Tokens answer;
-  // Shortest gap that any route to the service allows.
+  // Shortest target for the inter-token gap of any route to the service.
   Millis tightest_gap{0};
   // Time left until the first event is late; negative once it is late.
   FractionalMillis until_late{0};
@@ -57,32 +57,35 @@
   RequestOrigin origin;
   // Endpoints that this request was sent to before. They are not chosen again.
   std::set<EndpointId> tried;
-  // Endpoints at which the host has no start quota left. They are not chosen
-  // now.
+  // Endpoints at which the requesting host may not start a request now, because
+  // its start quota is used up. They are not chosen now.
   std::set<EndpointId> withheld;
-  // An endpoint may already have run the request. It is then placed even if
-  // that makes other requests late.
+  // Whether an endpoint may already have run the request. Such a request is
+  // placed even if that makes other requests late.
   bool may_have_run = false;
-  // Short requests expected at all engines within the latency target.
+  // Short requests that are expected to arrive, at all engines together, within
+  // a period as long as the latency target.
   ShortDemand demand;
 };
 
 // An endpoint that prefills a part of the prompt for the endpoint that decodes.
 struct PrefillHelper {
   EndpointRecord record;
-  // Part of the request's KV memory that is kept on the helper. Zero unless the
-  // decoding engine is too small.
+  // Number of tokens of the request's KV memory that the helper holds. Zero
+  // unless the engine that decodes has too little free memory.
   Tokens held;
 };
 
-// Result of a placement decision.
+// The endpoints chosen for a request, with the predictions on which the choice
+// is based.
 struct Placement {
-  // Decodes the answer, and prefills one part of the prompt.
+  // Decodes the answer, and prefills the whole prompt or, if there are helpers,
+  // one part of it.
   EndpointRecord endpoint;
   // The prompt is split evenly among the endpoint and these helpers.
   std::vector<PrefillHelper> helpers;
   WorkClass work_class = WorkClass::kShort;
-  // Prefill time of each part.
+  // Prefill time of each prompt part.
   FractionalMillis prefill_time{0};
   // Predicted time to the first event.
   FractionalMillis first_event{0};
@@ -90,23 +93,24 @@
   std::size_t candidates = 0;
 };
 
-// All suitable engines have too much to prefill at present, or all endpoints
-// are withheld.
+// The request cannot be placed now and should wait: no suitable engine has
+// enough free capacity at present, or the requesting host may not start
+// requests now at any endpoint that is left.
 struct EnginesBusy {};
 using PlacementResult = std::variant<Placement, NoEndpoint, EnginesBusy>;
 
-// Returns whether a request of `needed` tokens exceeds the memory of an idle
-// engine of `service`.
+// Returns whether a request that needs `needed` tokens of KV memory exceeds the
+// memory of an idle engine of `service`.
 bool IsOversize(const ServiceProfile& service, Tokens needed);
 
-// Returns whether the prompt's prefill fits between two events of any stream.
-// The request's service must have an engine.
+// Returns whether the prompt is short: its prefill fits between two events of
+// any stream. The request's service must have an engine.
 bool IsShortPrompt(const PlacementRequest& request,
                    const PlacementPolicy& policy);
 
-// Returns the engine time that `request` takes from its account's fair share.
-// The request's service must have an engine. If `by_account` is false, all
-// requests count for one account.
+// Returns the engine time that is counted against the fair share of the
+// request's account. The request's service must have an engine. If `by_account`
+// is false, all requests are counted for the same account.
 ShareClaim ClaimOf(const PlacementRequest& request, bool by_account);
 
 // Returns the work that `placement` starts at each endpoint, beginning with the
@@ -114,17 +118,19 @@
 std::vector<WorkPart> PartsOf(const Placement& placement,
                               const PlacementRequest& request);
 
-// The set of hosts whose work is included in the known loads.
+// The hosts whose work is included in the loads that a placer sees.
 enum class LoadScope {
   // All hosts. Short requests are packed from the front of a shared engine
   // order.
   kAllHosts,
   // Only this host. Hosts that see the same idle engines would all choose the
-  // same one, so each uses an order of its own and does not pack requests.
+  // same one. Therefore each host uses a random engine order of its own and
+  // does not pack requests.
   kThisHost
 };
 
-// Chooses endpoints for requests. Not thread-safe.
+// Chooses the endpoint and the helpers of each request from the loads and the
+// health of the endpoints. Not thread-safe.
 class Placer {
  public:
   // All pointers must outlive the placer. `self` is this host's data centre.
@@ -140,41 +146,48 @@
   PlacementResult Choose(const PlacementRequest& request) const;
 
  private:
-  // Returns the usable endpoints. Suspect ones are included only if there are
-  // no others.
+  // Returns the usable endpoints that are neither in `request.tried` nor in
+  // `request.withheld`. Suspect endpoints are returned only if there are no
+  // others.
   std::vector<EngineCandidate> CandidatesFor(
       const PlacementRequest& request) const;
-  // Returns whether an endpoint is withheld that the request has not tried yet.
+  // Returns whether there is a usable endpoint that the request has not tried
+  // yet but at which the requesting host may not start a request now.
   bool HasWithheldEndpoint(const PlacementRequest& request) const;
   // Sorts by descending rank in the engine order.
   void SortByRank(std::vector<EngineCandidate>* candidates) const;
-  // For services without an engine profile: takes the endpoint with the least
-  // requests, preferring this data centre.
+  // Chooses an endpoint of a service without an engine profile: the one with
+  // the fewest requests, with a preference for this data centre.
   Placement ChoosePlain(const std::vector<EngineCandidate>& candidates) const;
-  // Returns whether an idle engine can deliver the first event within the
-  // target.
-  static bool CanMeetTargetWhenIdle(const PlacementRequest& request);
-  // Takes the engine with the earliest predicted first event, even if it is
+  // Returns whether an idle engine would deliver the first event before it is
   // late.
+  static bool CanMeetTargetWhenIdle(const PlacementRequest& request);
+  // Chooses the engine with the earliest predicted first event for a short
+  // prompt, even if that event is late.
   Placement ChooseShort(const PlacementRequest& request,
                         const std::vector<EngineCandidate>& ranked) const;
-  // Takes an engine that meets the request's target and makes no other request
-  // late. Returns EnginesBusy if there is none. The target is disregarded if
-  // even an idle engine would miss it.
+  // Chooses an engine that delivers the first event of a short prompt within
+  // its target and on which no other request becomes late. Returns EnginesBusy
+  // if there is none. The target is disregarded if even an idle engine would
+  // miss it.
   PlacementResult ChooseShortWithinTarget(
       const PlacementRequest& request,
       const std::vector<EngineCandidate>& ranked) const;
   // Returns the predicted time to the first event on `candidate`. Returns
   // nothing if the engine has no free slot or memory, if the request would make
   // others late there, or if it would be late although an idle engine would
-  // meet its target. `reserve` is capacity to leave free for expected short
-  // requests.
+  // meet its target. `reserve` is the demand of expected short requests for
+  // which capacity must stay free on the engine.
   std::optional<FractionalMillis> PredictShortFirstEvent(
       const PlacementRequest& request, const EngineCandidate& candidate,
       const ShortDemand& reserve) const;
+  // Chooses the engines that prefill a long prompt together. Returns
+  // EnginesBusy if too few are available or their memory cannot hold the
+  // request.
   PlacementResult ChooseLong(const PlacementRequest& request,
                              std::vector<EngineCandidate> ranked) const;
-  // Returns nothing if the group's memory cannot hold the request.
+  // Returns the placement of the request on `group`, or nothing if the memory
+  // of the group cannot hold the request.
   std::optional<Placement> PlaceOn(const PlacementRequest& request,
                                    const PrefillGroup& group) const;
   // Assigns `overflow` tokens of KV memory to the placement's helpers. Returns
@@ -182,8 +195,8 @@
   static bool DistributeMemory(const EngineProfile& engine,
                                const PrefillGroup& group, Tokens overflow,
                                Placement* placement);
-  // Returns how many engines at the front of the order are reserved for short
-  // requests, out of `engines`.
+  // Returns how many of `engines` engines are reserved for short requests.
+  // These are the first ones in the engine order.
   std::size_t EnginesForShort(const EngineProfile& engine,
                               std::size_t engines) const;
   // Returns a random number between 0 and 1.
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -1,13 +1,14 @@
-// Decides the placements of the prompts of all hosts in a group.
+// Decides on which endpoints the prompts of all hosts of the fleet are placed.
 //
 // A long prompt may need sixteen engines at once, while bursts of short prompts
 // arrive at up to a hundred hosts. If each host placed its own prompts with
-// stale knowledge of the others, all of them would choose the engine that
-// looked idle first, and a long prompt would find some of its engines just
-// taken. A single planner that decides every placement knows the current load.
+// outdated knowledge of the other hosts' placements, all of them would choose
+// the same engine that looked idle, and some engines chosen for a long prompt
+// would already be busy. A single planner that decides every placement knows
+// the current load.
 //
-// The planner keeps soft state only: hosts report their active work in
-// heartbeats, and work that no host reports is forgotten.
+// The planner's state need not survive a restart: hosts report their work in
+// progress in heartbeats, and the planner forgets work that no host reports.
 
 #ifndef HARECRANK_CORE_PLANNER_H_
 #define HARECRANK_CORE_PLANNER_H_
@@ -34,7 +35,8 @@
 
 namespace harecrank {
 
-// A decision about a query that was queued. It may be a rejection.
+// The decision about a query that was queued, a placement or a rejection, with
+// the host to which it must be sent.
 struct DeferredReply {
   HostAddress host;
   Incarnation incarnation;
@@ -46,8 +48,8 @@
 using RoutingTableProvider =
     std::function<std::shared_ptr<const RoutingTable>()>;
 
-// Decides placements and holds the queries that wait for an engine. Not
-// thread-safe.
+// Decides placements for the queries of all hosts, and holds the queries that
+// wait for an engine. Not thread-safe.
 class Planner {
  public:
   // All pointers must outlive the planner. `self` is this host's data centre.
@@ -57,29 +59,30 @@
           MonotonicClock clock, RandomSource random);
 
   // Makes this host the planner. Queries are queued until each of `hosts` has
-  // reported its active work in a heartbeat, or until kLearningPeriod has
-  // passed. Before that, engines that look idle may be busy, and a long prompt
-  // placed on them would make the short ones there late.
+  // reported its work in progress in a heartbeat, or until kLearningPeriod has
+  // passed. Until the hosts have reported, engines that look idle may be busy,
+  // and a long prompt placed on them would make their short prompts late.
   void Begin(const std::vector<HostAddress>& hosts);
 
-  // Decides on a query. A repeated query gets the same reply and no second
-  // placement.
+  // Decides on a query. If a query is repeated, the planner repeats its
+  // placement, or QueryQueued while it waits, and does not place it twice.
   PlacementDecision OnQuery(const PlacementQuery& query);
 
   // Records that placed requests have finished their prefill or ended.
   void OnProgressReport(const ProgressReport& report);
 
-  // Replaces the known work of a host by the work in its heartbeat. Placements
-  // newer than kHeartbeatGrace are kept, since the host may have sent the
-  // heartbeat before it received them. Ignores heartbeats that carry no work.
+  // Replaces the known work of a host by the work that its heartbeat reports.
+  // Placements newer than kHeartbeatGrace are kept, since the host may have
+  // sent the heartbeat before it received them. Ignores heartbeats that do not
+  // report work.
   void OnHeartbeat(const Heartbeat& heartbeat);
 
   // Tries to place the queued queries in queue order. Returns the replies to
   // those that leave the queue.
   std::vector<DeferredReply> ProcessWaitQueue();
 
-  // Removes hosts that have not been heard from for kHostTimeout, and their
-  // work.
+  // Removes hosts from which no query or report has arrived for kHostTimeout,
+  // and their work.
   void RemoveSilentHosts();
 
   // Drops all state. Called when another host becomes the planner.
@@ -89,8 +92,8 @@
     return long_queue_.Count() + short_queue_.Count();
   }
   std::size_t HostCount() const { return hosts_.size(); }
-  // Number of accounts with queued long prompts, and how many of them are over
-  // their fair share of engine time.
+  // Number of accounts with queued long prompts, and how many of these accounts
+  // have used more than their fair share of engine time.
   std::size_t WaitingAccounts() const { return long_queue_.WaitingAccounts(); }
   std::size_t OverShareAccounts() const {
     return long_queue_.OverShareAccounts();
@@ -99,28 +102,32 @@
   std::size_t ReservationCount() const {
     return admission_control_.ReservationCount();
   }
-  // Reservations made, kept and broken since the start.
+  // Numbers of reservations made, kept and broken since the process started.
   const ReservationCounts& ReservationTotals() const {
     return admission_control_.Counts();
   }
 
   // Window over which the arrival rate of short prompts is measured.
   static constexpr Millis kDemandWindow{500};
-  // Longest time to wait for heartbeats after Begin(). Live hosts report within
-  // milliseconds, and short prompts cannot wait longer.
+  // Longest time for which queries are queued after Begin() until all hosts
+  // have reported their work. Live hosts report within milliseconds, and short
+  // prompts cannot wait longer.
   static constexpr Millis kLearningPeriod{50};
-  // Time after which the work of a silent host no longer counts. Engines end
-  // that work shortly after the host's connections have closed.
+  // Time without any message from a host after which its work is removed.
+  // Engines end the work of a failed host shortly after its connections have
+  // closed.
   static constexpr Millis kHostTimeout{1500};
-  // Age below which a placement may be missing from its host's heartbeat, since
-  // the host may not have received it yet.
+  // A placement younger than this is kept even if it is missing from its host's
+  // heartbeat, since the host may not have received the placement yet.
   static constexpr Millis kHeartbeatGrace{400};
-  // How long the withheld list of a query is used. The host's start quota is
-  // released one start at a time, so an older list would block endpoints that
+  // How long the planner excludes the endpoints in PlacementQuery::withheld, at
+  // which the querying host may not start requests. The host's start quota is
+  // released one start at a time, so an older list would exclude endpoints that
   // are available again.
   static constexpr Millis kWithheldLifetime{400};
-  // Time after which a queued query that is not repeated is considered
-  // abandoned. It is several times the interval between repetitions.
+  // Time after which a queued query is considered abandoned if its host does
+  // not repeat it. It is several times the interval at which hosts repeat their
+  // queries.
   static constexpr Millis kQueryTimeout{1000};
 
  private:
@@ -128,21 +135,23 @@
   // one.
   struct Entry {
     PlacementQuery query;
-    // Time from which the first event is past its latency target.
+    // Time after which the first event is late.
     TimePoint first_event_due{};
     TimePoint arrived_at{};
     // Time at which the caller or the route gives up the request.
     TimePoint deadline{};
     TimePoint last_query_at{};
-    // Time of the placement, or of the heartbeat that reported the work.
+    // Time of the placement, or of the heartbeat that first reported the work
+    // if another planner placed it.
     TimePoint placed_at{};
-    // Set while the query is queued.
+    // Identifies the query in its wait queue; unset if it is not queued.
     std::optional<WaitingRequestId> queue_id;
     bool is_short = false;
-    // Whether admission control (and not a fixed time-out) ends its wait.
+    // Whether admission control, instead of a fixed time-out, ends the wait of
+    // the query.
     bool uses_admission_control = false;
-    // The request was rejected earlier with a retry time, and its caller came
-    // back at that time.
+    // Whether the request was rejected earlier with a retry time and its caller
+    // has now retried at that time.
     bool has_reservation = false;
     std::optional<PlannedPlacement> placed;
     // The request's work in `loads_`.
@@ -150,79 +159,90 @@
     // The endpoint that decodes.
     EndpointId endpoint;
   };
-  struct Host {
+  // A host's queries and work as the planner knows them.
+  struct HostQueries {
     Incarnation incarnation;
     TimePoint last_heard{};
     std::unordered_map<QueryId, Entry> queries;
   };
-  // Identifies a query among those of all hosts.
+  // Identifies a query among the queries of all hosts.
   struct QueryKey {
     HostAddress host;
     QueryId id;
   };
 
+  // Returns whether queries are still queued because not all hosts have
+  // reported their work since Begin().
   bool IsLearning() const;
-  // Returns the state of a host. A new incarnation drops the queries of the
-  // previous one.
-  Host* FindOrAddHost(const HostAddress& address, Incarnation incarnation);
-  // Returns nothing if all suitable engines are busy.
+  // Returns the entry of a host, which is added if necessary. If the host has a
+  // new incarnation, the queries of its previous incarnation are removed.
+  HostQueries* FindOrAddHost(const HostAddress& address,
+                             Incarnation incarnation);
+  // Tries to place the query and records its work. Returns the placement,
+  // NoEndpoint, or nothing if the query must wait for an engine.
   std::optional<PlacementDecision> TryPlace(Entry* entry);
-  // Returns the placer's input, or nothing if the service is unknown.
+  // Returns the request of a query as input for the placer, or nothing if the
+  // routing table has no such service.
   std::optional<PlacementRequest> RequestOf(const Entry& entry) const;
-  // Returns the endpoints at which the querying host has no start quota left.
+  // Returns the endpoints at which the querying host may not start a request
+  // now, because its start quota is used up.
   std::set<EndpointId> WithheldFor(const Entry& entry,
                                    const ServiceProfile& service) const;
   bool IsShort(const PlacementRequest& request) const;
   ShareClaim ShareClaimOf(const PlacementRequest& request) const;
-  // Returns how the request ranks by fair share against the queued requests.
+  // Returns whether the request goes before or after the queued requests, by
+  // its account's fair share of engine time.
   ShareRank ShareRankOf(const Entry& entry,
                         const std::optional<PlacementRequest>& request);
   WaitQueue& QueueOf(const Entry& entry) {
     return entry.is_short ? short_queue_ : long_queue_;
   }
-  // Returns whether the queue holds a long prompt that needs no more engine
-  // time than this one and can no longer meet its target. Always false if the
-  // request may already have run.
+  // Returns whether the queue holds a long prompt that can no longer meet its
+  // target although it needs no more prefill time than the given request.
+  // Always false if the given request may already have run.
   bool HasLatePrecedent(const PlacementQuery& query,
                         const PlacementRequest& request) const;
   void Enqueue(Entry* entry, const PlacementRequest& request);
   void Dequeue(Entry* entry);
   // Records the arrival of a short prompt.
   void RecordDemand(const PlacementRequest& request);
-  // Returns the short prompts expected to arrive within `time`, extrapolated
-  // from the last kDemandWindow.
+  // Returns the short prompts that are expected to arrive within `time`,
+  // extrapolated from those that arrived within the last kDemandWindow.
   ShortDemand DemandWithin(Millis time) const;
-  // Returns the input of admission control. It refers to `request`.
+  // Returns the query as input for admission control. The result refers to
+  // `request`, which must outlive it.
   AdmissionCandidate CandidateOf(const Entry& entry,
                                  const PlacementRequest& request) const;
-  // Returns the rejection of a new query that found no engine, or nothing if it
-  // should be queued.
+  // Returns a rejection if a new query for which no engine was found must be
+  // rejected, or nothing if it should be queued.
   std::optional<QueryRejected> RejectionOnArrival(
       const Entry& entry, const PlacementRequest& request,
       ShareRank share_rank);
-  // Returns whether the queued query may start, given the work that is ahead of
-  // it in `queue`.
+  // Returns whether the queued query may be placed now, given the work `ahead`
+  // of it in `queue`.
   bool MayStart(const Entry& entry, const WaitQueue& queue,
                 const WorkAhead& ahead) const;
-  // Returns the rejection of a queued query with `ahead` before it, or nothing
-  // if it should keep waiting. The decision is NoEndpoint if the service has
-  // gone.
+  // Returns a decision that ends the wait of a queued query, given the work
+  // `ahead` of it in the queue: a rejection, or NoEndpoint if its service no
+  // longer exists. Returns nothing if the query should keep waiting.
   std::optional<PlacementDecision> RejectionWhileQueued(const Entry& entry,
                                                         const WorkAhead& ahead);
   // Returns whether a short prompt has waited longer than
   // PlacementPolicy::late_wait_share allows. Always false under admission
   // control.
   bool HasTimedOut(const Entry& entry) const;
-  // Tries to place queued queries until `max_failed` of them have failed, and
-  // removes those that are rejected or have timed out.
+  // Tries to place the queries in `queue` until `max_failed` of them could not
+  // be placed, and removes the queries that are placed, are rejected or have
+  // timed out. Adds the replies to `replies`.
   void ProcessQueue(WaitQueue* queue, std::size_t max_failed,
                     std::vector<DeferredReply>* replies);
-  // Records work that a host reports and that this planner did not place. Marks
-  // the prefills that are done.
-  void AdoptWork(Host* host, const QueryWork& work);
-  // Takes the query off the queue and ends its work.
+  // Records work that a host reports and that this planner has not placed, and
+  // marks the work whose prefill is done.
+  void AdoptWork(HostQueries* host, const QueryWork& work);
+  // Removes the query from its queue and its work from `loads_`.
   void RemoveEntry(Entry* entry);
-  void RemoveQueries(Host* host);
+  // Removes all queries of a host, with their work.
+  void RemoveQueries(HostQueries* host);
 
   const EndpointDirectory* directory_;
   EndpointHealth* health_;
@@ -235,19 +255,20 @@
   StartHistory granted_starts_;
   Placer placer_;
   AdmissionControl admission_control_;
-  // Long and short prompts compete separately.
+  // Long and short prompts wait in separate queues.
   WaitQueue long_queue_;
   WaitQueue short_queue_;
   std::map<WaitingRequestId, QueryKey> long_query_keys_;
   std::map<WaitingRequestId, QueryKey> short_query_keys_;
+  // The arrival of a short prompt.
   struct Demand {
     TimePoint at;
     FractionalMillis prefill_time{0};
   };
   // Short prompts that arrived within kDemandWindow, oldest first.
   std::deque<Demand> demand_;
-  std::map<HostAddress, Host> hosts_;
-  // Hosts that have not reported their work since Begin().
+  std::map<HostAddress, HostQueries> hosts_;
+  // Hosts passed to Begin() that have not reported their work yet.
   std::set<HostAddress> unreported_hosts_;
   TimePoint learning_until_{};
 };
--- a/include/harecrank/core/prefill_group.h
+++ b/include/harecrank/core/prefill_group.h
@@ -1,11 +1,11 @@
-// Chooses the engines that prefill a long prompt together, and the one of them
-// that decodes.
+// Chooses the engines that prefill a long prompt together, and the engine among
+// them that decodes the answer.
 //
-// Each engine of the group prefills an equal part of the prompt. It does so
-// between two events of its streams, which all pause for that time. The streams
-// on an engine therefore limit the size of a part there. A prompt is split into
-// so many parts that enough engines can take one each without a stream
-// exceeding its gap.
+// Each engine of the group prefills an equal part of the prompt. An engine
+// prefills its part between two events of the streams that it decodes, and all
+// these streams pause for that time. The gaps that the streams allow therefore
+// limit the size of a part on that engine. A prompt is split into enough parts
+// that no stream on the chosen engines pauses for longer than its gap.
 
 #ifndef HARECRANK_CORE_PREFILL_GROUP_H_
 #define HARECRANK_CORE_PREFILL_GROUP_H_
@@ -21,7 +21,7 @@
 
 namespace harecrank {
 
-// Most helpers per request.
+// Maximum number of helper engines per request.
 inline constexpr std::size_t kMaxHelpers = 16;
 
 // An engine that is considered for a request.
@@ -31,10 +31,11 @@
   // Observed slowdown: the factor by which the engine is slower than its
   // published profile, at least 1.
   double pace = 1;
-  // Position in the engine order, highest first.
+  // Rank in the engine order of placement.h. Engines with a higher rank come
+  // first.
   std::uint64_t rank = 0;
-  // Reserved for short requests: a stream with the tightest gap may start here
-  // at any time.
+  // Whether the engine is reserved for short requests. A stream with the
+  // tightest gap may then start on it at any time.
   bool reserved_for_short = false;
 };
 
@@ -42,43 +43,47 @@
 struct LongPrompt {
   // Prefill time of the whole prompt on a single engine.
   FractionalMillis prefill_time{0};
-  // KV memory needed at the expected end of the answer.
+  // KV memory, in tokens, that the request needs at the expected end of the
+  // answer.
   Tokens needed;
   // Latency target of the first event.
   FractionalMillis target{0};
   // Time left until the first event is late; negative once it is late.
   FractionalMillis until_late{0};
-  // Longest pause within the target of the prompt's own stream, and the
-  // shortest such pause of any route to the service.
+  // Longest pause between two events that the target of the prompt's own stream
+  // allows, and the shortest such pause that any route to the service allows.
   FractionalMillis gap{0};
   FractionalMillis tightest_gap{0};
 };
 
 // Engines that each prefill an equal part of a prompt.
 struct PrefillGroup {
-  // Prefills a part as well.
+  // The engine that decodes the answer. It prefills one part as well.
   EngineCandidate decode_engine;
   std::vector<EngineCandidate> helpers;
   // Prefill time of one part.
   FractionalMillis part{0};
 };
 
-// Returns whether a stream with `gap` is treated as one with the tightest gap
-// of its service.
+// Returns whether a stream with `gap` is treated like a stream with the
+// tightest gap of its service.
 bool IsTightGap(FractionalMillis gap, FractionalMillis tightest_gap);
 
-// Returns the memory of an engine that can still be assigned.
+// Returns how many tokens of an engine's KV memory can still be assigned to
+// requests.
 Tokens FreeMemory(const EngineProfile& engine, const EndpointLoad& load);
 
-// Returns the longest prefill that `candidate` can take without one of its
-// streams exceeding its gap. Negative if no prefill fits; the maximum value if
-// the engine has no streams.
+// Returns the longest prefill time of a part that `candidate` can take without
+// making any of its streams pause for too long. The result is negative if no
+// prefill fits, and the maximum value if the engine has no streams and is not
+// reserved for short requests.
 FractionalMillis MaxPrefillPart(const EngineProfile& engine,
                                 const PlacementPolicy& policy,
                                 const EngineCandidate& candidate,
                                 FractionalMillis tightest_gap);
 
-// Returns the engines that prefill `prompt`, or nothing if it has to wait.
+// Returns the engines that prefill `prompt`, or nothing if too few engines are
+// available and the prompt has to wait.
 std::optional<PrefillGroup> ChoosePrefillGroup(
     const EngineProfile& engine, const PlacementPolicy& policy,
     const LongPrompt& prompt, const std::vector<EngineCandidate>& candidates);
--- a/include/harecrank/core/recent_prefixes.h
+++ b/include/harecrank/core/recent_prefixes.h
@@ -1,4 +1,4 @@
-// Tracks which prompt prefixes this host has seen recently.
+// Tracks which prompt prefixes this host has seen in recent requests.
 
 #ifndef HARECRANK_CORE_RECENT_PREFIXES_H_
 #define HARECRANK_CORE_RECENT_PREFIXES_H_
@@ -9,15 +9,16 @@
 
 namespace harecrank {
 
-// A fixed-size set of prefix digests. A new digest replaces the one in its
-// slot. Thread-safe and lock-free.
+// A fixed-size set of digests of prompt prefixes. Each digest belongs to one
+// slot and replaces the previous digest there. Thread-safe and lock-free.
 //
 // Only a prefix that was seen before can be in an engine's prefix cache.
 // Requests with a new prefix are sent to the least loaded engine.
 class RecentPrefixes {
  public:
-  // Inserts `digest` and returns whether it was in the set before. Zero means
-  // that there is no digest, and always returns false.
+  // Inserts `digest` and returns whether it was in the set before. The digest
+  // zero stands for a request without a prefix; the result is then always
+  // false.
   bool TestAndInsert(std::uint64_t digest) {
     std::atomic<std::uint64_t>& slot = slots_[digest % kSlots];
     return slot.exchange(digest, std::memory_order_relaxed) == digest &&
--- a/include/harecrank/core/remote_clock.h
+++ b/include/harecrank/core/remote_clock.h
@@ -1,11 +1,12 @@
-// Deadlines on the receiver's clock.
+// Converts deadlines to the clock of the receiving process.
 //
 // A message can wait for minutes in the socket of a suspended process. If it
 // carried a remaining time that the receiver counts from when it reads the
-// message, the request would be started long after its sender has given up. The
-// sender therefore states the deadline on the receiver's own clock, which it
-// knows from the last pulse, the periodic message of a link that carries the
-// clock of its sender.
+// message, the receiver would start the request long after the sender has given
+// it up. The sender therefore states the deadline as a time of the receiver's
+// own clock. It estimates this clock from the last pulse: a message that a
+// process sends periodically on each link and that contains a reading of its
+// clock.
 
 #ifndef HARECRANK_CORE_REMOTE_CLOCK_H_
 #define HARECRANK_CORE_REMOTE_CLOCK_H_
@@ -18,11 +19,11 @@
 
 namespace harecrank {
 
-// A reading of another process's monotonic clock, in milliseconds. It has no
-// meaning for other processes.
+// A reading of another process's monotonic clock, in milliseconds. It cannot be
+// compared with readings of the clocks of other processes.
 using RemoteMillis = StrongNumber<struct RemoteMillisTag, std::int64_t>;
 
-// An estimate of another process's monotonic clock.
+// Estimates another process's monotonic clock and converts deadlines to it.
 //
 // The estimate is never ahead of that clock: it lags by the time that the pulse
 // spent on the network. A converted deadline is therefore early by that time
@@ -38,6 +39,7 @@
   std::optional<RemoteMillis> Convert(TimePoint deadline) const;
 
  private:
+  // A clock reading of the other process, and when it arrived here.
   struct Pulse {
     RemoteMillis remote;
     TimePoint arrived;
--- a/include/harecrank/core/rendezvous.h
+++ b/include/harecrank/core/rendezvous.h
@@ -11,7 +11,8 @@
 
 namespace harecrank {
 
-// Returns the weight of `member` for `key`. Equal in all processes.
+// Returns the weight of `member` for `key`, a hash of both. All processes
+// compute the same weight.
 std::uint64_t RendezvousWeight(const std::string& key,
                                const std::string& member);
 
--- a/include/harecrank/core/snapshot_admission.h
+++ b/include/harecrank/core/snapshot_admission.h
@@ -2,10 +2,10 @@
 //
 // When a fleet starts or recovers, hundreds of hosts request a snapshot, about
 // 100 kB each, from the same host at once. Only a few transfers run at a time,
-// each at full speed. Other requests are redirected to a host that has received
-// a snapshot already, so that the number of hosts that serve snapshots doubles
-// with each round of transfers. If no such host is known, the requester is told
-// when to retry.
+// each at full speed. Further requests are redirected to a host that has
+// already received a snapshot, so that the number of hosts that serve snapshots
+// doubles with each round of transfers. If no such host is known, the requester
+// receives a delay after which it should retry.
 
 #ifndef HARECRANK_CORE_SNAPSHOT_ADMISSION_H_
 #define HARECRANK_CORE_SNAPSHOT_ADMISSION_H_
@@ -19,9 +19,9 @@
 
 namespace harecrank {
 
-// This host serves the snapshot now.
+// The host that received the request sends the snapshot now.
 struct ServeSnapshot {};
-// Another host serves the same snapshot.
+// The requester should request the snapshot from `host` instead.
 struct RedirectToPeer {
   HostAddress host;
 };
@@ -32,15 +32,17 @@
 using SnapshotDecision =
     std::variant<ServeSnapshot, RedirectToPeer, RetryLater>;
 
-// Not thread-safe.
+// Decides whether this host sends a snapshot to a requesting host, redirects it
+// to a peer or makes it retry. Not thread-safe.
 class SnapshotAdmission {
  public:
-  // `cpu_share` is that of this host.
+  // `cpu_share` is the number of cores, possibly a fraction, that this host may
+  // use.
   SnapshotAdmission(CpuShare cpu_share, MonotonicClock clock);
 
-  // Decides on a request. `peer` is another host that can serve the same
-  // snapshot, if one is known. Each ServeSnapshot must be followed by one call
-  // of OnTransferEnded.
+  // Decides on the request of a host. `peer` is another host that can send the
+  // same snapshot, if one is known. Each ServeSnapshot must be followed by one
+  // call of OnTransferEnded.
   SnapshotDecision OnRequest(const std::optional<HostAddress>& peer);
 
   // Records that a transfer is complete or its connection was closed.
@@ -48,11 +50,12 @@
 
   int ActiveTransfers() const { return active_transfers_; }
 
-  // Number of concurrent transfers of a host with a whole core; proportionally
-  // fewer with a smaller CPU share, but at least one.
+  // Maximum number of concurrent transfers per core of this host's CPU share.
+  // At least one transfer is allowed, however small the share is.
   static constexpr double kTransfersPerCore = 8;
-  // Duration of a round of concurrent transfers: the value assumed until the
-  // first transfer has ended, and the lower limit of the measured value.
+  // Duration of a round, in which the maximum number of concurrent transfers
+  // ends: the value that is assumed until the first transfer has ended, and the
+  // lower limit of the measured value.
   static constexpr Millis kInitialRoundTime{40};
   static constexpr Millis kMinRoundTime{10};
   // Longest delay of RetryLater.
@@ -66,11 +69,11 @@
   int max_transfers_;
   MonotonicClock clock_;
   int active_transfers_ = 0;
-  // Requests that were told to retry since the host was last idle.
+  // Number of requests answered with RetryLater since `busy_since_`.
   int deferred_requests_ = 0;
-  // Since when at least one transfer has been in progress.
+  // Time since which at least one transfer has always been in progress.
   TimePoint busy_since_{};
-  // Transfers that have ended since then.
+  // Number of transfers that have ended since `busy_since_`.
   int ended_transfers_ = 0;
 };
 
--- a/src/core/dissemination.cc
+++ b/src/core/dissemination.cc
@@ -8,9 +8,11 @@
 namespace harecrank {
 namespace {
 
-// One of this many comparisons is made with a node of another data centre.
+// One comparison of revisions out of this number, on average, is made with a
+// node of another data centre.
 constexpr std::uint64_t kRemotePeerOneIn = 4;
-// Rate of the fallback polls of all nodes together.
+// Total rate of the fallback polls of all nodes, unless kMinFallbackInterval
+// makes it lower.
 constexpr std::int64_t kFallbackPollsPerSecond = 50;
 constexpr Millis kMinFallbackInterval{30000};
 constexpr std::int64_t kMillisPerSecond = 1000;
--- a/src/core/endpoint_loads.cc
+++ b/src/core/endpoint_loads.cc
@@ -140,7 +140,7 @@
   --state.pending;
   state.load.pending_prefills -= work->part.prefill_time >= kLongPart ? 1 : 0;
   if (state.pending == 0) {
-    // Nothing is left to prefill, whatever was predicted.
+    // No prefill work is left, even if the predicted end has not been reached.
     state.prefill_until = clock_();
   }
 }
--- a/src/core/engine_estimate.cc
+++ b/src/core/engine_estimate.cc
@@ -11,7 +11,8 @@
 FractionalMillis PrefillTime(const EngineProfile& engine, Tokens prompt) {
   const auto tokens = static_cast<double>(prompt.value);
   const double linear = tokens / engine.prefill_tokens_per_ms;
-  // Causal attention pairs each token with all preceding ones.
+  // Causal attention computes each token against all preceding tokens, which
+  // makes about half the square of the number of tokens.
   const double pairs = tokens * tokens / 2;
   return FractionalMillis(linear + pairs / kMillion *
                                        engine.prefill_ms_per_million_pairs);
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -9,8 +9,8 @@
 
 using nlohmann::json;
 
-// Thrown for a number that is not a value of its enum, such as one of a later
-// version.
+// Thrown for a number that is not a value of its enum. A host with a later
+// version may send such numbers.
 struct UnknownEnumValue {};
 
 // Reads the elements of an array in order. Throws json::exception if an element
--- a/src/core/fleet_message_encoding.cc
+++ b/src/core/fleet_message_encoding.cc
@@ -108,8 +108,8 @@
          static_cast<int>(heartbeat.poll_state),
          heartbeat.should_poll.has_value() ? json(*heartbeat.should_poll)
                                            : json()});
-    // The remaining elements are left out if they are empty. Hosts of an
-    // earlier version ignore elements beyond those that they know.
+    // The remaining elements of a heartbeat are omitted if they are empty.
+    // Hosts of an earlier version ignore elements beyond those that they know.
     const bool has_poll_rank = heartbeat.poll_rank != 0;
     const bool has_limits = has_poll_rank || !heartbeat.limits.empty();
     const bool has_peak_hosts = has_limits || heartbeat.peak_hosts != 0;
--- a/src/core/group_reservation.cc
+++ b/src/core/group_reservation.cc
@@ -6,6 +6,8 @@
 namespace harecrank {
 namespace {
 
+// The longest random pause after a refused round is kInitialPause doubled once
+// per round begun so far, but at most kMaxDoublings times.
 constexpr Millis kInitialPause{20};
 constexpr int kMaxDoublings = 6;
 
@@ -37,8 +39,9 @@
 }
 
 GroupStep GroupReservation::FinishRound() {
-  // A round ends only when every member has replied, so that no reservation of
-  // this round can arrive after the others were released.
+  // A round ends only when every member has replied, so that no member can
+  // report a reservation for this round after the other reservations were
+  // released.
   std::vector<EndpointId> reserved;
   bool refused = false;
   for (const auto& reply : replies_) {
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -8,13 +8,13 @@
 namespace harecrank {
 namespace {
 
-// Hosts that have not been heard or named for this long are forgotten. Long
-// enough that a host finds its fleet again after it was partitioned for
-// minutes.
+// A host is forgotten if for this long no message from it has arrived and no
+// heartbeat has named it. The time is long enough that a host finds its fleet
+// again after a network partition of several minutes.
 constexpr std::chrono::minutes kForgetAfter{10};
-// Number of hosts of highest rank among which pollers are chosen that the store
-// does not answer yet. If it answers none of them, the other hosts poll for
-// themselves.
+// Pollers are chosen from the hosts whose polls the store already answers and,
+// if these are too few, from this number of hosts of highest rank. If the store
+// answers none of them, the remaining hosts poll for themselves.
 constexpr std::size_t kPollerCandidates = 16;
 // Rendezvous key by which hosts of equal CPU share are ranked.
 constexpr char kPlannerKey[] = "planner";
@@ -260,8 +260,8 @@
 
 void Membership::AddNextHosts(std::size_t limit, std::vector<KnownHost>* view) {
   for (std::size_t i = 0; i < limit; ++i) {
-    next_named_ = (next_named_ + 1) % addresses_.size();
-    const HostAddress& host = addresses_[next_named_];
+    last_visited_index_ = (last_visited_index_ + 1) % addresses_.size();
+    const HostAddress& host = addresses_[last_visited_index_];
     if (heard_hosts_.Contains(host)) {
       view->push_back(KnownHost{host, hosts_.at(host).cpu_share});
     }
--- a/src/core/oversize_wait.cc
+++ b/src/core/oversize_wait.cc
@@ -9,7 +9,8 @@
                           TimePoint first_event_due, TimePoint deadline) {
   const FractionalMillis target(request.target_latency);
   const FractionalMillis extra_wait = (policy.oversize_wait_share - 1) * target;
-  // Split among the maximum number of helpers.
+  // Prefill time of each part if the prompt is split among the maximum number
+  // of helpers.
   const FractionalMillis min_prefill_time =
       PrefillTime(*request.service->engine, request.prompt) /
       static_cast<double>(kMaxHelpers + 1);
--- a/src/core/pass_forecast.cc
+++ b/src/core/pass_forecast.cc
@@ -6,13 +6,15 @@
 namespace harecrank {
 namespace {
 
-// Delay from the planner through the host to the engine. A prompt misses passes
-// that begin earlier than this after its placement.
+// Delay from the planner's placement of a prompt until the prompt reaches the
+// engine through its host. The prompt is not included in passes that begin
+// earlier.
 constexpr FractionalMillis kDispatchDelay{1.5};
-// Delay from the end of a pass through the host back to the planner, including
-// the progress report.
+// Delay from the end of a pass until the planner knows of it: the first event
+// goes to the host, which then sends a progress report to the planner.
 constexpr FractionalMillis kReplyDelay{4};
-// Age from which the last known pass is not used for the forecast.
+// If the last known pass began longer ago than this, it is not used for the
+// forecast.
 constexpr FractionalMillis kMaxAge{5000};
 
 TimePoint After(TimePoint time, FractionalMillis wait) {
@@ -49,8 +51,9 @@
     // The position within the current pass is unknown; assume the middle.
     pass_start = After(now, -decode_pass / 2);
   }
-  // Passes without prefill follow one another until the current pass, or until
-  // the first pass that includes a pending prompt.
+  // Since the last known pass, passes without prefill have followed one another
+  // until the current pass, or until the first pass that includes a pending
+  // prompt.
   const auto first_sent = pending_.empty() ? now : pending_.front().sent;
   const FractionalMillis elapsed =
       std::min(now, After(first_sent, kDispatchDelay)) - pass_start;
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -11,27 +11,30 @@
 namespace harecrank {
 namespace {
 
-// Largest share of the engines that is reserved for short requests.
+// Maximum share of the engines that may be reserved for short requests.
 constexpr double kMaxShortShare = 0.9;
-// Width of the random jitter on a plain endpoint's load, in requests. It keeps
-// hosts with the same knowledge from choosing the same endpoint.
+// Width of the random jitter on the load of an endpoint of a service without an
+// engine profile, as a number of requests. It keeps hosts with the same
+// knowledge from choosing the same endpoint.
 constexpr double kPlainJitter = 0.5;
-// Width of the jitter on predicted times per other host that places requests.
-// Placements that other hosts have made since their last heartbeat are not
-// known here. If the jitter is too small, all hosts choose the engine that
-// looks idle first.
+// Minimum width of the random jitter on predicted times, for each other host
+// that places requests. This host does not know the placements that other hosts
+// have made since their last heartbeat. If the jitter is too small, all hosts
+// choose the engine that looks idle first.
 constexpr FractionalMillis kJitterPerPeer{3};
-// Heartbeat interval that the jitter assumes.
+// Interval between the heartbeats of another host that is assumed when the
+// jitter is computed.
 constexpr Millis kHeartbeatInterval{100};
-// Upper limit of the jitter as a share of the latency target, for any number of
-// hosts. With more jitter a late engine would be chosen as readily as one that
-// meets the target.
+// Upper limit of the jitter on predicted times, as a share of the latency
+// target, for any number of hosts. With more jitter a late engine would be
+// chosen as readily as one that meets the target.
 constexpr double kMaxJitterShare = 0.25;
-// Cost of an endpoint in another data centre, in requests. It only decides
-// between endpoints of about equal load.
+// Added to the load of an endpoint in another data centre, as a number of
+// requests. It is small, so that it only decides between endpoints of about
+// equal load.
 constexpr double kRemotePenalty = 0.25;
-// Time from the end of a pass to the caller, including the error of the
-// prediction.
+// Time from the end of a pass until the caller receives its event, with an
+// allowance for the error of the prediction.
 constexpr FractionalMillis kReplyMargin{10};
 // Hash key of the engine order that all hosts share.
 constexpr char kSharedOrderKey[] = "short-first";
@@ -39,7 +42,8 @@
 FractionalMillis PredictFirstEvent(const EngineProfile& engine,
                                    const EndpointLoad& load, double pace,
                                    FractionalMillis prefill_time) {
-  // Half of the current pass on average, then the first pass of the request.
+  // The request waits for half of the current pass on average; its first event
+  // comes at the end of the next one.
   constexpr double kPassesUntilFirstEvent = 1.5;
   const FractionalMillis pass =
       PassTime(engine, load.BatchSize() + 1, load.memory);
@@ -123,8 +127,9 @@
   } else {
     SortByRank(&candidates);
     const bool is_short = IsShortPrompt(request, policy_);
-    // A forecast of passes is of little use if other hosts place requests that
-    // this host does not see.
+    // Requests may wait only if this host sees the placements of all hosts.
+    // Otherwise the forecast of passes on which the decision to wait is based
+    // would be of little use.
     const bool sees_all_loads =
         scope_ == LoadScope::kAllHosts && placing_hosts_() <= 1;
     const bool may_wait =
@@ -219,8 +224,8 @@
                                               candidate.pace, prefill_time) +
                             UniformRandom() * jitter;
     if (i >= short_engines) {
-      // Engines that are not reserved for short requests are used only if the
-      // reserved ones are late.
+      // The added time makes this engine, which is not reserved for short
+      // requests, a choice only if the reserved engines are much later.
       time +=
           policy_.beyond_short_share * FractionalMillis(request.target_latency);
     }
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -51,7 +51,7 @@
 }
 
 PlacementDecision Planner::OnQuery(const PlacementQuery& query) {
-  Host* host = FindOrAddHost(query.host, query.incarnation);
+  HostQueries* host = FindOrAddHost(query.host, query.incarnation);
   const auto [found, is_new] = host->queries.try_emplace(query.id);
   Entry& entry = found->second;
   entry.last_query_at = clock_();
@@ -87,8 +87,8 @@
     return QueryQueued{};
   }
   const ShareRank share_rank = ShareRankOf(entry, request);
-  // An account over its fair share leaves free engines to the queued requests
-  // of accounts below theirs.
+  // If its account has used more than its fair share, the request leaves free
+  // engines to the queued requests of accounts that have used less than theirs.
   const bool yields = share_rank == ShareRank::kAfter && !query.may_have_run;
   if (auto decision = yields ? std::nullopt : TryPlace(&entry)) {
     if (!entry.placed.has_value()) {
@@ -134,7 +134,8 @@
                                           const ServiceProfile& service) const {
   std::set<EndpointId> withheld =
       start_quotas_->Withheld(granted_starts_, entry.query.host, service);
-  // These also include starts that other planners have granted to the host.
+  // The list that the host has sent also takes starts into account that other
+  // planners have granted to it.
   if (clock_() - entry.arrived_at < kWithheldLifetime) {
     withheld.insert(entry.query.withheld.begin(), entry.query.withheld.end());
   }
@@ -170,7 +171,7 @@
 }
 
 void Planner::OnProgressReport(const ProgressReport& report) {
-  Host* host = FindOrAddHost(report.host, report.incarnation);
+  HostQueries* host = FindOrAddHost(report.host, report.incarnation);
   for (const PrefillDone& done : report.read) {
     const auto found = host->queries.find(done.id);
     if (found == host->queries.end()) {
@@ -199,7 +200,7 @@
     return;
   }
   unreported_hosts_.erase(heartbeat.address);
-  Host* host = FindOrAddHost(heartbeat.address, heartbeat.incarnation);
+  HostQueries* host = FindOrAddHost(heartbeat.address, heartbeat.incarnation);
   std::unordered_map<QueryId, const QueryWork*> reported;
   for (const QueryWork& work : *heartbeat.work) {
     reported[work.id] = &work;
@@ -221,7 +222,7 @@
   }
 }
 
-void Planner::AdoptWork(Host* host, const QueryWork& work) {
+void Planner::AdoptWork(HostQueries* host, const QueryWork& work) {
   Entry& entry = host->queries[work.id];
   if (entry.work.empty() && !entry.queue_id.has_value()) {
     for (const WorkPart& part : work.parts) {
@@ -239,9 +240,9 @@
   }
 }
 
-Planner::Host* Planner::FindOrAddHost(const HostAddress& address,
-                                      Incarnation incarnation) {
-  Host& host = hosts_[address];
+Planner::HostQueries* Planner::FindOrAddHost(const HostAddress& address,
+                                             Incarnation incarnation) {
+  HostQueries& host = hosts_[address];
   if (host.incarnation != incarnation) {
     RemoveQueries(&host);
     host.incarnation = incarnation;
@@ -281,7 +282,7 @@
   entry->work.clear();
 }
 
-void Planner::RemoveQueries(Host* host) {
+void Planner::RemoveQueries(HostQueries* host) {
   for (auto& [id, entry] : host->queries) {
     RemoveEntry(&entry);
   }
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -1,4 +1,5 @@
-// The part of Planner that handles the wait queues. The rest is in planner.cc.
+// The functions of Planner that handle the wait queues. The other functions are
+// in planner.cc.
 
 #include <algorithm>
 #include <utility>
@@ -51,8 +52,9 @@
         candidate,
         WorkAhead{queue.WorkInTime(), queue.LateWork(), queue.LeastLateWork()});
   }
-  // Accounts below their fair share go before the late prompts of other
-  // accounts, so those prompts do not predict the wait.
+  // A request of an account below its fair share goes before the late prompts
+  // of other accounts, so the lateness of those prompts does not predict how
+  // long the request would wait.
   const bool has_precedent = policy_.refuses_by_precedent && !entry.is_short &&
                              share_rank != ShareRank::kBefore &&
                              HasLatePrecedent(entry.query, request);
@@ -166,8 +168,8 @@
   if (IsLearning()) {
     return replies;
   }
-  // When the learning period ends, all queries that arrived during it are
-  // tried, not only the first few.
+  // When the learning period ends, the planner tries to place all queries that
+  // arrived during it. Otherwise it stops after `policy_.tried` failures.
   const bool learning_ended =
       !unreported_hosts_.empty() || learning_until_ != TimePoint{};
   const std::size_t max_failed =
@@ -189,7 +191,7 @@
   for (const WaitingRequestId id : queue->InOrder(queue->Count())) {
     const QueryKey key =
         (is_short ? short_query_keys_ : long_query_keys_).at(id);
-    Host& host = hosts_.at(key.host);
+    HostQueries& host = hosts_.at(key.host);
     Entry& entry = host.queries.at(key.id);
     std::optional<PlacementDecision> decision;
     if (HasTimedOut(entry)) {
--- a/src/core/poll_schedule.cc
+++ b/src/core/poll_schedule.cc
@@ -80,7 +80,9 @@
     return Millis(0);
   }
   if (polling_hosts == 1) {
-    // A host that has just started may not have heard of the others yet.
+    // A host without data may have just started and not know the other hosts
+    // yet. Its poll is spread over kSpread so that hosts that start together do
+    // not all poll at once.
     return HasNoData()
                ? Millis(static_cast<std::int64_t>(
                      round_draw_ * static_cast<double>(kSpread.count())))
@@ -94,7 +96,8 @@
   if (position <= kInitialConcurrentPolls) {
     return Millis(0);
   }
-  // The number of hosts that have polled grows exponentially during the spread.
+  // The number of hosts that have polled in this round grows exponentially from
+  // kInitialConcurrentPolls to `limit` over the time kSpread.
   const double fraction =
       std::log(position / kInitialConcurrentPolls) /
       std::log(static_cast<double>(limit) / kInitialConcurrentPolls);
--- a/src/core/prefill_group.cc
+++ b/src/core/prefill_group.cc
@@ -8,17 +8,19 @@
 namespace harecrank {
 namespace {
 
-// Share of an engine's memory that may be assigned. The rest is reserved for
-// answers that grow longer than expected.
+// Share of an engine's KV memory that may be assigned to requests. The rest is
+// reserved for answers that grow longer than expected.
 constexpr double kMemoryShare = 0.92;
-// Slowdown from which an engine is avoided for prefill. The first token comes
-// after the slowest part, so a slow engine delays the whole prompt.
+// Engines whose slowdown is at least this are avoided for prefill. The first
+// event comes only after the slowest part, so a slow engine delays the whole
+// prompt.
 constexpr double kSlowPace = 1.5;
 // Gaps of up to this multiple of the tightest gap are treated as tight.
 constexpr double kTightFactor = 1.5;
 
-// What an engine is used for at present. Engines are preferred in this order
-// for parts of long prompts.
+// What an engine is used for at present. For parts of long prompts, idle
+// engines are preferred to those with long requests, and these to those with
+// short requests.
 enum class EngineUse { kIdle, kLongRequests, kShortRequests };
 
 EngineUse EngineUseOf(const EngineCandidate& candidate) {
@@ -41,8 +43,10 @@
             std::max(FractionalMillis(1),
                      policy.part_share_of_gap * prompt.tightest_gap)) {}
 
-  // Returns the largest group, up to the preferred number of parts, for which
-  // enough engines tolerate the resulting part.
+  // Splits the prompt into as many parts as possible, up to the preferred
+  // number, such that there are enough engines whose streams tolerate a part of
+  // the resulting size. Returns the group of engines, or nothing if there is
+  // none.
   std::optional<PrefillGroup> Choose(
       const std::vector<EngineCandidate>& candidates) const {
     const std::vector<OpenEngine> open_engines = OpenEngines(candidates);
@@ -66,8 +70,8 @@
   }
 
  private:
-  // An engine that can take a part, and the longest prefill that its streams
-  // tolerate.
+  // An engine that can take a part of the prompt, and the longest prefill time
+  // of a part that its streams tolerate.
   struct OpenEngine {
     FractionalMillis part;
     const EngineCandidate* candidate;
@@ -78,10 +82,10 @@
     return prompt_.prefill_time / static_cast<double>(count);
   }
 
-  // Returns the engines that can take a part. Skips engines that have a long
-  // prefill pending or, unless they serve short requests, a prefill backlog. On
-  // engines with short requests a backlog only reduces the part that they
-  // tolerate.
+  // Returns the engines that can take a part of the prompt. Skips engines that
+  // have a long prefill pending or, unless they serve short requests, a prefill
+  // backlog. On engines with short requests a backlog only reduces the maximum
+  // size of a part.
   std::vector<OpenEngine> OpenEngines(
       const std::vector<EngineCandidate>& candidates) const {
     std::vector<OpenEngine> open_engines;
@@ -100,6 +104,7 @@
     return open_engines;
   }
 
+  // Returns the engines whose streams tolerate a prefill of duration `part`.
   static std::vector<EngineCandidate> EnginesThatAllow(
       const std::vector<OpenEngine>& open_engines, FractionalMillis part) {
     std::vector<EngineCandidate> pool;
@@ -111,7 +116,8 @@
     return pool;
   }
 
-  // Returns the longest prefill time of a part, given the time that is left.
+  // Returns the longest prefill time that a part of the prompt may have, given
+  // the time left until the first event is late.
   FractionalMillis MaxPartTime() const {
     if (!policy_.bound_late_parts && prompt_.until_late < FractionalMillis(0)) {
       return prompt_.prefill_time;
@@ -128,7 +134,7 @@
                      : relaxed_limit;
   }
 
-  // Selects `count` engines of `pool`.
+  // Returns a group of `count` engines of `pool`, with the engine that decodes.
   PrefillGroup GroupOf(std::vector<EngineCandidate> pool,
                        std::size_t count) const {
     // Short requests that other hosts have just placed are not known yet. They
@@ -156,10 +162,10 @@
     return group;
   }
 
-  // Returns the sort key of the engine that decodes, the lowest first. That
-  // engine also holds the KV memory as far as it fits. Long streams are packed
-  // onto few engines, so that the other engines have no streams that a large
-  // part would stall.
+  // Returns the cost of decoding on `candidate`; the engine with the lowest
+  // cost decodes. That engine also holds the request's KV memory as far as it
+  // fits. Long requests are packed onto few engines, so that the other engines
+  // have no streams that a large part would stall.
   std::tuple<bool, bool, double, std::int64_t> DecodeEngineCost(
       const EngineCandidate& candidate) const {
     const EndpointLoad& load = candidate.load;
--- a/src/core/remote_clock.cc
+++ b/src/core/remote_clock.cc
@@ -5,8 +5,8 @@
 void RemoteClock::OnPulse(RemoteMillis remote, TimePoint now) {
   // Of two pulses, the one with the smaller difference between arrival time and
   // remote reading had the shorter delay and gives the better estimate. The
-  // latest one is used all the same, because it limits the drift between the
-  // two clocks.
+  // latest pulse is used nevertheless, because an older reading would
+  // accumulate the drift between the two clocks.
   latest_ = Pulse{remote, now};
 }
 
--- a/src/core/segment_plan.cc
+++ b/src/core/segment_plan.cc
@@ -14,7 +14,8 @@
   return index + 1 == count ? capacity - answer.value : capacity;
 }
 
-// Splits `prompt` as evenly as the capacities allow. Returns nothing if they
+// Splits `prompt` tokens among the members as evenly as their capacities allow,
+// and returns the number of tokens of each. Returns nothing if the capacities
 // are too small in total, or if a member would get no tokens.
 std::optional<std::vector<std::int64_t>> SplitEvenly(
     std::int64_t prompt, const std::vector<std::int64_t>& capacities) {
@@ -27,8 +28,9 @@
             [&](std::size_t a, std::size_t b) {
               return capacities[a] < capacities[b];
             });
-  // Members are filled in ascending order of capacity; the rest is split evenly
-  // among those that follow.
+  // Members are assigned tokens in ascending order of capacity. Each gets an
+  // even share of the remaining tokens, or fewer if its capacity is smaller;
+  // the members after it share the rest.
   std::int64_t remaining = prompt;
   for (std::size_t i = 0; i < by_capacity.size(); ++i) {
     const auto members_left = static_cast<std::int64_t>(by_capacity.size() - i);
--- a/src/core/snapshot_admission.cc
+++ b/src/core/snapshot_admission.cc
@@ -25,8 +25,9 @@
   if (peer.has_value()) {
     return RedirectToPeer{*peer};
   }
-  // A later retry finds more hosts that serve snapshots: their number doubles
-  // with each round.
+  // The number of hosts that can serve snapshots doubles with each round of
+  // transfers. The delay therefore grows with the logarithm of the number of
+  // deferred requests.
   ++deferred_requests_;
   const double rounds =
       1 +
