--- a/include/harecrank/core/clock.h
+++ b/include/harecrank/core/clock.h
@@ -22,7 +22,8 @@
 
   // Only timers and adapters call this function; decision logic receives a
   // MonotonicClock instead. The C++ standard's requirements for clocks
-  // prescribe the name. NOLINTNEXTLINE(readability-identifier-naming)
+  // prescribe the name.
+  // NOLINTNEXTLINE(readability-identifier-naming)
   static time_point now() noexcept;
 };
 
--- a/include/harecrank/core/dissemination.h
+++ b/include/harecrank/core/dissemination.h
@@ -38,7 +38,7 @@
   // Returns whether this node watches the configuration service.
   bool IsWatcher() const { return is_watcher_; }
 
-  // Returns the nodes to which this node pushes a new revision.
+  // Returns the nodes to which this node pushes a new configuration revision.
   const std::vector<NodeAddress>& Children() const { return children_; }
 
   // Returns a random other node with which this node compares configuration
--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -57,10 +57,12 @@
 enum class PollState {
   // The host does not poll.
   kNone,
-  // The host polls; no poll has succeeded or failed recently.
+  // The host polls, but no poll has succeeded or failed recently.
   kStarted,
+  // The store has recently answered a poll.
   kAnswered,
-  // The store has rejected or aborted the last poll, or has not answered it.
+  // The store has recently rejected or aborted the last poll, or has not
+  // answered it.
   kFailed
 };
 
@@ -138,8 +140,9 @@
   // Time left until the caller or the route gives up the request.
   FractionalMillis until_deadline{0};
   RequestOrigin origin;
-  // Endpoints at which the host may not start a request now, because its share
-  // of their start limit is used up.
+  // Endpoints at which the host may not start a request now, because it has
+  // used up its start quota, which is its share of the endpoint's limit on
+  // request starts.
   std::set<EndpointId> withheld;
 };
 
@@ -150,7 +153,8 @@
   Tokens held;
 };
 
-// The endpoints that run a request.
+// The placement of a request: the endpoint that decodes the answer, and the
+// helpers that prefill parts of its prompt.
 struct PlannedPlacement {
   EndpointId endpoint;
   std::vector<PlannedHelper> helpers;
@@ -159,7 +163,7 @@
   // first event.
   FractionalMillis prefill_time{0};
   FractionalMillis first_event{0};
-  // Number of endpoints that were considered.
+  // Number of endpoints among which the planner chose.
   std::size_t candidates = 0;
 };
 
@@ -194,13 +198,14 @@
 // Reports that the first event of a request was received.
 struct PrefillDone {
   QueryId id;
-  // Measured time to the first event divided by the predicted time.
+  // Measured time to the first event divided by the predicted time; above 1 if
+  // the endpoint was slower than predicted.
   double pace = 1;
 };
 // Reports that a request has ended, with or without success.
 struct RequestDone {
   QueryId id;
-  // Its endpoint answered with a failure or broke the connection.
+  // Whether the endpoint answered with a failure or broke the connection.
   bool failed = false;
 };
 
@@ -213,7 +218,8 @@
   std::vector<RequestDone> ended;
 };
 
-// Changes of the store since a revision, sent by the planner.
+// The changes of the store since one of its revisions, sent by the planner to
+// the other hosts.
 struct PublishedChanges {
   HostAddress from;
   // The changes, in the format of the feed that polled the store.
@@ -226,11 +232,12 @@
   std::vector<CrashReport> reports;
 };
 
+// Any message between hosts.
 using FleetMessage =
     std::variant<Heartbeat, PlacementQuery, PlacementReply, ProgressReport,
                  PublishedChanges, CrashReports>;
 
-// Returns `message` as CBOR.
+// Encodes `message` as CBOR.
 std::string EncodeFleetMessage(const FleetMessage& message);
 
 // Decodes the output of EncodeFleetMessage. Returns nothing if `bytes` is not a
--- a/include/harecrank/core/fleet_size.h
+++ b/include/harecrank/core/fleet_size.h
@@ -5,8 +5,7 @@
 // the limit. If each host divided the limit by the number of hosts from which
 // it currently receives messages, the two sides of a network partition would
 // together exceed the limit. The limit is therefore divided by the largest
-// number of hosts observed within the last 10 to 20 minutes
-// (WindowedMax::kWindow).
+// number of hosts observed over a long time (WindowedMax::kWindow).
 
 #ifndef HARECRANK_CORE_FLEET_SIZE_H_
 #define HARECRANK_CORE_FLEET_SIZE_H_
--- a/include/harecrank/core/host_ranking.h
+++ b/include/harecrank/core/host_ranking.h
@@ -57,7 +57,7 @@
   }
 };
 
-// Hosts by rank, highest first.
+// Hosts sorted by rank, highest first.
 using HostsByRank = std::set<std::pair<HostRank, HostAddress>, std::greater<>>;
 
 // Finds the hosts of highest rank, the declared planners and the most
@@ -75,9 +75,10 @@
   const HostsByRank& AnsweredByStore() const { return answered_by_store_; }
 
   // Returns a host that is more up to date than the caller, or nothing if there
-  // is none. Prefers hosts with fresh data that know more than `known_up_to`,
-  // then hosts that use a newer routing table than `routing`. Hosts that are
-  // equally up to date are chosen by `random`, which is uniformly distributed.
+  // is none. Prefers hosts with fresh data that know store revisions after
+  // `known_up_to`, then hosts that use a newer routing table than `routing`. If
+  // several hosts are equally up to date, the uniformly distributed number
+  // `random` decides between them.
   std::optional<HostAddress> FindMoreUpToDate(RoutingVersion routing,
                                               StoreRevision known_up_to,
                                               std::uint64_t random) const;
--- a/include/harecrank/core/membership.h
+++ b/include/harecrank/core/membership.h
@@ -170,13 +170,14 @@
     TimePoint poll_failed_at{};
     // When its last message arrived.
     TimePoint last_heard_at{};
-    // When another host last named it as alive.
+    // When a heartbeat of another host last named it as alive.
     TimePoint last_reported_at{};
     // It cannot be the planner before this time.
     TimePoint suspect_until{};
     // Its index in `addresses_`.
     std::size_t address_index = 0;
   };
+  // The known hosts by address.
   using Hosts = std::map<HostAddress, Host>;
 
   static HostRank RankOf(const HostAddress& address, CpuShare cpu_share);
@@ -190,7 +191,8 @@
   // Updates the ranking with the current state of `host`, from which a message
   // must have arrived within kHeartbeatTimeout.
   void UpdateRanking(Hosts::value_type* host);
-  // Removes expired hosts from the ranking and from the alive hosts.
+  // Removes hosts whose expiry times have passed from the ranking and from the
+  // alive hosts.
   void Expire() const;
   // Returns whether this host has waited long enough after its start to choose
   // a planner by rank.
@@ -211,7 +213,7 @@
   // through all hosts.
   void AddNextHosts(std::size_t limit, std::vector<KnownHost>* view);
   // Removes hosts from which no message has arrived, and which no heartbeat has
-  // named, for ten minutes.
+  // named, for a long time (kForgetAfter in membership.cc).
   void ForgetSilentHosts();
   void Forget(Hosts::iterator host);
 
@@ -230,7 +232,7 @@
   // as happens if this host was the planner before a restart. This host then
   // need not wait for the startup grace period.
   bool expected_to_plan_ = false;
-  // When the last message of any host arrived.
+  // When the last message from any other host arrived.
   TimePoint last_heard_any_at_{};
   Hosts hosts_;
   // The keys of `hosts_`, for random access.
--- a/include/harecrank/core/pass_forecast.h
+++ b/include/harecrank/core/pass_forecast.h
@@ -20,7 +20,8 @@
 
 namespace harecrank {
 
-// Forecast for a prompt that is sent to an engine now.
+// Forecast of an engine's next forward pass, for a prompt that is sent to the
+// engine now.
 struct PassForecast {
   // Time until the next pass begins, which is the first pass that can prefill
   // the prompt.
@@ -64,7 +65,8 @@
  private:
   // Prompts whose prefill is not done, in the order of sending.
   std::vector<Prompt> pending_;
-  // Estimated start of the latest pass that is known from a first event.
+  // Estimated start of the latest known pass. A first event shows that a pass
+  // has ended and the next one has begun.
   TimePoint pass_start_{};
 };
 
--- a/include/harecrank/core/pause_guard.h
+++ b/include/harecrank/core/pause_guard.h
@@ -19,7 +19,7 @@
 // checks would prevent this. Not thread-safe.
 class PauseGuard {
  public:
-  // A decision older than `max_age` must not be acted on.
+  // `max_age` is the age above which a decision must not be acted on.
   PauseGuard(Millis max_age, MonotonicClock clock)
       : max_age_(max_age), clock_(std::move(clock)) {}
 
--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -89,7 +89,7 @@
   FractionalMillis prefill_time{0};
   // Predicted time to the first event.
   FractionalMillis first_event{0};
-  // Number of endpoints that were considered.
+  // Number of endpoints among which the placer chose.
   std::size_t candidates = 0;
 };
 
@@ -97,6 +97,7 @@
 // enough free capacity at present, or the requesting host may not start
 // requests now at any endpoint that is left.
 struct EnginesBusy {};
+// The outcome of Placer::Choose.
 using PlacementResult = std::variant<Placement, NoEndpoint, EnginesBusy>;
 
 // Returns whether a request that needs `needed` tokens of KV memory exceeds the
@@ -120,12 +121,12 @@
 
 // The hosts whose work is included in the loads that a placer sees.
 enum class LoadScope {
-  // All hosts. Short requests are packed from the front of a shared engine
-  // order.
+  // The loads include the work of all hosts. Short requests are packed from the
+  // front of a shared engine order.
   kAllHosts,
-  // Only this host. Hosts that see the same idle engines would all choose the
-  // same one. Therefore each host uses a random engine order of its own and
-  // does not pack requests.
+  // The loads include only the work of this host. Hosts that see the same idle
+  // engines would all choose the same one. Therefore each host uses a random
+  // engine order of its own and does not pack requests.
   kThisHost
 };
 
@@ -154,7 +155,8 @@
   // Returns whether there is a usable endpoint that the request has not tried
   // yet but at which the requesting host may not start a request now.
   bool HasWithheldEndpoint(const PlacementRequest& request) const;
-  // Sorts by descending rank in the engine order.
+  // Sets the ranks of the candidates in the engine order, and sorts them by
+  // descending rank.
   void SortByRank(std::vector<EngineCandidate>* candidates) const;
   // Chooses an endpoint of a service without an engine profile: the one with
   // the fewest requests, with a preference for this data centre.
@@ -210,7 +212,8 @@
   const EndpointHealth* health_;
   DataCentreId self_;
   LoadScope scope_;
-  // Hash key of the engine order: shared by all hosts, or random for this host.
+  // Rendezvous key of the engine order. With LoadScope::kAllHosts all hosts use
+  // the same key; with kThisHost the key is random.
   std::string order_key_;
   std::function<int()> placing_hosts_;
   PlacementPolicy policy_;
--- a/include/harecrank/core/placement_policy.h
+++ b/include/harecrank/core/placement_policy.h
@@ -1,4 +1,4 @@
-// Parameters of engine selection.
+// Parameters by which requests are placed on engines, wait or are rejected.
 //
 // docs/DECISIONS.md describes the effect of each parameter. The parameters are
 // settings that an operator can change, in order to try other values on a
@@ -22,7 +22,7 @@
   // gap. It can then be prefilled between two events of any stream.
   double short_share_of_gap = 0.45;
   // Preferred prefill time of a part of a long prompt, as a share of the
-  // tightest gap. Parts get longer if too few engines are available.
+  // tightest gap. Parts are longer if too few engines are available.
   double part_share_of_gap = 0.6;
   // Maximum duration of a forward pass that includes prefill, decoding
   // included, as a share of the shortest gap of the streams on the engine.
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -68,7 +68,8 @@
   // placement, or QueryQueued while it waits, and does not place it twice.
   PlacementDecision OnQuery(const PlacementQuery& query);
 
-  // Records that placed requests have finished their prefill or ended.
+  // Records which placed requests have finished their prefill, and which have
+  // ended.
   void OnProgressReport(const ProgressReport& report);
 
   // Replaces the known work of a host by the work that its heartbeat reports.
@@ -78,14 +79,15 @@
   void OnHeartbeat(const Heartbeat& heartbeat);
 
   // Tries to place the queued queries in queue order. Returns the replies to
-  // those that leave the queue.
+  // the queries that leave the queue.
   std::vector<DeferredReply> ProcessWaitQueue();
 
   // Removes hosts from which no query or report has arrived for kHostTimeout,
   // and their work.
   void RemoveSilentHosts();
 
-  // Drops all state. Called when another host becomes the planner.
+  // Removes the state of all hosts. Must be called when another host becomes
+  // the planner.
   void Clear();
 
   std::size_t WaitingCount() const {
@@ -98,11 +100,12 @@
   std::size_t OverShareAccounts() const {
     return long_queue_.OverShareAccounts();
   }
-  // Number of callers that hold a reservation for a retry.
+  // Number of rejected callers that hold a reservation for their retry.
   std::size_t ReservationCount() const {
     return admission_control_.ReservationCount();
   }
-  // Numbers of reservations made, kept and broken since the process started.
+  // Numbers of reservations made since the process started, of retries with a
+  // reservation that were placed, and of those that were rejected again.
   const ReservationCounts& ReservationTotals() const {
     return admission_control_.Counts();
   }
@@ -131,8 +134,8 @@
   static constexpr Millis kQueryTimeout{1000};
 
  private:
-  // A query, its place in the queue if it waits, and its placement if it has
-  // one.
+  // What the planner knows of one query: its place in the queue if it waits,
+  // and its placement and work if it has been placed.
   struct Entry {
     PlacementQuery query;
     // Time after which the first event is late.
@@ -154,9 +157,9 @@
     // has now retried at that time.
     bool has_reservation = false;
     std::optional<PlannedPlacement> placed;
-    // The request's work in `loads_`.
+    // Ids of the request's work in `loads_`; empty if it has not been placed.
     std::vector<WorkId> work;
-    // The endpoint that decodes.
+    // The endpoint that decodes the answer, if the request has been placed.
     EndpointId endpoint;
   };
   // A host's queries and work as the planner knows them.
@@ -251,7 +254,8 @@
   PlacementPolicy policy_;
   MonotonicClock clock_;
   EndpointLoads loads_;
-  // Requests started by each host through placements of this planner.
+  // The requests that this planner has placed, counted as starts by host and
+  // endpoint.
   StartHistory granted_starts_;
   Placer placer_;
   AdmissionControl admission_control_;
--- a/include/harecrank/core/poll_schedule.h
+++ b/include/harecrank/core/poll_schedule.h
@@ -9,11 +9,11 @@
 // updates the other hosts before they poll as well:
 //
 // continuous poller   always
-// standby hosts       from age kStandbyPollAge on, and kStandbyPollStep
-//                     later for each standby host before it
-// all other hosts     from age kFreshFor on, in rounds: a few hosts at the
-//                     beginning of a round, then more, kMaxConcurrentPolls
-//                     on average in all
+// standby hosts       from the age kStandbyPollAge on, plus kStandbyPollStep
+//                     for each standby host that precedes this one by rank
+// all other hosts     from the age kFreshFor on, in rounds: in each round
+//                     kMaxConcurrentPolls hosts poll on average, a few of
+//                     them at its beginning and the others later
 //
 // This bounds the rate of calls for any size of the fleet, even while the store
 // does not answer, and no host depends on another host for long. A host that
@@ -43,7 +43,7 @@
   kContinuous
 };
 
-// Callbacks of PollSchedule.
+// Functions by which PollSchedule queries the state of this host.
 struct PollSchedulePorts {
   // Returns the number of hosts, including this one, among which the polls are
   // divided; one if this host receives no messages from other hosts.
@@ -105,7 +105,7 @@
   static constexpr Millis kHeartbeatDelay{50};
   // Longest interval between two heartbeats of the planner to a host.
   static constexpr Millis kMaxHeartbeatInterval{340};
-  // How long data of the store count as fresh.
+  // Age up to which data from the store count as fresh.
   static constexpr Millis kFreshFor{1000};
   // Result of Age() if there are no data. It is longer than any data are used.
   static constexpr Millis kUnknownAge{3600000};
--- a/include/harecrank/core/prefill_group.h
+++ b/include/harecrank/core/prefill_group.h
@@ -24,7 +24,8 @@
 // Maximum number of helper engines per request.
 inline constexpr std::size_t kMaxHelpers = 16;
 
-// An engine that is considered for a request.
+// An engine that may be chosen for a request, with its load and its place in
+// the engine order.
 struct EngineCandidate {
   const EndpointRecord* record = nullptr;
   EndpointLoad load;
@@ -46,7 +47,7 @@
   // KV memory, in tokens, that the request needs at the expected end of the
   // answer.
   Tokens needed;
-  // Latency target of the first event.
+  // Latency target for the first event.
   FractionalMillis target{0};
   // Time left until the first event is late; negative once it is late.
   FractionalMillis until_late{0};
@@ -56,12 +57,13 @@
   FractionalMillis tightest_gap{0};
 };
 
-// Engines that each prefill an equal part of a prompt.
+// The engines chosen for a long prompt. Each of them prefills an equal part of
+// it.
 struct PrefillGroup {
   // The engine that decodes the answer. It prefills one part as well.
   EngineCandidate decode_engine;
   std::vector<EngineCandidate> helpers;
-  // Prefill time of one part.
+  // Prefill time of one part of the prompt.
   FractionalMillis part{0};
 };
 
--- a/include/harecrank/core/recent_prefixes.h
+++ b/include/harecrank/core/recent_prefixes.h
@@ -16,9 +16,8 @@
 // Requests with a new prefix are sent to the least loaded engine.
 class RecentPrefixes {
  public:
-  // Inserts `digest` and returns whether it was in the set before. The digest
-  // zero stands for a request without a prefix; the result is then always
-  // false.
+  // Inserts `digest` and returns whether it was in the set before. Zero stands
+  // for a missing digest; the result is then always false.
   bool TestAndInsert(std::uint64_t digest) {
     std::atomic<std::uint64_t>& slot = slots_[digest % kSlots];
     return slot.exchange(digest, std::memory_order_relaxed) == digest &&
--- a/include/harecrank/core/remote_clock.h
+++ b/include/harecrank/core/remote_clock.h
@@ -34,8 +34,8 @@
   // Records that a pulse with the reading `remote` arrived at `now`.
   void OnPulse(RemoteMillis remote, TimePoint now);
 
-  // Returns `deadline` on the other process's clock, or nothing before the
-  // first pulse.
+  // Returns `deadline` as a time of the other process's clock, or nothing if no
+  // pulse has arrived yet.
   std::optional<RemoteMillis> Convert(TimePoint deadline) const;
 
  private:
--- a/include/harecrank/core/segment_plan.h
+++ b/include/harecrank/core/segment_plan.h
@@ -1,4 +1,5 @@
-// Splits a prompt that is larger than any single engine among several engines.
+// Splits a prompt that is larger than the memory of any single engine among
+// several engines.
 
 #ifndef HARECRANK_CORE_SEGMENT_PLAN_H_
 #define HARECRANK_CORE_SEGMENT_PLAN_H_
--- a/include/harecrank/core/snapshot_admission.h
+++ b/include/harecrank/core/snapshot_admission.h
@@ -1,4 +1,4 @@
-// Admission control for snapshot transfers.
+// Admission control for the transfer of snapshots between hosts.
 //
 // When a fleet starts or recovers, hundreds of hosts request a snapshot, about
 // 100 kB each, from the same host at once. Only a few transfers run at a time,
@@ -29,6 +29,7 @@
 struct RetryLater {
   Millis delay{0};
 };
+// The answer to a host that requests a snapshot.
 using SnapshotDecision =
     std::variant<ServeSnapshot, RedirectToPeer, RetryLater>;
 
@@ -62,8 +63,8 @@
   static constexpr Millis kMaxRetryDelay{800};
 
  private:
-  // Returns the duration of a round: the time in which `max_transfers_`
-  // transfers end.
+  // Returns the duration of a round, the time in which `max_transfers_`
+  // transfers end: measured since `busy_since_` if any transfer has ended.
   FractionalMillis RoundTime() const;
 
   int max_transfers_;
--- a/src/core/dissemination.cc
+++ b/src/core/dissemination.cc
@@ -14,6 +14,8 @@
 // Total rate of the fallback polls of all nodes, unless kMinFallbackInterval
 // makes it lower.
 constexpr std::int64_t kFallbackPollsPerSecond = 50;
+// Minimum interval between two fallback polls of a node, however few nodes
+// there are.
 constexpr Millis kMinFallbackInterval{30000};
 constexpr std::int64_t kMillisPerSecond = 1000;
 
--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -13,8 +13,8 @@
 // version may send such numbers.
 struct UnknownEnumValue {};
 
-// Reads the elements of an array in order. Throws json::exception if an element
-// is missing or has the wrong type.
+// Reads the elements of a JSON array in order. Throws json::exception if an
+// element is missing or has the wrong type.
 class ArrayReader {
  public:
   explicit ArrayReader(const json& array) : array_(array) {}
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -16,9 +16,10 @@
 // if these are too few, from this number of hosts of highest rank. If the store
 // answers none of them, the remaining hosts poll for themselves.
 constexpr std::size_t kPollerCandidates = 16;
-// Rendezvous key by which hosts of equal CPU share are ranked.
+// Rendezvous key of the hash that decides between hosts of equal CPU share in
+// HostRank.
 constexpr char kPlannerKey[] = "planner";
-// Rendezvous key by which hosts that are equally up to date are ordered.
+// Rendezvous key of HostRankingEntry::tie_break_hash.
 constexpr char kTieBreakKey[] = "draw";
 
 }  // namespace
--- a/src/core/pass_forecast.cc
+++ b/src/core/pass_forecast.cc
@@ -48,7 +48,8 @@
   PassForecast forecast;
   TimePoint pass_start = pass_start_;
   if (FractionalMillis(now - pass_start) > kMaxAge) {
-    // The position within the current pass is unknown; assume the middle.
+    // The time since the start of the current pass is unknown; half a pass is
+    // assumed.
     pass_start = After(now, -decode_pass / 2);
   }
   // Since the last known pass, passes without prefill have followed one another
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -36,7 +36,7 @@
 // Time from the end of a pass until the caller receives its event, with an
 // allowance for the error of the prediction.
 constexpr FractionalMillis kReplyMargin{10};
-// Hash key of the engine order that all hosts share.
+// Rendezvous key of the engine order that all hosts share.
 constexpr char kSharedOrderKey[] = "short-first";
 
 FractionalMillis PredictFirstEvent(const EngineProfile& engine,
@@ -231,7 +231,7 @@
     }
     if (candidate.load.BatchSize() >= engine.slots ||
         FreeMemory(engine, candidate.load) < request.prompt + request.answer) {
-      // The request would have to wait for a slot or for memory.
+      // The request would have to wait on this engine for a slot or for memory.
       time += FractionalMillis(request.target_latency);
     }
     if (time < best_time) {
@@ -325,7 +325,8 @@
   if (CanMeetTargetWhenIdle(request) && !in_time) {
     return std::nullopt;
   }
-  // All streams on the engine pause for the duration of the pass.
+  // All streams on the engine pause while it runs the pass that prefills this
+  // prompt.
   const bool stalls = load.tightest_gap > FractionalMillis(0) &&
                       next_pass + reserve.prefill_time >
                           policy_.pause_share_of_gap * load.tightest_gap;
@@ -420,7 +421,9 @@
   const double per_engine = std::max(
       1.0, policy_.short_share_of_slots * static_cast<double>(engine.slots));
   const double by_slots = loads_->ShortRequests() / per_engine;
-  // Other hosts receive about as many short requests as this host.
+  // The requests of the other placing hosts are not included in the measured
+  // rate. The estimate assumes that each of them receives as many short
+  // requests as this host.
   const double prefill_load = loads_->ShortPrefillRate() * placing_hosts_();
   const double by_arrivals = prefill_load / policy_.short_reading_share;
   const auto needed =
--- a/src/core/planner_wait_queue.cc
+++ b/src/core/planner_wait_queue.cc
@@ -123,8 +123,8 @@
   const FractionalMillis work =
       PrefillTime(*request.service->engine, entry->query.prompt);
   const QueryKey key{entry->query.host, entry->query.id};
-  // A caller with a reservation goes first from the time after which it could
-  // no longer be served.
+  // A request with a reservation goes before all others once little time is
+  // left in which it can start and still finish.
   const TimePoint urgent_from =
       entry->has_reservation
           ? admission_control_.UrgentFrom(CandidateOf(*entry, request))
@@ -137,8 +137,8 @@
     short_query_keys_[*entry->queue_id] = key;
     return;
   }
-  // A long prompt is split among the maximum number of helpers if they are
-  // available.
+  // The queue assumes for a long prompt that it is split among the maximum
+  // number of helpers.
   entry->queue_id = long_queue_.Add(WaitingRequest{
       entry->first_event_due, work / static_cast<double>(kMaxHelpers + 1), work,
       entry->has_reservation, urgent_from, claim});
@@ -203,7 +203,8 @@
       decision = RejectionWhileQueued(entry, ahead);
     }
     if (!decision.has_value()) {
-      // The query stays in the queue, ahead of those that follow.
+      // The query stays in the queue, so its work is ahead of the queries that
+      // follow.
       const WaitingRequest& waiting_request = queue->Find(id);
       (CanMeetTarget(waiting_request, clock_()) ? ahead.in_time : ahead.late) +=
           waiting_request.work;
--- a/src/core/prefill_group.cc
+++ b/src/core/prefill_group.cc
@@ -15,7 +15,8 @@
 // event comes only after the slowest part, so a slow engine delays the whole
 // prompt.
 constexpr double kSlowPace = 1.5;
-// Gaps of up to this multiple of the tightest gap are treated as tight.
+// A stream whose gap is at most this multiple of the tightest gap is treated as
+// a stream with a tight gap.
 constexpr double kTightFactor = 1.5;
 
 // What an engine is used for at present. For parts of long prompts, idle
@@ -137,9 +138,9 @@
   // Returns a group of `count` engines of `pool`, with the engine that decodes.
   PrefillGroup GroupOf(std::vector<EngineCandidate> pool,
                        std::size_t count) const {
-    // Short requests that other hosts have just placed are not known yet. They
-    // are placed from the front of the shared engine order, so parts are placed
-    // from its end.
+    // This host does not know yet which short requests other hosts have just
+    // placed. Short requests are placed from the front of the shared engine
+    // order, so parts of long prompts are placed from its end.
     std::sort(pool.begin(), pool.end(),
               [](const EngineCandidate& a, const EngineCandidate& b) {
                 const auto cost = [](const EngineCandidate& c) {
