--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -421,9 +421,9 @@
   const double per_engine = std::max(
       1.0, policy_.short_share_of_slots * static_cast<double>(engine.slots));
   const double by_slots = loads_->ShortRequests() / per_engine;
-  // The requests of the other placing hosts are not included in the measured
-  // rate. The estimate assumes that each of them receives as many short
-  // requests as this host.
+  // The measured rate is multiplied by the number of placing hosts, on the
+  // assumption that each of them receives about as many short requests as this
+  // host.
   const double prefill_load = loads_->ShortPrefillRate() * placing_hosts_();
   const double by_arrivals = prefill_load / policy_.short_reading_share;
   const auto needed =
