--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -167,8 +167,8 @@
   std::size_t candidates = 0;
 };
 
-// The query waits in the planner's queue. A second reply with the final
-// decision, a placement or a rejection, follows.
+// The query waits in the planner's queue. A second reply follows with the final
+// decision: a placement, a rejection or NoEndpoint.
 struct QueryQueued {};
 // The request is rejected because no endpoint would become free in time for it.
 struct QueryRejected {
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -35,8 +35,8 @@
 
 namespace harecrank {
 
-// The decision about a query that was queued, a placement or a rejection, with
-// the host to which it must be sent.
+// The decision about a query that was queued (a placement, a rejection or
+// NoEndpoint), with the host to which it must be sent.
 struct DeferredReply {
   HostAddress host;
   Incarnation incarnation;
@@ -82,8 +82,8 @@
   // the queries that leave the queue.
   std::vector<DeferredReply> ProcessWaitQueue();
 
-  // Removes hosts from which no query or report has arrived for kHostTimeout,
-  // and their work.
+  // Removes hosts from which no query, progress report or heartbeat with work
+  // has arrived for kHostTimeout, and their work.
   void RemoveSilentHosts();
 
   // Removes the state of all hosts. Must be called when another host becomes
@@ -116,9 +116,9 @@
   // have reported their work. Live hosts report within milliseconds, and short
   // prompts cannot wait longer.
   static constexpr Millis kLearningPeriod{50};
-  // Time without any message from a host after which its work is removed.
-  // Engines end the work of a failed host shortly after its connections have
-  // closed.
+  // Time without a query, progress report or heartbeat with work from a host
+  // after which RemoveSilentHosts() removes its work. Engines end the work of a
+  // failed host shortly after its connections have closed.
   static constexpr Millis kHostTimeout{1500};
   // A placement younger than this is kept even if it is missing from its host's
   // heartbeat, since the host may not have received the placement yet.
