--- a/src/core/fleet_message_decoding.cc
+++ b/src/core/fleet_message_decoding.cc
@@ -9,12 +9,12 @@
 
 using nlohmann::json;
 
-// Thrown for a number that is not a value of its enum, such as one of a later
-// version.
+// Thrown for a number that is not a value of its enum. A host with a later
+// version may send such numbers.
 struct UnknownEnumValue {};
 
-// Reads the elements of an array in order. Throws json::exception if an element
-// is missing or has the wrong type.
+// Reads the elements of a JSON array in order. Throws json::exception if an
+// element is missing or has the wrong type.
 class ArrayReader {
  public:
   explicit ArrayReader(const json& array) : array_(array) {}
