--- a/src/gateway/admission.cc
+++ b/src/gateway/admission.cc
@@ -13,7 +13,8 @@
 // Result of one admission step: a rejection, or nothing if the request passes.
 using StepResult = std::optional<Rejection>;
 
-// Admits one request, step by step.
+// Performs the admission steps for one request and records their results in an
+// AdmittedRequest.
 class AdmissionCheck {
  public:
   AdmissionCheck(const GatewayServices& services, const CallerRequest& request,
@@ -67,7 +68,8 @@
       return std::nullopt;
     }
     if (admitted_->route->kind == RequestKind::kStreaming) {
-      // The duration of a stream is unknown, and the stop would interrupt it.
+      // The duration of a stream is unknown, and it would be interrupted if
+      // this host stopped before its end.
       return Rejection{http_status::kUnavailable, "stopping", kRetryElsewhere};
     }
     admitted_->deadline = std::min(admitted_->deadline, *stop);
--- a/src/gateway/admission.h
+++ b/src/gateway/admission.h
@@ -1,5 +1,5 @@
-// Admission of callers' requests: routing, authentication and choice of the
-// service.
+// Decides whether a caller's request is admitted: finds its route,
+// authenticates the caller and chooses the service.
 
 #ifndef HARECRANK_SRC_GATEWAY_ADMISSION_H_
 #define HARECRANK_SRC_GATEWAY_ADMISSION_H_
@@ -15,7 +15,8 @@
 
 namespace harecrank {
 
-// A response to a request that is sent to no endpoint.
+// The error response to a request that the gateway rejects without sending it
+// to an endpoint.
 struct Rejection {
   unsigned status = 0;
   std::string code;
@@ -24,29 +25,34 @@
   std::optional<Millis> retry_after;
 };
 
-// The properties of a request that are determined before its placement. If the
-// request is rejected, only those that were determined until then are set.
+// The result of Admit: what is known of a request before an endpoint is chosen
+// for it. If the request is rejected, only the properties found before the
+// rejecting check are set.
 struct AdmittedRequest {
-  // Owns the objects that `route`, `account` and `service` point to.
+  // The routing table that owns the objects to which `route`, `account` and
+  // `service` point.
   std::shared_ptr<const RoutingTable> table;
   const RouteRule* route = nullptr;
   const AccountEntry* account = nullptr;
   const ServiceProfile* service = nullptr;
-  // The caller's key must not be forwarded to the endpoint.
+  // Whether the caller's key must be removed from the request before it is sent
+  // to an endpoint.
   bool strip_key = false;
   TimePoint deadline{};
   PlacementRequest placement;
   std::optional<Rejection> rejection;
 };
 
-// Retry-After of a rejected request: about the time that short requests take.
+// Retry-After of a request that is rejected because there is no configuration
+// or no service for it, and minimum Retry-After of a request that is given up
+// before an endpoint has run it. About the time that short requests take.
 // Callers wait at most a third of their remaining time.
 inline constexpr Millis kRetryAfterRejection{500};
 // Retry-After of a request that is rejected because this host is shutting down.
-// The caller reaches another host, so it can retry almost at once.
+// The caller's retry reaches another host, so it need not wait.
 inline constexpr Millis kRetryElsewhere{50};
 
-// Checks `request` against the routing table in force. `arrived` is the time at
+// Checks `request` against the active routing table. `arrived` is the time at
 // which the request's header was complete.
 AdmittedRequest Admit(const GatewayServices& services,
                       const CallerRequest& request, TimePoint arrived);
--- a/src/gateway/attempt.cc
+++ b/src/gateway/attempt.cc
@@ -14,11 +14,12 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-// Heads of responses are small. A larger one is treated as malformed.
+// Maximum size of the head of an endpoint's response. Heads are small; one that
+// exceeds this limit is treated as malformed.
 constexpr std::uint32_t kMaxHeaderBytes = 64U << 10U;
-// Maximum number of responses to earlier requests that are skipped before the
-// connection is given up. An endpoint may send one stale response, but not a
-// series.
+// Maximum number of stale responses, which belong to earlier requests on the
+// connection, that an attempt skips before it fails. An endpoint may send one
+// stale response, but not a series.
 constexpr int kMaxStaleMessages = 2;
 
 }  // namespace
@@ -64,9 +65,10 @@
   connecting_ = true;
   connect_timer_.expires_after(timeout);
   connect_timer_.async_wait([self = shared_from_this()](const Error& error) {
-    // If the process was stalled, the connection and the timer become ready in
-    // the same turn of the event loop. The request is then already being sent,
-    // and the cancelled timer still reports success.
+    // If the process was stalled, the connection and the timer may become ready
+    // in the same turn of the event loop. If the connection is handled first,
+    // the request is already being sent, but this handler still runs without an
+    // error although the timer was cancelled.
     if (!error && self->connecting_) {
       self->Fail(AttemptNotSent{"no connection in time"});
     }
@@ -108,7 +110,8 @@
     return;
   }
   // A failed write does not end the attempt: the endpoint may have responded
-  // before it read the whole request. The read determines the result.
+  // before it read the whole request. The result of reading the response
+  // decides.
   request_written_ = !error;
 }
 
@@ -210,8 +213,8 @@
   }
   ended_ = true;
   // Bytes after the response belong to no request, so the connection cannot be
-  // reused. Neither can one on which the endpoint responded before the whole
-  // request was written.
+  // reused. A connection on which the endpoint responded before the whole
+  // request was written cannot be reused either.
   const bool reusable = request_written_ && parser_->keep_alive() &&
                         connection_->buffer.size() == 0;
   if (reusable) {
--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -28,13 +28,13 @@
 // The attempt failed after the request was sent, so the request may have run.
 struct AttemptBroken {
   std::string reason;
-  // The head of a response had arrived.
+  // Whether the head of a response had arrived before the failure.
   bool response_began = false;
-  // The connection had carried a request before, so the endpoint may have
-  // closed it as idle while this request was on its way.
+  // Whether the connection had carried an earlier request. If so, the endpoint
+  // may have closed it as idle while this request was on its way.
   bool reused = false;
-  // The endpoint closed or reset the connection. Otherwise the data received
-  // was not a valid response, or the connection timed out.
+  // Whether the endpoint closed or reset the connection. If not, the data
+  // received was not a valid response, or the connection timed out.
   bool closed_by_endpoint = false;
 };
 using AttemptFailure = std::variant<AttemptNotSent, AttemptBroken>;
@@ -45,12 +45,13 @@
   std::string request_id;
   std::string head;
   std::shared_ptr<const std::string> body;
-  // Set for HEAD requests.
+  // Whether the response has no body whatever its headers say, as for HEAD
+  // requests.
   bool response_has_no_body = false;
 };
 
-// Receives the events of one attempt. Nothing is called after OnResponseEnd or
-// OnFailure.
+// Receives the events of one attempt. No function is called after OnResponseEnd
+// or OnFailure.
 class AttemptObserver {
  public:
   AttemptObserver() = default;
@@ -75,15 +76,15 @@
   Attempt(boost::asio::io_context* io, EndpointConnectionPool* connections,
           const ProtocolNames* names, AttemptObserver* observer);
 
-  // Sends `request` over `connection`, which is first opened to `address` if it
-  // is new. Fails with AttemptNotSent if that takes longer than
-  // `connect_timeout`.
+  // Sends `request` over `connection`. A new connection is opened to `address`
+  // first; if that takes longer than `connect_timeout`, the attempt fails with
+  // AttemptNotSent.
   void Start(std::unique_ptr<EndpointConnection> connection,
              const std::string& address, OutgoingRequest request,
              Millis connect_timeout);
 
-  // Closes the connection, which tells the endpoint to stop. The observer is
-  // not called any more.
+  // Closes the connection, which makes the endpoint stop processing the
+  // request. The observer is not called any more.
   void Cancel();
 
  private:
@@ -115,12 +116,13 @@
   OutgoingRequest request_;
   std::unique_ptr<Parser> parser_;
   std::array<char, kReadBytes> bytes_{};
-  // No byte of the request has been written to the connection yet.
+  // Whether the connection is being opened, so that no byte of the request has
+  // been written yet.
   bool connecting_ = false;
   bool request_written_ = false;
   bool response_began_ = false;
-  // The message being read is the response to an earlier request on the
-  // connection.
+  // Whether the message being read is the response to an earlier request on
+  // this connection.
   bool is_stale_ = false;
   int stale_messages_ = 0;
   bool ended_ = false;
--- a/src/gateway/backoff_notifier.cc
+++ b/src/gateway/backoff_notifier.cc
@@ -25,8 +25,9 @@
 }
 
 void BackoffNotifier::NotifyAll() {
-  // Callbacks that are added during the loop belong to requests that already
-  // know of this back-off.
+  // Callbacks that are added while this loop runs are not called: their
+  // requests began to wait after the back-off and have already taken it into
+  // account.
   const Id last_id = last_id_;
   for (auto next = callbacks_.begin();
        next != callbacks_.end() && next->first <= last_id;) {
--- a/src/gateway/caller_listener.cc
+++ b/src/gateway/caller_listener.cc
@@ -10,10 +10,13 @@
 
 namespace asio = boost::asio;
 
-// Delay before the next accept when file descriptors or sessions are exhausted.
+// Delay before the next connection is accepted after an accept has failed, for
+// example for lack of file descriptors, or while the maximum number of sessions
+// is open.
 constexpr Millis kAcceptRetryDelay{50};
-// Ended sessions are removed from the list when it has grown to twice the size
-// that the previous removal left, but not below this size.
+// Minimum length of the session list at which ended sessions are removed from
+// it. Above this, they are removed each time the list has grown to twice the
+// length that the previous removal left.
 constexpr std::size_t kMinSweepThreshold = 64;
 
 }  // namespace
@@ -36,7 +39,7 @@
 }
 
 void CallerListener::CloseIdle() {
-  // Closing a session does not modify the list.
+  // CloseIfIdle does not modify `sessions_`, so the loop may call it.
   for (const auto& weak : sessions_) {
     if (const auto session = weak.lock()) {
       session->CloseIfIdle();
--- a/src/gateway/caller_listener.h
+++ b/src/gateway/caller_listener.h
@@ -14,7 +14,8 @@
 
 namespace harecrank {
 
-// Not thread-safe; runs on its io_context.
+// Accepts callers' connections, creates a CallerSession for each and counts the
+// open ones. Not thread-safe; runs on its io_context.
 class CallerListener {
  public:
   // Throws boost::system::system_error if `address` cannot be bound. At most
--- a/src/gateway/caller_session.cc
+++ b/src/gateway/caller_session.cc
@@ -16,12 +16,12 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-// Time in which the caller must take what is being written. After it the
-// connection is closed.
+// Time-out of a write to the caller. If the caller does not accept the bytes in
+// this time, the connection is closed.
 constexpr Millis kFlushTimeout{10000};
-// Maximum number of bytes that are buffered for a slow caller. Beyond it the
-// connection is closed. The longest streams of a million-token prompt are much
-// smaller.
+// Maximum number of bytes that are buffered for a slow caller. If more are
+// queued, the connection is closed. The longest streams of a million-token
+// prompt are much smaller.
 constexpr std::size_t kMaxQueuedBytes = 4U << 20U;
 constexpr int kVersion11 = 11;
 
@@ -283,8 +283,8 @@
 void CallerSession::AbortStream() {
   request_.reset();
   close_after_flush_ = true;
-  // Data that is already queued is still sent. The missing end shows the caller
-  // that the response is incomplete.
+  // Data that is already queued is still sent. The caller recognises the
+  // incomplete response by its missing end.
   if (in_flight_.empty() && queued_.empty()) {
     Close();
   }
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -1,4 +1,4 @@
-// One caller connection, which carries one request at a time.
+// HTTP session on one caller's connection, which carries one request at a time.
 
 #ifndef HARECRANK_SRC_GATEWAY_CALLER_SESSION_H_
 #define HARECRANK_SRC_GATEWAY_CALLER_SESSION_H_
@@ -23,7 +23,8 @@
 using CallerRequest =
     boost::beast::http::request<boost::beast::http::string_body>;
 
-// A request in progress, as its caller's session sees it.
+// The interface through which a caller's session notifies its request in
+// progress.
 class RequestHandle {
  public:
   RequestHandle() = default;
@@ -42,34 +43,35 @@
     CallerRequest request, TimePoint arrived,
     std::shared_ptr<ResponseSink> sink)>;
 
-// What sessions need from their owner.
+// Callbacks and the clock that all sessions of a listener share.
 struct SessionContext {
   RequestStarter start_request;
-  // Returns the limits in force.
+  // Returns the current limits for callers' requests: sizes and time-outs.
   std::function<CallerLimits()> limits;
-  // Returns whether connections should be closed after the current response.
+  // Returns whether this host is shutting down, so that connections are closed
+  // after the current response.
   std::function<bool()> is_draining;
   MonotonicClock clock;
 };
 
-// Reads the requests of one connection and writes the responses. Not
-// thread-safe; runs on its socket's io_context.
+// Reads the requests of one caller connection and writes the responses to it.
+// Not thread-safe; runs on its socket's io_context.
 class CallerSession : public ResponseSink,
                       public std::enable_shared_from_this<CallerSession> {
  public:
-  // `context` must outlive this.
+  // `context` must outlive the session.
   CallerSession(boost::asio::ip::tcp::socket socket,
                 const SessionContext* context);
 
   // Reads requests until the connection ends.
   void Start();
 
-  // Closes the connection if no request is in progress and no byte of one has
-  // arrived.
+  // Closes the connection if no request is in progress and no byte of the next
+  // request has arrived.
   void CloseIfIdle();
 
-  // Returns whether a request is in progress or being read. Also true after the
-  // connection has been closed.
+  // Returns whether a request is being read or in progress, or the connection
+  // has been closed.
   bool IsBusy() const { return state_ != State::kIdle; }
   bool IsClosed() const { return state_ == State::kClosed; }
 
--- a/src/gateway/crash_guard.cc
+++ b/src/gateway/crash_guard.cc
@@ -53,9 +53,9 @@
 
 bool CrashGuard::MayProbe(const EndpointRecord& endpoint) const {
   // Operators may stop the endpoints of a drained data centre, and an endpoint
-  // that has announced its leave ends by itself; no request has caused this,
-  // and nothing more is sent there, not even a probe. An endpoint that has
-  // asked for back-off is not probed either.
+  // that has announced its shutdown ends by itself. No request is the cause of
+  // such an end. Nothing may be sent to these endpoints any more, not even a
+  // probe. An endpoint that has asked for back-off is not probed either.
   return !directory_->Drained().IsDrained(endpoint.data_centre) &&
          !directory_->HasAnnouncedLeave(endpoint.id, endpoint.incarnation) &&
          !is_backing_off_(endpoint.id);
@@ -132,7 +132,8 @@
                {"crashes", quarantine_->CrashCount(request)}},
               LogRateLimit::kExempt);
   metrics_->GetCounter("harecrank_gateway_requests_held_total")->Add();
-  // A copy, since a request that ends is removed from the set.
+  // Iterates over a copy, since OnQuarantined may end a request, which removes
+  // it from the set.
   const RequestSet requests = *requests_;
   for (GuardedRequest* candidate : requests) {
     if (requests_->count(candidate) != 0 &&
--- a/src/gateway/crash_guard.h
+++ b/src/gateway/crash_guard.h
@@ -1,5 +1,5 @@
-// Keeps requests that crash endpoints away from them, together with the other
-// hosts.
+// Detects requests that crash endpoints and prevents them from being sent
+// again, in cooperation with the other hosts.
 //
 // An aborted response does not prove a crash: a network link may have failed,
 // or an overloaded endpoint may have reset the connection. Therefore the
@@ -22,7 +22,8 @@
 
 namespace harecrank {
 
-// A request in progress on this host.
+// Interface of a request in progress on this host, which CrashGuard notifies if
+// the request is quarantined.
 class GuardedRequest {
  public:
   GuardedRequest() = default;
@@ -35,12 +36,15 @@
   virtual void OnQuarantined() = 0;
 };
 
+// Counts endpoint crashes against the requests that were being started, decides
+// whether a request may be sent, and exchanges the counts with the other hosts.
 // Not thread-safe; runs on its io_context.
 class CrashGuard {
  public:
-  // Sends the other hosts what is known of `request`.
+  // Sends the other hosts this host's crash report on `request`.
   using ShareRecord = std::function<void(const RequestFingerprint& request)>;
-  // Returns whether an endpoint has asked this host to back off.
+  // Returns whether a back-off that `endpoint` has asked of this host has not
+  // ended yet.
   using IsBackingOff = std::function<bool(const EndpointId& endpoint)>;
 
   // All pointers must outlive this.
@@ -72,23 +76,25 @@
   }
 
   // Returns whether `request` must not be sent to any endpoint now. Computes
-  // its fingerprint only if any request is suspect.
+  // the request's fingerprint only if crashes are recorded for any request.
   bool IsQuarantined(GuardedRequest* request) const;
 
   // To be called right before `request` is sent. Returns whether it may be
-  // sent. A request that was quarantined is admitted alone, as a trial;
-  // `is_trial` is set accordingly.
+  // sent. A quarantined request is admitted from time to time as a trial, never
+  // together with the trial of another request; `is_trial` is set to whether
+  // this attempt is a trial.
   bool TryAdmit(GuardedRequest* request, bool* is_trial);
-  // Records whether a trial has reached its endpoint.
+  // Record whether a trial request was sent to its endpoint.
   void OnTrialSent(const RequestFingerprint& request);
   void OnTrialNotSent(const RequestFingerprint& request);
 
-  // Handles a response of `endpoint` to `request` that was aborted. Probes the
+  // Handles the abort of a response of `endpoint` to `request`. Probes the
   // endpoint's address and then calls `on_probed` with the result, never from
-  // within this call. If the endpoint has ended and was starting the request
-  // (`was_starting`), the crash is counted against the request first. An
-  // endpoint that is in a drained data centre, has announced its leave, or has
-  // asked for back-off is not probed, and no crash is counted.
+  // within this call. If the probe shows that the endpoint's process has ended
+  // and the endpoint was starting the request (`was_starting`), the crash is
+  // counted against the request before `on_probed` is called. An endpoint that
+  // is in a drained data centre, has announced its shutdown, or has asked for
+  // back-off is not probed, and no crash is counted.
   void OnResponseAborted(const RequestFingerprint& request,
                          const EndpointRecord& endpoint, bool was_starting,
                          std::function<void(ProbeResult result)> on_probed);
@@ -96,21 +102,23 @@
   // Records that an endpoint has answered the request completely.
   void OnCompleted(GuardedRequest* request);
 
-  // Merges the reports of another host. Returns the merged reports that were
-  // new, to be passed on, and adds to `missing` the reports that the sender
-  // lacks.
+  // Merges the crash reports of another host. Returns the updated reports on
+  // those requests for which it contained something new, to be passed on to
+  // other hosts. Adds to `missing` the reports for which this host has data
+  // that the sender lacks.
   std::vector<CrashReport> OnReports(const std::vector<CrashReport>& reports,
                                      std::vector<CrashReport>* missing);
 
  private:
   void OnCrash(const RequestFingerprint& request,
                const EndpointRecord& endpoint);
-  // Notifies the requests in progress that are quarantined now.
+  // If `request` is quarantined now, notifies all requests in progress with
+  // this fingerprint.
   void NotifyQuarantined(const RequestFingerprint& request);
 
   RequestQuarantine* quarantine_;
   EndpointProber* prober_;
-  // Returns whether `endpoint` may be probed for whether it has ended.
+  // Returns whether a probe of `endpoint` is allowed.
   bool MayProbe(const EndpointRecord& endpoint) const;
 
   const EndpointDirectory* directory_;
--- a/src/gateway/crash_relay.cc
+++ b/src/gateway/crash_relay.cc
@@ -34,7 +34,8 @@
   if (!missing.reports.empty()) {
     socket_->Send(received.from, missing);
   }
-  // Other hosts do not know all alive hosts; the planner does.
+  // Only the planner forwards new reports, since only the planner knows all
+  // alive hosts.
   if (ports_.is_planner()) {
     for (CrashReport& report : new_reports) {
       Share(std::move(report));
--- a/src/gateway/crash_relay.h
+++ b/src/gateway/crash_relay.h
@@ -12,20 +12,23 @@
 
 namespace harecrank {
 
-// Callbacks of CrashRelay.
+// Callbacks through which CrashRelay accesses this host's crash reports.
 struct CrashRelayPorts {
-  // Merges the reports of another host. Returns the merged reports that were
-  // new, and adds to `missing` the reports that the sender lacks.
+  // Merges the reports of another host. Returns the updated reports on those
+  // requests for which it contained something new. Adds to `missing` the
+  // reports for which this host has data that the sender lacks.
   std::function<std::vector<CrashReport>(
       const std::vector<CrashReport>& reports,
       std::vector<CrashReport>* missing)>
       on_reports;
-  // Returns the reports for hosts that have missed messages.
+  // Returns the reports that are sent to a host that has missed messages.
   std::function<std::vector<CrashReport>()> shared;
   std::function<bool()> is_planner;
 };
 
-// Not thread-safe; runs on its io_context.
+// Sends this host's crash reports to the other hosts, merges the reports
+// received from them and, on the planner, forwards new ones. Not thread-safe;
+// runs on its io_context.
 class CrashRelay {
  public:
   // All pointers must outlive this.
@@ -33,14 +36,15 @@
              Membership* membership, FleetSocket* socket,
              CrashRelayPorts ports);
 
-  // Sends `report` to all other hosts, together with other reports of the same
-  // turn of the event loop.
+  // Sends `report` to all other hosts. Reports that are shared in the same turn
+  // of the event loop are sent in one message.
   void Share(CrashReport report);
 
   void OnReports(const CrashReports& received);
 
-  // Sends all shared reports to the sender of `heartbeat` if its digest differs
-  // from `own_digest`, the digest of this host.
+  // Sends all shared reports to the sender of `heartbeat` if the digest of the
+  // sender's reports differs from `own_digest`, the digest of this host's
+  // reports.
   void Repair(const Heartbeat& heartbeat, std::uint64_t own_digest);
 
  private:
--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -14,7 +14,8 @@
 
 namespace harecrank {
 
-// Receives the store's data.
+// Receives the routes, endpoints and drained data centres that a feed reads
+// from the store or from another host.
 class DirectorySink {
  public:
   DirectorySink() = default;
@@ -24,16 +25,16 @@
 
   // Called with a published routing document, not necessarily the newest.
   virtual void OnRouting(RoutingDocument document) = 0;
-  // Called with all endpoints and all drained data centres as of `at`. They
-  // come in one call, so that a host that has just started never knows
+  // Called with all endpoints and all drained data centres as of `at`. Both are
+  // passed in one call, so that a host that has just started never knows
   // endpoints without the drain orders that apply to them.
   virtual void OnListing(std::vector<EndpointRecord> records,
                          std::vector<DrainedDataCentre> drained,
                          StoreRevision at) = 0;
-  // Called when the entry of an endpoint was written or removed.
+  // Called when the store's entry of an endpoint was written or removed.
   virtual void OnEndpoint(const EndpointRecord& record) = 0;
   virtual void OnEndpointGone(const EndpointId& id, StoreRevision revision) = 0;
-  // Called when the entry of an endpoint is invalid.
+  // Called when the store's entry of an endpoint is invalid.
   virtual void OnEndpointUnusable(const EndpointId& id, StoreRevision revision,
                                   const std::string& reason) = 0;
   // Called when a data centre is drained or restored.
@@ -48,12 +49,14 @@
   virtual void OnSyncedByPeer(StoreRevision at) = 0;
   // Called when the store does not respond, or responds with an error.
   virtual void OnStoreUnreachable(const std::string& reason) = 0;
-  // Called when a published entry is invalid and has been ignored.
+  // Called when an entry of the store other than an endpoint's is invalid and
+  // has been ignored. `what` names the entry.
   virtual void OnUnusable(const std::string& what,
                           const std::string& reason) = 0;
 };
 
-// Polls the store until Stop is called.
+// Reads the data of the store, by polling it or from another host's export, and
+// passes them to a DirectorySink until Stop is called.
 class DirectoryFeed {
  public:
   DirectoryFeed() = default;
@@ -61,21 +64,22 @@
   DirectoryFeed& operator=(const DirectoryFeed&) = delete;
   virtual ~DirectoryFeed() = default;
 
-  // Sets how the store is polled. A call in progress is not cancelled.
+  // Sets whether and how the store is polled. A call to the store that is in
+  // progress is not cancelled.
   virtual void SetPollMode(PollMode mode) = 0;
   virtual void Stop() = 0;
 
   // Returns the data for other hosts, in the feed's own encoding: the changes
-  // after `since` if they are known, otherwise everything. Empty if there are
-  // no data yet. Equal arguments return the same shared bytes until the data
+  // after `since` if they are known, otherwise all data. Empty if there are no
+  // data yet. Equal arguments return the same shared bytes until the data
   // change.
   virtual std::shared_ptr<const std::string> Export(
       StoreRevision since) const = 0;
 
-  // As Export, for hosts whose data are complete up to `since`; may encode
-  // entries as differences to their previous versions. Returns consecutive
-  // parts of at most `max_bytes`; the last part, or the only one, may be
-  // larger.
+  // Returns the same data as Export, but only for hosts whose data are complete
+  // up to `since`, since entries may be encoded as differences to their
+  // previous versions. The data are split into consecutive messages of at most
+  // `max_bytes`; only the last one may be larger.
   virtual std::vector<std::string> ExportChanges(
       StoreRevision since, std::size_t max_bytes) const = 0;
 
@@ -86,7 +90,8 @@
   // Imports data that another host's feed has exported, and passes them to the
   // sink. `store_data_fresh` tells whether the data of that host are fresh.
   // Returns the revision up to which this host's data are complete, or nothing
-  // if the import cannot be used because it is malformed or leaves a gap.
+  // if the import is malformed or does not follow on from this host's data
+  // without missing changes.
   virtual std::optional<StoreRevision> Import(const std::string& exported,
                                               bool store_data_fresh) = 0;
 };
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -1,9 +1,9 @@
-// Queue of requests that wait on this host for free engines while no planner
-// places them.
+// Queue of requests that wait on this host for free engines. Used while no
+// planner can be reached.
 //
-// An engine that is given more prompt tokens than it can process between two
-// events of its streams makes all of these streams pause. Requests that cannot
-// start yet are therefore held back on the host.
+// If an engine receives more prompt tokens than it can process between two
+// events of its streams, all of these streams pause. Requests that cannot start
+// yet are therefore held back on the host.
 
 #ifndef HARECRANK_SRC_GATEWAY_DISPATCH_QUEUE_H_
 #define HARECRANK_SRC_GATEWAY_DISPATCH_QUEUE_H_
@@ -18,25 +18,28 @@
 
 namespace harecrank {
 
-// Not thread-safe; runs on its io_context.
+// Holds waiting requests and tries to start them, in the order of WaitQueue,
+// whenever an engine may have become free. Not thread-safe; runs on its
+// io_context.
 class DispatchQueue {
  public:
   // Tries to start the request. Returns false if it has to wait longer.
   using Start = std::function<bool()>;
 
-  // Up to `max_tried` requests are tried at a time, since the first one may
-  // need more engines than are free and a later one fewer. `shares_by_account`
-  // is as in WaitQueue.
+  // The first `max_tried` requests of the queue are tried each time, since the
+  // first request may need more engines than are free and a later one fewer. If
+  // `shares_by_account` is set, requests of accounts that are over their fair
+  // share of engine time go last (see WaitQueue).
   DispatchQueue(boost::asio::io_context* io, MonotonicClock clock,
                 std::size_t max_tried, bool shares_by_account);
 
-  // `start` may be called until the request has been removed, also from within
-  // Pump. A request whose `start` returns true is removed.
+  // Adds a request. `start` is called repeatedly, from the event loop, until it
+  // returns true, which removes the request, or until Remove is called.
   WaitingRequestId Add(const WaitingRequest& request, Start start);
   void Remove(WaitingRequestId id);
 
-  // Tries the waiting requests in a later turn of the event loop. Called when
-  // an engine may have become free.
+  // Tries to start the waiting requests in a later turn of the event loop. To
+  // be called when an engine may have become free.
   void PumpSoon();
 
   // Returns the least work among the waiting requests that can no longer meet
@@ -45,8 +48,10 @@
     return queue_.LeastLateWork();
   }
 
-  // Fair shares cover only the engine time that this host itself has granted;
-  // it does not know what other hosts grant.
+  // Charge granted engine time to an account, and return how a new request
+  // ranks against the waiting ones. Fair shares on this host cover only the
+  // engine time that it has granted itself; it does not know what other hosts
+  // grant.
   void OnGranted(const ShareClaim& claim) { queue_.OnGranted(claim); }
   ShareRank ShareRankOf(const ShareClaim& claim) const {
     return queue_.ShareRankOf(claim);
@@ -54,7 +59,7 @@
 
   std::size_t Count() const { return queue_.Count(); }
 
-  // Interval in which the waiting requests are tried when PumpSoon is not
+  // Interval at which the waiting requests are tried even if PumpSoon is not
   // called.
   static constexpr Millis kRetryInterval{40};
 
--- a/src/gateway/endpoint_connection_pool.h
+++ b/src/gateway/endpoint_connection_pool.h
@@ -23,15 +23,17 @@
   EndpointId endpoint;
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
-  // The connection has carried a request before.
+  // Whether the connection has carried a request before.
   bool reused = false;
   TimePoint idle_since{};
-  // How long the endpoint keeps an idle connection, less kIdleMargin. Zero if
-  // the endpoint has not said.
+  // How long this connection may stay idle: the time-out in the endpoint's
+  // Keep-Alive header less kIdleMargin. Zero if the endpoint has sent no such
+  // header.
   Millis idle_limit{0};
 };
 
-// Not thread-safe; runs on its io_context.
+// Keeps idle connections to endpoints so that later requests can reuse them.
+// Not thread-safe.
 class EndpointConnectionPool {
  public:
   EndpointConnectionPool(boost::asio::io_context* io, MonotonicClock clock);
@@ -41,7 +43,7 @@
   // arrived, are closed and not returned.
   std::unique_ptr<EndpointConnection> TakeIdle(const EndpointId& endpoint);
 
-  // Returns a connection that is not open yet.
+  // Returns a new connection object whose socket is not open yet.
   std::unique_ptr<EndpointConnection> MakeNew(const EndpointId& endpoint);
 
   // Takes back a connection whose last response has been read completely.
@@ -59,17 +61,18 @@
   // incarnation of it. Connections in use are closed when they are returned.
   void Forget(const EndpointId& endpoint);
 
-  // Maximum number of idle connections for each endpoint: as many as there are
-  // responses that end within one round trip of each other, with room for a
-  // burst.
+  // Maximum number of idle connections for each endpoint. Covers the responses
+  // that end within one round trip of each other, with room for a burst.
   static constexpr std::size_t kMaxIdlePerEndpoint = 8;
-  // Idle limit of a connection whose endpoint has not named one.
+  // Idle limit of a connection whose endpoint has sent no Keep-Alive time-out.
   static constexpr Millis kDefaultIdleLimit{2500};
-  // A connection is closed this long before the endpoint's own limit, so that a
-  // request does not cross the endpoint's close.
+  // A connection is closed this long before the endpoint would close it, so
+  // that a request is not sent while the endpoint is closing the connection.
   static constexpr Millis kIdleMargin{800};
 
-  // How long the time of Forget is retained. Longer than any request may take.
+  // How long the time of a Forget call is retained. Longer than any request may
+  // take, since a connection in use at that time must be recognised when it is
+  // returned.
   static constexpr Millis kForgottenRetention{600000};
 
  private:
@@ -80,8 +83,8 @@
   std::unordered_map<EndpointId,
                      std::vector<std::unique_ptr<EndpointConnection>>>
       idle_;
-  // When Forget was last called for an endpoint. Retained while a connection
-  // opened before may still be in use.
+  // The time of the last Forget call for each endpoint. Retained while a
+  // connection that was opened before the call may still be in use.
   std::unordered_map<EndpointId, TimePoint> forgotten_;
 };
 
--- a/src/gateway/endpoint_prober.cc
+++ b/src/gateway/endpoint_prober.cc
@@ -31,7 +31,7 @@
     return ProbeResult::kRefused;
   }
   // An endpoint that has reached its connection limit resets further
-  // connections.
+  // connections, so a reset shows that its process is running.
   return timed_out || error != asio::error::connection_reset
              ? ProbeResult::kTimedOut
              : ProbeResult::kAccepted;
--- a/src/gateway/endpoint_prober.h
+++ b/src/gateway/endpoint_prober.h
@@ -13,7 +13,7 @@
 
 namespace harecrank {
 
-// Result of a connection attempt.
+// Result of a probe of an endpoint's address.
 enum class ProbeResult {
   // The connection was refused: the endpoint's process has ended.
   kRefused,
@@ -22,15 +22,15 @@
   // No response within the time-out, or the address cannot be reached: a
   // network link may have failed, or the whole machine.
   kTimedOut,
-  // The endpoint was not probed.
+  // Skip was called instead of Probe, so no connection was attempted.
   kSkipped
 };
 
 // Returns the name of `result` in logs.
 const char* Name(ProbeResult result);
 
-// Opens connections and closes them at once. Not thread-safe; runs on its
-// io_context.
+// Probes an address by opening a connection and closing it at once. Not
+// thread-safe; runs on its io_context.
 class EndpointProber {
  public:
   using OnResult = std::function<void(ProbeResult result)>;
@@ -45,7 +45,8 @@
   // Calls `on_result` with kSkipped, never from within this call.
   void Skip(OnResult on_result);
 
-  // Time-out of a connection attempt; the same as for requests.
+  // Time-out of a probe's connection attempt; the same as the connect time-out
+  // of requests.
   static constexpr Millis kTimeout{250};
 
  private:
--- a/src/gateway/endpoint_request.h
+++ b/src/gateway/endpoint_request.h
@@ -14,22 +14,24 @@
 
 namespace harecrank {
 
-// The headers that the gateway sets or removes.
+// Values of the headers that the gateway sets in or removes from a caller's
+// request.
 struct HeadChanges {
   Millis time_left{0};
   EndpointId endpoint;
-  // Absent if no account is to be named.
+  // Client account to name to the endpoint; absent if none is named.
   std::optional<AccountId> account;
-  // The caller's key is not forwarded to the endpoint.
+  // Whether the caller's key is removed instead of forwarded to the endpoint.
   bool strip_key = false;
-  // 0 to 9. Absent if the endpoint's own default applies.
+  // Urgency of the request, from 0 (most urgent) to 9. Absent if the endpoint's
+  // own default applies.
   std::optional<int> urgency;
   // Addresses of the endpoints that process parts of the prompt, separated by
   // commas, each followed by a slash and its memory ticket if memory is
   // reserved there. Empty if there are none.
   std::string helpers;
-  // Id of the event after which the stream is to resume. If empty, the caller's
-  // own header is forwarded.
+  // Id of the event after which the stream is to resume. If empty, the
+  // corresponding header of the caller is forwarded unchanged.
   std::string resume_after;
   std::size_t body_bytes = 0;
 };
--- a/src/gateway/endpoint_response_handler.cc
+++ b/src/gateway/endpoint_response_handler.cc
@@ -39,8 +39,8 @@
       !endpoint_updater_->OnLeaveAnnounced(endpoint, is_readable)) {
     return;
   }
-  // Reported to the other hosts, which then avoid the endpoint for a while,
-  // too.
+  // Marks the endpoint as at fault. This is reported to the other hosts, which
+  // then avoid the endpoint for a while, too.
   health_->OnReportedAtFault(endpoint.id);
   on_change_();
 }
@@ -51,7 +51,8 @@
   const bool has_no_limit = std::holds_alternative<NoRateLimit>(response.limit);
   if (has_no_limit && !(response.IsSuccess() && response.is_signed)) {
     // An endpoint may reject or fail a request before it checks its own load,
-    // so a missing limit says nothing there.
+    // so the absence of a rate limit in such a response does not mean that the
+    // limit has ended.
     return;
   }
   if (start_limiter_->OnAnswer(endpoint, response.limit, sent_at)) {
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -1,5 +1,5 @@
-// Applies what endpoints report about themselves in their responses to this
-// host's state.
+// Updates this host's state with what endpoints report about themselves in
+// their responses.
 
 #ifndef HARECRANK_SRC_GATEWAY_ENDPOINT_RESPONSE_HANDLER_H_
 #define HARECRANK_SRC_GATEWAY_ENDPOINT_RESPONSE_HANDLER_H_
@@ -15,12 +15,14 @@
 
 namespace harecrank {
 
-// The only place where these hints are acted on, no matter which part of the
-// gateway received the response. Not thread-safe.
+// Applies the rate limits, back-offs and shutdown announcements in endpoints'
+// responses. All parts of the gateway that receive responses pass them here,
+// and no other class applies these hints. Not thread-safe.
 class EndpointResponseHandler {
  public:
-  // All pointers must outlive this. `on_change` is called when other hosts
-  // should be informed soon.
+  // All pointers must outlive this. `on_change` is called when a response has
+  // changed a rate limit or announced a shutdown of which other hosts should be
+  // informed soon.
   EndpointResponseHandler(const EndpointDirectory* directory,
                           EndpointHealth* health,
                           EndpointUpdater* endpoint_updater,
@@ -29,8 +31,8 @@
                           std::function<void()> on_change);
 
   // Applies the response to a request that was sent to `endpoint` at `sent_at`.
-  // A response of another incarnation than the current one is ignored, and so
-  // is a misdirected one.
+  // A response is ignored if it comes from another incarnation than the current
+  // one or if the request was misdirected.
   void OnAnswer(const EndpointRecord& endpoint,
                 const EndpointResponse& response, TimePoint sent_at);
 
--- a/src/gateway/endpoint_updater.cc
+++ b/src/gateway/endpoint_updater.cc
@@ -62,8 +62,8 @@
 
 void EndpointUpdater::OnGone(const EndpointId& id, StoreRevision revision) {
   const RemovalResult result = directory_->Remove(id, revision);
-  // If the endpoint is still there or comes back under its id, its health is
-  // observed from the beginning.
+  // If the endpoint is still running or a new one starts under the same id, its
+  // health record starts empty.
   health_->Forget(id);
   if (result == RemovalResult::kDeparted) {
     connections_->Forget(id);
@@ -128,7 +128,8 @@
 void EndpointUpdater::LogDrained(const DrainedDataCentre& order) {
   const std::vector<EndpointId> endpoints = directory_->In(order.id);
   for (const EndpointId& id : endpoints) {
-    // Nothing more is sent to these endpoints, and they may be stopped soon.
+    // No further requests are sent to the endpoints of a drained data centre,
+    // and operators may stop them soon, so their idle connections are closed.
     connections_->Forget(id);
   }
   log_->Write("data_centre_closed",
@@ -197,8 +198,8 @@
 }
 
 void EndpointUpdater::Forget(const EndpointId& id) {
-  // Failures of an earlier incarnation would keep a healthy endpoint unused,
-  // and connections to it are dead.
+  // If the failures of an earlier incarnation were kept, the new, healthy one
+  // would not be used. Connections to the earlier incarnation are dead.
   health_->Forget(id);
   connections_->Forget(id);
 }
--- a/src/gateway/endpoint_updater.h
+++ b/src/gateway/endpoint_updater.h
@@ -16,9 +16,9 @@
 
 namespace harecrank {
 
-// Maintains the directory, and discards the health and connections of endpoints
-// that have left or started a new incarnation. Logs each update. Not
-// thread-safe.
+// Applies updates from the store and other hosts to the directory, and discards
+// the health records and idle connections of endpoints that have left or
+// started a new incarnation. Logs each update. Not thread-safe.
 class EndpointUpdater {
  public:
   // All pointers must outlive this.
@@ -26,17 +26,17 @@
                   EndpointConnectionPool* connections, EventLog* log,
                   Metrics* metrics);
 
-  // Handles a listing of all endpoints as of `at`.
+  // Handles a complete list of the endpoints as of revision `at`.
   void OnListing(const std::vector<EndpointRecord>& records, StoreRevision at);
 
-  // Handles a write of an endpoint's entry.
+  // Handles an endpoint's new or changed entry in the store.
   void OnEndpoint(const EndpointRecord& record);
 
-  // Handles the removal of an endpoint's entry.
+  // Handles the removal of an endpoint's entry from the store.
   void OnGone(const EndpointId& id, StoreRevision revision);
 
-  // Handles a response in which the endpoint announces that it is leaving.
-  // `is_readable` tells whether the announcement could be parsed. Returns
+  // Handles a response in which the endpoint announces that it is about to shut
+  // down. `is_readable` tells whether the announcement could be parsed. Returns
   // whether it was new.
   bool OnLeaveAnnounced(const EndpointRecord& endpoint, bool is_readable);
 
@@ -44,16 +44,16 @@
   void OnUnusable(const EndpointId& id, StoreRevision revision,
                   const std::string& reason);
 
-  // Handles a listing of all drained data centres as of `at`.
+  // Handles a complete list of the drained data centres as of revision `at`.
   void OnDrainedListing(const std::vector<DrainedDataCentre>& drained,
                         StoreRevision at);
 
-  // Handle the drain or the restoration of one data centre.
+  // Handle an operator's order that drains one data centre or restores it.
   void OnDrained(const DrainedDataCentre& order);
   void OnRestored(const DataCentreId& id, StoreRevision revision);
 
-  // Returns the number of endpoints in drained data centres that still have
-  // work according to `loads`.
+  // Returns the number of endpoints in drained data centres on which, according
+  // to `loads`, requests are still in progress.
   int BusyDrainedCount(const EndpointLoads& loads) const;
 
   // Removes endpoints whose entries have been missing for longer than the grace
@@ -68,7 +68,7 @@
   void EndPeerUpdate();
 
  private:
-  // The changes within one update from another host.
+  // The endpoints that one update from another host has changed or removed.
   struct PeerUpdate {
     std::vector<EndpointId> changed;
     std::vector<EndpointId> removed;
--- a/src/gateway/event_loop_monitor.cc
+++ b/src/gateway/event_loop_monitor.cc
@@ -20,7 +20,7 @@
 
 void EventLoopMonitor::Record(const char* what,
                               std::chrono::nanoseconds duration) {
-  Task& task = tasks_[what];
+  TaskStatistics& task = tasks_[what];
   if (task.histogram == nullptr) {
     task.histogram =
         metrics_->GetHistogram("harecrank_gateway_loop_held_seconds",
--- a/src/gateway/event_loop_monitor.h
+++ b/src/gateway/event_loop_monitor.h
@@ -14,16 +14,19 @@
 
 namespace harecrank {
 
-// Not thread-safe.
+// Records the run time of each kind of task in a histogram and logs tasks that
+// take long. Not thread-safe.
 class EventLoopMonitor {
  public:
   // `log` and `metrics` must outlive this.
   EventLoopMonitor(EventLog* log, Metrics* metrics, MonotonicClock clock);
 
-  // Measures one task, from construction to destruction.
+  // Measures the run time of one task, from construction to destruction of the
+  // Span.
   class Span {
    public:
-    // `monitor` must outlive this; `what` is one of a small fixed set of names.
+    // `monitor` must outlive the Span. `what` names the kind of task and must
+    // be one of a small fixed set, since each name has a histogram of its own.
     Span(EventLoopMonitor* monitor, const char* what);
     ~Span();
     Span(const Span&) = delete;
@@ -37,22 +40,25 @@
     TimePoint started_at_;
   };
 
-  // Records that `what` has occupied the event loop for `duration`.
+  // Records that a task of the kind `what` has occupied the event loop for
+  // `duration`.
   void Record(const char* what, std::chrono::nanoseconds duration);
 
-  // Tasks that take at least this long are logged: a fraction of the shortest
-  // gap between two events at which callers still count a stream as within its
-  // target.
+  // Tasks that take at least this long are logged. This is a fraction of the
+  // shortest target for the time between two events of a stream, so that delays
+  // are visible in the log before callers see a missed target.
   static constexpr Millis kMinLoggedTime{25};
-  // Minimum interval between two log lines about the same task.
+  // Minimum interval between two log lines about the same kind of task.
   static constexpr Millis kLogInterval{1000};
 
  private:
-  struct Task {
+  // Run times of one kind of task.
+  struct TaskStatistics {
     DurationHistogram* histogram = nullptr;
     TimePoint last_logged_at{};
     bool has_logged = false;
-    // Values since the last log line.
+    // Number of runs of at least kMinLoggedTime, and the longest of them, since
+    // the last log line.
     int long_runs = 0;
     std::chrono::nanoseconds longest{0};
   };
@@ -60,7 +66,7 @@
   EventLog* log_;
   Metrics* metrics_;
   MonotonicClock clock_;
-  std::map<std::string, Task> tasks_;
+  std::map<std::string, TaskStatistics> tasks_;
 };
 
 }  // namespace harecrank
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -13,7 +13,7 @@
 namespace http = boost::beast::http;
 
 constexpr int kLeastUrgent = 9;
-// Interval in which a waiting request checks whether this host is about to
+// Interval at which a waiting request checks whether this host is about to
 // stop, and whether all endpoints have asked for a back-off.
 constexpr Millis kWaitCheckInterval{100};
 
@@ -265,7 +265,8 @@
 
 void Exchange::Reject(unsigned status, const std::string& code,
                       std::optional<Millis> retry_after) {
-  // A Retry-After header always implies that the request has not run.
+  // A Retry-After time is only passed for requests that have not run, so its
+  // presence sets `not_run`.
   Respond(GatewayResponse{status, code, retry_after, retry_after.has_value()});
 }
 
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -48,7 +48,8 @@
   void OnResponseBytes(std::string_view bytes) override;
   void OnResponseEnd() override;
   void OnFailure(const AttemptFailure& failure) override;
-  // Computed at the first call and cached.
+  // Returns the request's fingerprint, which is computed at the first call and
+  // cached.
   const RequestFingerprint& Fingerprint() override;
   void OnQuarantined() override;
 
@@ -56,8 +57,8 @@
   void TryNext();
   std::string HeadFor(const Placement& placement) const;
   SendingHistory History() const;
-  // Returns the account's priority, or the route's if the account has none.
-  // Zero is the most urgent.
+  // Returns the priority of the request, where zero is the most urgent: that of
+  // its account, or of its route if the account has none.
   int Priority() const;
   void OnErrorAnswer();
   void OnFirstEvent();
@@ -71,31 +72,35 @@
   // false if that is not possible, and then the caller gets the response.
   bool RetryElsewhere(unsigned status);
   void OnNotSent(const AttemptNotSent& failure);
-  // Has the crash guard find out whether the endpoint has crashed, and then
-  // retries or gives up.
+  // Reports the aborted attempt to the crash guard, which checks whether the
+  // endpoint has crashed. A request that may be repeated is retried after this
+  // check; any other is given up at once.
   void HandleBroken(const AttemptBroken& broken);
   nlohmann::json BrokenFields(const AttemptBroken& broken);
   // Ends a request that is quarantined because it crashes endpoints.
   void RejectQuarantined();
-  // Reports a complete response to the crash guard. A response whose head does
-  // not state where it ends may have been cut off by a crash, since that closes
-  // the connection, too; it is not reported.
+  // Reports a complete response to the crash guard. A response without
+  // Content-Length or chunked encoding ends when the connection closes. It is
+  // not reported, since a crash closes the connection, too, and may have
+  // truncated it.
   void ReportCompletion();
 
-  // Decide what follows a failed attempt.
+  // Retry the request after a failed attempt, or give it up: OnNotRun if no
+  // endpoint ran it in this attempt, OnMayHaveRun if one may have.
   void OnNotRun(const std::string& reason);
   void OnMayHaveRun(const std::string& reason);
   bool MayRetry();
   void AbandonAttempt();
 
-  // Timer and deadlines.
+  // Deadlines of the request, and the timer that enforces them.
   void ArmTimer();
   void OnTimer();
   // Ends the wait for a placement if this host is about to stop, if all
   // endpoints have asked for a back-off, or if the wait limit of the request
   // has been reached. Returns whether it did.
   bool EndWaitIfDue(TimePoint now);
-  // Retries an overdue request on another endpoint. Returns whether it did.
+  // Cancels an attempt whose response is overdue and retries the request on
+  // another endpoint. Returns whether it did.
   bool RetryOverdue();
   std::optional<TimePoint> AttemptOverdueAt() const;
   Millis TimeLeft() const;
@@ -125,17 +130,18 @@
   bool strip_key_ = false;
   TimePoint deadline_{};
   Tokens prompt_;
-  // Both are set once the request has been admitted.
+  // `search_` and `sender_` are set once the request has been admitted.
   std::shared_ptr<PlacementSearch> search_;
   std::optional<RequestSender> sender_;
   int connect_failures_ = 0;
   bool may_have_run_ = false;
-  // The request was quarantined and is sent once as a trial.
+  // Whether the current attempt is the trial of a quarantined request.
   bool is_trial_ = false;
   bool budget_exhausted_ = false;
   bool has_framed_end_ = false;
   bool finished_ = false;
-  // Registered once the request has waited for a placement.
+  // Registration with the back-off notifier; set once the request has begun to
+  // wait for a placement.
   std::optional<BackoffNotifier::Id> backoff_watch_;
 };
 
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -13,9 +13,12 @@
 
 namespace http = boost::beast::http;
 
-// Maximum number of failed connections to endpoints for one request.
+// Number of failed connection attempts from which on a further attempt for the
+// request counts as a retry, with the limits in MayRetry. Fewer failures do not
+// use up retries, since the request was not sent.
 constexpr int kMaxConnectFailures = 5;
-// With less time left than this, a further attempt cannot produce a response.
+// Minimum time before the deadline for a further attempt. With less time left
+// it could not produce a response.
 constexpr Millis kMinTimeForAttempt{60};
 // Error code of the final response to a request that crashes endpoints.
 constexpr char kQuarantinedReason[] = "ends_endpoints";
@@ -163,8 +166,9 @@
     OnNotSent(*not_sent);
     return;
   }
-  // One broken response does not mean that the endpoint is dead. The next
-  // connection attempt shows that.
+  // An aborted response does not prove that the endpoint is dead, so it only
+  // counts as an error. If the endpoint is dead, the next connection attempt
+  // fails.
   OnErrorAnswer();
   search_->End();
   relay_.DropPartial();
@@ -198,8 +202,9 @@
 }
 
 void Exchange::HandleBroken(const AttemptBroken& broken) {
-  // The crash guard judges the attempt before the request is retried, since the
-  // request may just have crashed its third endpoint.
+  // The crash guard probes the endpoint before the request is retried, since
+  // the request may just have crashed its third endpoint and must then be
+  // quarantined.
   may_have_run_ = true;
   const bool may_continue = route_->MayRepeat();
   services_->crashes->OnResponseAborted(
@@ -236,8 +241,9 @@
 
 void Exchange::OnQuarantined() {
   const auto self = shared_from_this();
-  // A request that an endpoint has already started shows by itself whether it
-  // causes a crash. A request that may run only once is not interrupted.
+  // A request whose first event has arrived is not interrupted, since its
+  // outcome shows whether it causes a crash. A sent request that may run only
+  // once is not interrupted either.
   const bool sent = sender_->IsUnderWay() && sender_->WasSent();
   const bool runs = sent && (sender_->HasFirstEvent() || !route_->MayRepeat());
   if (finished_ || runs) {
--- a/src/gateway/exchange_log.h
+++ b/src/gateway/exchange_log.h
@@ -13,11 +13,11 @@
 
 namespace harecrank {
 
-// How a request ended.
+// Outcome of a request, for its last log line and the metrics.
 struct ExchangeResult {
   // "completed", "refused", "failed", "broken_off" or "caller_left".
   const char* outcome = "";
-  // Zero if no response was sent.
+  // HTTP status that was sent to the caller; zero if no response was sent.
   unsigned status = 0;
   std::string reason;
   int send_count = 0;
@@ -34,7 +34,8 @@
   ExchangeLog(const GatewayServices* services, std::string request_id,
               TimePoint arrived);
 
-  // Called once the request has been admitted or rejected.
+  // Sets the route and the configuration version to log. Called once the
+  // request has been admitted or rejected.
   void SetRoute(std::string route, RoutingVersion configuration);
 
   // Returns the fields that identify the request in every log line.
