--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -49,8 +49,9 @@
   virtual void OnSyncedByPeer(StoreRevision at) = 0;
   // Called when the store does not respond, or responds with an error.
   virtual void OnStoreUnreachable(const std::string& reason) = 0;
-  // Called when an entry of the store other than an endpoint's is invalid and
-  // has been ignored. `what` names the entry.
+  // Called when data from the store or from another host are invalid and have
+  // been ignored, unless OnEndpointUnusable reports them. `what` names the
+  // data.
   virtual void OnUnusable(const std::string& what,
                           const std::string& reason) = 0;
 };
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -7,10 +7,13 @@
 namespace harecrank {
 namespace {
 
-// Delay of a heartbeat about a change, so that further changes go with it.
+// Delay before a heartbeat that reports a change, so that further changes are
+// reported in the same heartbeat.
 constexpr Millis kSendDelay{1};
-// Intervals of gossip. While no planner is known, the interval doubles from
-// kSearchInterval up to kMaxSearchInterval; otherwise it is kGossipInterval.
+// Intervals between two gossip rounds, in which heartbeats are sent to
+// Membership::GossipTargets. While no planner is known, the interval doubles
+// from kSearchInterval up to kMaxSearchInterval; otherwise it is
+// kGossipInterval.
 constexpr Millis kSearchInterval{100};
 constexpr Millis kMaxSearchInterval{800};
 constexpr Millis kGossipInterval{1000};
@@ -137,7 +140,8 @@
     socket_->Send(to, message);
     return;
   }
-  // Delivered like a message from another host, and never from within a call.
+  // A message to this host itself is handled in a later turn of the event loop,
+  // as a message from another host would be, and never from within Send.
   boost::asio::post(*io_, [this, message] { OnMessage(message); });
 }
 
@@ -156,7 +160,8 @@
              followed_planner_.has_value() &&
              *followed_planner_ != self_.address &&
              now - planner_heard_at_ > kMissedHeartbeat) {
-    // Another host has taken over, and the old planner has missed a heartbeat.
+    // The sender has become the planner, and the planner that this host follows
+    // has missed a heartbeat.
     membership_->OnUnresponsive(*followed_planner_);
   }
   if (heartbeat.planner != heartbeat.address) {
@@ -169,8 +174,9 @@
   FollowPlanner();
   if (heartbeat.planner == heartbeat.address &&
       heartbeat.address != followed_planner_) {
-    // The sender is the planner of some hosts at least. It needs this host's
-    // work, or it would consider the engines that run it idle.
+    // The sender considers itself the planner, and at least some hosts follow
+    // it. It needs this host's work, or it would consider the engines that run
+    // it idle.
     Heartbeat work_report = OwnHeartbeat();
     work_report.work = placement_client_.Work();
     Send(heartbeat.address, work_report);
@@ -199,8 +205,8 @@
   const auto found = std::find(pollers_.begin(), pollers_.end(), host);
   heartbeat->should_poll = found != pollers_.end();
   if (*heartbeat->should_poll) {
-    // While the store does not answer the planner, the first of these hosts
-    // polls continuously in its place.
+    // Rank zero, which polls continuously, is the planner's while the store
+    // answers it; otherwise it goes to the first host in `pollers_`.
     heartbeat->poll_rank =
         static_cast<int>(found - pollers_.begin()) + (store_answers_ ? 1 : 0);
   }
@@ -282,7 +288,7 @@
 void FleetMember::SendGossip() {
   last_gossip_at_ = clock_();
   // Hundreds of hosts that start together contact the same few seeds, so the
-  // interval backs off.
+  // interval grows while no planner is known.
   search_interval_ = followed_planner_.has_value()
                          ? kSearchInterval
                          : std::min(2 * search_interval_, kMaxSearchInterval);
@@ -318,15 +324,16 @@
     planner_->Begin(membership_->OtherAliveHosts());
     Announce();
   }
-  // While no planner is known, a former planner keeps its rank, since no other
-  // host distributes the store's data.
+  // A former planner keeps its poll rank until another planner is known, since
+  // no other host distributes the store's data until then.
   if (planner == self_.address) {
     ports_.on_poll_rank(0);
   } else if (planner.has_value() && was_planner) {
     ports_.on_poll_rank(std::nullopt);
   }
   SendHeartbeatSoon();
-  // Posted, since this may be called from within a callback of the client.
+  // Posted, since FollowPlanner may be called from within a callback of
+  // `placement_client_`.
   boost::asio::post(*io_, [this] { placement_client_.OnPlannerChanged(); });
 }
 
@@ -379,10 +386,10 @@
   if (own.known_up_to < heartbeat.known_up_to) {
     return;
   }
-  // The planner's data also count as fresh if they come from other hosts. The
-  // planner itself only believes hosts that poll the store; otherwise two hosts
-  // could keep confirming to each other that their data are fresh while the
-  // store answers neither.
+  // A host trusts the planner's data to be fresh even if the planner has
+  // received them from another host. The planner itself only trusts hosts whose
+  // own polls the store answers; otherwise two hosts could keep confirming to
+  // each other that their data are fresh while the store answers neither.
   const bool is_up_to_date =
       from_planner
           ? heartbeat.store_data_fresh
@@ -396,8 +403,8 @@
   if (IsPlanner()) {
     InformPollers();
   } else {
-    // The planner updates the other hosts, and uses this to choose the hosts
-    // that poll.
+    // The planner passes the result on to the other hosts and uses it to choose
+    // the hosts that poll.
     SendHeartbeatSoon();
   }
 }
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -28,25 +28,26 @@
 
 namespace harecrank {
 
-// Callbacks of FleetMember.
+// Callbacks through which FleetMember accesses the rest of this host's state.
 struct FleetMemberPorts {
-  // Fills the owner's part of the host's heartbeat: what it knows of the
-  // store's data.
+  // Fills those fields of a heartbeat that FleetMember does not know itself:
+  // routing version, state of this host's copy of the store's data, digest of
+  // crash reports and peak fleet size.
   std::function<void(Heartbeat* heartbeat)> describe;
-  // As in PublicationRelayPorts.
+  // Functions that are passed to PublicationRelay; see PublicationRelayPorts.
   std::function<std::vector<std::string>(StoreRevision since,
                                          std::size_t max_bytes)>
       published;
   std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
   std::function<bool()> is_parsing_routing;
-  // Called when a host that has no newer data than this one reports that its
-  // data are `age` old.
+  // Called when this host's data are confirmed by another host: the other host
+  // has no newer data, and its data are `age` old.
   std::function<void(Millis age)> on_peer_freshness;
-  // Sets this host's rank among the hosts that poll the store for the fleet;
-  // nothing if it is not one of them.
+  // Sets this host's rank among the hosts that poll the store for the fleet,
+  // where zero polls continuously; unset if this host is not one of them.
   std::function<void(std::optional<int> rank)> on_poll_rank;
-  // As in CrashRelayPorts.
+  // Functions that are passed to CrashRelay; see CrashRelayPorts.
   std::function<std::vector<CrashReport>(
       const std::vector<CrashReport>& reports,
       std::vector<CrashReport>* missing)>
@@ -58,7 +59,10 @@
   std::function<void(const std::vector<RateLimitReport>& reports)> on_limits;
 };
 
-// Not thread-safe; runs on its io_context.
+// Makes this host a member of its fleet: exchanges heartbeats with the other
+// hosts, follows the current planner, relays published data and crash reports,
+// and serves the other hosts while this host is the planner. Not thread-safe;
+// runs on its io_context.
 class FleetMember {
  public:
   // All pointers must outlive this.
@@ -74,7 +78,8 @@
   // planner.
   void Leave();
 
-  // Sends the planner a heartbeat soon, ahead of the next regular one.
+  // Sends the planner a heartbeat within milliseconds instead of at the end of
+  // the heartbeat interval.
   void SendHeartbeatSoon();
 
   // To be called when this host's copy of the store's data has changed. Informs
@@ -84,8 +89,9 @@
   // To be called when a poll of the store by this host has succeeded or failed.
   void OnPollResult();
 
-  // To be called when the data of the store, from whichever host, are fresh
-  // after they had been overdue (PollSchedule::IsOverdue).
+  // To be called when this host has received current data of the store, itself
+  // or from another host, after its data had been overdue
+  // (PollSchedule::IsOverdue).
   void OnOverdueRefresh();
 
   // Sends the other hosts a report on a request that crashes endpoints.
@@ -103,14 +109,15 @@
   // Interval of the periodic work: heartbeats, detection of a dead planner, and
   // the planner's wait queue.
   static constexpr Millis kTick{40};
-  // The poll schedule depends on the interval between two heartbeats.
+  // PollSchedule relies on an upper limit of the interval between two
+  // heartbeats.
   static_assert(kHeartbeatInterval + kTick <=
                 PollSchedule::kMaxHeartbeatInterval);
   // A planner that has sent nothing for this long is considered unresponsive.
   static constexpr Millis kPlannerTimeout{650};
 
  private:
-  // Handles each type of message.
+  // Visitor that passes each type of fleet message to its handler.
   struct Receiver;
 
   PlacementClientPorts MakePlacementPorts();
@@ -120,20 +127,24 @@
   void OnMessage(const FleetMessage& message);
   void OnHeartbeat(const Heartbeat& heartbeat);
   Heartbeat OwnHeartbeat() const;
-  // Returns a heartbeat in which only the owner's part is filled.
+  // Returns a heartbeat in which only the fields are set that
+  // FleetMemberPorts::describe fills.
   Heartbeat DescribeStoreData() const;
   void Reply(const Heartbeat& heartbeat);
-  // On the planner: sets in `heartbeat` whether `host` is to poll the store,
-  // and with which rank.
+  // On the planner: sets in `heartbeat` whether `host` should poll the store,
+  // and its rank among the polling hosts.
   void SetPollFields(const HostAddress& host, Heartbeat* heartbeat) const;
-  // On the planner: informs the other hosts that poll the store of the state of
-  // the planner's own polling.
+  // On the planner: sends a heartbeat to each of the other hosts that poll the
+  // store, with its rank, which depends on whether the store answers the
+  // planner.
   void InformPollers();
-  // Requests a heartbeat from `planner`, which another host considers to be the
-  // planner: either there are two planners, or this host follows the wrong one.
+  // Requests a heartbeat from `planner`, which another host follows but this
+  // host does not: either there are two planners, or this host follows the
+  // wrong one.
   void RequestHeartbeat(const HostAddress& planner);
   void SendHeartbeatToPlanner();
-  // Sends heartbeats to Membership::GossipTargets.
+  // Sends a heartbeat to each of Membership::GossipTargets, a few hosts through
+  // which hosts without a planner or with different planners find each other.
   void SendGossip();
   // Sends a heartbeat to all other hosts.
   void Announce();
--- a/src/gateway/fleet_socket.cc
+++ b/src/gateway/fleet_socket.cc
@@ -27,8 +27,9 @@
     : socket_(*io, UdpEndpoint(address)),
       port_(socket_.local_endpoint().port()),
       metrics_(metrics) {
-  // A host that is gone causes ICMP errors, and a full send buffer drops
-  // datagrams instead of blocking.
+  // Non-blocking, so that a full send buffer drops datagrams instead of
+  // blocking the event loop. Errors are expected, too: sending to a host that
+  // has stopped causes ICMP errors.
   socket_.non_blocking(true);
 }
 
@@ -82,8 +83,8 @@
   boost::system::error_code error;
   socket_.send_to(asio::buffer(bytes), {target->address(), port_}, 0, error);
   if (error) {
-    // Counted and not logged, since it recurs with each heartbeat to a host
-    // that is gone.
+    // Failed sends are counted but not logged, since they recur with each
+    // heartbeat to a host that has stopped.
     metrics_->GetCounter("harecrank_gateway_unsent_fleet_messages_total")
         ->Add();
   }
--- a/src/gateway/fleet_socket.h
+++ b/src/gateway/fleet_socket.h
@@ -1,4 +1,4 @@
-// Datagrams between the hosts of a fleet.
+// UDP socket for the messages between the hosts of a fleet.
 
 #ifndef HARECRANK_SRC_GATEWAY_FLEET_SOCKET_H_
 #define HARECRANK_SRC_GATEWAY_FLEET_SOCKET_H_
@@ -14,8 +14,9 @@
 
 namespace harecrank {
 
-// Sends and receives fleet messages. Lost messages are not sent again here;
-// each type of message has its own way to recover from a loss. Not thread-safe.
+// Sends and receives fleet messages. Lost messages are not resent by this
+// class; the sender of each type of message recovers from a loss in its own
+// way. Not thread-safe.
 class FleetSocket {
  public:
   using OnMessage = std::function<void(const FleetMessage& message)>;
--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -13,7 +13,8 @@
   return names;
 }
 
-// Gauges of the planner's view of the fleet.
+// Adds the gauges that are meaningful only on the planner: its known hosts, its
+// wait queue and its reservations.
 void RegisterPlannerGauges(const GatewayParts& parts, Metrics* metrics) {
   metrics->AddGauge("harecrank_gateway_is_planner",
                     [parts] { return parts.fleet->IsPlanner() ? 1.0 : 0.0; });
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -1,4 +1,4 @@
-// The gateway's state as operators see it: gauges and a JSON dump.
+// Reports the gateway's state to operators, as gauges and as a JSON dump.
 
 #ifndef HARECRANK_SRC_GATEWAY_GATEWAY_GAUGES_H_
 #define HARECRANK_SRC_GATEWAY_GATEWAY_GAUGES_H_
@@ -20,8 +20,8 @@
 
 namespace harecrank {
 
-// The components whose state is shown. All must outlive the metrics that read
-// them.
+// The components whose state is reported. All must outlive the Metrics object,
+// whose gauges read them.
 struct GatewayParts {
   RoutingState* routing;
   EndpointDirectory* directory;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -13,27 +13,29 @@
 namespace harecrank {
 namespace {
 
-// Interval of the periodic work of the process.
+// Interval of the process's periodic work, which is done in GatewayNode::Tick.
 constexpr Millis kTick{100};
-// Interval at which the settings are read again. They may change without a
-// signal, and no change is urgent.
+// Interval at which the settings are read again, since they may change without
+// a signal. Several seconds suffice because no change is urgent.
 constexpr Millis kSettingsPollInterval{3000};
 // Interval at which idle connections to endpoints and expired quarantine
 // records are removed.
 constexpr Millis kSweepInterval{1000};
-// How long callers' idle connections are kept after a stop signal: the load
-// balancer has to miss two health checks, one per second, plus a margin.
+// How long callers' idle connections are kept after a stop signal, so that the
+// load balancer stops using this host first. The balancer does so after two
+// failed health checks, one per second; the rest is a margin.
 constexpr Millis kBalancerNoticeTime{3000};
-// How long new streams are accepted after a stop signal. Streams that start
-// later could not end before the process must.
+// How long new streams are accepted after a stop signal. A stream that starts
+// later may not end before the process must exit.
 constexpr Millis kStreamAcceptTime{2700};
-// Time left until the platform's stop limit when the process stops waiting for
-// requests to end.
+// Margin before the platform's stop limit: when this much time is left, the
+// process exits without waiting for the remaining requests.
 constexpr Millis kStopMargin{400};
-// How long callers' connections wait for the first configuration after the
-// start. Callers allow one second to connect.
+// How long after its start the process accepts no callers while it has no
+// configuration. Shorter than the one second that callers allow for a
+// connection.
 constexpr Millis kConfigurationWait{700};
-// Minimum number of hosts that is assumed to share a limit.
+// Minimum number of hosts that this host assumes to share a fleet-wide limit.
 constexpr int kMinHosts = 3;
 
 }  // namespace
@@ -363,9 +365,9 @@
 }
 
 void GatewayNode::AcceptCallers() {
-  // Connections wait in the listen queue until the first configuration is in
-  // force. If that takes too long, callers are accepted and get an error
-  // response.
+  // Callers' connections wait in the listen queue until this host has an active
+  // configuration and knows endpoints. After kConfigurationWait they are
+  // accepted anyway, and their requests get an error response.
   const bool has_waited = clock_() - started_at_ >= kConfigurationWait;
   if (!accepting_ && (IsReady() || has_waited)) {
     accepting_ = true;
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -1,4 +1,5 @@
-// The process of an entry host that forwards requests directly to endpoints.
+// The gateway process of a host: receives callers' requests and forwards them
+// directly to endpoints.
 
 #ifndef HARECRANK_SRC_GATEWAY_GATEWAY_NODE_H_
 #define HARECRANK_SRC_GATEWAY_GATEWAY_NODE_H_
@@ -38,7 +39,8 @@
 using OrdersFactory =
     std::function<std::unique_ptr<MemoryOrders>(boost::asio::io_context* io)>;
 
-// The parts of the gateway that depend on the platform.
+// The platform's header names, and factories for the components that depend on
+// the platform.
 struct PlatformAdapters {
   ProtocolNames names;
   FeedFactory make_feed;
@@ -48,8 +50,9 @@
 // Returns the current settings, or nothing if they are invalid.
 using SettingsSource = std::function<std::optional<GatewaySettings>()>;
 
-// Owns and connects all components of a gateway. Everything runs on one thread,
-// since a host has less than one core; docs/PLATFORM.md has the figures.
+// Owns and connects all components of a gateway. All components run on one
+// thread, since a host has less than one core; docs/PLATFORM.md lists the
+// resources of a host.
 class GatewayNode {
  public:
   // Throws boost::system::system_error if an address cannot be bound.
@@ -64,7 +67,7 @@
   // Runs until the gateway has drained after a stop signal.
   void Run();
 
-  // Starts to drain, as a stop signal does. Thread-safe.
+  // Starts to drain the gateway, like a stop signal. Thread-safe.
   void RequestStop();
 
  private:
@@ -79,8 +82,8 @@
   void AwaitSignal();
   void OnSignal(int signal);
   void RereadSettings();
-  // Applies the settings that may change at run time. `cause` is what triggered
-  // the reload, for the log.
+  // Applies the settings that may change at run time. `cause` names the trigger
+  // of the reload in the log.
   void ApplySettings(const std::optional<GatewaySettings>& new_settings,
                      const char* cause);
   void BeginDrain();
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -1,4 +1,4 @@
-// Components that the requests of a gateway share.
+// Components of a gateway that all its requests share.
 
 #ifndef HARECRANK_SRC_GATEWAY_GATEWAY_SERVICES_H_
 #define HARECRANK_SRC_GATEWAY_GATEWAY_SERVICES_H_
@@ -29,21 +29,23 @@
 
 namespace harecrank {
 
-// The routing table in force. Its version only increases during the lifetime of
-// the process.
+// Holds the active routing table, whose version only increases during the
+// lifetime of the process.
 class RoutingState {
  public:
-  // Puts `table` in force if its version is higher. Returns whether it is.
+  // Activates `table` if its version is higher than that of the active table.
+  // Returns whether it was activated.
   bool Offer(std::shared_ptr<const RoutingTable> table);
 
-  // Returns the table in force; null before the first one.
+  // Returns the active table, or null if there has been none yet.
   std::shared_ptr<const RoutingTable> InForce() const { return table_; }
 
  private:
   std::shared_ptr<const RoutingTable> table_;
 };
 
-// The retry budgets of all services.
+// Limits the retries of each service, so that they do not amplify an overload.
+// Not thread-safe.
 class RepeatBudgets {
  public:
   RepeatBudgets(RepeatLimit limit, std::function<int()> host_count,
@@ -61,8 +63,8 @@
   std::map<ServiceName, RepeatBudget> budgets_;
 };
 
-// References to the components of which a process has one each. All outlive
-// every request.
+// References to the components of the process that requests use; there is one
+// of each. All must outlive every request.
 struct GatewayServices {
   boost::asio::io_context* io = nullptr;
   const ProtocolNames* names = nullptr;
@@ -82,13 +84,13 @@
   MemoryOrders* orders = nullptr;
   EventLog* log = nullptr;
   Metrics* metrics = nullptr;
-  // Returns the deadline for requests that start now, if this host is about to
-  // stop.
+  // Returns the time by which requests that start now must end because this
+  // host is about to stop; nothing if it is not.
   std::function<std::optional<TimePoint>()> stops_at;
-  // Queries the planner for placements.
+  // The client that queries the planner for placements.
   PlacementClient* places = nullptr;
-  // Called when an endpoint was found to be at fault, so that the planner is
-  // informed soon.
+  // Called when an endpoint was found to be at fault, to inform the planner
+  // soon.
   std::function<void()> on_endpoint_fault;
   MonotonicClock clock;
   RandomSource random;
--- a/src/gateway/http_client.cc
+++ b/src/gateway/http_client.cc
@@ -13,8 +13,8 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-// Values in the platform's store are at most a megabyte, and a page of them is
-// a few megabytes.
+// Maximum size of a reply. Values in the platform's store are at most a
+// megabyte, and a page of several values is a few megabytes.
 constexpr std::uint64_t kMaxReplyBytes = 16U << 20U;
 constexpr unsigned kHttp11 = 11;
 
@@ -131,7 +131,8 @@
 }
 
 void HttpClient::Finish(CallResult result) {
-  // Clear the state first, since the handler may start the next call.
+  // Moves the handler out before calling it, since it may start the next call,
+  // which sets `handler_`.
   Handler handler = std::move(handler_);
   handler_ = nullptr;
   parser_.reset();
--- a/src/gateway/http_client.h
+++ b/src/gateway/http_client.h
@@ -25,7 +25,7 @@
 std::optional<boost::asio::ip::tcp::endpoint> ParseTcpEndpoint(
     const std::string& text);
 
-// Why a call got no response.
+// The reason for which a call got no response.
 struct CallFailure {
   std::string reason;
 };
@@ -35,8 +35,9 @@
 using HttpReply = boost::beast::http::response<boost::beast::http::string_body>;
 using CallResult = std::variant<CallFailure, HttpReply>;
 
-// Not thread-safe; runs on its io_context. If the client is destroyed during a
-// call, the handler is not called.
+// Sends HTTP requests to one address, one at a time, over a persistent
+// connection. Not thread-safe; runs on its io_context. If the client is
+// destroyed during a call, the handler is not called.
 class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
   using Handler = std::function<void(CallResult)>;
@@ -71,8 +72,8 @@
   HttpRequest request_;
   std::optional<Parser> parser_;
   Handler handler_;
-  // The connection has served a call before, so a failure may mean that the
-  // server has closed it as idle.
+  // Whether the connection has served an earlier call. If so, a failure may
+  // mean that the server has closed it as idle.
   bool reused_ = false;
 };
 
--- a/src/gateway/memory_orders.h
+++ b/src/gateway/memory_orders.h
@@ -15,16 +15,19 @@
 // Identifies a reservation of memory at one engine.
 using MemoryTicket = StrongString<struct MemoryTicketTag>;
 
-// Result of an order.
+// Result of an order, which is a request to an engine to reserve or release
+// memory.
 struct OrderResult {
-  // The engine has executed the order, or its effect was in place already.
+  // Whether the engine has executed the order or its effect was in place
+  // already.
   bool done = false;
   // The engine's response; unset if none came within the time-out.
   std::optional<EndpointResponse> answer;
 };
 
-// Sends orders. An order without a response may have been executed, or may be
-// executed seconds later; callers must handle both cases.
+// Sends orders to reserve or release memory to engines. An order without a
+// response may have been executed, or may be executed seconds later; callers
+// must handle both cases.
 class MemoryOrders {
  public:
   using OnResult = std::function<void(const OrderResult& result)>;
@@ -34,13 +37,15 @@
   MemoryOrders& operator=(const MemoryOrders&) = delete;
   virtual ~MemoryOrders() = default;
 
-  // Reserves `amount` at the engine at `address` for `duration` from now, or
-  // renews the reservation of `ticket`. Calls `on_result` once.
+  // Reserves memory for `amount` tokens on the engine at `address` for
+  // `duration` from now. If `ticket` has a reservation there already, renews
+  // it. Calls `on_result` once.
   virtual void Reserve(const std::string& address, const MemoryTicket& ticket,
                        Tokens amount, Millis duration, OnResult on_result) = 0;
 
   // Releases the reservation of `ticket`. If the order is lost, the reservation
-  // expires at the end of its time. Calls `on_result` once.
+  // expires at the end of the duration given to Reserve. Calls `on_result`
+  // once.
   virtual void Release(const std::string& address, const MemoryTicket& ticket,
                        OnResult on_result) = 0;
 };
--- a/src/gateway/memory_reservation.cc
+++ b/src/gateway/memory_reservation.cc
@@ -80,8 +80,9 @@
 
 void MemoryReservation::Renew() {
   for (const MemoryNeed& need : needs_) {
-    // A failed renewal needs no handling here: the engine aborts the request,
-    // which is reported on the request's own connection.
+    // A failed renewal needs no handling here: the engine then aborts the
+    // request, and the gateway sees this on the connection of the request
+    // itself.
     Reserve(need, [](bool /*done*/) {});
   }
   RenewLater();
--- a/src/gateway/memory_reservation.h
+++ b/src/gateway/memory_reservation.h
@@ -1,4 +1,5 @@
-// Reserves memory of several engines for one request: all of it or none.
+// Reserves memory on several engines for one request, either on all of them or
+// on none.
 
 #ifndef HARECRANK_SRC_GATEWAY_MEMORY_RESERVATION_H_
 #define HARECRANK_SRC_GATEWAY_MEMORY_RESERVATION_H_
@@ -15,20 +16,21 @@
 
 namespace harecrank {
 
-// The memory that is needed on one engine.
+// The memory, in tokens, that a request needs on one engine.
 struct MemoryNeed {
   EndpointRecord endpoint;
   MemoryTicket ticket;
   Tokens amount;
 };
 
-// Never waits for memory to become free, so that reservations of several hosts
-// cannot deadlock: if one engine lacks memory, the memory on the others is
-// released. Renews the reservation until Release. Not thread-safe.
+// Reserves memory on all engines of a request and keeps it reserved until
+// Release. Never waits for memory to become free, so that reservations of
+// several hosts cannot deadlock: if one engine lacks memory, the memory on the
+// others is released. Not thread-safe.
 class MemoryReservation
     : public std::enable_shared_from_this<MemoryReservation> {
  public:
-  // Called with each response of an engine, also after Release.
+  // Called with each response of an engine to an order, also after Release.
   using OnEndpointResponse = std::function<void(
       const EndpointRecord& endpoint, const EndpointResponse& response)>;
 
@@ -45,16 +47,18 @@
   void Release();
 
   // How long an engine keeps the memory without a renewal. Shorter than the
-  // time for which engines may keep memory that no request uses, so that a host
-  // that has crashed leaves nothing reserved for longer than that.
+  // time for which an engine may hold memory that no request uses, so that this
+  // time is not exceeded when a host crashes without releasing its
+  // reservations.
   static constexpr Millis kLeaseDuration{3000};
-  // Several renewals fit in one lease, so that one of them may be lost.
+  // Interval between two renewals. Several renewals fit in one lease, so that
+  // one of them may be lost.
   static constexpr Millis kRenewalInterval{900};
 
  private:
   void OnReserved(bool reserved);
   // Returns a callback that passes the response of `endpoint` to `on_response_`
-  // and then calls `then` with whether the order was carried out.
+  // and then calls `then` with whether the order was executed.
   MemoryOrders::OnResult ForwardResponse(
       const EndpointRecord& endpoint,
       std::function<void(bool done)> then) const;
--- a/src/gateway/message_text.cc
+++ b/src/gateway/message_text.cc
@@ -21,8 +21,8 @@
 }  // namespace
 
 bool IsHopByHop(std::string_view name, std::string_view connection) {
-  // RFC 9110, section 7.6.1. Content-Length is included because each connection
-  // has its own framing.
+  // The hop-by-hop headers of RFC 9110, section 7.6.1. Content-Length is added
+  // because the gateway frames the body anew on each connection.
   constexpr std::array<std::string_view, 10> kNames = {
       "Connection",         "Keep-Alive", "Proxy-Connection", "TE",
       "Transfer-Encoding",  "Trailer",    "Upgrade",          "Content-Length",
--- a/src/gateway/message_text.h
+++ b/src/gateway/message_text.h
@@ -1,4 +1,4 @@
-// The text of the HTTP heads and chunks that the gateway sends.
+// Formats the HTTP heads and chunks that the gateway sends.
 
 #ifndef HARECRANK_SRC_GATEWAY_MESSAGE_TEXT_H_
 #define HARECRANK_SRC_GATEWAY_MESSAGE_TEXT_H_
@@ -25,11 +25,11 @@
 // that ends the head.
 void AppendAnswerHead(const ResponseHead& head, std::string* text);
 
-// Appends `bytes` as one chunk. Does nothing if `bytes` is empty, since an
-// empty chunk ends the body.
+// Appends `bytes` as one chunk of the chunked transfer coding. Does nothing if
+// `bytes` is empty, since an empty chunk ends the body.
 void AppendChunk(std::string_view bytes, std::string* text);
 
-// The chunk that ends a body.
+// The chunk that ends a chunked body.
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 }  // namespace harecrank
--- a/src/gateway/peers_log.h
+++ b/src/gateway/peers_log.h
@@ -7,7 +7,8 @@
 
 namespace harecrank {
 
-// Not thread-safe.
+// Counts the hosts that join the fleet and logs changes of its size. Not
+// thread-safe.
 class PeersLog {
  public:
   // `log` must outlive this.
@@ -17,11 +18,12 @@
   void OnMessageReceived() { ++joined_; }
 
   // Writes a line if one is due. `alive` is the current number of alive hosts.
-  // Only the planner writes: any other host hears from a few hosts at a time,
-  // and these change constantly.
+  // Only the planner writes lines: any other host receives heartbeats from only
+  // a few hosts at a time, and these change constantly.
   void Tick(int alive, bool is_planner);
 
-  // Changes within this time are reported in the same line.
+  // Minimum interval between two lines. All changes within it are reported in
+  // one line.
   static constexpr Millis kInterval{1000};
 
  private:
--- a/src/gateway/placement_client.cc
+++ b/src/gateway/placement_client.cc
@@ -6,9 +6,9 @@
 namespace harecrank {
 namespace {
 
-// Progress is collected for this long and sent in one datagram. This is much
-// shorter than a step of any prompt, and events of one forward pass come
-// together.
+// Delay before a progress report, so that progress within this time is sent in
+// one datagram. Events of one forward pass of an engine arrive together, and
+// the delay is much shorter than any prefill step.
 constexpr Millis kReportDelay{2};
 // Number of hosts to which a query is sent before the request is placed
 // locally.
@@ -67,13 +67,16 @@
   const bool is_same_planner =
       pending.hosts_queried > 0 && planner == pending.host;
   if (!planner.has_value() && pending.hosts_queried == 0) {
-    // A planner is expected soon; OnPlannerChanged then sends the query.
+    // A planner is expected to become known soon. OnPlannerChanged then sends
+    // the query to it.
     pending.last_reply_at = pending.sent_at = clock_();
     return;
   }
   if (!planner.has_value() || is_same_planner ||
       pending.hosts_queried >= kMaxHostsQueried) {
-    // Resolved by the timer, so that SendQuery never calls back from within.
+    // The timer resolves the query as PlaceLocally, so that SendQuery does not
+    // call `on_result` before it returns. The times are set so that this
+    // happens at once.
     pending.host = HostAddress{};
     pending.last_reply_at = pending.sent_at = TimePoint{};
     return;
@@ -101,7 +104,8 @@
     const bool placed =
         std::holds_alternative<PlannedPlacement>(reply.decision);
     if (placed && in_progress_.count(reply.id) == 0) {
-      // The query has ended and its placement is not needed any more.
+      // The query has ended, or was sent to another planner, so this placement
+      // is not needed any more.
       ReleasePlacement(reply.from, reply.id);
     }
     return;
@@ -121,7 +125,8 @@
     const bool already_reported = pending.queued;
     pending.queued = true;
     if (!already_reported) {
-      // A copy, since the callback may end the query.
+      // Calls a copy, since the callback may end the query, which erases it
+      // from `pending_`.
       const OnResult on_result = pending.on_result;
       on_result(QueryQueued{});
     }
@@ -287,8 +292,8 @@
                         std::move(requests_done_)};
   prefill_done_.clear();
   requests_done_.clear();
-  // Without a planner the reports are dropped; the next planner gets all work
-  // with this host's heartbeat.
+  // While no planner is known, reports are dropped. The next planner receives
+  // all work in progress with this host's heartbeat.
   if (const auto planner = ports_.planner()) {
     ports_.send(*planner, std::move(report));
   }
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -1,5 +1,5 @@
-// Queries the planner for placements and reports the progress of the requests
-// to it.
+// Queries the planner for placements and reports to it the progress of the
+// requests that were placed.
 
 #ifndef HARECRANK_SRC_GATEWAY_PLACEMENT_CLIENT_H_
 #define HARECRANK_SRC_GATEWAY_PLACEMENT_CLIENT_H_
@@ -19,76 +19,86 @@
 
 namespace harecrank {
 
-// Callbacks of PlacementClient.
+// Callbacks through which PlacementClient finds the planner and sends messages
+// to it.
 struct PlacementClientPorts {
-  // Returns the planner, if it is known.
+  // Returns the current planner, or nothing if none is known.
   std::function<std::optional<HostAddress>()> planner;
   std::function<void(const HostAddress& to, const FleetMessage& message)> send;
-  // Called when `host` has left a query unanswered for the time-out.
+  // Called when `host` has not answered a query within the time-out for
+  // unresponsive hosts (see kUnresponsiveAfter).
   std::function<void(const HostAddress& host)> on_unresponsive;
-  // Called when `host` replies that `planner` is the planner.
+  // Called when `host` replies that it is not the planner but `planner` is.
   std::function<void(const HostAddress& host, const HostAddress& planner)>
       on_redirect;
 };
 
-// No planner has replied: the host places the request itself, based on its own
-// data.
+// Result of a query that no planner has answered: the querying host places the
+// request itself, based on its own data.
 struct PlaceLocally {};
 using QueryResult = std::variant<PlannedPlacement, QueryQueued, QueryRejected,
                                  NoEndpoint, PlaceLocally>;
 
-// Not thread-safe; runs on its io_context. Does not call back from within
-// SendQuery.
+// Sends placement queries to the planner, resends them if replies are late, and
+// reports the work in progress. Not thread-safe; runs on its io_context. Does
+// not call back from within SendQuery.
 class PlacementClient {
  public:
-  // Called once with the final result, which is not QueryQueued. Before that it
-  // may be called once with QueryQueued.
+  // Called once with the final result of a query, which is never QueryQueued.
+  // May be called once with QueryQueued before the final result.
   using OnResult = std::function<void(const QueryResult& result)>;
 
   PlacementClient(boost::asio::io_context* io, HostAddress self,
                   Incarnation incarnation, PlacementClientPorts ports,
                   MonotonicClock clock);
 
-  // Queries the planner for a placement. The query counts as in progress until
-  // OnEnd is called with the returned id.
+  // Queries the planner for a placement. The query, and the placement that
+  // results from it, count as in progress until OnEnd is called with the
+  // returned id.
   QueryId SendQuery(const PlacementRequest& request, bool may_have_run,
                     OnResult on_result);
 
-  // Returns an id for a placement that this host has chosen itself.
+  // Returns a new id for a placement that this host has chosen itself.
+  // OnStarted and OnEnd report such a placement to the planner, too.
   QueryId NewId() { return QueryId{next_id_++}; }
 
-  // Records that the request was sent to its endpoints.
+  // Records that work on the request has begun at the endpoints in `parts`.
   void OnStarted(QueryId id, std::vector<WorkPart> parts);
-  // Records that the first event has arrived, after `pace` times the predicted
-  // time.
+  // Records that the first event has arrived. `pace` is the actual time to the
+  // first event divided by the predicted time.
   void OnPrefillDone(QueryId id, double pace);
   // Records that the request has ended or that its placement is no longer
-  // needed. Ignores ids that have ended already.
+  // needed; `failed` tells whether its endpoint failed. Ignores ids that have
+  // ended already.
   void OnEnd(QueryId id, bool failed);
 
   void OnReply(const PlacementReply& reply);
 
-  // To be called when another host has become the planner. Queries without a
-  // final reply are sent to it.
+  // To be called when another host has become the planner. Queries that have no
+  // final reply yet are sent to the new planner.
   void OnPlannerChanged();
 
-  // Returns all work in progress, for the planner.
+  // Returns the work of all requests in progress, which is sent to the planner
+  // in heartbeats.
   std::vector<QueryWork> Work() const;
 
-  // How long the reply to a query may take before the query is sent again, and
-  // before its host is considered unresponsive. The first covers a lost
-  // datagram, the second a dead planner. Replies take 2 ms within a region;
-  // between regions both time-outs adapt to the observed reply time.
+  // Minimum time-outs of the reply to a query. After kResendAfter the query is
+  // sent again, since a datagram may have been lost; after kUnresponsiveAfter
+  // the planner is considered dead. Both are much longer than the 2 ms that a
+  // reply takes within a region. Where replies take longer, as between regions,
+  // the time-outs are raised to a multiple of the observed reply time.
   static constexpr Millis kResendAfter{30};
   static constexpr Millis kUnresponsiveAfter{100};
-  // How long a query waits for a planner to become known, after a start of this
-  // host or of the whole fleet.
+  // How long a query waits for a planner to become known before the request is
+  // placed locally. No planner is known right after the start of this host or
+  // of the whole fleet.
   static constexpr Millis kPlannerSearchTimeout{150};
-  // Interval at which a queued query is repeated, so that a dead planner or a
-  // lost placement is noticed.
+  // Interval at which a query that waits in the planner's queue is sent again,
+  // so that a dead planner or a lost reply is noticed.
   static constexpr Millis kQueuedRepeatInterval{200};
 
  private:
+  // A query without a final reply.
   struct Pending {
     PlacementQuery query;
     // When the request passes its latency target, and its deadline.
@@ -96,8 +106,9 @@
     TimePoint deadline{};
     OnResult on_result;
     HostAddress host;
-    // `last_reply_at`: when this host was first queried or last replied.
-    // `sent_at`: when the query was last sent.
+    // `last_reply_at`: when `host` last replied to this query, or was first
+    // sent it. `sent_at`: when the query was last sent. Without a planner, both
+    // are the time at which the wait for a planner began.
     TimePoint last_reply_at{};
     TimePoint sent_at{};
     bool queued = false;
@@ -106,8 +117,8 @@
 
   void SendToPlanner(QueryId id);
   void Resend(Pending* pending);
-  // Tells `host` that the placement which it has granted, or may still grant,
-  // is not used.
+  // Informs `host` that a placement which it has granted, or may still grant,
+  // is not used, so that it frees the engines.
   void ReleasePlacement(const HostAddress& host, QueryId id);
   void Resolve(QueryId id, const QueryResult& result);
   // Returns when the query must be checked next.
--- a/src/gateway/placement_search.cc
+++ b/src/gateway/placement_search.cc
@@ -11,10 +11,10 @@
 // Number of placements with unusable endpoints that the planner may return for
 // one request before the host places the request itself.
 constexpr int kMaxUnusablePlacements = 5;
-// Delay before a new search after memory that was free has been reserved by
-// another request.
+// Delay before a new search if the memory for a placement could not be
+// reserved, usually because another request has reserved it in the meantime.
 constexpr Millis kMemoryRetryDelay{40};
-// Interval in which a waiting request of a service without engines checks
+// Interval at which a waiting request of a service without engines checks
 // whether it may start.
 constexpr Millis kStartRetryDelay{40};
 
@@ -106,8 +106,9 @@
     Prepare(*placement);
     return;
   }
-  // The endpoint lists of the planner and of this host differ, or another
-  // planner has already used up this host's quota there.
+  // An endpoint of the placement is not usable according to this host's
+  // directory, which may differ from the planner's, or this host's start quota
+  // there is used up, for example by placements of another planner.
   EndQuery();
   ExcludeUnusable(planned);
   ++unusable_placements_;
@@ -184,8 +185,8 @@
   const ShareRank rank = claim.has_value()
                              ? services_->queue->ShareRankOf(*claim)
                              : ShareRank::kEqual;
-  // A request over its account's fair share does not take an engine while
-  // requests of accounts that have had less wait.
+  // A request of an account that is over its fair share does not take an engine
+  // while requests of accounts that have received less are waiting.
   const bool must_yield = rank == ShareRank::kAfter && !WasSent();
   if (!must_yield && TryPlace()) {
     return;
@@ -211,8 +212,8 @@
 }
 
 TimePoint PlacementSearch::WaitDeadline(SendingHistory history) const {
-  // A request that has already waited for an endpoint and is past its latency
-  // target is still served late.
+  // A request that no endpoint has run although it was sent, and that is past
+  // its latency target, is still served late.
   const bool is_late = params_.late_at <= services_->clock();
   const bool serves_late = history == SendingHistory::kMayHaveRun ||
                            (history == SendingHistory::kNotRun && is_late);
@@ -371,7 +372,7 @@
     return std::nullopt;
   }
   if (waits_at_planner_ && services_->policy->foresees_room) {
-    // The planner decides when waiting is of no more use. A limit on this host
+    // The planner decides how long it is useful to wait. A limit on this host
     // would end the wait of the largest prompts while they still have time.
     return std::nullopt;
   }
@@ -440,7 +441,8 @@
   }
   End();
   StartWaitClock();
-  // Another request has reserved the memory in the meantime.
+  // The memory was probably reserved by another request in the meantime, or an
+  // endpoint has become unusable, so searches again after a delay.
   retry_timer_.expires_after(kMemoryRetryDelay);
   retry_timer_.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& error) {
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -1,5 +1,5 @@
-// Finds a placement for one request, and accounts for the work that the request
-// has in progress there.
+// Finds a placement for one request, and records the work that the request
+// causes at the endpoints of this placement.
 
 #ifndef HARECRANK_SRC_GATEWAY_PLACEMENT_SEARCH_H_
 #define HARECRANK_SRC_GATEWAY_PLACEMENT_SEARCH_H_
@@ -18,17 +18,20 @@
 
 namespace harecrank {
 
-// Why a request that may be retried later is rejected.
+// The reason for which a request is rejected that its caller may send again
+// later.
 enum class RejectionReason {
   // The engines are busy for so long that the request cannot meet its latency
   // target.
   kCannotMeetTarget,
-  // The start quotas of this host and the back-offs that endpoints have asked
-  // it for allow no start before waiting is of no more use.
+  // This host's start quotas and the back-offs that endpoints have asked of it
+  // do not allow the request to start until after the latest time at which
+  // waiting is useful (see PlacementSearch::CannotStartInTime).
   kStartQuotaExhausted
 };
 
-// What has happened to a request so far.
+// Whether a request was sent to an endpoint before, and whether one may have
+// run it.
 enum class SendingHistory {
   // It has not been sent.
   kNew,
@@ -47,20 +50,22 @@
   PlacementObserver& operator=(const PlacementObserver&) = delete;
   virtual ~PlacementObserver() = default;
 
-  // The request may be sent now. The memory that it needs on helpers is
-  // reserved.
+  // The request may be sent to the endpoint of `placement` now. The memory that
+  // it needs on helpers is reserved.
   virtual void OnPlaced(const Placement& placement) = 0;
   // The request is rejected; its caller may retry after `retry_after`.
   virtual void OnRejected(RejectionReason reason, Millis retry_after) = 0;
   // No endpoint of the service is usable.
   virtual void OnNoEndpoint() = 0;
-  // The request waits, or the reason for its wait has changed.
+  // The request has begun to wait for a reply of the planner, a free engine, a
+  // start quota or reserved memory, or waits for another of these than before.
   virtual void OnWaiting() = 0;
 };
 
-// The parameters of a search.
+// The request to place, and its times.
 struct PlacementSearchParams {
-  // `until_late` and `until_deadline` are updated at each try.
+  // The request to place. Its `until_late` and `until_deadline` are recomputed
+  // from `late_at` and `deadline` at each try.
   PlacementRequest request;
   TimePoint late_at{};
   TimePoint deadline{};
@@ -68,8 +73,9 @@
 };
 
 // Queries the planner for a placement. If no planner answers, places the
-// request from this host's own state. Requests of services without engines are
-// always placed that way. Not thread-safe; runs on its io_context.
+// request based on this host's own state. Requests of a service without engines
+// (ServiceProfile::engine is unset) are always placed by this host itself. Not
+// thread-safe; runs on its io_context.
 class PlacementSearch : public std::enable_shared_from_this<PlacementSearch> {
  public:
   // `services` must outlive this. `observer` must live until Close has been
@@ -82,40 +88,47 @@
   // Starts a search.
   void Search(SendingHistory history);
 
-  // Returns whether the limits and back-offs of the endpoints allow no start on
-  // this host before waiting is of no more use.
+  // Returns whether, at each endpoint that was not tried yet, a start limit or
+  // a back-off prevents this host from starting the request before the latest
+  // time at which waiting is useful: its latency target, or its deadline if it
+  // is also served late.
   bool CannotStartInTime(SendingHistory history) const;
 
-  // Rejects a waiting request if all endpoints have asked for a back-off that
-  // lasts longer than waiting is of use. Returns whether it did.
+  // Rejects a waiting request if all endpoints that were not tried yet have
+  // asked for back-off and none of them can start it by the latest time at
+  // which waiting is useful. A request that may have run is not rejected.
+  // Returns whether the request was rejected.
   bool RejectIfAllBackingOff();
 
   // Returns the Retry-After time if all endpoints have asked for a back-off,
   // otherwise nothing.
   std::optional<Millis> RetryAfterBackoffs() const;
 
-  // Returns whether the request is in a queue, of the planner or of this host.
+  // Returns whether the request is in the planner's queue or in that of this
+  // host.
   bool IsWaiting() const { return queue_id_.has_value() || waits_at_planner_; }
   void LeaveQueue();
 
   // Excludes an endpoint from further searches, since the request has been sent
   // there.
   void MarkTried(const EndpointId& id) { params_.request.tried.insert(id); }
-  // The first event has arrived. `slowdown` is the ratio of its actual to its
-  // predicted latency.
+  // Records that the first event has arrived. `slowdown` is the ratio of its
+  // actual to its predicted latency.
   void OnPrefillDone(double slowdown);
-  // The endpoint of the current placement failed.
+  // Records that the endpoint of the current placement has failed.
   void OnFailure() { failed_ = true; }
   // Gives up the current placement, and a query that has not been answered.
   void End();
-  // The request has ended. The observer is not called any more.
+  // Ends the search because the request has ended. The observer is not called
+  // any more.
   void Close();
 
   // Returns the ticket for the memory that the current placement reserves on
   // `holder`.
   MemoryTicket TicketFor(const EndpointId& holder) const;
-  // Returns the end of the wait for engines if it is limited for this kind of
-  // request.
+  // Returns the time until which the request may wait for engines, or nothing
+  // if this host does not limit its wait. Only oversize requests (IsOversize)
+  // that wait and cannot have run are limited.
   std::optional<TimePoint> WaitEnd(bool may_have_run) const;
   // Returns the time since the request began to wait, or nothing if it never
   // has.
@@ -123,54 +136,63 @@
   Tokens Prompt() const { return params_.request.prompt; }
 
  private:
-  // Queries the planner. The reply comes to OnResult.
+  // Queries the planner. OnResult receives the reply.
   void SendQuery();
   void OnResult(const QueryResult& result);
   // Uses the planner's placement. If this host knows that an endpoint in it is
   // not usable, or may not start the request there, queries the planner again.
   void UsePlanned(const PlannedPlacement& planned);
-  // Excludes the unusable endpoints of `planned` from the next query. Without
-  // this the planner may name a dozen endpoints of a drained data centre, one
-  // after the other.
+  // Excludes the unusable endpoints of `planned` from the next query. Otherwise
+  // the planner could return placements on a dozen endpoints of a drained data
+  // centre, one after the other.
   void ExcludeUnusable(const PlannedPlacement& planned);
   std::optional<Placement> PlacementOf(const PlannedPlacement& planned) const;
-  // Returns the record of `id` if it accepts new work, otherwise null.
+  // Returns the record of the endpoint `id` if it accepts new work, otherwise
+  // null.
   const EndpointRecord* Usable(const EndpointId& id) const;
   // Returns whether this host's quotas allow it to start `placement`.
   bool MayStart(const Placement& placement) const;
   // Returns whether all endpoints of `placement` still accept new work.
   bool IsStillUsable(const Placement& placement) const;
-  // Logs that no planner made the placement.
+  // Logs that this host, and not the planner, places the request.
   void LogPlacedLocally();
-  // Places the request from this host's own state, or lets it wait here.
+  // Places the request based on this host's own state. If that is not possible
+  // now, the request waits on this host or is rejected.
   void PlaceWithLocalState();
-  // Returns false if all engines that could take the request are busy.
+  // Tries to place the request based on this host's own state, and reports a
+  // placement or the lack of a usable endpoint to the observer. Returns false
+  // if all engines that could take the request are busy.
   bool TryPlace();
   void SetTimes();
-  // Updates the endpoints at which this host may not start a request now.
+  // Updates `params_.request.withheld`, the endpoints at which this host may
+  // not start a request now because of start limits and back-offs.
   void SetWithheld();
   void Wait();
-  // Waits while all endpoints of a service without engines are withheld, at
-  // most until the request is past its latency target.
+  // For services without engines: lets the request wait until this host may
+  // start a request at one of the endpoints, and ends the search if that will
+  // be too late.
   void WaitForStart();
-  // Ends the search if the condition of CannotStartInTime holds. Returns
-  // whether it did.
+  // Ends the search if the request cannot start in time, as CannotStartInTime
+  // defines it. Returns whether the search was ended.
   bool EndIfStartLimited();
   // Returns when and how fast this host may start requests at the endpoints
   // that are not in `tried`. Returns nothing if one of them has no limit.
   std::optional<StartAvailability> AvailabilityExcluding(
       const std::set<EndpointId>& tried) const;
-  // Returns until when waiting for an endpoint is of use.
+  // Returns the latest time at which waiting for an endpoint is useful: the
+  // time at which the request misses its latency target, or its deadline if it
+  // is also served late.
   TimePoint WaitDeadline(SendingHistory history) const;
   void RejectStartLimited(const StartAvailability& availability);
   // Returns whether the request has been sent before.
   bool WasSent() const { return history_ != SendingHistory::kNew; }
   void StartWaitClock();
-  // Returns whether a waiting prompt with no more work than this one can no
-  // longer meet its latency target.
+  // Returns whether a request in this host's queue with at most as much prefill
+  // work as this one can no longer meet its latency target. If so, this one
+  // could not either.
   bool CannotMeetTarget() const;
-  // Returns what the request takes of its account's fair share, or nothing for
-  // services without engines.
+  // Returns the engine time that the request would take, which is charged to
+  // its account's fair share, or nothing for services without engines.
   std::optional<ShareClaim> Claim() const;
   // Returns the Retry-After time for a request that is rejected because the
   // engines are busy.
@@ -180,7 +202,8 @@
   // `placement`.
   void Prepare(const Placement& placement);
   void OnMemoryReserved(const Placement& placement, bool reserved);
-  // Records the start and passes `placement` to the observer.
+  // Counts the start toward this host's start quotas and passes `placement` to
+  // the observer.
   void Commit(const Placement& placement);
   void StartWork(const Placement& placement);
   // Ends the query, or the placement that resulted from it, at the planner.
@@ -191,19 +214,20 @@
   // Null after Close.
   PlacementObserver* observer_;
   std::function<nlohmann::json()> log_fields_;
-  // Delay before the next try, after a failed memory reservation or while all
-  // endpoints are withheld.
+  // Timer for the next try, after a memory reservation has failed or while this
+  // host may not start a request at any endpoint.
   Timer retry_timer_;
   SendingHistory history_ = SendingHistory::kNew;
-  // Id of the query or of the placement that resulted from it; unset if there
-  // is none.
+  // Id of the current query, or of the current placement if it has been made;
+  // unset if there is neither.
   std::optional<QueryId> query_id_;
   bool waits_at_planner_ = false;
   std::optional<WaitingRequestId> queue_id_;
   TimePoint waiting_since_{};
   int placements_ = 0;
   int unusable_placements_ = 0;
-  // The work of the endpoint first, then of the helpers.
+  // Ids of the work that the current placement causes in EndpointLoads: first
+  // that of the endpoint, then those of the helpers.
   std::vector<WorkId> work_;
   std::shared_ptr<MemoryReservation> reservation_;
   bool failed_ = false;
--- a/src/gateway/planner_service.h
+++ b/src/gateway/planner_service.h
@@ -1,4 +1,4 @@
-// Serves the queries of other hosts, on the planner.
+// Answers the placement queries of all hosts while this host is the planner.
 
 #ifndef HARECRANK_SRC_GATEWAY_PLANNER_SERVICE_H_
 #define HARECRANK_SRC_GATEWAY_PLANNER_SERVICE_H_
@@ -14,14 +14,17 @@
 
 namespace harecrank {
 
-// Callbacks of PlannerService.
+// Callbacks through which PlannerService finds the current planner and sends
+// replies.
 struct PlannerServicePorts {
   // Returns the planner, or nothing if it is not known yet.
   std::function<std::optional<HostAddress>()> planner;
   std::function<void(const HostAddress& to, const FleetMessage& message)> send;
 };
 
-// Not thread-safe; runs on its io_context.
+// Passes queries, progress reports and heartbeats to the Planner while this
+// host is the planner, and sends its replies. Not thread-safe; runs on its
+// io_context.
 class PlannerService {
  public:
   // All pointers must outlive this.
@@ -36,11 +39,12 @@
   // To be called every few tens of milliseconds on the planner.
   void Tick();
 
-  // Interval at which the wait queue is processed if no messages arrive.
+  // Interval at which the planner's wait queue is processed if no messages
+  // arrive.
   static constexpr Millis kProcessInterval{40};
-  // The wait queue is processed this long after a message, so that requests
-  // that end within this time are handled together. Processing one queued
-  // prompt examines every engine.
+  // Delay between a message and the processing of the wait queue, so that all
+  // requests that end within this time are handled together. Processing is
+  // costly because each queued prompt is compared with every engine.
   static constexpr Millis kProcessDelay{4};
 
  private:
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -17,13 +17,16 @@
 // sets a longer one, and time-out of a fetch.
 constexpr Millis kFetchInterval{100};
 constexpr Millis kFetchTimeout{1500};
-// How long this host waits for newer data of another host before it fetches
-// them. Without own polling, the planner's changes are on their way; a host
-// that polls gets the store's own answer.
+// How long this host waits to receive newer data, which another host has,
+// before it fetches them. kPeerUpdateDelay applies to a host that the store
+// does not answer, since the planner's changes usually arrive within this time.
+// kPollDelay applies to a host whose polls the store answers, since it gets the
+// data with the next answer.
 constexpr Millis kPeerUpdateDelay{30};
 constexpr Millis kPollDelay{300};
-// Largest part of changes that is sent as a datagram. Larger changes, such as a
-// configuration with many routes, are fetched over a connection.
+// Maximum size of a message with changes that is sent as a datagram. Larger
+// changes, such as a configuration with many routes, are fetched over a
+// connection.
 constexpr std::size_t kMaxChangesBytes = 16384;
 
 namespace http = boost::beast::http;
@@ -73,7 +76,8 @@
     return;
   }
   changes_scheduled_ = true;
-  // Posted, so that changes which arrive together are sent together.
+  // Posted, so that changes that arrive in the same turn of the event loop are
+  // sent together.
   boost::asio::post(*io_, [this] { SendChanges(); });
 }
 
@@ -91,7 +95,8 @@
   sent_up_to_ = own.known_up_to;
   const bool is_first_data = since == StoreRevision{};
   if (is_first_data && own.poll_state != PollState::kNone) {
-    // Other hosts that have just started wait for these data too.
+    // These are the first data of this host, received by its own poll. Other
+    // hosts may have just started, too, and need them.
     ports_.announce();
     return;
   }
@@ -193,7 +198,7 @@
 
 void PublicationRelay::ScheduleNextFetch(const HttpReply* reply) {
   const auto retry_after = reply == nullptr ? std::nullopt : RetryAfter(*reply);
-  // With jitter, so that hosts that were rejected together do not retry
+  // Adds jitter, so that hosts that were rejected together do not retry
   // together.
   const Millis jitter(static_cast<std::int64_t>(
       random_() % static_cast<std::uint64_t>(kFetchInterval.count())));
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -1,4 +1,5 @@
-// Distributes the store's data between the hosts of a fleet.
+// Distributes the data that this host has received from the store to the other
+// hosts of the fleet, and fetches newer data from them.
 
 #ifndef HARECRANK_SRC_GATEWAY_PUBLICATION_RELAY_H_
 #define HARECRANK_SRC_GATEWAY_PUBLICATION_RELAY_H_
@@ -17,14 +18,16 @@
 
 namespace harecrank {
 
-// Callbacks of PublicationRelay.
+// Callbacks through which PublicationRelay accesses this host's data and
+// heartbeats.
 struct PublicationRelayPorts {
-  // Returns the owner's part of this host's heartbeat: what it knows of the
-  // store's data.
+  // Returns a heartbeat in which only the fields are set that
+  // FleetMemberPorts::describe fills, among them which of the store's data this
+  // host has.
   std::function<Heartbeat()> describe;
   // Returns the changes after `since`, for hosts whose data are complete up to
-  // it, in consecutive parts of at most `max_bytes`; the last part may be
-  // larger.
+  // it, in consecutive messages of at most `max_bytes`; only the last one may
+  // be larger.
   std::function<std::vector<std::string>(StoreRevision since,
                                          std::size_t max_bytes)>
       published;
@@ -32,7 +35,7 @@
   // used.
   std::function<bool(const std::string& changes, bool store_data_fresh)>
       on_published;
-  // Returns whether a newer routing table is being parsed and will be in force
+  // Returns whether a newer routing table is being parsed and will be active
   // soon.
   std::function<bool()> is_parsing_routing;
   std::function<bool()> is_planner;
@@ -42,7 +45,9 @@
   std::function<void()> send_heartbeat;
 };
 
-// Not thread-safe; runs on its io_context.
+// On the planner, sends changes of the store's data to the other hosts; on all
+// hosts, imports received changes and fetches a snapshot from another host if
+// changes are missing. Not thread-safe; runs on its io_context.
 class PublicationRelay {
  public:
   // All pointers must outlive this.
@@ -54,29 +59,33 @@
   // To be called when this host's data have changed. Informs the other hosts.
   void OnPublished();
 
-  // To be called when this host becomes the planner, which sends all later
-  // changes to the other hosts.
+  // To be called when this host becomes the planner. From then on it sends the
+  // other hosts all changes, beginning after the data it has now.
   void OnBecamePlanner();
 
   // Handles changes that the planner has sent.
   void OnChanges(const PublishedChanges& published);
 
-  // Fetches a snapshot from a host that has newer data, unless this host, whose
-  // state is `own`, is expected to receive the data in other ways soon. To be
-  // called with each heartbeat and every few tens of milliseconds.
+  // Fetches a snapshot from a host that has newer data. Waits first for the
+  // time in which this host, whose state is `own`, usually receives the data
+  // from the planner or the store. To be called with each heartbeat and every
+  // few tens of milliseconds.
   void FetchIfBehind(const Heartbeat& own);
 
  private:
-  // Informs the other hosts of the changes after `sent_up_to_`.
+  // Informs the other hosts of the changes after `sent_up_to_`: the planner
+  // sends the changes, or a heartbeat if they are too large; any other host
+  // sends a heartbeat.
   void SendChanges();
-  // Returns how long this host waits for newer data of another host before it
-  // fetches them; zero if it has no routing table yet.
+  // Returns how long this host, after it has learned that another host has
+  // newer data, waits to receive them before it fetches them; zero if it has no
+  // routing table yet.
   Millis FetchDelay(const Heartbeat& own) const;
   void Fetch(const HostAddress& host, StoreRevision since, bool is_redirected);
   void OnFetched(const HostAddress& host, StoreRevision since,
                  bool is_redirected, const CallResult& result);
-  // Sets when the next snapshot may be requested, by the Retry-After header of
-  // `reply` if it has one.
+  // Sets when the next snapshot may be requested: after the Retry-After time of
+  // `reply`, or after a default if it has none or is null.
   void ScheduleNextFetch(const HttpReply* reply);
 
   boost::asio::io_context* io_;
