--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -107,8 +107,9 @@
     OnResult on_result;
     HostAddress host;
     // `last_reply_at`: when `host` last replied to this query, or was first
-    // sent it. `sent_at`: when the query was last sent. Without a planner, both
-    // are the time at which the wait for a planner began.
+    // sent it. `sent_at`: when the query was last sent. While no planner is
+    // known for a new query, `last_reply_at` is the time at which the wait for
+    // one began.
     TimePoint last_reply_at{};
     TimePoint sent_at{};
     bool queued = false;
--- a/src/gateway/placement_search.cc
+++ b/src/gateway/placement_search.cc
@@ -212,8 +212,8 @@
 }
 
 TimePoint PlacementSearch::WaitDeadline(SendingHistory history) const {
-  // A request that no endpoint has run although it was sent, and that is past
-  // its latency target, is still served late.
+  // A request that was sent, has not run and is past its latency target has
+  // already waited for an endpoint, so it is still served late.
   const bool is_late = params_.late_at <= services_->clock();
   const bool serves_late = history == SendingHistory::kMayHaveRun ||
                            (history == SendingHistory::kNotRun && is_late);
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -188,8 +188,8 @@
   bool WasSent() const { return history_ != SendingHistory::kNew; }
   void StartWaitClock();
   // Returns whether a request in this host's queue with at most as much prefill
-  // work as this one can no longer meet its latency target. If so, this one
-  // could not either.
+  // work as this one can no longer meet its latency target, so that this one
+  // probably could not either. False for a request that was sent before.
   bool CannotMeetTarget() const;
   // Returns the engine time that the request would take, which is charged to
   // its account's fair share, or nothing for services without engines.
--- a/src/gateway/planner_service.h
+++ b/src/gateway/planner_service.h
@@ -23,8 +23,9 @@
 };
 
 // Passes queries, progress reports and heartbeats to the Planner while this
-// host is the planner, and sends its replies. Not thread-safe; runs on its
-// io_context.
+// host is the planner, and sends the Planner's replies. While another host is
+// the planner, replies to queries with its address. Not thread-safe; runs on
+// its io_context.
 class PlannerService {
  public:
   // All pointers must outlive this.
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -95,8 +95,8 @@
   sent_up_to_ = own.known_up_to;
   const bool is_first_data = since == StoreRevision{};
   if (is_first_data && own.poll_state != PollState::kNone) {
-    // These are the first data of this host, received by its own poll. Other
-    // hosts may have just started, too, and need them.
+    // These are the first data of a host that polls the store. Other hosts that
+    // have just started need them, too, and fetch them after the announcement.
     ports_.announce();
     return;
   }
--- a/src/gateway/request_sender.cc
+++ b/src/gateway/request_sender.cc
@@ -7,12 +7,13 @@
 namespace harecrank {
 namespace {
 
-// A connection within a region is established within milliseconds. A lost
-// packet costs a second, so another endpoint is faster.
+// Time-out for opening a connection. Within a region this takes milliseconds.
+// If a packet is lost, TCP resends it only after a second, so it is faster to
+// try another endpoint.
 constexpr Millis kConnectTimeout{250};
 // How long after its first event a request still counts as starting, so that a
-// crash of the endpoint is attributed to it. Ten times the time in which an
-// engine crashes on a request, to cover slow engines.
+// crash of the endpoint is attributed to it. Ten times the time that an engine
+// usually takes to crash on a request, to cover slow engines.
 constexpr Millis kStartPeriod{1000};
 
 }  // namespace
@@ -39,8 +40,9 @@
 }
 
 std::unique_ptr<EndpointConnection> RequestSender::Connection() {
-  // On a reused connection the request can cross the endpoint's close, and then
-  // it is unknown whether the request has run.
+  // The endpoint may close an idle connection while a request is being sent on
+  // it, and then it is unknown whether the request has run. So a reused
+  // connection is only taken for requests that may be repeated.
   if (route_->MayRepeat()) {
     auto idle = services_->connections->TakeIdle(endpoint_.id);
     if (idle != nullptr) {
@@ -81,8 +83,8 @@
   attempt_first_event_at_ = now;
   first_event_at_ = first_event_at_.value_or(now);
   const FractionalMillis taken = now - sent_at_;
-  // Added to both times, since for short latencies the ratio would be mostly
-  // noise. Only long latencies are compared in full.
+  // Added to both times, since for latencies below this the ratio would be
+  // mostly noise. It hardly affects the ratio of long latencies.
   constexpr FractionalMillis kNegligible{200};
   const double slowdown = (taken + kNegligible) / (predicted_ + kNegligible);
   services_->health->OnSuccess(endpoint_.id, slowdown);
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -1,5 +1,5 @@
-// Sends one request to endpoints, one attempt at a time, and updates the health
-// of the endpoint that processes it.
+// Sends one request to endpoints, one attempt at a time, and records the
+// results in the endpoints' health.
 
 #ifndef HARECRANK_SRC_GATEWAY_REQUEST_SENDER_H_
 #define HARECRANK_SRC_GATEWAY_REQUEST_SENDER_H_
@@ -16,7 +16,8 @@
 
 namespace harecrank {
 
-// Not thread-safe; runs on its io_context.
+// Runs the attempts of one request and records their times and results. Not
+// thread-safe; runs on its io_context.
 class RequestSender {
  public:
   // All pointers must outlive this. `observer` receives the events of each
@@ -25,45 +26,52 @@
                 AttemptObserver* observer);
 
   void Send(const Placement& placement, OutgoingRequest request);
-  // Cancels the attempt, which tells the endpoint to stop.
+  // Cancels the attempt by closing its connection, which makes the endpoint
+  // stop processing the request.
   void Cancel();
-  // The attempt has ended without Cancel.
+  // Records that the current attempt has ended by itself, not by Cancel.
   void OnEnded() { attempt_.reset(); }
 
-  // The observer forwards the events of the attempt here.
+  // To be called by the observer for the events of the attempt, and for its
+  // assessment of them: OnErrorAnswer for an error response or an invalid or
+  // aborted one, OnUnreachable if the endpoint could not be reached, OnOverdue
+  // if the response is overdue.
   void OnSent();
   void OnAnswer(const EndpointResponse& response);
   void OnBytes();
-  // Notes that the first event has arrived. Returns the ratio of its actual to
-  // its predicted latency, or nothing if an event had arrived before in this
+  // Records that the first event of the response has arrived. Returns the ratio
+  // of its actual to its predicted latency, both increased by a constant (see
+  // the definition), or nothing if an event had already arrived in this
   // attempt.
   std::optional<double> OnFirstEvent();
   void OnErrorAnswer();
   void OnUnreachable();
   void OnOverdue();
-  // Marks the helper as at fault that a rejection names, if it names one.
-  // `fields` identify the request in the log line.
+  // Handles a rejection: if it names a helper of the placement as its cause,
+  // marks this helper as at fault. `fields` identify the request in the log
+  // line.
   void OnRejection(const EndpointResponse& response, nlohmann::json fields);
 
   bool IsUnderWay() const { return attempt_ != nullptr; }
-  // Whether the last attempt has written to the connection, so that the
-  // endpoint may have the request.
+  // Returns whether the last attempt has begun to write the request to the
+  // connection, so that the endpoint may have received it.
   bool WasSent() const { return was_sent_; }
   bool HasFirstEvent() const { return attempt_first_event_at_.has_value(); }
-  // Whether the endpoint has not sent the first event of the attempt yet, or
-  // has sent it less than kStartPeriod ago.
+  // Returns whether the endpoint is still starting the request: it has not sent
+  // the first event of the attempt yet, or less than kStartPeriod ago.
   bool IsStarting() const;
-  // Returns the time from which the response of the current attempt is overdue.
+  // Returns the time from which on the response of the current attempt is
+  // overdue, if no more of it arrives.
   TimePoint OverdueAt() const;
 
   int SendCount() const { return send_count_; }
-  // The endpoint of the last attempt.
+  // Returns the endpoint of the last attempt.
   const EndpointRecord& Endpoint() const { return endpoint_; }
   FractionalMillis Predicted() const { return predicted_; }
   // Returns the time since the first event of this attempt, or nothing before
   // it.
   std::optional<Millis> SinceFirstEvent() const;
-  // Time of the first event over all attempts.
+  // Returns the time of the first event in any of the attempts.
   const std::optional<TimePoint>& FirstEventAt() const {
     return first_event_at_;
   }
@@ -83,7 +91,7 @@
   TimePoint sent_at_{};
   TimePoint last_bytes_at_{};
   bool was_sent_ = false;
-  // First event of the last attempt; unset before it.
+  // Time of the first event of the last attempt; unset before it has arrived.
   std::optional<TimePoint> attempt_first_event_at_;
   std::optional<TimePoint> first_event_at_;
   int send_count_ = 0;
--- a/src/gateway/response_decoder.cc
+++ b/src/gateway/response_decoder.cc
@@ -26,8 +26,8 @@
   int zone = 0;
   const bool is_parsed =
       Poco::DateTimeParser::tryParse(format, date_text, date, zone);
-  // The parser accepts nearly any text as a date, so compare with the formatted
-  // result.
+  // The parser accepts nearly any text as a date, so the parsed date is
+  // formatted again and compared with the text.
   if (!is_parsed ||
       Poco::DateTimeFormatter::format(date, format) != date_text) {
     return std::nullopt;
@@ -35,7 +35,8 @@
   return date.timestamp();
 }
 
-// Returns whether Retry-After has a meaning in a response with `status`.
+// Returns whether a Retry-After header in a response with `status` is a
+// back-off hint.
 bool MayCarryBackoffHint(unsigned status) {
   return status == http_status::kUnavailable ||
          status == http_status::kTooManyRequests;
--- a/src/gateway/response_decoder.h
+++ b/src/gateway/response_decoder.h
@@ -1,4 +1,4 @@
-// Decodes the heads of endpoints' responses.
+// Decodes the heads of endpoints' HTTP responses.
 
 #ifndef HARECRANK_SRC_GATEWAY_RESPONSE_DECODER_H_
 #define HARECRANK_SRC_GATEWAY_RESPONSE_DECODER_H_
@@ -17,8 +17,9 @@
                                 const ProtocolNames& names);
 
 // Parses the value of a Retry-After header: seconds, with or without a
-// fraction, or an HTTP date. A date is taken relative to `response_date`, the
-// Date header of the same response, since the wall clocks of hosts may jump.
+// fraction, or an HTTP date. A date is converted to the time after
+// `response_date`, the Date header of the same response, since the wall clock
+// of this host may jump.
 BackoffHint ParseRetryAfter(std::string_view text,
                             std::string_view response_date);
 
@@ -26,7 +27,7 @@
 // down.
 LeavingHint ParseLeavingHint(std::string_view text);
 
-// Longer back-offs are reduced to this.
+// Maximum back-off. Longer ones are reduced to this value.
 constexpr Millis kMaxBackoff = std::chrono::hours(24);
 
 }  // namespace harecrank
--- a/src/gateway/response_relay.h
+++ b/src/gateway/response_relay.h
@@ -1,4 +1,5 @@
-// Forwards the responses of endpoints to the caller, across several attempts.
+// Forwards the response to a request from endpoints to the caller, across
+// several attempts.
 
 #ifndef HARECRANK_SRC_GATEWAY_RESPONSE_RELAY_H_
 #define HARECRANK_SRC_GATEWAY_RESPONSE_RELAY_H_
@@ -21,49 +22,51 @@
  public:
   ResponseRelay(std::shared_ptr<ResponseSink> sink, MonotonicClock clock);
 
-  // Starts a new attempt. A stream that has begun at the caller continues after
-  // the last event that was forwarded.
+  // Prepares for the response of a new attempt. If a stream to the caller has
+  // begun, it continues after the last event that was forwarded.
   void BeginAttempt();
 
-  // Treats the current response as an event stream. The caller gets the head of
-  // the first such response only.
+  // Treats the current response as an event stream. Only the head of the first
+  // such response is sent to the caller.
   void RelayEvents(const ResponseHead& head);
   // Buffers the current response until it is complete.
   void BufferWhole(ResponseHead head);
 
-  // What Accept has done with the bytes.
+  // Result of Accept.
   enum class AcceptResult {
     kBuffered,
-    // At least one complete event was forwarded.
+    // At least one complete event was forwarded to the caller.
     kEvents,
     // The response exceeds the size limit.
     kTooLarge
   };
   AcceptResult Accept(std::string_view bytes);
 
-  // Discards an incomplete event.
+  // Discards the received bytes of an incomplete event.
   void DropPartial() { scanner_.DropPartial(); }
   bool HasPartial() const { return scanner_.HasPartial(); }
 
   // Ends the stream to the caller.
   void EndStream();
-  // Closes the caller's connection, so that the stream does not look complete.
+  // Closes the caller's connection without the end of the stream, so that the
+  // caller recognises the stream as incomplete.
   void AbortStream();
-  // Sends the buffered response and returns its status.
+  // Sends the buffered response to the caller and returns its status.
   unsigned SendBuffered();
   // Returns the status of the buffered response. Requires BufferWhole.
   unsigned BufferedStatus() const { return head_->result_int(); }
 
   bool IsStream() const { return is_stream_; }
-  // Whether the head of a stream has been sent to the caller.
+  // Returns whether the head of a stream has been sent to the caller.
   bool StreamBegun() const { return stream_begun_; }
   const std::string& LastEventId() const { return scanner_.LastId(); }
   std::size_t EventCount() const { return scanner_.Count(); }
-  // Returns the longest time between two forwarded chunks of events, including
-  // the gaps between attempts.
+  // Returns the longest time between two forwarded groups of events. Includes
+  // the time between the last events of one attempt and the first of the next.
   TimePoint::duration LongestGap() const { return longest_gap_; }
 
  private:
+  // Updates `longest_gap_` when events are forwarded.
   void RecordGap();
 
   std::shared_ptr<ResponseSink> sink_;
--- a/src/gateway/response_sink.h
+++ b/src/gateway/response_sink.h
@@ -1,4 +1,4 @@
-// Interface to which the response to one request is written.
+// Interface through which the response to one request is written to its caller.
 
 #ifndef HARECRANK_SRC_GATEWAY_RESPONSE_SINK_H_
 #define HARECRANK_SRC_GATEWAY_RESPONSE_SINK_H_
@@ -15,8 +15,9 @@
 using ResponseHead =
     boost::beast::http::response_header<boost::beast::http::fields>;
 
-// Exactly one of these sequences is called: SendWhole; or BeginStream,
-// SendEvents any number of times, and EndStream or AbortStream.
+// Writes the response to one request to its caller. Exactly one of these
+// sequences must be called: SendWhole; or BeginStream, SendEvents any number of
+// times, and EndStream or AbortStream.
 class ResponseSink {
  public:
   ResponseSink() = default;
@@ -31,7 +32,8 @@
   virtual void BeginStream(ResponseHead head) = 0;
   virtual void SendEvents(std::string bytes) = 0;
   virtual void EndStream() = 0;
-  // Closes the connection so that the response does not look complete.
+  // Closes the connection without the end of the response, so that the caller
+  // recognises the response as incomplete.
   virtual void AbortStream() = 0;
 };
 
--- a/src/gateway/settings_views.cc
+++ b/src/gateway/settings_views.cc
@@ -5,8 +5,8 @@
 namespace harecrank {
 namespace {
 
-// Descriptors for other purposes than callers' connections: files, listening
-// sockets, and connections to endpoints.
+// Number of file descriptors that are reserved for other purposes than callers'
+// connections: files, listening sockets, and connections to endpoints.
 constexpr std::size_t kReservedDescriptors = 1200;
 constexpr std::size_t kMinSessions = 256;
 
--- a/src/gateway/settings_views.h
+++ b/src/gateway/settings_views.h
@@ -11,16 +11,18 @@
 
 namespace harecrank {
 
-// Returns the maximum number of callers' connections with a limit of
-// `descriptors` file descriptors.
+// Returns the maximum number of callers' connections for a process that may
+// open `descriptors` file descriptors.
 std::size_t MaxSessions(std::size_t descriptors);
 
 // Returns this host's address and CPU share as other hosts see them.
 KnownHost Self(const GatewaySettings& settings);
 
-// Returns whether other hosts contact this one first.
+// Returns whether this host is a seed, which other hosts contact first to find
+// the fleet. Also true if no seeds are configured.
 bool IsSeed(const GatewaySettings& settings);
 
+// Converts addresses of hosts from settings.
 std::vector<HostAddress> Addresses(const std::vector<std::string>& texts);
 
 }  // namespace harecrank
--- a/src/gateway/simple_http_server.cc
+++ b/src/gateway/simple_http_server.cc
@@ -13,13 +13,14 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-// Other hosts, the load balancer and operators send short requests repeatedly,
-// so idle connections are kept for a while.
+// How long an idle connection is kept. Other hosts, the load balancer and
+// operators send short requests repeatedly, so they can reuse their
+// connections.
 constexpr Millis kIdleLimit{30000};
 constexpr unsigned kHttp11 = 11;
 constexpr int kBacklog = 1024;
 
-// Serves one connection.
+// Reads the requests of one connection and writes the handler's replies.
 class HttpSession : public std::enable_shared_from_this<HttpSession> {
  public:
   HttpSession(asio::ip::tcp::socket socket,
--- a/src/gateway/simple_http_server.h
+++ b/src/gateway/simple_http_server.h
@@ -1,5 +1,5 @@
-// HTTP server for short replies: readiness, metrics, and requests of other
-// hosts.
+// HTTP server for short requests: readiness checks, metrics, and requests of
+// other hosts for snapshots.
 
 #ifndef HARECRANK_SRC_GATEWAY_SIMPLE_HTTP_SERVER_H_
 #define HARECRANK_SRC_GATEWAY_SIMPLE_HTTP_SERVER_H_
@@ -15,8 +15,8 @@
 
 namespace harecrank {
 
-// A reply. Its body is either in `reply` or in `shared_body`, which may be
-// shared with other replies and is kept until it has been sent.
+// A reply whose body is either in `reply` or in `shared_body`. A shared body
+// may be used by several replies and is kept until it has been sent.
 struct SimpleHttpReply {
   // NOLINTNEXTLINE(google-explicit-constructor): the usual case, own body.
   SimpleHttpReply(HttpReply reply_with_body)
@@ -32,11 +32,12 @@
 using SimpleHttpHandler =
     std::function<SimpleHttpReply(const HttpRequest& request)>;
 
-// Returns a reply of `status` with `body`.
+// Returns a reply with the given status, content type and body.
 HttpReply MakeReply(unsigned status, const std::string& content_type,
                     std::string body);
 
-// Not thread-safe; runs on its io_context.
+// Accepts HTTP connections and answers each request with the result of a
+// handler. Not thread-safe; runs on its io_context.
 class SimpleHttpServer {
  public:
   // Throws boost::system::system_error if `address` cannot be bound.
--- a/src/gateway/snapshot_server.cc
+++ b/src/gateway/snapshot_server.cc
@@ -13,8 +13,8 @@
 namespace http = boost::beast::http;
 
 constexpr double kMillisOfSecond = 1000;
-// Requesters are only redirected to hosts with at least this fraction of this
-// host's CPU share.
+// Requesters are only redirected to hosts whose CPU share is at least this
+// fraction of this host's.
 constexpr double kMinCpuShareRatio = 0.5;
 
 // Keeps the bytes of a snapshot until they have been sent, then records the end
--- a/src/gateway/snapshot_server.h
+++ b/src/gateway/snapshot_server.h
@@ -15,7 +15,9 @@
 
 namespace harecrank {
 
-// Not thread-safe.
+// Answers other hosts' requests for snapshots: sends one, redirects the
+// requester to a peer that has the same data, or asks it to retry later. Not
+// thread-safe.
 class SnapshotServer {
  public:
   // Returns the changes after `since`, or a full snapshot; null if this host
@@ -29,7 +31,7 @@
   SnapshotServer(CpuShare cpu_share, Membership* membership, Source source,
                  KnownUpTo known_up_to, Metrics* metrics, MonotonicClock clock);
 
-  // Returns whether `target` is a path of this server.
+  // Returns whether `target` is a path that this server answers.
   static bool Serves(std::string_view target);
 
   // Answers a request for `target`, for which Serves must hold.
@@ -38,13 +40,14 @@
   // Returns the number of transfers in progress.
   int ActiveTransfers() const { return admission_->ActiveTransfers(); }
 
-  // Path of the snapshots. The revision since which changes are requested is
-  // appended.
+  // Path prefix of the snapshots. It is followed by the store revision up to
+  // which the requester has all changes.
   static constexpr char kPath[] = "/peer/published/";
 
  private:
-  // Returns a host that can serve the same data, whose CPU share is not much
-  // smaller, and that was heard from recently.
+  // Returns another host that has at least the same data, whose CPU share is
+  // not much smaller than that of this host, and that has sent a heartbeat
+  // recently; nothing if there is none.
   std::optional<HostAddress> FindPeer() const;
   SimpleHttpReply Serve(StoreRevision since);
 
@@ -53,7 +56,7 @@
   Source source_;
   KnownUpTo known_up_to_;
   Metrics* metrics_;
-  // Shared with the transfers in progress.
+  // Shared with the transfers in progress, which report their end to it.
   std::shared_ptr<SnapshotAdmission> admission_;
 };
 
--- a/src/gateway/socket_options.cc
+++ b/src/gateway/socket_options.cc
@@ -10,8 +10,8 @@
   using UserTimeout =
       boost::asio::detail::socket_option::integer<IPPROTO_TCP,
                                                   TCP_USER_TIMEOUT>;
-  // An option that the system does not support delays the detection of faults
-  // but does not affect correctness.
+  // Errors are ignored: if the system does not support an option, faults are
+  // detected later, but correctness is not affected.
   boost::system::error_code ignored;
   socket->set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   socket->set_option(UserTimeout(static_cast<int>(unacknowledged.count())),
@@ -25,8 +25,8 @@
 }
 
 void SetEndpointOptions(boost::asio::ip::tcp::socket* socket) {
-  // Where TCP_USER_TIMEOUT is set, it also limits the wait for unanswered
-  // keepalive probes.
+  // On systems with TCP_USER_TIMEOUT, that option also determines how long
+  // keepalive probes may stay unanswered, so it is set to kKeepaliveTimeout.
   SetOptions(socket, kKeepaliveTimeout);
   using Idle =
       boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
--- a/src/gateway/socket_options.h
+++ b/src/gateway/socket_options.h
@@ -10,19 +10,20 @@
 namespace harecrank {
 
 // How long sent bytes may stay unacknowledged before the connection is
-// considered lost. A peer that has lost power or network access sends nothing;
-// without this limit a write to it blocks for minutes.
+// considered lost. A peer that has lost power or network access sends no error;
+// without this limit a write to it would take minutes to fail.
 constexpr Millis kUnacknowledgedTimeout{4000};
 
 // Sets the options of a connection to a caller. Options that the system does
 // not support are ignored.
 void SetConnectionOptions(boost::asio::ip::tcp::socket* socket);
 
-// Sets the options of a connection to an endpoint, with TCP keepalive: an
-// endpoint that sends nothing may be busy with the prefill of a long prompt or
-// may have lost power. A connection whose keepalive probes are not answered is
-// closed within kKeepaliveTimeout, well before memory that other engines have
-// reserved for its request must be free again.
+// Sets the options of a connection to an endpoint, and enables TCP keepalive.
+// An endpoint that sends nothing may be busy with the prefill of a long prompt
+// or may have lost power; the keepalive probes distinguish the two. A
+// connection whose keepalive probes are not answered is closed within
+// kKeepaliveTimeout, well before memory that other engines have reserved for
+// its request must be free again.
 void SetEndpointOptions(boost::asio::ip::tcp::socket* socket);
 
 // Idle time before the first keepalive probe, and interval between probes.
@@ -30,6 +31,8 @@
 // Number of unanswered probes after which the connection is closed; a single
 // probe may be lost.
 constexpr int kUnansweredProbes = 2;
+// Time after which a connection to an endpoint that has lost power or network
+// access is closed.
 constexpr Millis kKeepaliveTimeout{1000 * kProbeIntervalSeconds *
                                    (1 + kUnansweredProbes)};
 
--- a/src/gateway/start_limiter.cc
+++ b/src/gateway/start_limiter.cc
@@ -191,8 +191,8 @@
 }
 
 nlohmann::json StartLimiter::DescribeRateLimit(const EndpointId& id) const {
-  // With a service profile that sets no limits, only the advertised limit is
-  // left.
+  // The default service profile sets no limit for cold endpoints, so that of
+  // the two limits only the advertised rate limit affects the values below.
   const ServiceProfile service_without_limits;
   const StartLimit limit = rate_limits_.StartLimitOf(id).value_or(StartLimit{});
   const auto advertised = rate_limits_.AdvertisedRate(id);
--- a/src/gateway/start_limiter.h
+++ b/src/gateway/start_limiter.h
@@ -1,5 +1,6 @@
-// Keeps this host's request starts within its quotas of the endpoints' limits
-// and within the back-offs that endpoints have asked it for.
+// Decides at which endpoints this host may start requests now, by its quotas of
+// the endpoints' start limits and by the back-offs that endpoints have asked of
+// it.
 
 #ifndef HARECRANK_SRC_GATEWAY_START_LIMITER_H_
 #define HARECRANK_SRC_GATEWAY_START_LIMITER_H_
@@ -18,10 +19,12 @@
 
 namespace harecrank {
 
-// Tracks which endpoints are cold according to the store, which have advertised
-// a rate limit in a response to this or another host, and which have asked this
-// host to back off. Counts the requests that this host starts there. Logs each
-// change of an endpoint's state. Not thread-safe.
+// Decides where this host may start requests now. Tracks which endpoints are
+// cold according to the store (recently started, so that they accept few
+// requests per second), which have advertised a rate limit in a response to
+// this or another host, and which have asked this host to back off. Counts the
+// requests that this host starts at such endpoints, and logs each change of an
+// endpoint's state. Not thread-safe.
 class StartLimiter {
  public:
   // All pointers must outlive this. `hosts` returns the largest number of hosts
@@ -31,22 +34,23 @@
                RoutingTableProvider routing, EventLog* log, Metrics* metrics,
                MonotonicClock clock);
 
-  // Update the state with published endpoint records: the whole list, or a
-  // single record.
+  // Update the state by endpoint records of the store: all of them, or a single
+  // one.
   void OnListing(const std::vector<EndpointRecord>& records);
   void OnEndpoint(const EndpointRecord& record);
   void OnGone(const EndpointId& id) { cold_endpoints_.OnGone(id); }
 
-  // Applies the rate limit hint in the response to a request that was sent at
+  // Applies the rate limit in the response to a request that was sent at
   // `sent_at`. Returns whether other hosts should be informed soon.
   bool OnAnswer(const EndpointId& endpoint, const RateLimitHint& hint,
                 TimePoint sent_at);
 
-  // Applies the back-off hint in a response.
+  // Applies the back-off that `endpoint` has asked for in a response to this
+  // host.
   void OnBackoffHint(const EndpointRecord& endpoint, const BackoffHint& hint);
 
-  // Notes that the endpoint runs as `incarnation`. A back-off of another
-  // incarnation is removed.
+  // Records that the endpoint `id` runs as `incarnation`. A back-off that
+  // another incarnation has asked for is removed.
   void OnIncarnation(const EndpointId& id,
                      const std::optional<EndpointIncarnation>& incarnation) {
     backoffs_.OnIncarnation(id, incarnation);
@@ -63,15 +67,17 @@
   // Removes limits that have expired. To be called several times a second.
   void Tick();
 
-  // Returns the endpoints at which this host may not start a request now.
-  // Increments the counter of withheld starts if there are any.
+  // Returns the endpoints at which this host may not start a request now
+  // because of a start limit or a back-off. If there are any, increments the
+  // metric that counts such cases.
   std::set<EndpointId> Withheld(const ServiceProfile& service);
 
-  // Returns whether this host may start all parts of `placement` now.
-  // Increments the counter of withheld starts if not.
+  // Returns whether this host may start `placement` now, at its endpoint and at
+  // all helpers. If not, increments the metric that counts such cases.
   bool MayStart(const Placement& placement, const ServiceProfile& service);
 
-  // Adds the parts of `placement` to the start history.
+  // Adds the starts at the endpoint and the helpers of `placement` to the start
+  // history, by which quotas are checked.
   void OnStart(const Placement& placement, const ServiceProfile& service);
 
   // Returns when and how fast this host may start requests at those of
@@ -85,14 +91,15 @@
   }
 
   // Returns the Retry-After time for a caller that is rejected because of the
-  // limits of all endpoints of `service`: at most kMaxRetryAfter, or until the
-  // end of the back-offs if all endpoints have asked for a longer one. Each
-  // caller gets a later time than the previous one, spaced by the rate at which
-  // requests may be started.
+  // limits of all endpoints of `service`: at most kMaxRetryAfter, or the time
+  // to the end of the back-offs if all endpoints have asked for a longer
+  // back-off. The times of successive callers are spaced by the rate at which
+  // this host may start requests, up to this maximum.
   Millis NextRetryAfter(const ServiceName& service,
                         const StartAvailability& availability);
 
-  // The quotas of all hosts, for the planner.
+  // Returns the start quotas of all hosts, which the planner applies to the
+  // placements of each host.
   const StartQuotas* Quotas() const { return &quotas_; }
 
   std::size_t ColdCount() const { return cold_endpoints_.Count(); }
@@ -102,12 +109,13 @@
   }
   std::size_t BackoffCount() const { return backoffs_.Count(); }
 
-  // Returns all limits and the starts of this host under them as JSON, for
-  // operators.
+  // Returns as JSON, for operators, the limits of all endpoints and how much of
+  // its quotas this host has used.
   nlohmann::json Describe() const;
 
-  // Callers honour a Retry-After of up to a third of their remaining time.
-  // After this time most limits have changed.
+  // Maximum Retry-After time while no back-off is longer. Callers honour a
+  // Retry-After of up to a third of their remaining time, and after this time
+  // most limits have changed.
   static constexpr Millis kMaxRetryAfter{10000};
 
  private:
@@ -128,10 +136,10 @@
   EndpointBackoffs backoffs_;
   StartQuotas quotas_;
   StartHistory history_;
-  // Time at which the last rejected caller of a service may retry.
+  // For each service, the time at which its last rejected caller may retry.
   std::map<ServiceName, TimePoint> retry_times_;
-  // The first list has been received. Endpoints in that list are not treated as
-  // newly started.
+  // Whether a list of all endpoints has been received. Endpoints in the first
+  // list are not treated as newly started, since they may have run for long.
   bool has_listing_ = false;
 };
 
--- a/src/gateway/store_sync_state.h
+++ b/src/gateway/store_sync_state.h
@@ -1,5 +1,6 @@
-// How far this host's data are in sync with the store, directly or through
-// other hosts, and whether this host polls the store.
+// Tracks how recent this host's copy of the store's data is, whether it was
+// received from the store or from other hosts, and whether this host polls the
+// store.
 
 #ifndef HARECRANK_SRC_GATEWAY_STORE_SYNC_STATE_H_
 #define HARECRANK_SRC_GATEWAY_STORE_SYNC_STATE_H_
@@ -14,23 +15,26 @@
 
 namespace harecrank {
 
-// Callbacks of StoreSyncState.
+// Callbacks through which StoreSyncState sets the poll mode and reports
+// changes.
 struct StoreSyncStatePorts {
   std::function<void(PollMode mode)> set_poll_mode;
-  // Called when the data or their age have changed.
+  // Called when this host has received data, or a confirmation that its data
+  // are current.
   std::function<void()> on_published;
   // Called when a poll of the store by this host has succeeded or failed.
   std::function<void()> on_poll_result;
-  // Called when the data are fresh after they had been overdue
-  // (PollSchedule::IsOverdue).
+  // Called when this host has received current data after its data had been
+  // overdue (PollSchedule::IsOverdue).
   std::function<void()> on_overdue_refresh;
 };
 
-// Not thread-safe.
+// Tracks the revision and the age of this host's copy of the store's data, and
+// sets the feed's poll mode accordingly. Not thread-safe.
 class StoreSyncState {
  public:
-  // All pointers must outlive this. `is_seed`: other hosts contact this one
-  // first.
+  // All pointers must outlive this. `is_seed` tells whether this host is a
+  // seed, which other hosts contact first.
   StoreSyncState(bool is_seed, PollSchedulePorts poll_schedule,
                  StoreSyncStatePorts ports, EndpointDirectory* directory,
                  EventLog* log, const MonotonicClock& clock,
@@ -45,16 +49,16 @@
   // Records that another host whose data are fresh has sent its data up to
   // `at`.
   void OnPeerSynced(StoreRevision at);
-  // Records that another host has no newer data than this one, and that its
-  // data are `age` old.
+  // Records that another host has no newer data than this one, so that this
+  // host's data are at most `age` old, like those of the other host.
   void OnPeerFreshness(Millis age);
 
   // Records that the data of another host have been imported and are complete
   // up to `at`.
   void OnImported(StoreRevision at) { AdvanceTo(at); }
 
-  // Sets this host's rank among the hosts that poll for the fleet; nothing if
-  // it is not one of them.
+  // Sets this host's rank among the hosts that poll the store for the fleet,
+  // where zero polls continuously; unset if this host is not one of them.
   void SetPollRank(std::optional<int> rank);
 
   // To be called a few times a second.
@@ -67,8 +71,8 @@
 
  private:
   void AdvanceTo(StoreRevision at);
-  // Records that the data are complete as of `age` ago. `was_overdue` tells
-  // whether they were overdue before.
+  // Records that the data contained all changes `age` ago. `was_overdue` tells
+  // whether they had been overdue before this update.
   void RecordFreshness(Millis age, bool was_overdue);
   // Updates the poll mode, and logs when the data become fresh or stale.
   // `reason` is logged if they become stale.
--- a/src/gateway/store_update_handler.h
+++ b/src/gateway/store_update_handler.h
@@ -1,4 +1,5 @@
-// Applies updates of the store's data to the components of this host.
+// Passes updates of the store's data to the components of this host that use
+// them.
 
 #ifndef HARECRANK_SRC_GATEWAY_STORE_UPDATE_HANDLER_H_
 #define HARECRANK_SRC_GATEWAY_STORE_UPDATE_HANDLER_H_
@@ -17,7 +18,8 @@
 
 namespace harecrank {
 
-// Not thread-safe.
+// Receives the store's data from the feed and updates the routing table, the
+// endpoint directory, the start limiter and the sync state. Not thread-safe.
 class StoreUpdateHandler : public DirectorySink {
  public:
   // All pointers must outlive this. `on_usable` is called when the data may
@@ -45,7 +47,8 @@
   void OnUnusable(const std::string& what, const std::string& reason) override;
 
  private:
-  // Passes the endpoint's incarnation to the start limiter, if it is known.
+  // Passes the incarnation of the endpoint `id` to the start limiter, if the
+  // directory knows the endpoint.
   void PassIncarnation(const EndpointId& id);
 
   RoutingState* routing_;
--- a/src/gateway/timer.h
+++ b/src/gateway/timer.h
@@ -1,4 +1,4 @@
-// Timers on the clock on which all decisions are based.
+// Timer on the clock that the gateway uses for all its decisions.
 
 #ifndef HARECRANK_SRC_GATEWAY_TIMER_H_
 #define HARECRANK_SRC_GATEWAY_TIMER_H_
@@ -9,10 +9,11 @@
 
 namespace harecrank {
 
-// A timer that expires while the machine is suspended fires soon after it
-// resumes. The kernel's timers use a clock that stops during the suspension,
-// but as soon as one of them fires, after one tick of the gateway at the
-// latest, all expired timers are run.
+// A timer that expires while the machine is suspended fires soon after the
+// machine resumes. The kernel's timers, which wake the event loop, use a clock
+// that stops during the suspension. But as soon as one of them fires, after one
+// tick of the gateway at the latest, the event loop runs all timers that have
+// expired by BootClock.
 using Timer = boost::asio::basic_waitable_timer<BootClock>;
 
 }  // namespace harecrank
