--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -119,7 +119,9 @@
   State state_ = State::kIdle;
   bool watching_ = false;
   std::shared_ptr<RequestHandle> request_;
-  // The following three describe the current request.
+  // Properties of the current request's response: whether the connection stays
+  // open afterwards, whether there is no body, and whether a streamed body is
+  // sent in chunks.
   bool keep_alive_ = false;
   bool response_has_no_body_ = false;
   bool chunked_ = false;
--- a/src/gateway/endpoint_prober.cc
+++ b/src/gateway/endpoint_prober.cc
@@ -15,6 +15,7 @@
 namespace asio = boost::asio;
 using Error = boost::system::error_code;
 
+// Socket and time-out timer of one probe.
 struct ConnectAttempt {
   explicit ConnectAttempt(asio::io_context* io) : socket(*io), timer(*io) {}
 
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -105,7 +105,9 @@
   std::optional<TimePoint> AttemptOverdueAt() const;
   Millis TimeLeft() const;
 
-  // Final responses.
+  // Functions that end the request: Reject and Respond send an error response
+  // of the gateway, GiveUp chooses the response by whether the request may have
+  // run, and Finish releases everything and logs the outcome.
   void Reject(unsigned status, const std::string& code,
               std::optional<Millis> retry_after);
   void Respond(const GatewayResponse& response);
@@ -134,10 +136,16 @@
   std::shared_ptr<PlacementSearch> search_;
   std::optional<RequestSender> sender_;
   int connect_failures_ = 0;
+  // Whether an endpoint may have run the request in an earlier attempt.
   bool may_have_run_ = false;
   // Whether the current attempt is the trial of a quarantined request.
   bool is_trial_ = false;
+  // Whether the retry budget has denied the last retry, or an overdue attempt
+  // could not be retried for any reason. While set, overdue attempts are not
+  // retried.
   bool budget_exhausted_ = false;
+  // Whether the head of the last response states where its body ends; see
+  // ReportCompletion.
   bool has_framed_end_ = false;
   bool finished_ = false;
   // Registration with the back-off notifier; set once the request has begun to
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -22,6 +22,8 @@
 
 }  // namespace
 
+// Visitor that passes each type of fleet message to the component that handles
+// it.
 struct FleetMember::Receiver {
   FleetMember* member;
 
--- a/src/gateway/placement_client.cc
+++ b/src/gateway/placement_client.cc
@@ -132,6 +132,7 @@
     }
     return;
   }
+  // Converts the planner's decision to the result of the query.
   struct ToResult {
     QueryResult operator()(const PlannedPlacement& placed) const {
       return placed;
--- a/src/gateway/snapshot_server.cc
+++ b/src/gateway/snapshot_server.cc
@@ -79,8 +79,9 @@
 }
 
 SimpleHttpReply SnapshotServer::Serve(StoreRevision since) {
-  // Created before anything else, so that the end of the transfer is recorded
-  // in any case.
+  // SnapshotAdmission has counted this transfer and must learn of its end in
+  // any case. A SnapshotTransfer, whose destructor records the end, is
+  // therefore created even if this host has no data.
   std::shared_ptr<const std::string> bytes = source_(since);
   if (bytes == nullptr) {
     bytes = std::make_shared<const std::string>();
