--- a/src/gateway/endpoint_prober.cc
+++ b/src/gateway/endpoint_prober.cc
@@ -15,6 +15,7 @@
 namespace asio = boost::asio;
 using Error = boost::system::error_code;
 
+// Socket and time-out timer of one probe.
 struct ConnectAttempt {
   explicit ConnectAttempt(asio::io_context* io) : socket(*io), timer(*io) {}
 
@@ -31,7 +32,7 @@
     return ProbeResult::kRefused;
   }
   // An endpoint that has reached its connection limit resets further
-  // connections.
+  // connections, so a reset shows that its process is running.
   return timed_out || error != asio::error::connection_reset
              ? ProbeResult::kTimedOut
              : ProbeResult::kAccepted;
