--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -146,7 +146,7 @@
   // Sends a heartbeat to each of Membership::GossipTargets, a few hosts through
   // which hosts without a planner or with different planners find each other.
   void SendGossip();
-  // Sends a heartbeat to all other hosts.
+  // Sends a heartbeat to all other hosts that are known to be alive.
   void Announce();
   void Tick();
   // Updates the planner that this host follows, and logs and announces a
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -32,8 +32,8 @@
 // process exits without waiting for the remaining requests.
 constexpr Millis kStopMargin{400};
 // How long after its start the process accepts no callers while it has no
-// configuration. Shorter than the one second that callers allow for a
-// connection.
+// configuration or knows no endpoints. Shorter than the one second that callers
+// allow for a connection.
 constexpr Millis kConfigurationWait{700};
 // Minimum number of hosts that this host assumes to share a fleet-wide limit.
 constexpr int kMinHosts = 3;
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -62,7 +62,8 @@
   // OnStarted and OnEnd report such a placement to the planner, too.
   QueryId NewId() { return QueryId{next_id_++}; }
 
-  // Records that work on the request has begun at the endpoints in `parts`.
+  // Records that the host uses a placement, which causes the work `parts` at
+  // endpoints.
   void OnStarted(QueryId id, std::vector<WorkPart> parts);
   // Records that the first event has arrived. `pace` is the actual time to the
   // first event divided by the predicted time.
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -109,8 +109,8 @@
   bool IsWaiting() const { return queue_id_.has_value() || waits_at_planner_; }
   void LeaveQueue();
 
-  // Excludes an endpoint from further searches, since the request has been sent
-  // there.
+  // Excludes an endpoint from further searches, since the request is sent there
+  // or the endpoint is not usable.
   void MarkTried(const EndpointId& id) { params_.request.tried.insert(id); }
   // Records that the first event has arrived. `slowdown` is the ratio of its
   // actual to its predicted latency.
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -75,7 +75,8 @@
  private:
   // Informs the other hosts of the changes after `sent_up_to_`: the planner
   // sends the changes, or a heartbeat if they are too large; any other host
-  // sends a heartbeat.
+  // sends the planner a heartbeat. The first data of a host that polls the
+  // store are announced to all hosts by a heartbeat.
   void SendChanges();
   // Returns how long this host, after it has learned that another host has
   // newer data, waits to receive them before it fetches them; zero if it has no
