--- a/include/harecrank/core/endpoint_loads.h
+++ b/include/harecrank/core/endpoint_loads.h
@@ -27,7 +27,7 @@
 
 // Kind of work, by its effect on other requests on the same engine. kShort: a
 // request with a short prompt or a tight inter-token gap. kLong: any other
-// request. kHelper: a part of a prompt that is prefilled here for a request
+// request. kHelper: a part of a prompt that this engine prefills for a request
 // that another engine decodes.
 enum class WorkClass { kShort, kLong, kHelper };
 
--- a/include/harecrank/core/fleet_messages.h
+++ b/include/harecrank/core/fleet_messages.h
@@ -48,8 +48,8 @@
   QueryId id;
   // Whether the first event of the request has been received.
   bool prefill_done = false;
-  // The work at the endpoint that decodes comes first, then the prompt parts at
-  // its helpers.
+  // The work of the request at each endpoint: first at the endpoint that
+  // decodes, then the prompt parts at its helpers.
   std::vector<WorkPart> parts;
 };
 
@@ -61,8 +61,8 @@
   kStarted,
   // The store has recently answered a poll.
   kAnswered,
-  // The store has recently rejected or aborted the last poll, or has not
-  // answered it.
+  // The last poll has recently failed: the store rejected it, aborted it or did
+  // not answer it.
   kFailed
 };
 
--- a/include/harecrank/core/membership.h
+++ b/include/harecrank/core/membership.h
@@ -121,8 +121,8 @@
   // heartbeat last named it: many times the interval between two heartbeats.
   static constexpr Millis kHeartbeatTimeout{3000};
   // A host that has received no message from any other host for this long
-  // regards itself as isolated, since it has missed every heartbeat of that
-  // time.
+  // regards itself as isolated, since it has missed all heartbeats that were
+  // due within this time.
   static constexpr Millis kIsolatedAfter{1000};
   // How long an unresponsive host cannot be the planner, unless a message from
   // it arrives earlier.
@@ -152,7 +152,7 @@
   // of highest rank.
   static constexpr std::size_t kRandomMembersPerHeartbeat = 4;
   // Maximum number of members that a heartbeat names to a possible next
-  // planner: as many as fit into a datagram. The heartbeats of
+  // planner: as many as fit into a datagram. The heartbeats sent within
   // kHeartbeatTimeout together name ten times as many.
   static constexpr std::size_t kMaxMembersPerHeartbeat = 400;
 
@@ -208,7 +208,7 @@
   // a message arrived within kHeartbeatTimeout, and this host unless it is
   // leaving.
   std::vector<KnownHost> TopAliveByRank(std::size_t limit) const;
-  // Visits the next `limit` hosts in `addresses_` and adds those to `view` from
+  // Visits the next `limit` hosts in `addresses_` and adds to `view` those from
   // which a message arrived within kHeartbeatTimeout. Successive calls cycle
   // through all hosts.
   void AddNextHosts(std::size_t limit, std::vector<KnownHost>* view);
@@ -225,8 +225,8 @@
   TimePoint last_forget_at_{};
   FleetSize size_;
   bool leaving_ = false;
-  // Whether this host declares itself the planner. It stops if a host of higher
-  // rank declares itself the planner.
+  // Whether this host declares itself the planner. Becomes false when a host of
+  // higher rank declares itself the planner.
   bool claims_planner_ = false;
   // Whether another host has reported that it regards this host as the planner,
   // as happens if this host was the planner before a restart. This host then
@@ -239,9 +239,10 @@
   std::vector<HostAddress> addresses_;
   // Index in `addresses_` of the host that AddNextHosts visited last.
   std::size_t last_visited_index_ = 0;
-  // Hosts from which a message arrived within kHeartbeatTimeout; and hosts from
-  // which a message arrived, or which a received heartbeat named, within that
-  // time. Expired entries are removed before each use.
+  // `heard_hosts_` holds the hosts from which a message arrived within
+  // kHeartbeatTimeout. `alive_hosts_` also holds the hosts that a received
+  // heartbeat named within that time. Expired entries are removed before each
+  // use.
   mutable ExpiryQueue<HostAddress> heard_hosts_;
   mutable ExpiryQueue<HostAddress> alive_hosts_;
   mutable HostRanking ranking_;
--- a/include/harecrank/core/placement.h
+++ b/include/harecrank/core/placement.h
@@ -95,7 +95,7 @@
 
 // The request cannot be placed now and should wait: no suitable engine has
 // enough free capacity at present, or the requesting host may not start
-// requests now at any endpoint that is left.
+// requests now at any usable endpoint that the request has not tried yet.
 struct EnginesBusy {};
 // The outcome of Placer::Choose.
 using PlacementResult = std::variant<Placement, NoEndpoint, EnginesBusy>;
--- a/include/harecrank/core/placement_policy.h
+++ b/include/harecrank/core/placement_policy.h
@@ -46,9 +46,9 @@
   // time left, if that is more than the other limits.
   double hurry_share = 0.65;
   double time_share_used = 0.8;
-  // Long requests are packed onto few engines: another one is preferably
-  // decoded on the engine that has the most of them, but fewer than this
-  // number.
+  // Long requests are packed onto few engines: a new one is preferably decoded
+  // on the engine with the most long requests among those that have fewer than
+  // this number.
   double packed_writers = 8;
   // Share of an engine's slots that short requests are expected to fill when
   // the number of engines reserved for them is computed. A fuller batch would
@@ -88,9 +88,9 @@
   // short prompts that are expected to arrive within this share of the latency
   // target. If it took all free capacity, those prompts would be late as well.
   double late_reserve_share = 1;
-  // If set, the size of a part is limited for prompts that are already late as
-  // well. A late prompt that is prefilled by one engine as a whole blocks other
-  // prompts for seconds.
+  // If set, the size of a part is also limited for prompts that are already
+  // late. If a single engine prefilled a whole late prompt, it would block
+  // other prompts for seconds.
   bool bound_late_parts = true;
   // A prompt that is larger than any engine's memory waits for several idle
   // engines for this multiple of its latency target. If it were rejected
@@ -98,8 +98,8 @@
   // rejected twice is lost.
   double oversize_wait_share = 3;
   // If set, a long prompt that would have to wait is rejected at once if a
-  // queued prompt that needs no more prefill time can no longer meet its
-  // target. Under overload, 8% of the longest prompts then wait until their
+  // queued prompt with the same or a shorter prefill time can no longer meet
+  // its target. Under overload, 8% of the longest prompts then wait until their
   // callers give up, instead of 15%.
   bool refuses_by_precedent = true;
   // Delay after which the caller of a rejected long prompt should retry, as a
@@ -123,8 +123,9 @@
   // Upper limit of the delay after which a rejected caller should retry, as a
   // share of the time left until its deadline.
   double return_share = 0.33;
-  // Number of queued prompts that the planner tries in vain in one run over a
-  // queue before it stops trying the remaining ones until the next run.
+  // In one run over a queue, the planner stops placing prompts after it has
+  // found this number of prompts that must keep waiting. It tries the remaining
+  // ones in the next run.
   std::size_t tried = 8;
 };
 
--- a/include/harecrank/core/planner.h
+++ b/include/harecrank/core/planner.h
@@ -104,16 +104,17 @@
   std::size_t ReservationCount() const {
     return admission_control_.ReservationCount();
   }
-  // Numbers of reservations made since the process started, of retries with a
-  // reservation that were placed, and of those that were rejected again.
+  // Counts since the process started: reservations made, retries with a
+  // reservation that were placed, and retries with a reservation that were
+  // rejected again.
   const ReservationCounts& ReservationTotals() const {
     return admission_control_.Counts();
   }
 
   // Window over which the arrival rate of short prompts is measured.
   static constexpr Millis kDemandWindow{500};
-  // Longest time for which queries are queued after Begin() until all hosts
-  // have reported their work. Live hosts report within milliseconds, and short
+  // After Begin(), queries are queued until all hosts have reported their work,
+  // but at most for this time. Live hosts report within milliseconds, and short
   // prompts cannot wait longer.
   static constexpr Millis kLearningPeriod{50};
   // Time without a query, progress report or heartbeat with work from a host
@@ -201,7 +202,7 @@
     return entry.is_short ? short_queue_ : long_queue_;
   }
   // Returns whether the queue holds a long prompt that can no longer meet its
-  // target although it needs no more prefill time than the given request.
+  // target although its prefill takes no longer than that of the given request.
   // Always false if the given request may already have run.
   bool HasLatePrecedent(const PlacementQuery& query,
                         const PlacementRequest& request) const;
--- a/include/harecrank/core/poll_schedule.h
+++ b/include/harecrank/core/poll_schedule.h
@@ -67,7 +67,8 @@
   // hosts. Unset if this host does not poll for the fleet.
   void SetPollRank(std::optional<int> rank);
 
-  // Record that the store has answered a poll of this host, or has not.
+  // Record the outcome of a poll of this host: the store has answered it, or
+  // the poll has failed.
   void OnPollSucceeded();
   void OnPollFailed();
 
@@ -98,16 +99,17 @@
 
   // How long a call of the continuous poller waits at the store for a change.
   static constexpr Millis kLongPollWait{500};
-  // Assumed maximum duration of a call, without the wait for a change, and of
-  // the delay of a heartbeat on the network and in the queues of hosts with a
-  // small CPU share.
+  // Assumed maximum duration of a call, not counting its wait for a change; and
+  // assumed maximum delay of a heartbeat on the network and in the queues of
+  // hosts with a small CPU share.
   static constexpr Millis kCallTime{50};
   static constexpr Millis kHeartbeatDelay{50};
   // Longest interval between two heartbeats of the planner to a host.
   static constexpr Millis kMaxHeartbeatInterval{340};
   // Age up to which data from the store count as fresh.
   static constexpr Millis kFreshFor{1000};
-  // Result of Age() if there are no data. It is longer than any data are used.
+  // Result of Age() if there are no data. It exceeds the age up to which any
+  // data are used.
   static constexpr Millis kUnknownAge{3600000};
   // Age of its data at which the first standby host polls. In normal operation
   // this age is not reached, since the planner sends each answer to the standby
@@ -132,8 +134,8 @@
   // A seed polls immediately, since the whole fleet may have just started and
   // callers may be waiting.
   static constexpr Millis kStartupDelay{150};
-  // Longest time after its start for which a host without data waits for a
-  // snapshot from another host instead of polling.
+  // Until this time after its start, a host without data waits for a snapshot
+  // from another host instead of polling.
   static constexpr Millis kMaxSnapshotWait{2000};
 
   // While the store answers, a host that receives every heartbeat is updated
--- a/include/harecrank/core/prefill_group.h
+++ b/include/harecrank/core/prefill_group.h
@@ -51,8 +51,9 @@
   FractionalMillis target{0};
   // Time left until the first event is late; negative once it is late.
   FractionalMillis until_late{0};
-  // Longest pause between two events that the target of the prompt's own stream
-  // allows, and the shortest such pause that any route to the service allows.
+  // Inter-token gap that the target of the prompt's own stream allows, and the
+  // shortest inter-token gap that the target of any route to the service
+  // allows.
   FractionalMillis gap{0};
   FractionalMillis tightest_gap{0};
 };
--- a/src/core/dissemination.cc
+++ b/src/core/dissemination.cc
@@ -8,8 +8,8 @@
 namespace harecrank {
 namespace {
 
-// One comparison of revisions out of this number, on average, is made with a
-// node of another data centre.
+// On average, one in this many comparisons of revisions is made with a node of
+// another data centre.
 constexpr std::uint64_t kRemotePeerOneIn = 4;
 // Total rate of the fallback polls of all nodes, unless kMinFallbackInterval
 // makes it lower.
--- a/src/core/group_reservation.cc
+++ b/src/core/group_reservation.cc
@@ -6,8 +6,8 @@
 namespace harecrank {
 namespace {
 
-// The longest random pause after a refused round is kInitialPause doubled once
-// per round begun so far, but at most kMaxDoublings times.
+// The pause after a refused round is random. Its upper limit is kInitialPause,
+// doubled for each round begun so far, but at most kMaxDoublings times.
 constexpr Millis kInitialPause{20};
 constexpr int kMaxDoublings = 6;
 
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -13,8 +13,8 @@
 // again after a network partition of several minutes.
 constexpr std::chrono::minutes kForgetAfter{10};
 // Pollers are chosen from the hosts whose polls the store already answers and,
-// if these are too few, from this number of hosts of highest rank. If the store
-// answers none of them, the remaining hosts poll for themselves.
+// if these are too few, from the kPollerCandidates hosts of highest rank. If
+// the store answers none of them, the remaining hosts poll for themselves.
 constexpr std::size_t kPollerCandidates = 16;
 // Rendezvous key of the hash that decides between hosts of equal CPU share in
 // HostRank.
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -224,8 +224,8 @@
                                               candidate.pace, prefill_time) +
                             UniformRandom() * jitter;
     if (i >= short_engines) {
-      // The added time makes this engine, which is not reserved for short
-      // requests, a choice only if the reserved engines are much later.
+      // This engine is not reserved for short requests. The added time ensures
+      // that it is chosen only if the reserved engines are much later.
       time +=
           policy_.beyond_short_share * FractionalMillis(request.target_latency);
     }
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -134,8 +134,9 @@
                                           const ServiceProfile& service) const {
   std::set<EndpointId> withheld =
       start_quotas_->Withheld(granted_starts_, entry.query.host, service);
-  // The list that the host has sent also takes starts into account that other
-  // planners have granted to it.
+  // `granted_starts_` counts only the placements of this planner. The list that
+  // the host has sent also accounts for starts that other planners have granted
+  // to it.
   if (clock_() - entry.arrived_at < kWithheldLifetime) {
     withheld.insert(entry.query.withheld.begin(), entry.query.withheld.end());
   }
--- a/src/core/prefill_group.cc
+++ b/src/core/prefill_group.cc
@@ -19,9 +19,9 @@
 // a stream with a tight gap.
 constexpr double kTightFactor = 1.5;
 
-// What an engine is used for at present. For parts of long prompts, idle
-// engines are preferred to those with long requests, and these to those with
-// short requests.
+// What an engine is used for at present. Parts of long prompts are preferably
+// placed on idle engines, then on engines with long requests, and last on
+// engines with short requests.
 enum class EngineUse { kIdle, kLongRequests, kShortRequests };
 
 EngineUse EngineUseOf(const EngineCandidate& candidate) {
