--- a/include/harecrank/core/pass_forecast.h
+++ b/include/harecrank/core/pass_forecast.h
@@ -28,9 +28,9 @@
   FractionalMillis until_next_pass{0};
   // Prefill time of the prompts that are already waiting for the next pass.
   FractionalMillis next_pass_prefill{0};
-  // Time until the first event of any prompt that is already waiting for the
-  // next pass becomes late. Prompts that would miss their target even without
-  // the new prompt are ignored.
+  // Shortest time left until the first event is late, among the prompts that
+  // are already waiting for the next pass. Prompts that would miss their target
+  // even without the new prompt are ignored.
   std::optional<FractionalMillis> next_pass_deadline;
 };
 
--- a/include/harecrank/core/placement_policy.h
+++ b/include/harecrank/core/placement_policy.h
@@ -24,8 +24,9 @@
   // Preferred prefill time of a part of a long prompt, as a share of the
   // tightest gap. Parts are longer if too few engines are available.
   double part_share_of_gap = 0.6;
-  // Maximum duration of a forward pass that includes prefill, decoding
-  // included, as a share of the shortest gap of the streams on the engine.
+  // Maximum total duration, prefill and decoding, of a forward pass that
+  // includes prefill, as a share of the shortest gap of the streams on the
+  // engine.
   double pause_share_of_gap = 0.85;
   // An engine can take a part of another long prompt while its prefill backlog
   // is at most this share of a preferred part. Engines prefill a new part
@@ -50,10 +51,10 @@
   // on the engine with the most long requests among those that have fewer than
   // this number.
   double packed_writers = 8;
-  // Share of an engine's slots that short requests are expected to fill when
-  // the number of engines reserved for them is computed. A fuller batch would
-  // decode more slowly and leave no slots for requests that other hosts have
-  // placed and this host does not know yet.
+  // Share of an engine's slots that short requests are assumed to fill.
+  // Determines the number of engines that are reserved for them. A fuller batch
+  // would decode more slowly and leave no slots for requests that other hosts
+  // have placed and this host does not know yet.
   double short_share_of_slots = 0.8;
   // Number of engines that are reserved for short requests in addition to those
   // that the current short requests need.
--- a/include/harecrank/core/snapshot_admission.h
+++ b/include/harecrank/core/snapshot_admission.h
@@ -54,9 +54,9 @@
   // Maximum number of concurrent transfers per core of this host's CPU share.
   // At least one transfer is allowed, however small the share is.
   static constexpr double kTransfersPerCore = 8;
-  // Duration of a round, in which the maximum number of concurrent transfers
-  // ends: the value that is assumed until the first transfer has ended, and the
-  // lower limit of the measured value.
+  // A round is the time in which `max_transfers_` transfers end.
+  // kInitialRoundTime is its assumed duration until the first transfer has
+  // ended; kMinRoundTime is the lower limit of its measured duration.
   static constexpr Millis kInitialRoundTime{40};
   static constexpr Millis kMinRoundTime{10};
   // Longest delay of RetryLater.
@@ -64,7 +64,8 @@
 
  private:
   // Returns the duration of a round, the time in which `max_transfers_`
-  // transfers end: measured since `busy_since_` if any transfer has ended.
+  // transfers end. It is derived from the number of transfers that have ended
+  // since `busy_since_`; kInitialRoundTime if there are none.
   FractionalMillis RoundTime() const;
 
   int max_transfers_;
--- a/src/core/pass_forecast.cc
+++ b/src/core/pass_forecast.cc
@@ -52,9 +52,9 @@
     // assumed.
     pass_start = After(now, -decode_pass / 2);
   }
-  // Since the last known pass, passes without prefill have followed one another
-  // until the current pass, or until the first pass that includes a pending
-  // prompt.
+  // Advances `pass_start` over the passes without prefill that have run since
+  // the last known pass: up to the current pass, or to the first pass that
+  // includes a pending prompt.
   const auto first_sent = pending_.empty() ? now : pending_.front().sent;
   const FractionalMillis elapsed =
       std::min(now, After(first_sent, kDispatchDelay)) - pass_start;
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -22,7 +22,7 @@
 // have made since their last heartbeat. If the jitter is too small, all hosts
 // choose the engine that looks idle first.
 constexpr FractionalMillis kJitterPerPeer{3};
-// Interval between the heartbeats of another host that is assumed when the
+// Assumed interval between the heartbeats of another host, from which the
 // jitter is computed.
 constexpr Millis kHeartbeatInterval{100};
 // Upper limit of the jitter on predicted times, as a share of the latency
@@ -42,8 +42,8 @@
 FractionalMillis PredictFirstEvent(const EngineProfile& engine,
                                    const EndpointLoad& load, double pace,
                                    FractionalMillis prefill_time) {
-  // The request waits for half of the current pass on average; its first event
-  // comes at the end of the next one.
+  // On average, the request waits for half of the current pass. Its first event
+  // comes at the end of the next pass.
   constexpr double kPassesUntilFirstEvent = 1.5;
   const FractionalMillis pass =
       PassTime(engine, load.BatchSize() + 1, load.memory);
--- a/src/core/planner.cc
+++ b/src/core/planner.cc
@@ -87,7 +87,7 @@
     return QueryQueued{};
   }
   const ShareRank share_rank = ShareRankOf(entry, request);
-  // If its account has used more than its fair share, the request leaves free
+  // A request whose account has used more than its fair share leaves free
   // engines to the queued requests of accounts that have used less than theirs.
   const bool yields = share_rank == ShareRank::kAfter && !query.may_have_run;
   if (auto decision = yields ? std::nullopt : TryPlace(&entry)) {
--- a/src/core/poll_schedule.cc
+++ b/src/core/poll_schedule.cc
@@ -56,7 +56,7 @@
 
 Millis PollSchedule::FirstSlotAge() const {
   if (poll_rank_.has_value()) {
-    // Rank zero polls continuously and does not use its slot.
+    // Rank zero polls continuously, regardless of this age.
     return kStandbyPollAge + std::max(0, *poll_rank_ - 1) * kStandbyPollStep;
   }
   return ports_.polling_hosts() > 1 ? kFreshFor : kStandbyPollAge;
