--- a/include/harecrank/core/snapshot_admission.h
+++ b/include/harecrank/core/snapshot_admission.h
@@ -54,9 +54,9 @@
   // Maximum number of concurrent transfers per core of this host's CPU share.
   // At least one transfer is allowed, however small the share is.
   static constexpr double kTransfersPerCore = 8;
-  // A round is the time in which `max_transfers_` transfers end.
-  // kInitialRoundTime is its assumed duration until the first transfer has
-  // ended; kMinRoundTime is the lower limit of its measured duration.
+  // A round is the time in which as many transfers end as may run at the same
+  // time. kInitialRoundTime is its assumed duration until the first transfer
+  // has ended; kMinRoundTime is the lower limit of its measured duration.
   static constexpr Millis kInitialRoundTime{40};
   static constexpr Millis kMinRoundTime{10};
   // Longest delay of RetryLater.
