--- a/include/harecrank/core/account_shares.h
+++ b/include/harecrank/core/account_shares.h
@@ -23,8 +23,10 @@
 struct ShareClaim {
   AccountId account;
   FractionalMillis engine_time{0};
-  // Priority of the request; zero is the most urgent. Each step doubles the
-  // charge: an account of priority 1 has half the share of one of priority 0.
+  // Priority of the request; zero is the most urgent. Each step, up to 7,
+  // doubles the engine time that is charged to the account: an account whose
+  // requests all have priority 1 gets half the share of one whose requests have
+  // priority 0.
   int priority = 0;
 };
 
--- a/include/harecrank/core/admission_control.h
+++ b/include/harecrank/core/admission_control.h
@@ -62,8 +62,8 @@
 // Numbers of reservations for retries since the process started.
 struct ReservationCounts {
   std::uint64_t made = 0;
-  // Retries with a reservation that got a placement, and those that were
-  // rejected again.
+  // Reservations whose retry got a placement (`kept`) or was rejected again
+  // (`broken`).
   std::uint64_t kept = 0;
   std::uint64_t broken = 0;
 };
@@ -73,8 +73,8 @@
 FractionalMillis FirstEventTimeout(const PlacementRequest& request,
                                    const PlacementPolicy& policy);
 
-// Decides which prompts wait, which are rejected, and when rejected callers
-// return. Not thread-safe.
+// Decides which prompts wait, which are rejected, and when the callers of
+// rejected prompts should retry. Not thread-safe.
 class AdmissionControl {
  public:
   AdmissionControl(const PlacementPolicy& policy, const MonotonicClock& clock);
@@ -84,7 +84,8 @@
   bool CanDecide(const AdmissionCandidate& candidate) const;
 
   // Records an arriving prompt. If it redeems a reservation, returns the time
-  // at which its first event is due, counted from its first arrival.
+  // at which its first event is due; the latency target is counted from the
+  // first arrival of the request.
   std::optional<TimePoint> OnArrival(const AdmissionCandidate& candidate);
   // Records that the prompt got a placement.
   void OnStarted(const AdmissionCandidate& candidate);
--- a/include/harecrank/core/attempt_timeout.h
+++ b/include/harecrank/core/attempt_timeout.h
@@ -1,7 +1,7 @@
 // Time-outs after which a request is sent to another endpoint.
 //
-// Endpoints may stop responding, be slow, or stall because a helper has died:
-// another endpoint that prefills a part of the prompt for them. The request
+// Endpoints may stop responding, be slow, or stall because a helper (another
+// endpoint that prefills a part of the prompt for them) has died. The request
 // must move to another endpoint before the caller gives up on a silent stream.
 
 #ifndef HARECRANK_CORE_ATTEMPT_TIMEOUT_H_
@@ -28,8 +28,9 @@
 };
 
 // Returns when the response to a request on `route` becomes overdue. A stream
-// is overdue when it has been silent for too long since its last bytes, any
-// other response when too much time has passed since the request was sent.
+// is overdue when it has been silent for too long since its last bytes. Any
+// other response is overdue when too much time has passed since the request was
+// sent.
 TimePoint OverdueAt(const RouteRule& route, const AttemptProgress& progress);
 
 // Returns the longest silence of a stream on `route` after which another
--- a/include/harecrank/core/capacity_forecast.h
+++ b/include/harecrank/core/capacity_forecast.h
@@ -1,10 +1,11 @@
 // Forecasts when waiting prompts find a free engine.
 //
 // For some seconds more prompts can arrive than the engines can prefill,
-// because of a burst or because many engines are down. Whether a waiting prompt
-// is then served within its latency target, past it but before its caller gives
-// up, or not at all follows from the work that is ahead of it and from the rate
-// at which engine time has recently become free.
+// because of a burst or because many engines are down. A waiting prompt is then
+// served within its latency target, or past the target but before its caller
+// gives up, or not at all. The forecast derives this from the work that is
+// ahead of the prompt and from the rate at which engine time has recently
+// become free.
 
 #ifndef HARECRANK_CORE_CAPACITY_FORECAST_H_
 #define HARECRANK_CORE_CAPACITY_FORECAST_H_
@@ -55,8 +56,8 @@
   // Records whether any prompt waits.
   void OnWaiting(bool any);
 
-  // Returns the forecast time until a prompt starts that has work of `ahead`
-  // before it in the queue.
+  // Returns the forecast time until the start of a prompt that is queued behind
+  // work of `ahead`.
   FractionalMillis TimeUntilStart(FractionalMillis ahead,
                                   std::size_t engines) const;
 
@@ -123,8 +124,9 @@
   kNone
 };
 
-// Returns the outcome of a prompt that starts after `until_start` in queue
-// order, or after `until_spare` if its first event is late before that.
+// Returns the predicted outcome of a prompt. It starts after `until_start`, in
+// queue order, unless its first event is late before then; in that case it
+// starts after `until_spare`, on capacity that other prompts leave unused.
 PredictedOutcome PredictOutcome(const PromptTiming& timing,
                                 FractionalMillis until_start,
                                 FractionalMillis until_spare);
--- a/include/harecrank/core/endpoint_backoffs.h
+++ b/include/harecrank/core/endpoint_backoffs.h
@@ -2,10 +2,10 @@
 // fast it may resume.
 //
 // An endpoint that rejects requests has no work in progress and looks idle, so
-// it would be chosen again and again. The back-off that it asks for stops this
-// host from sending requests there until its end. Hosts that were rejected at
-// about the same time would all resume at once, so after a back-off the starts
-// of all hosts together are limited and ramp up.
+// it would be chosen again and again. Until the end of the back-off that the
+// endpoint asks for, this host sends it no requests. Hosts that were rejected
+// at about the same time would all resume at once, so after a back-off the
+// starts of all hosts together are limited and ramp up.
 
 #ifndef HARECRANK_CORE_ENDPOINT_BACKOFFS_H_
 #define HARECRANK_CORE_ENDPOINT_BACKOFFS_H_
@@ -29,8 +29,8 @@
  public:
   explicit EndpointBackoffs(MonotonicClock clock);
 
-  // Processes the back-off hint in a response of `incarnation`. A back-off of
-  // the same incarnation that ends later stays active. Returns whether a
+  // Processes the back-off hint in a response of `incarnation`. An active
+  // back-off of the same incarnation is never shortened. Returns whether a
   // back-off has begun or been extended.
   bool OnAnswer(const EndpointId& id,
                 const std::optional<EndpointIncarnation>& incarnation,
--- a/include/harecrank/core/endpoint_directory.h
+++ b/include/harecrank/core/endpoint_directory.h
@@ -8,9 +8,9 @@
 // recovered. The directory therefore keeps a removed entry for a grace period
 // only if its lease may have lapsed: the host's own polls of the store have
 // failed for long enough, or a listing lacks more than a third of the known
-// entries. The grace period starts when the host learns of the removal, or in
-// the latter case when the directory previously matched the store. It is never
-// extended.
+// entries. The grace period starts when the host learns of the removal. If a
+// listing lacks the entries, it starts when the directory last matched the
+// store before that listing. It is never extended.
 
 #ifndef HARECRANK_CORE_ENDPOINT_DIRECTORY_H_
 #define HARECRANK_CORE_ENDPOINT_DIRECTORY_H_
@@ -82,8 +82,8 @@
 // Not thread-safe.
 class EndpointDirectory {
  public:
-  // `leave_limit` is the longest time after an endpoint has left within which a
-  // request may still arrive there.
+  // Requests may still arrive at an endpoint until `leave_limit` after it has
+  // left.
   explicit EndpointDirectory(MonotonicClock clock,
                              Millis leave_limit = kDefaultLeaveLimit);
 
@@ -119,10 +119,10 @@
   ListingChange ReplaceAll(const std::vector<EndpointRecord>& records,
                            StoreRevision at);
 
-  // Records that this host's own poll of the store failed, and that its data,
-  // direct or from other hosts, is `unreachable_for` old. Must not be called
-  // merely because no other host has sent updates, since the store may be
-  // available.
+  // Records that this host's own poll of the store failed, and that the host's
+  // data, whether read from the store or received from other hosts, is
+  // `unreachable_for` old. Must not be called merely because no other host has
+  // sent updates, since the store may be available.
   void OnStoreUnreachable(Millis unreachable_for = Millis(0));
 
   // Records that the directory matched the store, at revision `at`, `age` ago.
--- a/include/harecrank/core/endpoint_health.h
+++ b/include/harecrank/core/endpoint_health.h
@@ -34,9 +34,9 @@
   // slow.
   void OnBytesReceived(const EndpointId& id);
 
-  // Records that a request is overdue that has received nothing since `since`.
-  // This counts as a failure unless bytes of other requests have arrived from
-  // the endpoint, as determined by ReceivedBytesAfter(id, since).
+  // Records that a request is overdue because no bytes have arrived for it
+  // since `since`. This counts as a failure unless bytes of other requests have
+  // arrived from the endpoint, as determined by ReceivedBytesAfter(id, since).
   void OnOverdue(const EndpointId& id, TimePoint since);
 
   // Records a response that arrived in time but reported a failure. It raises
@@ -53,7 +53,7 @@
   // in progress.
   void OnReportedAtFault(const EndpointId& id);
 
-  // Records that another host avoids the endpoint for another `left`.
+  // Records that another host will avoid the endpoint for `left` from now.
   void OnAvoidedByPeer(const EndpointId& id, Millis left);
 
   // Returns the endpoints that this host avoids because of its own
@@ -93,8 +93,9 @@
   // avoided. Without this limit it would receive no requests while others are
   // healthy, and could never recover.
   static constexpr Millis kProbeDelay{1400};
-  // An endpoint from which bytes of any request arrived at least this long
-  // after the last byte of an overdue request counts as slow, not as silent.
+  // Minimum time between the last byte of an overdue request and later bytes of
+  // any request from the same endpoint for the endpoint to count as slow rather
+  // than silent.
   static constexpr Millis kAliveMargin{300};
 
  private:
--- a/include/harecrank/core/endpoint_rate_limits.h
+++ b/include/harecrank/core/endpoint_rate_limits.h
@@ -115,7 +115,8 @@
   // is no longer valid, so that requests probe whether it still applies.
   static constexpr double kProbesPerSecond = 0.5;
   // Interval in which a limit doubles once it has ended or its kStaleRetention
-  // has passed. A response, and its report to all hosts, arrives sooner.
+  // has passed. It is longer than a response, and its report to all hosts,
+  // takes to arrive.
   static constexpr Millis kDoublingPeriod{2000};
   // Number of doublings after which the limit is removed.
   static constexpr int kMaxDoublings = 5;
--- a/include/harecrank/core/endpoint_scheduler.h
+++ b/include/harecrank/core/endpoint_scheduler.h
@@ -39,6 +39,8 @@
 // this endpoint would fail.
 std::optional<Millis> RetryAfterOf(const SubmitError& error);
 
+// Capacity of one endpoint, and how it is divided between short and long
+// requests.
 struct SchedulerOptions {
   // KV memory of the engine.
   Tokens memory;
--- a/include/harecrank/core/fair_queue.h
+++ b/include/harecrank/core/fair_queue.h
@@ -80,8 +80,8 @@
   // Returns the total cost of the waiting requests of one length class.
   Tokens Backlog(LengthClass length) const;
 
-  // How many requests may start before a waiting request that does not fit and
-  // precedes them in the queue.
+  // How many requests further back in the queue may start before a waiting
+  // request that does not fit.
   static constexpr int kMaxBypasses = 16;
 
  private:
@@ -91,7 +91,8 @@
     // Virtual time, in tokens divided by weight, at which the request starts
     // under SFQ.
     double start_tag = 0;
-    // How many requests behind this one have been returned before it.
+    // How many requests further back in the queue have been returned before
+    // this one.
     int bypasses = 0;
   };
   struct FlowKey {
--- a/include/harecrank/core/lease_table.h
+++ b/include/harecrank/core/lease_table.h
@@ -68,6 +68,7 @@
   std::size_t Count() const { return leases_.size(); }
 
  private:
+  // A granted lease that is still in the table.
   struct Lease {
     Tokens amount;
     // When the lease expires.
--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -9,10 +9,10 @@
 // request that any endpoint has answered completely is not the cause of a
 // crash, so all crashes counted against it are cleared. A quarantined request
 // is retried alone, in a trial, once the endpoints of an outage are in service
-// again. So many crashes at once do not lock out a request that half of all
-// callers send. Trials of different requests run one after the other, because a
-// harmless request would fail its trial too if it ran on the same endpoint as
-// the request that causes the crashes.
+// again. Therefore, even if many endpoints crash at once, a request that half
+// of all callers send is not locked out. Trials of different requests run one
+// after the other, because a harmless request would fail its trial too if it
+// ran on the same endpoint as the request that causes the crashes.
 //
 // State is merged between hosts by set union and by maximum time, so lost,
 // duplicate or delayed messages do not count a crash twice. Nothing is
@@ -152,13 +152,14 @@
   // Maximum number of trials of a request: the platform's limit on how often a
   // request that is known to crash endpoints may reach one.
   static constexpr int kMaxTrials = 3;
-  // How long after its last crash a request's crashes are counted. A request
-  // that crashes three endpoints in this time, each of which takes three
-  // seconds to restart, costs the fleet one engine for 1.5% of the time.
+  // How long a request's crashes count against it, measured from its last
+  // crash. A request that crashes three endpoints in this time, each of which
+  // takes three seconds to restart, costs the fleet one engine for 1.5% of the
+  // time.
   static constexpr Millis kCrashRetention{600000};
-  // How long after its last crash a request's crashes are counted if there are
-  // more than kCrashThreshold of them. Callers who have fixed their request
-  // wait no longer than this.
+  // How long a request's crashes count against it, measured from its last
+  // crash, if there are more than kCrashThreshold of them. Callers who have
+  // fixed their request wait no longer than this.
   static constexpr Millis kProvenRetention{3600000};
   // Maximum number of requests with a record. A record with one crash takes 290
   // bytes. Each crash adds as many records as the endpoint had requests in
@@ -190,7 +191,8 @@
   static bool IsExpired(const CrashHistory& record, TimePoint now);
   // Returns whether a trial of any request started within kTrialSpacing.
   bool IsTrialRunning(TimePoint now) const;
-  // Drops the crashes that count against the request, and its trials.
+  // Removes the counted crashes from the record and sets its numbers of trials
+  // to zero. Keeps `cleared`.
   static void ClearCrashes(CrashHistory* record);
   // Returns the record of `request`, or null if it is new and there is no space
   // for it.
--- a/include/harecrank/core/retry_policy.h
+++ b/include/harecrank/core/retry_policy.h
@@ -23,9 +23,12 @@
   std::string code;
   std::string message;
 };
+// The link to the endpoint broke, the sidecar was silent or the stream was
+// stuck, or a lost group member could not be replaced.
 struct AttemptLost {
   std::string reason;
 };
+// The time limit of the request passed during the attempt.
 struct AttemptTimedOut {};
 struct CallerDisconnected {};
 using AttemptEnd = std::variant<AttemptRejected, AttemptFailed, AttemptLost,
--- a/include/harecrank/core/retry_reservations.h
+++ b/include/harecrank/core/retry_reservations.h
@@ -40,9 +40,9 @@
                  TimePoint late_at, Millis delay);
 
   // Removes the reservation of `request` if it is due and has not expired.
-  // Returns the time at which the first event is late, counted from the first
-  // arrival of the request, or nothing if the request has no reservation that
-  // is due.
+  // Returns the time from which the first event is late, where the latency
+  // target is counted from the first arrival of the request. Returns nothing if
+  // the request has no reservation that is due.
   std::optional<TimePoint> Redeem(const RequestFingerprint& request);
 
   // Removes the reservation of `request`, if any, because the request was
@@ -70,8 +70,8 @@
   struct Reservation {
     TimePoint due{};
     FractionalMillis work{0};
-    // When the first event is late, counted from the first arrival of the
-    // request.
+    // Time from which the first event is late; the latency target is counted
+    // from the first arrival of the request.
     TimePoint late_at{};
   };
   using DueEntry = std::pair<TimePoint, RequestFingerprint>;
--- a/include/harecrank/core/wait_queue.h
+++ b/include/harecrank/core/wait_queue.h
@@ -40,8 +40,8 @@
   // From this time on the request goes before all others: one latency target
   // later it could no longer finish before its caller gives up.
   TimePoint urgent_from = TimePoint::max();
-  // The account and the engine time that the request counts for in the
-  // account's fair share.
+  // The request's account, and the engine time that the waiting request adds to
+  // the account's demand.
   ShareClaim claim{};
 };
 
--- a/src/core/wait_queue.cc
+++ b/src/core/wait_queue.cc
@@ -17,9 +17,10 @@
 // order compares, then a tie-breaker.
 using SortKey = std::pair<FractionalMillis, Urgency>;
 
-// Compared before the SortKey, smallest first: whether the request can no
-// longer meet its latency target, and whether its account is over its fair
-// share. All requests have the same rank while no account is over its share.
+// Part of the queue order that is compared before the SortKey, smallest first:
+// whether the request can no longer meet its latency target, and whether its
+// account is over its fair share. All requests have the same rank while no
+// account is over its share.
 using Rank = std::pair<bool, bool>;
 // Sort key of requests past their `urgent_from`; smaller than any other key.
 constexpr SortKey kFirst{-1e9, -1e9};
