--- a/include/harecrank/core/drained_data_centres.h
+++ b/include/harecrank/core/drained_data_centres.h
@@ -1,9 +1,10 @@
 // Data centres that an operator has drained: their endpoints receive no new
 // work, and requests in progress complete.
 //
-// A drain order stays active until it is revoked. The order with the higher
-// store revision counts, so that delayed or duplicate messages from a host with
-// older data have no effect.
+// A drain order stays active until it is revoked. Of two changes to the drain
+// state of a data centre, the one with the higher store revision counts, so
+// that delayed or duplicate messages from a host with older data have no
+// effect.
 
 #ifndef HARECRANK_CORE_DRAINED_DATA_CENTRES_H_
 #define HARECRANK_CORE_DRAINED_DATA_CENTRES_H_
--- a/include/harecrank/core/endpoint_scheduler.h
+++ b/include/harecrank/core/endpoint_scheduler.h
@@ -20,13 +20,17 @@
 struct QueueFull {
   Millis retry_after;
 };
+// By the estimate, the request would start after its latest start time.
 struct WouldStartTooLate {
   Millis retry_after;
 };
+// The request needs more KV memory than the engine has for requests of its
+// length class. `memory` is the whole memory of the engine.
 struct LargerThanEngine {
   Tokens memory;
 };
 struct EndpointDraining {};
+// The latest start time of the request has passed.
 struct DeadlinePassed {};
 using SubmitError = std::variant<QueueFull, WouldStartTooLate, LargerThanEngine,
                                  EndpointDraining, DeadlinePassed>;
--- a/include/harecrank/core/fair_queue.h
+++ b/include/harecrank/core/fair_queue.h
@@ -95,6 +95,7 @@
     // this one.
     int bypasses = 0;
   };
+  // Identifies a flow: the requests of one account in one length class.
   struct FlowKey {
     AccountId account;
     LengthClass length;
--- a/include/harecrank/core/request_quarantine.h
+++ b/include/harecrank/core/request_quarantine.h
@@ -113,9 +113,9 @@
   // Returns the number of endpoint crashes counted against `request`.
   std::size_t CrashCount(const RequestFingerprint& request) const;
 
-  // Returns the reports to send to hosts that have missed messages: those on
-  // requests with at least kMinSharedCrashes crashes, those with the most
-  // crashes first, at most kMaxSharedReports.
+  // Returns the reports to send to hosts that have missed messages: the reports
+  // on requests with at least kMinSharedCrashes crashes, in order of decreasing
+  // number of crashes, at most kMaxSharedReports.
   std::vector<CrashReport> SharedReports() const;
 
   // Returns a digest of the shared reports without their times. Hosts with
@@ -136,7 +136,8 @@
   // Time from the quarantine to the first trial, and between trials that did
   // not crash an endpoint. A shorter interval rejects fewer harmless requests:
   // while callers send two requests that crash endpoints and hosts are
-  // suspended, about 1% of the harmless requests with 2 s and 1.6% with 5 s.
+  // suspended, an interval of 2 s rejects about 1% of the harmless requests,
+  // and one of 5 s rejects 1.6%.
   static constexpr Millis kTrialInterval{2000};
   // Time to the next trial after a trial has crashed an endpoint. The next
   // trial is needed since one failed trial may be a coincidence: if one of 18
--- a/include/harecrank/core/retry_policy.h
+++ b/include/harecrank/core/retry_policy.h
@@ -19,6 +19,8 @@
   std::string message;
   std::optional<Millis> retry_after;
 };
+// The sidecar reported a failure, or the answer ended before all of it had
+// arrived.
 struct AttemptFailed {
   std::string code;
   std::string message;
--- a/include/harecrank/core/start_quotas.h
+++ b/include/harecrank/core/start_quotas.h
@@ -84,8 +84,8 @@
 // When and how fast a host may start requests at a set of endpoints of a
 // service.
 struct StartAvailability {
-  // Earliest time at which any of the endpoints admits a request; not in the
-  // future if one admits it at once.
+  // Earliest time at which any of the endpoints admits a request; the present
+  // or a past time if one admits it now.
   TimePoint next{};
   // Requests per second, summed over the endpoints.
   double per_second = 0;
@@ -165,7 +165,7 @@
     double max_starts = 0;
     // Average time between two starts.
     FractionalMillis interval{0};
-    // Time of the first start.
+    // Earliest time of the host's first start under the limit.
     TimePoint first{};
   };
 
