--- a/include/harecrank/core/capacity_forecast.h
+++ b/include/harecrank/core/capacity_forecast.h
@@ -126,7 +126,7 @@
 
 // Returns the predicted outcome of a prompt. It starts after `until_start`, in
 // queue order, unless its first event is late before then; in that case it
-// starts after `until_spare`, on capacity that other prompts leave unused.
+// starts after `until_spare`, on capacity that new prompts leave unused.
 PredictedOutcome PredictOutcome(const PromptTiming& timing,
                                 FractionalMillis until_start,
                                 FractionalMillis until_spare);
--- a/include/harecrank/core/retry_policy.h
+++ b/include/harecrank/core/retry_policy.h
@@ -30,7 +30,8 @@
 struct AttemptLost {
   std::string reason;
 };
-// The time limit of the request passed during the attempt.
+// The time limit of the request passed, or was about to pass before the request
+// had started.
 struct AttemptTimedOut {};
 struct CallerDisconnected {};
 using AttemptEnd = std::variant<AttemptRejected, AttemptFailed, AttemptLost,
--- a/include/harecrank/core/wait_queue.h
+++ b/include/harecrank/core/wait_queue.h
@@ -40,8 +40,8 @@
   // From this time on the request goes before all others: one latency target
   // later it could no longer finish before its caller gives up.
   TimePoint urgent_from = TimePoint::max();
-  // The request's account, and the engine time that the waiting request adds to
-  // the account's demand.
+  // The request's demand for engine time, which counts toward its account's
+  // fair share.
   ShareClaim claim{};
 };
 
