--- a/include/harecrank/core/retry_policy.h
+++ b/include/harecrank/core/retry_policy.h
@@ -19,13 +19,19 @@
   std::string message;
   std::optional<Millis> retry_after;
 };
+// The sidecar reported a failure, or the answer ended before all of it had
+// arrived.
 struct AttemptFailed {
   std::string code;
   std::string message;
 };
+// The link to the endpoint broke, the sidecar was silent or the stream was
+// stuck, or a lost group member could not be replaced.
 struct AttemptLost {
   std::string reason;
 };
+// The time limit of the request passed, or was about to pass before the request
+// had started.
 struct AttemptTimedOut {};
 struct CallerDisconnected {};
 using AttemptEnd = std::variant<AttemptRejected, AttemptFailed, AttemptLost,
