--- a/include/harecrank/core/active_config.h
+++ b/include/harecrank/core/active_config.h
@@ -82,8 +82,8 @@
   std::shared_ptr<const Configuration> InForce() const;
 
   // Returns the changes that lead from the configuration with the digest `have`
-  // to the active one, or nothing if some of them are no longer stored. The log
-  // is empty if `have` is the digest of the active configuration.
+  // to the active one, or nothing if some of them are no longer stored. Returns
+  // an empty log if `have` is the digest of the active configuration.
   std::optional<v1::ChangeLog> ChangesSince(const Digest& have) const;
 
   // Returns the stored changes, oldest first.
@@ -95,8 +95,8 @@
 
   ActiveConfigState State() const;
 
-  // Maximum number of stored changes. Peers that lag by at most as many
-  // revisions receive changes instead of the whole document.
+  // Maximum number of stored changes. A peer that lacks only stored changes
+  // receives these instead of the whole document.
   static constexpr std::size_t kMaxRecentChanges = 64;
 
  private:
--- a/include/harecrank/core/answer_assembler.h
+++ b/include/harecrank/core/answer_assembler.h
@@ -26,8 +26,8 @@
   // NextPosition() and drops them if the buffer is full.
   std::vector<AnswerToken> Accept(AnswerToken token);
 
-  // Returns the first position that has not been delivered, at which another
-  // attempt must resume.
+  // Returns the first position that has not been delivered. Another attempt
+  // must resume there.
   std::int64_t NextPosition() const { return next_; }
 
  private:
--- a/include/harecrank/core/change_planner.h
+++ b/include/harecrank/core/change_planner.h
@@ -29,6 +29,7 @@
 struct InvalidPlan {
   std::vector<ConfigProblem> problems;
 };
+// Why planning failed.
 using PlanError =
     std::variant<StaleBase, EmptyChange, UnknownObject, InvalidPlan>;
 
--- a/include/harecrank/core/configuration.h
+++ b/include/harecrank/core/configuration.h
@@ -32,6 +32,7 @@
 struct ChangeDoesNotApply {
   std::string reason;
 };
+// Why a configuration could not be loaded or a change not be applied.
 using ConfigError =
     std::variant<UnreadableDocument, InvalidDocument, ChangeDoesNotApply>;
 
--- a/include/harecrank/core/configuration_parse_scheduler.h
+++ b/include/harecrank/core/configuration_parse_scheduler.h
@@ -16,7 +16,7 @@
 
 namespace harecrank {
 
-// Limits of the time that parsing takes from the relaying of streams.
+// Limits the time during which parsing keeps the thread from relaying streams.
 struct ParseSchedulePolicy {
   // Maximum time that a slice may occupy the thread. This is 1/40 of the
   // shortest inter-token gap that the latency targets allow, so that other work
@@ -30,11 +30,12 @@
   // would become active while new versions arrive faster than one can be
   // parsed.
   Millis replace_window{300};
-  // Parsing is urgent, and slices follow each other without a pause, if the
-  // oldest version that is not yet active is expected to become older than this
-  // before it has been parsed. The value is about a third of the time that
-  // operators allow between the publication of a version and its activation;
-  // delivery to this host takes the rest.
+  // Maximum time from the arrival of a version to its activation. If parsing
+  // with pauses is expected to exceed this for the oldest version that is not
+  // yet active, parsing is urgent: slices follow each other without a pause.
+  // The value is about a third of the time that operators allow between the
+  // publication of a version and its activation; delivery to this host takes
+  // the rest.
   Millis max_age{900};
 };
 
@@ -53,7 +54,8 @@
 // Not thread-safe.
 class ConfigurationParseScheduler {
  public:
-  // `cpu_share` is the fraction of one core that this host may use.
+  // `cpu_share` is the number of cores, possibly a fraction, that this host may
+  // use.
   ConfigurationParseScheduler(CpuShare cpu_share, ParseSchedulePolicy policy);
 
   // Call when a version newer than all earlier ones has arrived. Returns
--- a/include/harecrank/core/model_orders.h
+++ b/include/harecrank/core/model_orders.h
@@ -20,21 +20,24 @@
   std::map<std::string, std::string> adapters;
 };
 
-// Commands to an engine. The sender adds the revision of the configuration that
-// a command is based on as a fencing token, so that the engine can reject
-// outdated commands.
+// Command to an engine: load a version of a model.
 struct LoadModel {
   ModelId model;
   std::string version;
 };
+// Command to an engine: unload a model.
 struct UnloadModel {
   ModelId model;
 };
+// Command to an engine: load a version of an adapter of a model.
 struct LoadAdapter {
   ModelId model;
   AdapterName adapter;
   std::string version;
 };
+// A command to an engine. The sender adds the revision of the configuration
+// that the command is based on as a fencing token, so that the engine can
+// reject outdated commands.
 using EngineOrder = std::variant<LoadModel, UnloadModel, LoadAdapter>;
 
 // Returns the commands, in order of execution, that bring the engine `self`
--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -52,7 +52,7 @@
   int steps_per_pass = 1;
 };
 
-// A service and the limits for the use of its endpoints.
+// A service, with the limits that hosts observe at each of its endpoints.
 struct ServiceProfile {
   ServiceName name;
   // Maximum number of connections that one endpoint accepts from all hosts
@@ -60,8 +60,8 @@
   int max_connections = 0;
   // Set for model engines, absent for plain services.
   std::optional<EngineProfile> engine;
-  // An endpoint is cold, and may accept fewer requests, for this time after its
-  // start.
+  // Time after its start during which an endpoint is cold, that is, may accept
+  // fewer requests than later.
   Millis cold_period{0};
   // Maximum number of requests per second that a cold endpoint accepts. Zero
   // means that there is no limit for cold endpoints.
@@ -91,10 +91,11 @@
   // Target for the longest inter-token gap of a stream, not including the time
   // to the first event.
   Millis target_gap{0};
-  // Zero is the highest priority.
+  // Priority of the requests. Zero is the most urgent.
   int priority = 0;
   std::vector<WeightedService> services;
-  // Maximum number of times that a request may be sent to any endpoint.
+  // Maximum number of times that one request is sent, counted over all
+  // endpoints.
   int max_attempts = 1;
   // Whether requests are accepted without an API key.
   bool is_public = false;
@@ -127,7 +128,8 @@
 // A published routing configuration, before it is indexed.
 struct RoutingDocument {
   RoutingVersion version;
-  // Versions of the document share the routes that are the same in both.
+  // Versions of the document that contain the same route share one RouteRule
+  // object.
   std::vector<std::shared_ptr<const RouteRule>> routes;
   std::vector<ServiceProfile> services;
   // If absent, no request needs an API key.
--- a/src/adapters/http.h
+++ b/src/adapters/http.h
@@ -41,6 +41,7 @@
 // Returns a one-line message for logs and operators.
 std::string Describe(const HttpError& error);
 
+// One header field of a request.
 struct HttpHeader {
   std::string name;
   std::string value;
@@ -85,6 +86,7 @@
 using HttpHandler = std::function<void(Poco::Net::HTTPServerRequest&,
                                        Poco::Net::HTTPServerResponse&)>;
 
+// Address and limits of an HttpServer.
 struct HttpServerOptions {
   // IP address and port to listen on.
   std::string address;
--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -99,8 +99,8 @@
   std::string directory_service;
   // Operations addresses of some other hosts. Some of them may be outdated.
   std::vector<std::string> seed_peers;
-  // Limit on further attempts at requests after the first attempt, for all
-  // hosts together.
+  // Limit on repeated attempts, which are all attempts at a request after its
+  // first. Applies to all hosts together.
   RepeatLimit repeat_limit;
   // Time between the platform's stop signal and its kill signal.
   Millis stop_limit{8000};
@@ -110,7 +110,7 @@
   // Maximum number of file descriptors that this process may have open.
   std::size_t descriptors = 1024;
   // CPU share: number of cores that this host may use. Hosts with a larger
-  // share are preferred in the choice of the planner.
+  // share are preferred as the planner.
   double power = 1;
   // Limit on requests to cold (recently started) endpoints, for all hosts
   // together.
--- a/src/adapters/wire.h
+++ b/src/adapters/wire.h
@@ -220,8 +220,8 @@
   StreamId call;
   // The issued ticket; empty if none was issued.
   std::string ticket;
-  // Result of a revocation: OutcomeName of the outcome of the request that has
-  // the ticket.
+  // Set in answers to TicketRevoke only: the outcome of the request that has
+  // the ticket, as returned by OutcomeName.
   std::string outcome;
 };
 
@@ -230,6 +230,7 @@
   StreamId stream;
 };
 
+// Any message. The index of an alternative is its type number.
 using Message = std::variant<Hello, Submit, BodyChunk, Revoke, Cancel, Credit,
                              TicketRequest, TicketRevoke, Reserve, Welcome,
                              SidecarHeartbeat, Accepted, Started, Output,
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -88,8 +88,9 @@
   void WatchOnce();
   // Waits for the poll interval, then reads the changes once.
   void PollOnce();
-  // Waits for `interval`, or for at most kIsolatedPollInterval while no peer
-  // answers this node. Returns false if Stop is called.
+  // Waits for `interval`, but while the node is isolated (no peer answers its
+  // comparisons) at most for kIsolatedPollInterval. Returns false if Stop is
+  // called.
   bool WaitForPoll(Millis interval);
   void ReadHosts();
   void Bootstrap();
--- a/src/node/platform.h
+++ b/src/node/platform.h
@@ -14,17 +14,19 @@
 
 namespace harecrank {
 
-// Reasons why a call to the platform failed: no response, an error status, or a
-// response that cannot be parsed.
+// A call to the platform failed: there was no response.
 struct PlatformUnreachable {
   std::string reason;
 };
+// A call to the platform failed: the response has an error status.
 struct PlatformRejected {
   int status = 0;
 };
+// A call to the platform failed: the response cannot be parsed.
 struct PlatformResponseMalformed {
   std::string reason;
 };
+// Why a call to the platform failed.
 using PlatformError = std::variant<PlatformUnreachable, PlatformRejected,
                                    PlatformResponseMalformed>;
 
