--- a/include/harecrank/core/active_config.h
+++ b/include/harecrank/core/active_config.h
@@ -118,8 +118,9 @@
   RcuCell<Current> current_;
   // Oldest first.
   std::deque<v1::Change> recent_changes_;
-  // Digests stated by changes that failed to apply. If another peer offers the
-  // same invalid change, it is rejected without being validated again.
+  // Result digests stated by changes that failed to apply. A change that states
+  // one of them, for example the same change from another peer, is rejected
+  // without being validated again.
   std::set<std::string> invalid_digests_;
   ActiveConfigState state_;
 };
--- a/include/harecrank/core/router.h
+++ b/include/harecrank/core/router.h
@@ -36,7 +36,8 @@
 struct EndpointView {
   EndpointId id;
   LoadReport load;
-  // Work that this host has sent to the endpoint since its last load report.
+  // Work, in tokens, that this host has sent to the endpoint since `load` was
+  // reported.
   Tokens unreported;
   // Rank of the endpoint by rendezvous hashing of the prompt's prefix. The
   // endpoint with rank 1 probably has the prefix in its cache; 0 means that the
@@ -58,9 +59,10 @@
 // Selects the endpoint with the least work, regardless of length classes.
 struct LeastLoadedPolicy {};
 
-// Selects the endpoint with the least work that would delay a request of this
-// length class. Prefers the endpoint that probably has the prompt's prefix in
-// its cache, unless its score is too far above the mean.
+// Selects the endpoint with the lowest score: the work that would delay a
+// request of this length class, plus the tokens for which the endpoint's free
+// KV memory does not suffice. Prefers the endpoint that probably has the
+// prompt's prefix in its cache, unless its score is too far above the mean.
 struct LengthAwarePolicy {
   // 0 to 100; see Policy.long_weight_percent in schema/harecrank.proto. At 100,
   // the score of an endpoint for a short request ignores its long work; at 0,
@@ -68,6 +70,7 @@
   int long_weight_percent = 50;
 };
 
+// The policy by which an entry host selects endpoints.
 using RoutingPolicy =
     std::variant<RandomPolicy, LeastLoadedPolicy, LengthAwarePolicy>;
 
@@ -83,9 +86,9 @@
                                  const std::vector<EndpointView>& endpoints,
                                  const RandomSource& random);
 
-// Returns into how many parts a long prompt is split for its prefill if
-// `endpoints` endpoints are available: one part for each endpoint, but no part
-// smaller than kMinPrefillPart unless the whole prompt is.
+// Returns the number of parts into which a long prompt is split for its prefill
+// if `endpoints` endpoints are available: one for each endpoint, but fewer if
+// the parts would otherwise be smaller than kMinPrefillPart.
 std::size_t PrefillPartCount(Tokens prompt, std::size_t endpoints);
 constexpr Tokens kMinPrefillPart{8000};
 
--- a/include/harecrank/core/routing_table.h
+++ b/include/harecrank/core/routing_table.h
@@ -128,8 +128,8 @@
 // A published routing configuration, before it is indexed.
 struct RoutingDocument {
   RoutingVersion version;
-  // Versions of the document that contain the same route share one RouteRule
-  // object.
+  // Versions of the document that contain the same route usually share one
+  // RouteRule object.
   std::vector<std::shared_ptr<const RouteRule>> routes;
   std::vector<ServiceProfile> services;
   // If absent, no request needs an API key.
--- a/src/adapters/event_log.h
+++ b/src/adapters/event_log.h
@@ -37,8 +37,8 @@
   std::uint64_t Dropped() const { return dropped_; }
 
   // Maximum number of lines of one kind per second; further lines are only
-  // counted. A host handles a few hundred requests per second at most because
-  // of its CPU share. Failures are logged as kExempt.
+  // counted. The CPU share of a host limits it to a few hundred requests per
+  // second. Failures are logged as kExempt, without this limit.
   static constexpr int kMaxLinesPerSecond = 300;
 
  private:
--- a/src/adapters/wire.h
+++ b/src/adapters/wire.h
@@ -220,8 +220,8 @@
   StreamId call;
   // The issued ticket; empty if none was issued.
   std::string ticket;
-  // Set in answers to TicketRevoke only: the outcome of the request that has
-  // the ticket, as returned by OutcomeName.
+  // Set in answers to TicketRevoke only: OutcomeName of kNotRun if the ticket
+  // was revoked before its use, otherwise OutcomeName of kUnknown.
   std::string outcome;
 };
 
--- a/src/cli/explain.cc
+++ b/src/cli/explain.cc
@@ -77,9 +77,9 @@
       last = std::max(last, time);
     }
   }
-  // State changes are kept from this long before the first line of the request
-  // on, because an earlier event, such as an outage of the store, may still
-  // have influenced the request.
+  // Maximum time between a state change and a later first line of the request.
+  // Such state changes are kept, because an earlier event, such as an outage of
+  // the store, may still have influenced the request.
   constexpr std::int64_t kMaxLeadMs = 5000;
   auto& lines = timeline->lines;
   lines.erase(
--- a/src/node/administration.cc
+++ b/src/node/administration.cc
@@ -55,7 +55,7 @@
   call.method = "POST";
   call.path = "/peer/compare";
   call.content_type = "application/cbor";
-  // Reports the highest possible versions as its own, so that the peer answers
+  // The request states the highest possible versions, so that the peer answers
   // with its state only and sends no update.
   PeerState query = own_state;
   query.revision = UINT32_MAX;
--- a/src/node/config_feed.cc
+++ b/src/node/config_feed.cc
@@ -19,18 +19,18 @@
 
 constexpr char kDocumentKey[] = "document";
 constexpr char kChangesKey[] = "changes";
-// Maximum duration of one watch. It limits how long Stop waits for the current
-// watch, and how old the host list of a watcher becomes, which is read between
-// two watches. The resulting call rate is far below the rate limit of the
-// configuration service.
+// Maximum duration of one watch. Stop waits for the current watch to end, and a
+// watcher reads the host list only between two watches, so this value limits
+// the delay of Stop and the age of the host list. The resulting call rate is
+// far below the rate limit of the configuration service.
 constexpr Millis kWatchWait{2000};
 constexpr Millis kMinBackoff{250};
 constexpr Millis kMaxBackoff{8000};
 constexpr Millis kPeerTimeout{800};
 constexpr int kBootstrapRounds = 4;
 // Number of consecutive unanswered comparisons after which a node counts as
-// isolated and polls the configuration service more often: its data centre may
-// have lost all its watchers.
+// isolated and polls the configuration service more often, because its data
+// centre may have lost all its watchers.
 constexpr int kFailuresBeforePoll = 5;
 // Maximum poll interval of an isolated node. It is long enough that a fleet of
 // the planned size stays within the rate limit of the configuration service
@@ -256,8 +256,8 @@
   }
   OfferResult latest = OfferResult::kAlreadyInForce;
   for (const v1::Change& change : log.changes()) {
-    // Skips changes whose revision is already active or older. The last change
-    // is offered even then.
+    // Skips changes up to the active revision. The last change of the log is
+    // always offered.
     if (change.revision() <= ports_.active_config->State().revision.value &&
         &change != &*log.changes().rbegin()) {
       continue;
@@ -366,8 +366,8 @@
 }
 
 void ConfigFeed::PushTo(const std::string& address) {
-  // The revision of the peer is unknown. In nearly all cases the peer lacks
-  // only the latest change, and its reply tells its revision.
+  // In nearly all cases the peer lacks only the latest change, so only this
+  // change is sent at first. The peer's revision is known from its reply.
   const auto theirs = SendUpdate(address, LatestChangeUpdate());
   if (theirs && theirs->revision < MyState().revision) {
     SendUpdate(address, UpdateFor(*theirs));
@@ -390,8 +390,8 @@
 }
 
 PeerUpdate ConfigFeed::LatestChangeUpdate() const {
-  // UpdateFor returns only the host list for a peer with the same revision and
-  // no host list.
+  // For a peer that has the same revision but no host list, UpdateFor returns
+  // an update with the host list only.
   PeerState same_revision = MyState();
   same_revision.host_version = 0;
   PeerUpdate update = UpdateFor(same_revision);
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -41,11 +41,11 @@
 // configuration service or any reachable peer has, and keeps the newest host
 // list.
 //
-// One thread reads the configuration service: a node that the dissemination
-// plan makes a watcher waits there for changes; all other nodes poll the
-// service at long intervals. One thread compares revisions with a random peer
-// periodically. One thread pushes new revisions to this node's children in the
-// dissemination tree. Thread-safe.
+// One thread reads the configuration service: on nodes that the dissemination
+// plan selects as watchers, it waits for changes; on all other nodes, it polls
+// the service at long intervals. One thread compares revisions with a random
+// peer periodically. One thread pushes new revisions to this node's children in
+// the dissemination tree. Thread-safe.
 class ConfigFeed {
  public:
   ConfigFeed(const NodeSettings& settings, ConfigFeedPorts ports);
--- a/src/node/platform.h
+++ b/src/node/platform.h
@@ -14,7 +14,7 @@
 
 namespace harecrank {
 
-// A call to the platform failed: there was no response.
+// A call to the platform failed: no complete response was received.
 struct PlatformUnreachable {
   std::string reason;
 };
