--- a/src/adapters/event_log.h
+++ b/src/adapters/event_log.h
@@ -17,7 +17,8 @@
 
 namespace harecrank {
 
-// Whether the number of lines per second is limited for the kind of the line.
+// Whether a line is dropped if too many lines of its kind are written in the
+// same second.
 enum class LogRateLimit { kLimited, kExempt };
 
 // Writes the structured event log of one process. Not thread-safe: only one
--- a/src/adapters/settings.cc
+++ b/src/adapters/settings.cc
@@ -242,7 +242,7 @@
                    &node->log_level);
 }
 
-// Returns the name of a queue order in the settings.
+// Visitor of QueueOrder: returns the name of the order in the settings.
 struct OrderName {
   std::string operator()(LeastSlackFirst /*order*/) const {
     return "least_spare";
--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -50,8 +50,8 @@
   int max_requests = 512;
   std::size_t max_body_bytes = 16U << 20U;
   std::string routing_policy = "length_aware";
-  // Maximum time that the drain before the process stops waits for active
-  // requests.
+  // Maximum duration of the drain: when the process is stopped, it waits at
+  // most this long for active requests to end.
   Millis drain_limit{600000};
 };
 
@@ -74,8 +74,8 @@
   // Approximate time to load the weights of one model from the weight
   // store.
   Millis weight_load_time{10000};
-  // Maximum time that the drain before the process stops waits for active
-  // requests.
+  // Maximum duration of the drain: when the process is stopped, it waits at
+  // most this long for active requests to end.
   Millis drain_limit{600000};
 };
 
--- a/src/cli/load_run.cc
+++ b/src/cli/load_run.cc
@@ -47,7 +47,7 @@
 };
 
 // The measurements of one request.
-struct Sample {
+struct RequestMeasurement {
   // Length of the prompt.
   std::int64_t tokens = 0;
   // Whether the answer was complete.
@@ -147,9 +147,10 @@
 // Reads the answer to one request and measures the times of its token events.
 class AnswerReader {
  public:
-  AnswerReader(Clock::time_point start, bool is_direct, Sample* sample)
+  AnswerReader(Clock::time_point start, bool is_direct,
+               RequestMeasurement* sample)
       : start_(start),
-        last_part_at_(start),
+        last_token_at_(start),
         is_direct_(is_direct),
         sample_(sample) {}
 
@@ -186,9 +187,9 @@
       sample_->first_ms = MillisSince(start_);
     } else {
       sample_->worst_gap_ms =
-          std::max(sample_->worst_gap_ms, MillisSince(last_part_at_));
+          std::max(sample_->worst_gap_ms, MillisSince(last_token_at_));
     }
-    last_part_at_ = Clock::now();
+    last_token_at_ = Clock::now();
   }
 
   static std::string ErrorCode(const std::string& line) {
@@ -205,13 +206,13 @@
   }
 
   Clock::time_point start_;
-  Clock::time_point last_part_at_;
+  Clock::time_point last_token_at_;
   bool is_direct_;
-  Sample* sample_;
+  RequestMeasurement* sample_;
 };
 
-Sample Send(const LoadPlan& plan, const Arrival& arrival) {
-  Sample sample;
+RequestMeasurement Send(const LoadPlan& plan, const Arrival& arrival) {
+  RequestMeasurement sample;
   sample.tokens = arrival.tokens;
   const HttpCall call = MakeCall(plan, arrival);
   // Times are measured from the due time, so that they include the delay if the
@@ -238,11 +239,11 @@
 }
 
 // Returns the statistics of the requests of one prompt length.
-json Summarise(const std::vector<Sample>& samples) {
+json Summarise(const std::vector<RequestMeasurement>& samples) {
   std::vector<double> first;
   std::vector<double> gaps;
   std::map<std::string, int> errors;
-  for (const Sample& sample : samples) {
+  for (const RequestMeasurement& sample : samples) {
     if (sample.answered) {
       first.push_back(sample.first_ms);
       gaps.push_back(sample.worst_gap_ms);
@@ -259,11 +260,12 @@
               {"errors", errors}};
 }
 
-LoadRunReport Report(const LoadPlan& plan, const std::vector<Sample>& samples,
+LoadRunReport Report(const LoadPlan& plan,
+                     const std::vector<RequestMeasurement>& samples,
                      double elapsed) {
-  std::map<std::int64_t, std::vector<Sample>> by_length;
+  std::map<std::int64_t, std::vector<RequestMeasurement>> by_length;
   LoadRunReport report;
-  for (const Sample& sample : samples) {
+  for (const RequestMeasurement& sample : samples) {
     by_length[sample.tokens].push_back(sample);
     report.answered += sample.answered ? 1 : 0;
   }
@@ -300,7 +302,7 @@
   const auto start = Clock::now();
   std::deque<Arrival> arrivals = DrawArrivals(plan, start);
   std::mutex mutex;
-  std::vector<Sample> samples;
+  std::vector<RequestMeasurement> samples;
   const auto run_sender = [&] {
     while (true) {
       Arrival arrival;
@@ -313,7 +315,7 @@
         arrivals.pop_front();
       }
       std::this_thread::sleep_until(arrival.due);
-      Sample sample = Send(plan, arrival);
+      RequestMeasurement sample = Send(plan, arrival);
       const std::lock_guard<std::mutex> lock(mutex);
       samples.push_back(std::move(sample));
     }
--- a/src/node/peer_messages.h
+++ b/src/node/peer_messages.h
@@ -22,7 +22,8 @@
   bool ready = false;
 };
 
-// Update that a node sends to a peer whose configuration or host list is older.
+// Update that a node sends to a peer whose configuration or host list is, or
+// may be, older.
 struct PeerUpdate {
   PeerState state;
   // Changes that the peer lacks, as a JSON ChangeLog; empty if none are sent.
@@ -30,8 +31,8 @@
   // The whole document, sent if the changes are no longer available; empty
   // otherwise.
   std::string document_json;
-  // Whether the update contains the sender's host list, because it is newer. If
-  // so, `leaving` lists the hosts that are leaving.
+  // Whether the update contains the sender's host list. If so, `leaving` holds
+  // the ids of the hosts that are leaving.
   bool has_hosts = false;
   std::vector<std::string> leaving;
 };
