--- a/include/harecrank/core/configuration.h
+++ b/include/harecrank/core/configuration.h
@@ -44,7 +44,7 @@
 class Configuration {
  public:
   // Parses, validates and indexes a document. Fails with UnreadableDocument or
-  // InvalidDocument; any fault rejects the whole document.
+  // InvalidDocument. A document with any fault is rejected as a whole.
   static boost::leaf::result<std::shared_ptr<const Configuration>> Parse(
       const std::string& document_json);
 
--- a/include/harecrank/core/text_edits.h
+++ b/include/harecrank/core/text_edits.h
@@ -21,9 +21,9 @@
 };
 
 // Returns edits that transform `base` into `next`. The texts are compared by
-// chunks, each of which ends with a closing brace. Chunks of `next` that stand
-// elsewhere in `base` are copied too. Takes time linear in the sizes of the
-// texts.
+// chunks, each of which ends with a closing brace. A chunk of `next` is copied
+// even if it stands at another place in `base`. Takes time linear in the sizes
+// of the texts.
 std::vector<TextEdit> DiffTexts(const std::string& base,
                                 const std::string& next);
 
--- a/src/cli/load_run.h
+++ b/src/cli/load_run.h
@@ -9,7 +9,7 @@
 
 namespace harecrank {
 
-// Parameters of a load run: where to send requests, which and how many.
+// Parameters of a load run: where to send requests, of what kind, and how many.
 struct LoadPlan {
   // Addresses of entry hosts. Each request goes to a random one.
   std::vector<std::string> targets;
@@ -46,7 +46,8 @@
 
 // Sends the requests of `plan`, waits for all answers and returns the results.
 // Requests are sent at their arrival times without waiting for earlier answers,
-// so slow answers do not reduce the load.
+// so slow answers do not reduce the load unless `plan.threads` requests are
+// already running.
 LoadRunReport RunLoad(const LoadPlan& plan);
 
 }  // namespace harecrank
--- a/src/core/configuration.cc
+++ b/src/core/configuration.cc
@@ -113,9 +113,9 @@
     return leaf::new_error(ConfigError{ChangeDoesNotApply{error.what()}});
   }
   // If the digest matches, the patched text is the canonical text that the
-  // change planner produced, so it need not be computed again. That would take
-  // about half of the time to apply a change to a configuration of the target
-  // size.
+  // change planner produced, so it need not be computed again. Computing it
+  // would take about half of the time that it takes to apply a change to a
+  // configuration of the target size.
   if (DigestOf(next_json).value != change.digest()) {
     return leaf::new_error(ConfigError{
         ChangeDoesNotApply{"its result has another digest than it states"}});
--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -82,8 +82,9 @@
   void RunCompare();
   void RunPush();
   void ReadDocument();
-  // Applies a JSON ChangeLog. Reads the whole document if the changes come from
-  // the service and the base of the latest one is not active here.
+  // Applies a JSON ChangeLog. If the changes come from the configuration
+  // service and the base of the latest change is not active here, reads the
+  // whole document from the service.
   void ApplyChanges(const std::string& changes_json, ConfigSource source);
   void WatchOnce();
   // Waits for the poll interval, then reads the changes once.
