--- a/include/harecrank/core/model_orders.h
+++ b/include/harecrank/core/model_orders.h
@@ -43,7 +43,7 @@
 // Returns the commands, in order of execution, that bring the engine `self`
 // from `loaded` to the models and adapters that `configuration` assigns to it.
 // Models that are no longer assigned are unloaded first to free their memory.
-// Returns nothing if `self` is not an engine of `configuration`.
+// Returns no commands if `self` is not an engine of `configuration`.
 std::vector<EngineOrder> PlanOrders(
     const Configuration& configuration, const EndpointId& self,
     const std::map<std::string, LoadedModel>& loaded);
