--- a/src/node/config_feed.h
+++ b/src/node/config_feed.h
@@ -41,11 +41,11 @@
 // configuration service or any reachable peer has, and keeps the newest host
 // list.
 //
-// One thread reads the configuration service: a node that the dissemination
-// plan makes a watcher waits there for changes; all other nodes poll the
-// service at long intervals. One thread compares revisions with a random peer
-// periodically. One thread pushes new revisions to this node's children in the
-// dissemination tree. Thread-safe.
+// One thread reads the configuration service: on nodes that the dissemination
+// plan selects as watchers, it waits for changes; on all other nodes, it polls
+// the service at long intervals. One thread compares revisions with a random
+// peer periodically. One thread pushes new revisions to this node's children in
+// the dissemination tree. Thread-safe.
 class ConfigFeed {
  public:
   ConfigFeed(const NodeSettings& settings, ConfigFeedPorts ports);
@@ -82,14 +82,16 @@
   void RunCompare();
   void RunPush();
   void ReadDocument();
-  // Applies a JSON ChangeLog. Reads the whole document if the changes come from
-  // the service and the base of the latest one is not active here.
+  // Applies a JSON ChangeLog. If the changes come from the configuration
+  // service and the base of the latest change is not active here, reads the
+  // whole document from the service.
   void ApplyChanges(const std::string& changes_json, ConfigSource source);
   void WatchOnce();
   // Waits for the poll interval, then reads the changes once.
   void PollOnce();
-  // Waits for `interval`, or for at most kIsolatedPollInterval while no peer
-  // answers this node. Returns false if Stop is called.
+  // Waits for `interval`, but while the node is isolated (no peer answers its
+  // comparisons) at most for kIsolatedPollInterval. Returns false if Stop is
+  // called.
   bool WaitForPoll(Millis interval);
   void ReadHosts();
   void Bootstrap();
