--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -78,7 +78,7 @@
       StoreRevision since) const = 0;
 
   // Returns the same data as Export, but only for hosts whose data are complete
-  // up to `since`, since entries may be encoded as differences to their
+  // up to `since`, because entries may be encoded as differences to their
   // previous versions. The data are split into consecutive messages of at most
   // `max_bytes`; only the last one may be larger.
   virtual std::vector<std::string> ExportChanges(
--- a/src/gateway/dispatch_queue.h
+++ b/src/gateway/dispatch_queue.h
@@ -48,10 +48,10 @@
     return queue_.LeastLateWork();
   }
 
-  // Charge granted engine time to an account, and return how a new request
-  // ranks against the waiting ones. Fair shares on this host cover only the
-  // engine time that it has granted itself; it does not know what other hosts
-  // grant.
+  // OnGranted charges granted engine time to an account. ShareRankOf returns
+  // how a new request ranks against the waiting ones by the fair shares of
+  // their accounts. The shares cover only engine time that this host has
+  // granted; it does not know what other hosts grant.
   void OnGranted(const ShareClaim& claim) { queue_.OnGranted(claim); }
   ShareRank ShareRankOf(const ShareClaim& claim) const {
     return queue_.ShareRankOf(claim);
--- a/src/gateway/endpoint_connection_pool.h
+++ b/src/gateway/endpoint_connection_pool.h
@@ -47,8 +47,8 @@
   std::unique_ptr<EndpointConnection> MakeNew(const EndpointId& endpoint);
 
   // Takes back a connection whose last response has been read completely.
-  // Closes it if the pool is full or the endpoint was forgotten after it was
-  // opened.
+  // Closes it if the pool is full, or if Forget was called for the endpoint
+  // after the connection was opened.
   void PutIdle(std::unique_ptr<EndpointConnection> connection);
 
   // Closes the idle connections that are unusable or have been idle for too
--- a/src/gateway/endpoint_request.h
+++ b/src/gateway/endpoint_request.h
@@ -19,7 +19,7 @@
 struct HeadChanges {
   Millis time_left{0};
   EndpointId endpoint;
-  // Client account to name to the endpoint; absent if none is named.
+  // Client account that is sent to the endpoint; absent if none is sent.
   std::optional<AccountId> account;
   // Whether the caller's key is removed instead of forwarded to the endpoint.
   bool strip_key = false;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -85,8 +85,9 @@
   // truncated it.
   void ReportCompletion();
 
-  // Retry the request after a failed attempt, or give it up: OnNotRun if no
-  // endpoint ran it in this attempt, OnMayHaveRun if one may have.
+  // Both functions handle a failed attempt by retrying the request or giving it
+  // up. OnNotRun is called if no endpoint ran the request in this attempt,
+  // OnMayHaveRun if one may have run it.
   void OnNotRun(const std::string& reason);
   void OnMayHaveRun(const std::string& reason);
   bool MayRetry();
@@ -97,10 +98,10 @@
   void OnTimer();
   // Ends the wait for a placement if this host is about to stop, if all
   // endpoints have asked for a back-off, or if the wait limit of the request
-  // has been reached. Returns whether it did.
+  // has been reached. Returns whether the wait was ended.
   bool EndWaitIfDue(TimePoint now);
   // Cancels an attempt whose response is overdue and retries the request on
-  // another endpoint. Returns whether it did.
+  // another endpoint. Returns whether the attempt was cancelled.
   bool RetryOverdue();
   std::optional<TimePoint> AttemptOverdueAt() const;
   Millis TimeLeft() const;
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -13,9 +13,9 @@
 
 namespace http = boost::beast::http;
 
-// Number of failed connection attempts from which on a further attempt for the
-// request counts as a retry, with the limits in MayRetry. Fewer failures do not
-// use up retries, since the request was not sent.
+// After this many failed connection attempts for a request, each further
+// attempt counts as a retry and is subject to the limits in MayRetry. Fewer
+// failures do not use up retries, since the request was not sent.
 constexpr int kMaxConnectFailures = 5;
 // Minimum time before the deadline for a further attempt. With less time left
 // it could not produce a response.
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -127,7 +127,7 @@
   void OnMessage(const FleetMessage& message);
   void OnHeartbeat(const Heartbeat& heartbeat);
   Heartbeat OwnHeartbeat() const;
-  // Returns a heartbeat in which only the fields are set that
+  // Returns a heartbeat that contains only the fields that
   // FleetMemberPorts::describe fills.
   Heartbeat DescribeStoreData() const;
   void Reply(const Heartbeat& heartbeat);
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -107,10 +107,10 @@
     TimePoint deadline{};
     OnResult on_result;
     HostAddress host;
-    // `last_reply_at`: when `host` last replied to this query, or was first
-    // sent it. `sent_at`: when the query was last sent. While no planner is
-    // known for a new query, `last_reply_at` is the time at which the wait for
-    // one began.
+    // `last_reply_at`: when `host` last replied to this query; before its first
+    // reply, when the query was first sent to it. While no planner is known for
+    // a new query, the time at which the wait for a planner began. `sent_at`:
+    // when the query was last sent.
     TimePoint last_reply_at{};
     TimePoint sent_at{};
     bool queued = false;
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -58,7 +58,7 @@
   // No endpoint of the service is usable.
   virtual void OnNoEndpoint() = 0;
   // The request has begun to wait for a reply of the planner, a free engine, a
-  // start quota or reserved memory, or waits for another of these than before.
+  // start quota or reserved memory, or what it waits for has changed.
   virtual void OnWaiting() = 0;
 };
 
@@ -128,7 +128,7 @@
   MemoryTicket TicketFor(const EndpointId& holder) const;
   // Returns the time until which the request may wait for engines, or nothing
   // if this host does not limit its wait. Only oversize requests (IsOversize)
-  // that wait and cannot have run are limited.
+  // that are waiting and certain not to have run are limited.
   std::optional<TimePoint> WaitEnd(bool may_have_run) const;
   // Returns the time since the request began to wait, or nothing if it never
   // has.
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -17,11 +17,11 @@
 // sets a longer one, and time-out of a fetch.
 constexpr Millis kFetchInterval{100};
 constexpr Millis kFetchTimeout{1500};
-// How long this host waits to receive newer data, which another host has,
-// before it fetches them. kPeerUpdateDelay applies to a host that the store
-// does not answer, since the planner's changes usually arrive within this time.
-// kPollDelay applies to a host whose polls the store answers, since it gets the
-// data with the next answer.
+// After this host has learned that another host has newer data, it waits this
+// long to receive them before it fetches them. kPeerUpdateDelay applies to a
+// host that the store does not answer, since the planner's changes usually
+// arrive within this time. kPollDelay applies to a host whose polls the store
+// answers, since it gets the data with the next answer.
 constexpr Millis kPeerUpdateDelay{30};
 constexpr Millis kPollDelay{300};
 // Maximum size of a message with changes that is sent as a datagram. Larger
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -21,9 +21,9 @@
 // Callbacks through which PublicationRelay accesses this host's data and
 // heartbeats.
 struct PublicationRelayPorts {
-  // Returns a heartbeat in which only the fields are set that
-  // FleetMemberPorts::describe fills, among them which of the store's data this
-  // host has.
+  // Returns a heartbeat that contains only the fields that
+  // FleetMemberPorts::describe fills. They include the state of this host's
+  // copy of the store's data.
   std::function<Heartbeat()> describe;
   // Returns the changes after `since`, for hosts whose data are complete up to
   // it, in consecutive messages of at most `max_bytes`; only the last one may
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -60,8 +60,8 @@
   // Returns whether the endpoint is still starting the request: it has not sent
   // the first event of the attempt yet, or less than kStartPeriod ago.
   bool IsStarting() const;
-  // Returns the time from which on the response of the current attempt is
-  // overdue, if no more of it arrives.
+  // Returns the time at which the response of the current attempt becomes
+  // overdue if no more of it arrives.
   TimePoint OverdueAt() const;
 
   int SendCount() const { return send_count_; }
--- a/src/gateway/start_limiter.cc
+++ b/src/gateway/start_limiter.cc
@@ -191,8 +191,8 @@
 }
 
 nlohmann::json StartLimiter::DescribeRateLimit(const EndpointId& id) const {
-  // The default service profile sets no limit for cold endpoints, so that of
-  // the two limits only the advertised rate limit affects the values below.
+  // The default service profile sets no limit for cold endpoints. With it, the
+  // values below depend only on the advertised rate limit.
   const ServiceProfile service_without_limits;
   const StartLimit limit = rate_limits_.StartLimitOf(id).value_or(StartLimit{});
   const auto advertised = rate_limits_.AdvertisedRate(id);
--- a/src/gateway/store_sync_state.h
+++ b/src/gateway/store_sync_state.h
@@ -71,8 +71,8 @@
 
  private:
   void AdvanceTo(StoreRevision at);
-  // Records that the data contained all changes `age` ago. `was_overdue` tells
-  // whether they had been overdue before this update.
+  // Records that the data include all changes made until `age` ago.
+  // `was_overdue` tells whether they had been overdue before this update.
   void RecordFreshness(Millis age, bool was_overdue);
   // Updates the poll mode, and logs when the data become fresh or stale.
   // `reason` is logged if they become stale.
