--- a/src/gateway/caller_listener.cc
+++ b/src/gateway/caller_listener.cc
@@ -14,9 +14,8 @@
 // example for lack of file descriptors, or while the maximum number of sessions
 // is open.
 constexpr Millis kAcceptRetryDelay{50};
-// Minimum length of the session list at which ended sessions are removed from
-// it. Above this, they are removed each time the list has grown to twice the
-// length that the previous removal left.
+// Ended sessions are removed from the session list when it has grown to twice
+// the length that the previous removal left, but not before it has this length.
 constexpr std::size_t kMinSweepThreshold = 64;
 
 }  // namespace
--- a/src/gateway/crash_guard.h
+++ b/src/gateway/crash_guard.h
@@ -84,7 +84,8 @@
   // together with the trial of another request; `is_trial` is set to whether
   // this attempt is a trial.
   bool TryAdmit(GuardedRequest* request, bool* is_trial);
-  // Record whether a trial request was sent to its endpoint.
+  // OnTrialSent records that a trial was sent to its endpoint. OnTrialNotSent
+  // records that it was not sent and cancels the trial.
   void OnTrialSent(const RequestFingerprint& request);
   void OnTrialNotSent(const RequestFingerprint& request);
 
@@ -103,9 +104,9 @@
   void OnCompleted(GuardedRequest* request);
 
   // Merges the crash reports of another host. Returns the updated reports on
-  // those requests for which it contained something new, to be passed on to
-  // other hosts. Adds to `missing` the reports for which this host has data
-  // that the sender lacks.
+  // those requests for which `reports` contained new data, to be passed on to
+  // other hosts. Adds to `missing` this host's reports that contain data which
+  // the sender lacks.
   std::vector<CrashReport> OnReports(const std::vector<CrashReport>& reports,
                                      std::vector<CrashReport>* missing);
 
--- a/src/gateway/crash_relay.h
+++ b/src/gateway/crash_relay.h
@@ -15,8 +15,8 @@
 // Callbacks through which CrashRelay accesses this host's crash reports.
 struct CrashRelayPorts {
   // Merges the reports of another host. Returns the updated reports on those
-  // requests for which it contained something new. Adds to `missing` the
-  // reports for which this host has data that the sender lacks.
+  // requests for which `reports` contained new data. Adds to `missing` this
+  // host's reports that contain data which the sender lacks.
   std::function<std::vector<CrashReport>(
       const std::vector<CrashReport>& reports,
       std::vector<CrashReport>* missing)>
--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -44,14 +44,14 @@
   // Called when the store has answered: the data passed to this sink are
   // complete up to `at`.
   virtual void OnSynced(StoreRevision at) = 0;
-  // Called when another host whose data are fresh has sent its data up to `at`,
-  // before the sink is called with these data.
+  // Called when another host whose data are fresh has sent its data up to `at`.
+  // The sink is called with these data afterwards.
   virtual void OnSyncedByPeer(StoreRevision at) = 0;
   // Called when the store does not respond, or responds with an error.
   virtual void OnStoreUnreachable(const std::string& reason) = 0;
   // Called when data from the store or from another host are invalid and have
-  // been ignored, unless OnEndpointUnusable reports them. `what` names the
-  // data.
+  // been ignored; `what` names the data. Invalid entries of endpoints are
+  // reported by OnEndpointUnusable instead.
   virtual void OnUnusable(const std::string& what,
                           const std::string& reason) = 0;
 };
@@ -91,8 +91,8 @@
   // Imports data that another host's feed has exported, and passes them to the
   // sink. `store_data_fresh` tells whether the data of that host are fresh.
   // Returns the revision up to which this host's data are complete, or nothing
-  // if the import is malformed or does not follow on from this host's data
-  // without missing changes.
+  // if the import is malformed or changes between this host's data and the
+  // import are missing.
   virtual std::optional<StoreRevision> Import(const std::string& exported,
                                               bool store_data_fresh) = 0;
 };
--- a/src/gateway/endpoint_connection_pool.h
+++ b/src/gateway/endpoint_connection_pool.h
@@ -71,8 +71,8 @@
   static constexpr Millis kIdleMargin{800};
 
   // How long the time of a Forget call is retained. Longer than any request may
-  // take, since a connection in use at that time must be recognised when it is
-  // returned.
+  // take, since a connection that is in use during the call must be recognised
+  // as outdated when it is returned.
   static constexpr Millis kForgottenRetention{600000};
 
  private:
--- a/src/gateway/endpoint_response_handler.h
+++ b/src/gateway/endpoint_response_handler.h
@@ -21,7 +21,7 @@
 class EndpointResponseHandler {
  public:
   // All pointers must outlive this. `on_change` is called when a response has
-  // changed a rate limit or announced a shutdown of which other hosts should be
+  // changed a rate limit or announced a shutdown, so that other hosts should be
   // informed soon.
   EndpointResponseHandler(const EndpointDirectory* directory,
                           EndpointHealth* health,
--- a/src/gateway/endpoint_updater.h
+++ b/src/gateway/endpoint_updater.h
@@ -48,7 +48,8 @@
   void OnDrainedListing(const std::vector<DrainedDataCentre>& drained,
                         StoreRevision at);
 
-  // Handle an operator's order that drains one data centre or restores it.
+  // OnDrained handles an operator's order that drains a data centre, OnRestored
+  // one that restores it.
   void OnDrained(const DrainedDataCentre& order);
   void OnRestored(const DataCentreId& id, StoreRevision revision);
 
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -188,7 +188,7 @@
     if (RetryOverdue()) {
       return;
     }
-    budget_exhausted_ = true;
+    overdue_retries_disabled_ = true;
   }
   ArmTimer();
 }
@@ -232,7 +232,8 @@
 }
 
 std::optional<TimePoint> Exchange::AttemptOverdueAt() const {
-  if (!sender_->IsUnderWay() || !route_->MayRepeat() || budget_exhausted_ ||
+  if (!sender_->IsUnderWay() || !route_->MayRepeat() ||
+      overdue_retries_disabled_ ||
       sender_->SendCount() >= route_->max_attempts) {
     return std::nullopt;
   }
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -63,8 +63,9 @@
   void OnErrorAnswer();
   void OnFirstEvent();
 
-  // Handles the head of a response: rejections that did not run the request,
-  // unsigned responses, errors that are retried, event streams, and all others.
+  // Handles the head of a response. Distinguishes rejections of requests that
+  // have not run, unsigned responses, errors that are retried, event streams,
+  // and all other responses.
   void HandleResponseHead(const EndpointResponse& response,
                           const ResponseHead& head);
   void OnNotRunResponse(const EndpointResponse& response);
@@ -93,7 +94,8 @@
   bool MayRetry();
   void AbandonAttempt();
 
-  // Deadlines of the request, and the timer that enforces them.
+  // The functions from here to TimeLeft enforce the request's time limits with
+  // a timer.
   void ArmTimer();
   void OnTimer();
   // Ends the wait for a placement if this host is about to stop, if all
@@ -144,7 +146,7 @@
   // Whether the retry budget has denied the last retry, or an overdue attempt
   // could not be retried for any reason. While set, overdue attempts are not
   // retried.
-  bool budget_exhausted_ = false;
+  bool overdue_retries_disabled_ = false;
   // Whether the head of the last response states where its body ends; see
   // ReportCompletion.
   bool has_framed_end_ = false;
--- a/src/gateway/fleet_member.cc
+++ b/src/gateway/fleet_member.cc
@@ -177,8 +177,8 @@
   if (heartbeat.planner == heartbeat.address &&
       heartbeat.address != followed_planner_) {
     // The sender considers itself the planner, and at least some hosts follow
-    // it. It needs this host's work, or it would consider the engines that run
-    // it idle.
+    // it. The sender must know which work this host has in progress; otherwise
+    // it would consider the engines that run this work idle.
     Heartbeat work_report = OwnHeartbeat();
     work_report.work = placement_client_.Work();
     Send(heartbeat.address, work_report);
@@ -207,8 +207,8 @@
   const auto found = std::find(pollers_.begin(), pollers_.end(), host);
   heartbeat->should_poll = found != pollers_.end();
   if (*heartbeat->should_poll) {
-    // Rank zero, which polls continuously, is the planner's while the store
-    // answers it; otherwise it goes to the first host in `pollers_`.
+    // The host with rank zero polls continuously. This is the planner while the
+    // store answers the planner, otherwise the first host in `pollers_`.
     heartbeat->poll_rank =
         static_cast<int>(found - pollers_.begin()) + (store_answers_ ? 1 : 0);
   }
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -134,13 +134,13 @@
   // On the planner: sets in `heartbeat` whether `host` should poll the store,
   // and its rank among the polling hosts.
   void SetPollFields(const HostAddress& host, Heartbeat* heartbeat) const;
-  // On the planner: sends a heartbeat to each of the other hosts that poll the
-  // store, with its rank, which depends on whether the store answers the
-  // planner.
+  // On the planner: sends each of the other hosts that poll the store a
+  // heartbeat with its poll rank. The ranks depend on whether the store answers
+  // the planner.
   void InformPollers();
-  // Requests a heartbeat from `planner`, which another host follows but this
-  // host does not: either there are two planners, or this host follows the
-  // wrong one.
+  // To be called with the planner that another host has named. Requests a
+  // heartbeat from it if this host does not follow it: either there are two
+  // planners, or this host follows the wrong one.
   void RequestHeartbeat(const HostAddress& planner);
   void SendHeartbeatToPlanner();
   // Sends a heartbeat to each of Membership::GossipTargets, a few hosts through
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -62,7 +62,7 @@
   // OnStarted and OnEnd report such a placement to the planner, too.
   QueryId NewId() { return QueryId{next_id_++}; }
 
-  // Records that the host uses a placement, which causes the work `parts` at
+  // Records that this host uses a placement, which causes the work `parts` at
   // endpoints.
   void OnStarted(QueryId id, std::vector<WorkPart> parts);
   // Records that the first event has arrived. `pace` is the actual time to the
--- a/src/gateway/placement_search.cc
+++ b/src/gateway/placement_search.cc
@@ -442,7 +442,7 @@
   End();
   StartWaitClock();
   // The memory was probably reserved by another request in the meantime, or an
-  // endpoint has become unusable, so searches again after a delay.
+  // endpoint has become unusable, so the search is repeated after a delay.
   retry_timer_.expires_after(kMemoryRetryDelay);
   retry_timer_.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& error) {
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -91,7 +91,7 @@
   // Returns whether, at each endpoint that was not tried yet, a start limit or
   // a back-off prevents this host from starting the request before the latest
   // time at which waiting is useful: its latency target, or its deadline if it
-  // is also served late.
+  // is still served after it has missed this target.
   bool CannotStartInTime(SendingHistory history) const;
 
   // Rejects a waiting request if all endpoints that were not tried yet have
@@ -139,8 +139,9 @@
   // Queries the planner. OnResult receives the reply.
   void SendQuery();
   void OnResult(const QueryResult& result);
-  // Uses the planner's placement. If this host knows that an endpoint in it is
-  // not usable, or may not start the request there, queries the planner again.
+  // Uses the planner's placement. Queries the planner again if this host knows
+  // that an endpoint of the placement is not usable, or if this host may not
+  // start the request there.
   void UsePlanned(const PlannedPlacement& planned);
   // Excludes the unusable endpoints of `planned` from the next query. Otherwise
   // the planner could return placements on a dozen endpoints of a drained data
@@ -181,7 +182,7 @@
       const std::set<EndpointId>& tried) const;
   // Returns the latest time at which waiting for an endpoint is useful: the
   // time at which the request misses its latency target, or its deadline if it
-  // is also served late.
+  // is still served after that.
   TimePoint WaitDeadline(SendingHistory history) const;
   void RejectStartLimited(const StartAvailability& availability);
   // Returns whether the request has been sent before.
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -13,8 +13,9 @@
 namespace harecrank {
 namespace {
 
-// Longest pause between two fetches of a snapshot, unless a Retry-After header
-// sets a longer one, and time-out of a fetch.
+// The next fetch of a snapshot may start half of kFetchInterval to
+// kFetchInterval after the previous one has ended, unless the response had a
+// Retry-After header. kFetchTimeout is the time-out of a fetch.
 constexpr Millis kFetchInterval{100};
 constexpr Millis kFetchTimeout{1500};
 // After this host has learned that another host has newer data, it waits this
--- a/src/gateway/publication_relay.h
+++ b/src/gateway/publication_relay.h
@@ -60,15 +60,16 @@
   void OnPublished();
 
   // To be called when this host becomes the planner. From then on it sends the
-  // other hosts all changes, beginning after the data it has now.
+  // other hosts all changes that follow the data it has at the time of the
+  // call.
   void OnBecamePlanner();
 
   // Handles changes that the planner has sent.
   void OnChanges(const PublishedChanges& published);
 
-  // Fetches a snapshot from a host that has newer data. Waits first for the
-  // time in which this host, whose state is `own`, usually receives the data
-  // from the planner or the store. To be called with each heartbeat and every
+  // Fetches a snapshot from a host that has newer data. Before the fetch, waits
+  // as long as new data usually take to arrive from the planner or the store.
+  // `own` is the state of this host. To be called with each heartbeat and every
   // few tens of milliseconds.
   void FetchIfBehind(const Heartbeat& own);
 
@@ -78,9 +79,9 @@
   // sends the planner a heartbeat. The first data of a host that polls the
   // store are announced to all hosts by a heartbeat.
   void SendChanges();
-  // Returns how long this host, after it has learned that another host has
-  // newer data, waits to receive them before it fetches them; zero if it has no
-  // routing table yet.
+  // After this host has learned that another host has newer data, it waits some
+  // time to receive them before it fetches them. Returns this time; zero if
+  // this host has no routing table yet.
   Millis FetchDelay(const Heartbeat& own) const;
   void Fetch(const HostAddress& host, StoreRevision since, bool is_redirected);
   void OnFetched(const HostAddress& host, StoreRevision since,
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -32,16 +32,16 @@
   // Records that the current attempt has ended by itself, not by Cancel.
   void OnEnded() { attempt_.reset(); }
 
-  // To be called by the observer for the events of the attempt, and for its
-  // assessment of them: OnErrorAnswer for an error response or an invalid or
-  // aborted one, OnUnreachable if the endpoint could not be reached, OnOverdue
-  // if the response is overdue.
+  // The observer reports the events of the attempt with the functions below. It
+  // calls OnErrorAnswer if the response is an error, invalid or aborted,
+  // OnUnreachable if the endpoint could not be reached, and OnOverdue if the
+  // response is overdue.
   void OnSent();
   void OnAnswer(const EndpointResponse& response);
   void OnBytes();
   // Records that the first event of the response has arrived. Returns the ratio
-  // of its actual to its predicted latency, both increased by a constant (see
-  // the definition), or nothing if an event had already arrived in this
+  // of its actual to its predicted latency, both increased by the constant
+  // kNegligible, or nothing if an event had already arrived in this
   // attempt.
   std::optional<double> OnFirstEvent();
   void OnErrorAnswer();
--- a/src/gateway/socket_options.h
+++ b/src/gateway/socket_options.h
@@ -22,8 +22,8 @@
 // An endpoint that sends nothing may be busy with the prefill of a long prompt
 // or may have lost power; the keepalive probes distinguish the two. A
 // connection whose keepalive probes are not answered is closed within
-// kKeepaliveTimeout, well before memory that other engines have reserved for
-// its request must be free again.
+// kKeepaliveTimeout, well before the time at which other engines must have
+// freed the memory that they have reserved for its request.
 void SetEndpointOptions(boost::asio::ip::tcp::socket* socket);
 
 // Idle time before the first keepalive probe, and interval between probes.
--- a/src/gateway/start_limiter.h
+++ b/src/gateway/start_limiter.h
@@ -1,6 +1,6 @@
-// Decides at which endpoints this host may start requests now, by its quotas of
-// the endpoints' start limits and by the back-offs that endpoints have asked of
-// it.
+// Decides at which endpoints this host may start requests now. Considers this
+// host's quotas of the endpoints' start limits, and the back-offs that
+// endpoints have asked of this host.
 
 #ifndef HARECRANK_SRC_GATEWAY_START_LIMITER_H_
 #define HARECRANK_SRC_GATEWAY_START_LIMITER_H_
@@ -34,8 +34,8 @@
                RoutingTableProvider routing, EventLog* log, Metrics* metrics,
                MonotonicClock clock);
 
-  // Update the state by endpoint records of the store: all of them, or a single
-  // one.
+  // OnListing handles the complete list of the endpoint records in the store,
+  // OnEndpoint a new or changed record, and OnGone the removal of a record.
   void OnListing(const std::vector<EndpointRecord>& records);
   void OnEndpoint(const EndpointRecord& record);
   void OnGone(const EndpointId& id) { cold_endpoints_.OnGone(id); }
@@ -91,10 +91,10 @@
   }
 
   // Returns the Retry-After time for a caller that is rejected because of the
-  // limits of all endpoints of `service`: at most kMaxRetryAfter, or the time
-  // to the end of the back-offs if all endpoints have asked for a longer
-  // back-off. The times of successive callers are spaced by the rate at which
-  // this host may start requests, up to this maximum.
+  // limits of all endpoints of `service`. The times of successive callers are
+  // spaced by the rate at which this host may start requests. The maximum is
+  // kMaxRetryAfter or, if all endpoints have asked for a longer back-off, the
+  // time to the end of the back-offs.
   Millis NextRetryAfter(const ServiceName& service,
                         const StartAvailability& availability);
 
--- a/src/gateway/store_sync_state.h
+++ b/src/gateway/store_sync_state.h
@@ -49,8 +49,8 @@
   // Records that another host whose data are fresh has sent its data up to
   // `at`.
   void OnPeerSynced(StoreRevision at);
-  // Records that another host has no newer data than this one, so that this
-  // host's data are at most `age` old, like those of the other host.
+  // Records that another host, whose data are `age` old, has no newer data than
+  // this host. The data of this host are therefore at most `age` old, too.
   void OnPeerFreshness(Millis age);
 
   // Records that the data of another host have been imported and are complete
