--- a/src/gateway/admission.h
+++ b/src/gateway/admission.h
@@ -46,7 +46,7 @@
 // Retry-After of a request that is rejected because there is no configuration
 // or no service for it, and minimum Retry-After of a request that is given up
 // before an endpoint has run it. About the time that short requests take.
-// Callers wait at most a third of their remaining time.
+// Callers honour a Retry-After of up to a third of their remaining time.
 inline constexpr Millis kRetryAfterRejection{500};
 // Retry-After of a request that is rejected because this host is shutting down.
 // The caller's retry reaches another host, so it need not wait.
--- a/src/gateway/caller_listener.cc
+++ b/src/gateway/caller_listener.cc
@@ -15,7 +15,7 @@
 // is open.
 constexpr Millis kAcceptRetryDelay{50};
 // Ended sessions are removed from the session list when it has grown to twice
-// the length that the previous removal left, but not before it has this length.
+// the length that the previous removal left, and at least to this threshold.
 constexpr std::size_t kMinSweepThreshold = 64;
 
 }  // namespace
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -188,7 +188,7 @@
     if (RetryOverdue()) {
       return;
     }
-    overdue_retries_disabled_ = true;
+    budget_exhausted_ = true;
   }
   ArmTimer();
 }
@@ -232,8 +232,7 @@
 }
 
 std::optional<TimePoint> Exchange::AttemptOverdueAt() const {
-  if (!sender_->IsUnderWay() || !route_->MayRepeat() ||
-      overdue_retries_disabled_ ||
+  if (!sender_->IsUnderWay() || !route_->MayRepeat() || budget_exhausted_ ||
       sender_->SendCount() >= route_->max_attempts) {
     return std::nullopt;
   }
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -69,8 +69,10 @@
   void HandleResponseHead(const EndpointResponse& response,
                           const ResponseHead& head);
   void OnNotRunResponse(const EndpointResponse& response);
-  // Retries the request on another endpoint after an error response. Returns
-  // false if that is not possible, and then the caller gets the response.
+  // Retries the request on another endpoint after an error response, or gives
+  // it up if it cannot be retried and a stream to the caller has begun. Returns
+  // false if it cannot be retried and no stream has begun; the error response
+  // is then forwarded to the caller.
   bool RetryElsewhere(unsigned status);
   void OnNotSent(const AttemptNotSent& failure);
   // Reports the aborted attempt to the crash guard, which checks whether the
@@ -146,7 +148,7 @@
   // Whether the retry budget has denied the last retry, or an overdue attempt
   // could not be retried for any reason. While set, overdue attempts are not
   // retried.
-  bool overdue_retries_disabled_ = false;
+  bool budget_exhausted_ = false;
   // Whether the head of the last response states where its body ends; see
   // ReportCompletion.
   bool has_framed_end_ = false;
--- a/src/gateway/exchange_attempts.cc
+++ b/src/gateway/exchange_attempts.cc
@@ -302,8 +302,8 @@
       search_->CannotStartInTime(History())) {
     return false;
   }
-  overdue_retries_disabled_ = !services_->budgets->TryRepeat(service_->name);
-  return !overdue_retries_disabled_;
+  budget_exhausted_ = !services_->budgets->TryRepeat(service_->name);
+  return !budget_exhausted_;
 }
 
 void Exchange::AbandonAttempt() {
--- a/src/gateway/fleet_member.h
+++ b/src/gateway/fleet_member.h
@@ -140,7 +140,7 @@
   void InformPollers();
   // To be called with the planner that another host has named. Requests a
   // heartbeat from it if this host does not follow it: either there are two
-  // planners, or this host follows the wrong one.
+  // planners, or this host follows the wrong one or none.
   void RequestHeartbeat(const HostAddress& planner);
   void SendHeartbeatToPlanner();
   // Sends a heartbeat to each of Membership::GossipTargets, a few hosts through
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -85,7 +85,7 @@
   EventLog* log = nullptr;
   Metrics* metrics = nullptr;
   // Returns the time by which requests that start now must end because this
-  // host is about to stop; nothing if it is not.
+  // host is about to stop; nothing if this host is not about to stop.
   std::function<std::optional<TimePoint>()> stops_at;
   // The client that queries the planner for placements.
   PlacementClient* places = nullptr;
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -121,8 +121,8 @@
 }
 
 void PublicationRelay::OnChanges(const PublishedChanges& published) {
-  // If the changes leave a gap, this host fetches the missing data once the
-  // next heartbeat shows that it is behind.
+  // If changes between this host's data and the received ones are missing, this
+  // host fetches them once the next heartbeat shows that it is behind.
   ports_.on_published(published.changes, true);
 }
 
--- a/src/gateway/request_sender.h
+++ b/src/gateway/request_sender.h
@@ -58,7 +58,7 @@
   bool WasSent() const { return was_sent_; }
   bool HasFirstEvent() const { return attempt_first_event_at_.has_value(); }
   // Returns whether the endpoint is still starting the request: it has not sent
-  // the first event of the attempt yet, or less than kStartPeriod ago.
+  // the first event of the attempt yet, or sent it less than kStartPeriod ago.
   bool IsStarting() const;
   // Returns the time at which the response of the current attempt becomes
   // overdue if no more of it arrives.
