--- a/src/gateway/endpoint_connection_pool.h
+++ b/src/gateway/endpoint_connection_pool.h
@@ -47,8 +47,8 @@
   std::unique_ptr<EndpointConnection> MakeNew(const EndpointId& endpoint);
 
   // Takes back a connection whose last response has been read completely.
-  // Closes it if the pool is full or the endpoint was forgotten after it was
-  // opened.
+  // Closes it if the pool is full, or if Forget was called for the endpoint
+  // after the connection was opened.
   void PutIdle(std::unique_ptr<EndpointConnection> connection);
 
   // Closes the idle connections that are unusable or have been idle for too
@@ -71,8 +71,8 @@
   static constexpr Millis kIdleMargin{800};
 
   // How long the time of a Forget call is retained. Longer than any request may
-  // take, since a connection in use at that time must be recognised when it is
-  // returned.
+  // take, since a connection that is in use during the call must be recognised
+  // as outdated when it is returned.
   static constexpr Millis kForgottenRetention{600000};
 
  private:
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -63,13 +63,16 @@
   void OnErrorAnswer();
   void OnFirstEvent();
 
-  // Handles the head of a response: rejections that did not run the request,
-  // unsigned responses, errors that are retried, event streams, and all others.
+  // Handles the head of a response. Distinguishes rejections of requests that
+  // have not run, unsigned responses, errors that are retried, event streams,
+  // and all other responses.
   void HandleResponseHead(const EndpointResponse& response,
                           const ResponseHead& head);
   void OnNotRunResponse(const EndpointResponse& response);
-  // Retries the request on another endpoint after an error response. Returns
-  // false if that is not possible, and then the caller gets the response.
+  // Retries the request on another endpoint after an error response, or gives
+  // it up if it cannot be retried and a stream to the caller has begun. Returns
+  // false if it cannot be retried and no stream has begun; the error response
+  // is then forwarded to the caller.
   bool RetryElsewhere(unsigned status);
   void OnNotSent(const AttemptNotSent& failure);
   // Reports the aborted attempt to the crash guard, which checks whether the
@@ -85,22 +88,24 @@
   // truncated it.
   void ReportCompletion();
 
-  // Retry the request after a failed attempt, or give it up: OnNotRun if no
-  // endpoint ran it in this attempt, OnMayHaveRun if one may have.
+  // Both functions handle a failed attempt by retrying the request or giving it
+  // up. OnNotRun is called if no endpoint ran the request in this attempt,
+  // OnMayHaveRun if one may have run it.
   void OnNotRun(const std::string& reason);
   void OnMayHaveRun(const std::string& reason);
   bool MayRetry();
   void AbandonAttempt();
 
-  // Deadlines of the request, and the timer that enforces them.
+  // The functions from here to TimeLeft enforce the request's time limits with
+  // a timer.
   void ArmTimer();
   void OnTimer();
   // Ends the wait for a placement if this host is about to stop, if all
   // endpoints have asked for a back-off, or if the wait limit of the request
-  // has been reached. Returns whether it did.
+  // has been reached. Returns whether the wait was ended.
   bool EndWaitIfDue(TimePoint now);
   // Cancels an attempt whose response is overdue and retries the request on
-  // another endpoint. Returns whether it did.
+  // another endpoint. Returns whether the attempt was cancelled.
   bool RetryOverdue();
   std::optional<TimePoint> AttemptOverdueAt() const;
   Millis TimeLeft() const;
--- a/src/gateway/placement_search.h
+++ b/src/gateway/placement_search.h
@@ -58,7 +58,7 @@
   // No endpoint of the service is usable.
   virtual void OnNoEndpoint() = 0;
   // The request has begun to wait for a reply of the planner, a free engine, a
-  // start quota or reserved memory, or waits for another of these than before.
+  // start quota or reserved memory, or what it waits for has changed.
   virtual void OnWaiting() = 0;
 };
 
@@ -91,7 +91,7 @@
   // Returns whether, at each endpoint that was not tried yet, a start limit or
   // a back-off prevents this host from starting the request before the latest
   // time at which waiting is useful: its latency target, or its deadline if it
-  // is also served late.
+  // is still served after it has missed this target.
   bool CannotStartInTime(SendingHistory history) const;
 
   // Rejects a waiting request if all endpoints that were not tried yet have
@@ -128,7 +128,7 @@
   MemoryTicket TicketFor(const EndpointId& holder) const;
   // Returns the time until which the request may wait for engines, or nothing
   // if this host does not limit its wait. Only oversize requests (IsOversize)
-  // that wait and cannot have run are limited.
+  // that are waiting and certain not to have run are limited.
   std::optional<TimePoint> WaitEnd(bool may_have_run) const;
   // Returns the time since the request began to wait, or nothing if it never
   // has.
@@ -139,8 +139,9 @@
   // Queries the planner. OnResult receives the reply.
   void SendQuery();
   void OnResult(const QueryResult& result);
-  // Uses the planner's placement. If this host knows that an endpoint in it is
-  // not usable, or may not start the request there, queries the planner again.
+  // Uses the planner's placement. Queries the planner again if this host knows
+  // that an endpoint of the placement is not usable, or if this host may not
+  // start the request there.
   void UsePlanned(const PlannedPlacement& planned);
   // Excludes the unusable endpoints of `planned` from the next query. Otherwise
   // the planner could return placements on a dozen endpoints of a drained data
@@ -181,7 +182,7 @@
       const std::set<EndpointId>& tried) const;
   // Returns the latest time at which waiting for an endpoint is useful: the
   // time at which the request misses its latency target, or its deadline if it
-  // is also served late.
+  // is still served after that.
   TimePoint WaitDeadline(SendingHistory history) const;
   void RejectStartLimited(const StartAvailability& availability);
   // Returns whether the request has been sent before.
--- a/src/gateway/publication_relay.cc
+++ b/src/gateway/publication_relay.cc
@@ -13,15 +13,16 @@
 namespace harecrank {
 namespace {
 
-// Longest pause between two fetches of a snapshot, unless a Retry-After header
-// sets a longer one, and time-out of a fetch.
+// The next fetch of a snapshot may start half of kFetchInterval to
+// kFetchInterval after the previous one has ended, unless the response had a
+// Retry-After header. kFetchTimeout is the time-out of a fetch.
 constexpr Millis kFetchInterval{100};
 constexpr Millis kFetchTimeout{1500};
-// How long this host waits to receive newer data, which another host has,
-// before it fetches them. kPeerUpdateDelay applies to a host that the store
-// does not answer, since the planner's changes usually arrive within this time.
-// kPollDelay applies to a host whose polls the store answers, since it gets the
-// data with the next answer.
+// After this host has learned that another host has newer data, it waits this
+// long to receive them before it fetches them. kPeerUpdateDelay applies to a
+// host that the store does not answer, since the planner's changes usually
+// arrive within this time. kPollDelay applies to a host whose polls the store
+// answers, since it gets the data with the next answer.
 constexpr Millis kPeerUpdateDelay{30};
 constexpr Millis kPollDelay{300};
 // Maximum size of a message with changes that is sent as a datagram. Larger
@@ -120,8 +121,8 @@
 }
 
 void PublicationRelay::OnChanges(const PublishedChanges& published) {
-  // If the changes leave a gap, this host fetches the missing data once the
-  // next heartbeat shows that it is behind.
+  // If changes between this host's data and the received ones are missing, this
+  // host fetches them once the next heartbeat shows that it is behind.
   ports_.on_published(published.changes, true);
 }
 
--- a/src/gateway/store_sync_state.h
+++ b/src/gateway/store_sync_state.h
@@ -49,8 +49,8 @@
   // Records that another host whose data are fresh has sent its data up to
   // `at`.
   void OnPeerSynced(StoreRevision at);
-  // Records that another host has no newer data than this one, so that this
-  // host's data are at most `age` old, like those of the other host.
+  // Records that another host, whose data are `age` old, has no newer data than
+  // this host. The data of this host are therefore at most `age` old, too.
   void OnPeerFreshness(Millis age);
 
   // Records that the data of another host have been imported and are complete
@@ -71,8 +71,8 @@
 
  private:
   void AdvanceTo(StoreRevision at);
-  // Records that the data contained all changes `age` ago. `was_overdue` tells
-  // whether they had been overdue before this update.
+  // Records that the data include all changes made until `age` ago.
+  // `was_overdue` tells whether they had been overdue before this update.
   void RecordFreshness(Millis age, bool was_overdue);
   // Updates the poll mode, and logs when the data become fresh or stale.
   // `reason` is logged if they become stale.
