--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -32,6 +32,8 @@
   Millis acknowledge_timeout{1500};
 };
 
+// Result of an attempt: the end message of a complete answer, or the reason why
+// the attempt ended without one.
 using AttemptResult = std::variant<wire::Finished, AttemptEnd>;
 
 // Sends a request to one endpoint and forwards the answer to an AnswerSink.
@@ -83,6 +85,8 @@
   TimePoint acknowledge_deadline_;
   // Time at which the latest output arrived; empty before the first.
   std::optional<TimePoint> last_output_at_;
+  // Number of tokens received for which the sidecar has not been granted new
+  // credit yet.
   std::int64_t credit_owed_ = 0;
 };
 
--- a/src/entry/endpoint_table.h
+++ b/src/entry/endpoint_table.h
@@ -31,10 +31,10 @@
 //
 // If every entry host kept links to every endpoint, the number of links would
 // grow with hosts times endpoints. Each host therefore keeps links to a small
-// subset per model: the endpoints of its own data centre that rank first for it
-// in a rendezvous hash, plus at least two of other data centres as a reserve,
-// and more of them if its own data centre has too few. The number of links then
-// grows with hosts times models.
+// subset per model. The subset has the endpoints of the host's own data centre
+// that rank first for the host in a rendezvous hash. As a reserve, it also has
+// at least two endpoints of other data centres, and more if the host's own data
+// centre has too few. The number of links then grows with hosts times models.
 class EndpointTable {
  public:
   // Constructs an empty table.
--- a/src/entry/group_runner.cc
+++ b/src/entry/group_runner.cc
@@ -103,8 +103,8 @@
         PlanSegments(request_.prompt_tokens, request_.answer_tokens,
                      Candidates(), ports_.min_members);
     if (!plan) {
-      // The candidates' latest load reports have too little free memory. The
-      // reports are delayed, so an engine may have more in its next one.
+      // The candidates' latest load reports show too little free memory. The
+      // reports are delayed, so the next ones may already show enough.
       if (!ports_.attempt.sink->OnIdle()) {
         *end_reason = CallerDisconnected{};
         return false;
--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -47,9 +47,9 @@
   // Runs the request to completion.
   AttemptResult Run(AttemptEvidence* evidence);
 
-  // Return the endpoint of the member that generates the answer, and the number
-  // of members. Before Run has reserved memory on all members, the results are
-  // an empty ID and 0.
+  // DecodeEndpoint returns the endpoint of the member that generates the
+  // answer, and MemberCount the number of members. Before Run has reserved
+  // memory on all members, they return an empty ID and 0.
   EndpointId DecodeEndpoint() const;
   int MemberCount() const { return static_cast<int>(members_.size()); }
 
--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -54,11 +54,13 @@
   AllocationId segment;
 };
 
-// A request that an engine generates an answer or prefills one prompt segment.
+// A request to an engine, either to generate an answer or to prefill one prompt
+// segment.
 struct EngineRequest {
   AllocationId id;
   // The sidecar process that owns the allocation. After a restart of the
-  // sidecar, the new process recognises the allocations of the old one by it.
+  // sidecar, the new process recognises the old one's allocations by this
+  // field.
   Incarnation owner;
   ModelId model;
   AdapterName adapter;
@@ -94,9 +96,9 @@
 // Thread-safe.
 class EnginePort {
  public:
-  // Callback of Generate for when the engine has accepted the request.
+  // Generate calls this once the engine has accepted the request.
   using OnAccepted = std::function<void()>;
-  // Callback of Generate for each token. It returns false to stop the
+  // Generate calls this for each token. The callback returns false to stop the
   // generation.
   using OnToken = std::function<bool(std::int64_t position, std::string token)>;
 
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -21,10 +21,11 @@
 constexpr std::size_t kMaxTickets = 20000;
 constexpr std::size_t kMaxAnswerLogs = 2000;
 constexpr Millis kTimerInterval{20};
-// Number of threads of the pool in addition to two for each request that may
-// run. The second thread of a request sends its answer log to the caller if it
-// has a ticket. The additional threads run the requests of group members and
-// later replays of answer logs, which run beside the scheduled requests.
+// Number of spare threads in the pool. The pool also has two threads for each
+// request that the scheduler may run: one runs the request, the other sends the
+// answer log to the caller if the request has a ticket. The spare threads serve
+// work outside the scheduler: requests of group members, and later replays of
+// answer logs.
 constexpr int kSpareThreads = 64;
 // Maximum number of load updates in one heartbeat interval. They are sent while
 // the load changes, and only on connections that carry requests.
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -87,9 +87,9 @@
   // Starts a group member's request immediately in its reserved memory, and
   // renews the reservation up to the deadline, within kMaxReservationTtl.
   void RunUnderReservation(const StreamPtr& stream);
-  // Redeems the ticket of an enqueued request. Returns true if the request has
-  // no ticket or its ticket has not been used before, so that it may run.
-  // Otherwise removes the request from the queue and sends its caller the
+  // Redeems the ticket of an enqueued request. Returns whether the request may
+  // run, which is the case if it has no ticket or an unused one. Otherwise
+  // removes the request from the queue and sends its caller the
   // stored answer or an error.
   bool RedeemTicket(const StreamPtr& stream);
   void AttachToLog(const StreamPtr& stream, const Ticket& ticket);
