--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -104,6 +104,7 @@
   TimePoint deadline_;
   std::shared_ptr<StreamInbox> inbox_;
   std::vector<Member> members_;
+  // Endpoints that were lost as members. They are not selected again.
   std::set<EndpointId> failed_;
   TimePoint next_renewal_{};
 };
--- a/src/entry/link_pool.h
+++ b/src/entry/link_pool.h
@@ -86,9 +86,9 @@
   // report does not include. The sum returns to zero at the next heartbeat.
   void AddUnreported(Tokens tokens);
 
-  // Limits in heartbeat intervals without a message. After kMissedBeforeSilent,
-  // a link is considered silent. After kMissedBeforeClose, it is closed, and
-  // all its streams receive LinkLost.
+  // Limits of the time without a message, in heartbeat intervals. After
+  // kMissedBeforeSilent intervals, the link is considered silent. After
+  // kMissedBeforeClose, it is closed, and all its streams receive LinkLost.
   static constexpr int kMissedBeforeSilent = 3;
   static constexpr int kMissedBeforeClose = 8;
 
--- a/src/sidecar/engine_port.h
+++ b/src/sidecar/engine_port.h
@@ -66,6 +66,7 @@
   AdapterName adapter;
   std::string prompt;
   Tokens answer;
+  // Position in the answer at which the output starts.
   std::int64_t resume_from = 0;
   // Scheduling priority; the engine schedules requests with a larger value
   // first.
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -23,9 +23,9 @@
 constexpr Millis kTimerInterval{20};
 // Number of spare threads in the pool. The pool also has two threads for each
 // request that the scheduler may run: one runs the request, the other sends the
-// answer log to the caller if the request has a ticket. The spare threads serve
-// work outside the scheduler: requests of group members, and later replays of
-// answer logs.
+// answer log to the caller if the request has a ticket. The spare threads run
+// the requests of group members and later replays of answer logs, which run
+// beside the scheduled requests.
 constexpr int kSpareThreads = 64;
 // Maximum number of load updates in one heartbeat interval. They are sent while
 // the load changes, and only on connections that carry requests.
@@ -612,8 +612,8 @@
       QueueCancel(runner_.AllocationIdFor(stream->key));
     }
   }
-  // The stream of a request with a ticket is removed at the end of the replay,
-  // from which the entry host receives the answer.
+  // If the request has a ticket, the entry host receives the answer from the
+  // replay of the answer log. The stream is then removed when the replay ends.
   if (replay || stream->log == nullptr) {
     RemoveStream(stream);
   } else {
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -89,8 +89,8 @@
   void RunUnderReservation(const StreamPtr& stream);
   // Redeems the ticket of an enqueued request. Returns whether the request may
   // run, which is the case if it has no ticket or an unused one. Otherwise
-  // removes the request from the queue and sends its caller the
-  // stored answer or an error.
+  // removes the request from the queue and sends its caller the stored answer
+  // or an error.
   bool RedeemTicket(const StreamPtr& stream);
   void AttachToLog(const StreamPtr& stream, const Ticket& ticket);
   // Starts the queued requests that the scheduler permits to start now.
