--- a/src/entry/link_pool.h
+++ b/src/entry/link_pool.h
@@ -29,6 +29,7 @@
 struct LinkLost {
   StreamId stream;
 };
+// Event of one stream: a message from the sidecar, or the loss of the link.
 using StreamEvent = std::variant<wire::Message, LinkLost>;
 
 // Returns the stream that a message from a sidecar belongs to, or zero if it
--- a/src/sidecar/engine_reconciler.cc
+++ b/src/sidecar/engine_reconciler.cc
@@ -16,6 +16,7 @@
 // the order may be outdated and is not sent.
 constexpr Millis kMaxDecisionAge{500};
 
+// Returns the name of an order: its kind and what it loads or unloads.
 struct OrderName {
   std::string operator()(const LoadModel& order) const {
     return "load " + order.model.value + " " + order.version;
--- a/src/sidecar/engine_reconciler.h
+++ b/src/sidecar/engine_reconciler.h
@@ -87,6 +87,7 @@
   mutable std::mutex mutex_;
   std::condition_variable wake_;
   bool wake_requested_ = false;
+  // Models that the engine had loaded at the latest status report.
   std::set<std::string> models_;
   // Allocations of this incarnation that no request used at the latest status
   // report.
--- a/src/sidecar/http_engine.cc
+++ b/src/sidecar/http_engine.cc
@@ -18,6 +18,7 @@
 // load weights only once they are loaded.
 constexpr Millis kOrderTimeout{120000};
 
+// Returns a human-readable description of an EngineError.
 struct Describer {
   std::string operator()(const EngineRejected& error) const {
     return "the engine rejected the request: " + error.reason;
@@ -101,6 +102,7 @@
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
+// Converts an order to the JSON object that is sent to the engine.
 struct OrderToJson {
   json operator()(const LoadModel& order) const {
     return {{"kind", "load_model"},
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -146,9 +146,10 @@
   // Scheduler keys of the group reservations, by the stream on which an entry
   // host made the reservation.
   std::map<StreamKey, std::uint64_t> reservations_;
+  // Answer logs of requests with a ticket, by the nonce of the ticket.
   std::unordered_map<std::uint64_t, std::shared_ptr<AnswerLog>> logs_;
-  // The keys of `logs_` (ticket nonces) in the order in which the logs were
-  // created. The oldest log is evicted first.
+  // The ticket nonces in `logs_`, in the order in which the logs were created.
+  // The oldest log is evicted first.
   std::deque<std::uint64_t> log_order_;
   std::set<ConnectionId> connections_;
   std::deque<AllocationId> to_cancel_;
--- a/src/sidecar/work_runner.cc
+++ b/src/sidecar/work_runner.cc
@@ -43,6 +43,8 @@
   }
 };
 
+// Converts an error of a call to a plain service to a message to the entry
+// host. The message is Refused only if the service cannot be reached.
 struct HttpErrorToMessage {
   StreamId stream;
 
