--- a/src/entry/group_runner.h
+++ b/src/entry/group_runner.h
@@ -47,9 +47,9 @@
   // Runs the request to completion.
   AttemptResult Run(AttemptEvidence* evidence);
 
-  // Return the endpoint of the member that generates the answer, and the number
-  // of members. Before Run has reserved memory on all members, the results are
-  // an empty ID and 0.
+  // DecodeEndpoint returns the endpoint of the member that generates the
+  // answer, and MemberCount the number of members. Before Run has reserved
+  // memory on all members, they return an empty ID and 0.
   EndpointId DecodeEndpoint() const;
   int MemberCount() const { return static_cast<int>(members_.size()); }
 
@@ -104,6 +104,7 @@
   TimePoint deadline_;
   std::shared_ptr<StreamInbox> inbox_;
   std::vector<Member> members_;
+  // Endpoints that were lost as members. They are not selected again.
   std::set<EndpointId> failed_;
   TimePoint next_renewal_{};
 };
--- a/src/entry/link_pool.h
+++ b/src/entry/link_pool.h
@@ -29,6 +29,7 @@
 struct LinkLost {
   StreamId stream;
 };
+// Event of one stream: a message from the sidecar, or the loss of the link.
 using StreamEvent = std::variant<wire::Message, LinkLost>;
 
 // Returns the stream that a message from a sidecar belongs to, or zero if it
@@ -86,9 +87,9 @@
   // report does not include. The sum returns to zero at the next heartbeat.
   void AddUnreported(Tokens tokens);
 
-  // Limits in heartbeat intervals without a message. After kMissedBeforeSilent,
-  // a link is considered silent. After kMissedBeforeClose, it is closed, and
-  // all its streams receive LinkLost.
+  // Limits of the time without a message, in heartbeat intervals. After
+  // kMissedBeforeSilent intervals, the link is considered silent. After
+  // kMissedBeforeClose, it is closed, and all its streams receive LinkLost.
   static constexpr int kMissedBeforeSilent = 3;
   static constexpr int kMissedBeforeClose = 8;
 
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -87,10 +87,10 @@
   // Starts a group member's request immediately in its reserved memory, and
   // renews the reservation up to the deadline, within kMaxReservationTtl.
   void RunUnderReservation(const StreamPtr& stream);
-  // Redeems the ticket of an enqueued request. Returns true if the request has
-  // no ticket or its ticket has not been used before, so that it may run.
-  // Otherwise removes the request from the queue and sends its caller the
-  // stored answer or an error.
+  // Redeems the ticket of an enqueued request. Returns whether the request may
+  // run, which is the case if it has no ticket or an unused one. Otherwise
+  // removes the request from the queue and sends its caller the stored answer
+  // or an error.
   bool RedeemTicket(const StreamPtr& stream);
   void AttachToLog(const StreamPtr& stream, const Ticket& ticket);
   // Starts the queued requests that the scheduler permits to start now.
@@ -146,9 +146,10 @@
   // Scheduler keys of the group reservations, by the stream on which an entry
   // host made the reservation.
   std::map<StreamKey, std::uint64_t> reservations_;
+  // Answer logs of requests with a ticket, by the nonce of the ticket.
   std::unordered_map<std::uint64_t, std::shared_ptr<AnswerLog>> logs_;
-  // The keys of `logs_` (ticket nonces) in the order in which the logs were
-  // created. The oldest log is evicted first.
+  // The ticket nonces in `logs_`, in the order in which the logs were created.
+  // The oldest log is evicted first.
   std::deque<std::uint64_t> log_order_;
   std::set<ConnectionId> connections_;
   std::deque<AllocationId> to_cancel_;
