--- a/src/gateway/gateway_gauges.cc
+++ b/src/gateway/gateway_gauges.cc
@@ -77,8 +77,7 @@
     return static_cast<double>(parts.directory->Drained().Count());
   });
   metrics->AddGauge("harecrank_gateway_closed_endpoints_busy", [parts] {
-    return static_cast<double>(
-        parts.endpoint_updater->BusyDrainedCount(*parts.loads));
+    return static_cast<double>(parts.updater->BusyDrainedCount(*parts.loads));
   });
   metrics->AddGauge("harecrank_gateway_source_well", [parts] {
     return parts.store_sync->HasFreshData() ? 1.0 : 0.0;
--- a/src/gateway/gateway_gauges.h
+++ b/src/gateway/gateway_gauges.h
@@ -28,7 +28,7 @@
   EndpointLoads* loads;
   EndpointHealth* health;
   EndpointConnectionPool* connections;
-  EndpointUpdater* endpoint_updater;
+  EndpointUpdater* updater;
   RequestQuarantine* quarantine;
   DispatchQueue* queue;
   Membership* membership;
